--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -1,12 +1,12 @@
 //! Measures what a flood of connections that say nothing costs the serving thread, and what a usual client beside it
 //! notices: `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
 
-use clayshore::limits::Plan;
-use clayshore::protocol::http::{Malformed, Request, Response};
-use clayshore::routing::Invariant;
-use clayshore::transport::gate::Gate;
-use clayshore::transport::listener::{Front, accept};
-use clayshore::transport::places::Places;
+use gatherer::limits::Plan;
+use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::routing::Invariant;
+use gatherer::transport::gate::Gate;
+use gatherer::transport::listener::{Front, accept};
+use gatherer::transport::places::Places;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -1,13 +1,13 @@
 //! Ways of keeping membership, side by side in the same worlds: this program's, and the crate `foca` as it comes and with
 //! quicker times. Prints tables; `quick` plays a part of it, `thousand` deaths among a thousand members.
 
-use clayshore::api::Time;
-use clayshore::lab::world::{Act, Peer, World, address, name};
-use clayshore::lab::{Experiment, Outcome, play};
-use clayshore::membership::{Change, Knock, Node, State, Timing};
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
+use gatherer::api::Time;
+use gatherer::lab::world::{Act, Peer, World, address, name};
+use gatherer::lab::{Experiment, Outcome, play};
+use gatherer::membership::{Change, Knock, Node, State, Timing};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde::{Deserialize, Serialize};
--- a/examples/report_scale.rs
+++ b/examples/report_scale.rs
@@ -1,10 +1,10 @@
 //! Measures a report over many lines: `cargo run --release --example report_scale -- LINES`. Writes so many lines of 20
 //! gatherers into a temporary folder, reads them in one pass, and prints time and peak memory.
 
-use clayshore::api::Time;
-use clayshore::program::inspect::Report;
-use clayshore::records::folder::Folder;
-use clayshore::records::{Body, Bounds, End, Figures, Seen, Writer, figures};
+use gatherer::api::Time;
+use gatherer::program::inspect::Report;
+use gatherer::records::folder::Folder;
+use gatherer::records::{Body, Bounds, End, Figures, Seen, Writer, figures};
 use std::time::{Duration, Instant};
 
 const GATHERERS: u64 = 20;
--- a/src/bin/clayshore-lab/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -1,9 +1,9 @@
 //! The laboratory's command line: plays experiments on members in virtual time, checks their rules, keeps results.
 
 use clap::{Parser, Subcommand};
-use clayshore::lab::experiment::{Error, Experiment};
-use clayshore::lab::world::World;
-use clayshore::lab::{Outcome, chart, play};
+use gatherer::lab::experiment::{Error, Experiment};
+use gatherer::lab::world::World;
+use gatherer::lab::{Outcome, chart, play};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/src/bin/clayshore-simhost/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,7 +1,7 @@
 //! The words of the wire. Reads fields, settings, events and list entries; writes actions.
 
-use clayshore::api::*;
-use clayshore::program::settings::Pairs;
+use gatherer::api::*;
+use gatherer::program::settings::Pairs;
 use std::fmt::Write;
 use std::str::FromStr;
 use std::sync::Arc;
--- a/src/bin/clayshore-simhost/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,8 +1,8 @@
 //! Batches and instances: sorts a batch's events by instance, runs a turn of each, writes the reply.
 
 use crate::codec::{self, Fields};
-use clayshore::Aggregator;
-use clayshore::api::*;
+use gatherer::Aggregator;
+use gatherer::api::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
--- a/src/bin/clayshore-simhost/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -10,7 +10,7 @@
     match serve(&mut io::stdin().lock(), &mut BufWriter::with_capacity(1 << 16, io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("clayshore-simhost: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/clayshore-soak/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -3,9 +3,9 @@
 use crate::time;
 use crate::worker;
 use bytes::BytesMut;
-use clayshore::protocol::http::{self, Incoming};
-use clayshore::soak::judge::{Observations, Request, RequestEnd, Stopped};
 use fastrand::Rng;
+use gatherer::protocol::http::{self, Incoming};
+use gatherer::soak::judge::{Observations, Request, RequestEnd, Stopped};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/bin/clayshore-soak/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::time;
 use bytes::BytesMut;
-use clayshore::protocol::http::{self, Response};
+use gatherer::protocol::http::{self, Response};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/bin/clayshore-soak/fleet.rs
+++ b/src/bin/soak-test/fleet.rs
@@ -4,7 +4,7 @@
 use crate::clients::SHARDS;
 use crate::discovery::Agent;
 use crate::time;
-use clayshore::soak::judge::{Observations, Part, Process};
+use gatherer::soak::judge::{Observations, Part, Process};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
--- a/src/bin/clayshore-soak/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -1,4 +1,4 @@
-//! `clayshore-soak`: gatherers, workers and clients as real processes on loopback sockets, under overlapping troubles
+//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping troubles
 //! drawn from a seed, judged by invariants. It says which invariant fell and how to play the run again.
 
 mod clients;
@@ -60,7 +60,7 @@
     #[arg(long)]
     no_faults: bool,
     /// The gatherer's program.
-    #[arg(long, default_value = "target/release/clayshore")]
+    #[arg(long, default_value = "target/release/gatherer")]
     program: PathBuf,
     /// The library of faults; it is built from `tools/faults/faults.c` where this is not given.
     #[arg(long)]
--- a/src/bin/clayshore-soak/stage.rs
+++ b/src/bin/soak-test/stage.rs
@@ -5,10 +5,10 @@
 use crate::discovery::{Agent, List, Listed};
 use crate::fleet::{self, DEADLINE_MS, DRAIN_GRACE_MS, Files, Gatherer, Running, Worker};
 use crate::time;
-use clayshore::protocol::http;
-use clayshore::soak::judge::{Change, Finding, Observations, WorkerPause, judge};
-use clayshore::soak::plan::{self, Planned, Trouble};
 use fastrand::Rng;
+use gatherer::protocol::http;
+use gatherer::soak::judge::{Change, Finding, Observations, WorkerPause, judge};
+use gatherer::soak::plan::{self, Planned, Trouble};
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -65,7 +65,7 @@
 
 fn again(run: &Run) -> String {
     let mut words = format!(
-        "clayshore-soak run --seed {} --seconds {} --gatherers {} --workers {} --clients {}",
+        "soak-test run --seed {} --seconds {} --gatherers {} --workers {} --clients {}",
         run.seed, run.seconds, run.gatherers, run.workers, run.clients
     );
     run.only.iter().for_each(|name| words.push_str(&format!(" --only {name}")));
@@ -90,7 +90,7 @@
 
 impl Soak {
     async fn begin(run: &Run) -> Rc<Soak> {
-        let folder = std::env::temp_dir().join(format!("clayshore-soak-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let library = library(run, &folder);
         let files = Rc::new(Files {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! all events of a moment to [`Aggregator::turn`] and carry out the actions that come back.
 //!
 //! ```
-//! use clayshore::{Aggregator, api::*};
+//! use gatherer::{Aggregator, api::*};
 //! use std::time::Duration;
 //!
 //! let class = Class {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,14 +1,14 @@
-//! The program: `clayshore` serves the platform, `clayshore FILE` the OpenSearch-style front of that file; the other
+//! The program: `gatherer` serves the platform, `gatherer FILE` the OpenSearch-style front of that file; the other
 //! sub-commands check files and read records.
 
 use clap::{Parser, Subcommand};
-use clayshore::program::config::{Config, Error};
-use clayshore::program::failure::Failure;
-use clayshore::program::opensearch_file::FrontFile;
-use clayshore::program::operator::Operator;
-use clayshore::program::run::START;
-use clayshore::program::{inspect, log, members, run};
-use clayshore::transport::failure::retry_blocking;
+use gatherer::program::config::{Config, Error};
+use gatherer::program::failure::Failure;
+use gatherer::program::opensearch_file::FrontFile;
+use gatherer::program::operator::Operator;
+use gatherer::program::run::START;
+use gatherer::program::{inspect, log, members, run};
+use gatherer::transport::failure::retry_blocking;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,4 +1,4 @@
-//! Every decision of clayshore. The types of its settings, events and actions stand in `src/api.rs`,
+//! Every decision of the gatherer. The types of its settings, events and actions stand in `src/api.rs`,
 //! the fields of what it remembers in `src/state.rs`.
 //!
 //! Order: constants, state, the turn, then membership, reports and multipliers, replica choice, admission and
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 
 /// One worker for each of eight shards, and a class that may be answered from half of its parts.
 fn one_worker_a_shard() -> Root {
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -1,9 +1,9 @@
 //! Workers out by hand, as the core hands them to the module: nothing new while out, a cold one's share once back.
 
-use clayshore::api::*;
-use clayshore::program::config::Config;
-use clayshore::records::line::{Body, WorkerState};
-use clayshore::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
+use gatherer::api::*;
+use gatherer::program::config::Config;
+use gatherer::records::line::{Body, WorkerState};
+use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 
 /// A try of a request, which its hint tells apart from others, with the time that its client gives each try.
 fn try_of(root: &mut Root, hint: u64, left: u64, retry: bool) -> (RequestId, Vec<Event>) {
--- a/tests/common/links.rs
+++ b/tests/common/links.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own share of this
 
 use super::process::*;
-use clayshore::protocol::gossip::Seal;
+use gatherer::protocol::gossip::Seal;
 use serde_json::Value;
 use std::collections::HashSet;
 use std::io::{Read, Write};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,8 +5,8 @@
 pub mod links;
 pub mod process;
 
-use clayshore::Aggregator;
-use clayshore::api::*;
+use gatherer::Aggregator;
+use gatherer::api::*;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -2,7 +2,7 @@
 //! for events: a line of the log, an answer, a count.
 
 use bytes::BytesMut;
-use clayshore::protocol::http::{self, Incoming};
+use gatherer::protocol::http::{self, Incoming};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -307,7 +307,7 @@
         operator: Option<&str>,
         variables: &[(&str, PathBuf)],
     ) -> Gatherer {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_clayshore"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
         command.env_clear().env("LB_CONFIG", file).env("TMPDIR", &scratch.0).stderr(Stdio::piped());
         command.envs(variables.iter().map(|(name, value)| (name, value)));
         if let Some(text) = operator {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -4,16 +4,16 @@
 mod common;
 
 use bytes::BytesMut;
-use clayshore::api::{Status, Time};
-use clayshore::limits::{Backoff, Plan};
-use clayshore::program::config::Config;
-use clayshore::protocol::http::{self, Request, Response};
-use clayshore::records::line::{Body, WorkerState};
-use clayshore::routing::{Broker, Clock, Core};
-use clayshore::transport::places::Places;
-use clayshore::transport::stream::{Dial, Dialling, Stream};
-use clayshore::transport::watch;
 use common::process::{self, Folder, Gatherer, Worker, free, member, operate};
+use gatherer::api::{Status, Time};
+use gatherer::limits::{Backoff, Plan};
+use gatherer::program::config::Config;
+use gatherer::protocol::http::{self, Request, Response};
+use gatherer::records::line::{Body, WorkerState};
+use gatherer::routing::{Broker, Clock, Core};
+use gatherer::transport::places::Places;
+use gatherer::transport::stream::{Dial, Dialling, Stream};
+use gatherer::transport::watch;
 use std::cell::{Cell, RefCell};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use clayshore::protocol::http;
-use clayshore::service::stage::LINGER;
 use common::process::{Discovery, Folder, Gatherer, Worker, config, member, response, until};
+use gatherer::protocol::http;
+use gatherer::service::stage::LINGER;
 use rustix::net::sockopt::set_socket_linger;
 use rustix::net::{AddressFamily, SocketType};
 use serde_json::{Value, json};
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,8 +1,8 @@
 //! One exchange with discovery or an index server, on loopback sockets: what is the end of an answer, and what is none.
 
 use bytes::BytesMut;
-use clayshore::protocol::http;
-use clayshore::transport::client::{Broken, exchange};
+use gatherer::protocol::http;
+use gatherer::transport::client::{Broken, exchange};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{Read, Write};
 use std::net::TcpListener;
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,8 +1,8 @@
 //! The figures that operators read: each end of a query is counted once, in any order of events.
 
-use clayshore::api::*;
-use clayshore::program::config::Config;
-use clayshore::routing::{Ask, AskPart, Core, End, Order, Ticket};
+use gatherer::api::*;
+use gatherer::program::config::Config;
+use gatherer::routing::{Ask, AskPart, Core, End, Order, Ticket};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use clayshore::api::*;
-use clayshore::limits::Backoff;
 use common::fleet::{Fleet, ROOTS, Worker, ZONES, served};
 use common::ms;
+use gatherer::api::*;
+use gatherer::limits::Backoff;
 
 #[test]
 fn a_lost_zone_is_learned_from_few_of_its_workers_and_trusted_again_at_one_answer() {
--- a/tests/grown.rs
+++ b/tests/grown.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 
 fn refused(root: &Root, id: RequestId) -> bool {
     root.actions.iter().any(|action| matches!(action, Action::Refuse { id: of, .. } if *of == id))
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -2,7 +2,7 @@
 //! The report finds these two things and no others, and counts what the clients counted.
 
 use bytes::BytesMut;
-use clayshore::protocol::http;
+use gatherer::protocol::http;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_clayshore");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_gatherer");
 /// What workers take for a part on a good day, when all of them are slow, and where nobody is to be answered.
 const CALM: u64 = 8;
 const SLOW: u64 = 40;
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,14 +1,14 @@
 //! Connections to index servers: which address is dialled, and what goes out on a connection that was kept.
 
 use bytes::BytesMut;
-use clayshore::api::*;
-use clayshore::limits::Plan;
-use clayshore::program::config::Config;
-use clayshore::protocol::http::{self, Response};
-use clayshore::routing::{Ask, AskPart, Broker, Clock, Core, Verdict};
-use clayshore::transport::index_servers::IndexServers;
-use clayshore::transport::places::Places;
-use clayshore::transport::stream::{Dial, Dialling, Stream};
+use gatherer::api::*;
+use gatherer::limits::Plan;
+use gatherer::program::config::Config;
+use gatherer::protocol::http::{self, Response};
+use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Verdict};
+use gatherer::transport::index_servers::IndexServers;
+use gatherer::transport::places::Places;
+use gatherer::transport::stream::{Dial, Dialling, Stream};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -2,15 +2,15 @@
 
 mod common;
 
-use clayshore::api::*;
-use clayshore::limits::{Plan, Side};
-use clayshore::protocol::http::{Malformed, Request, Response};
-use clayshore::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
-use clayshore::routing::{Invariant, Violations};
-use clayshore::transport::gate::Gate;
-use clayshore::transport::listener::{Front, serve};
-use clayshore::transport::places::Places;
 use common::{class, ms};
+use gatherer::api::*;
+use gatherer::limits::{Plan, Side};
+use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
+use gatherer::routing::{Invariant, Violations};
+use gatherer::transport::gate::Gate;
+use gatherer::transport::listener::{Front, serve};
+use gatherer::transport::places::Places;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -114,7 +114,7 @@
 async fn left(leaves: bool) -> Vec<Invariant> {
     let places = Places::new(Plan::new(64, 16, 0).expect("enough"), 1 << 20);
     let gate = Gate::new(places.clone());
-    let source = clayshore::limits::crowd::Source(1);
+    let source = gatherer::limits::crowd::Source(1);
     let pass = gate.admit(source, Duration::ZERO).await.expect("room");
     let (near, mut far) = tokio::io::duplex(1 << 12);
     let front = Rc::new(Mute::default());
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,7 +1,7 @@
 //! The laboratory: its experiments hold, the same seed plays the same, and its rules can be broken.
 
-use clayshore::lab::world::World;
-use clayshore::lab::{Experiment, Outcome, chart, play};
+use gatherer::lab::world::World;
+use gatherer::lab::{Experiment, Outcome, chart, play};
 use std::path::Path;
 
 fn outcome(experiment: &Experiment) -> Outcome {
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -1,12 +1,12 @@
 //! The listener on loopback sockets, in a crowd of many times the descriptors: the usual clients lose nothing.
 
-use clayshore::limits::{Plan, Side};
-use clayshore::protocol::http::{Malformed, Request, Response};
-use clayshore::routing::Invariant;
-use clayshore::service::stage::Call;
-use clayshore::transport::gate::Gate;
-use clayshore::transport::listener::{Accept, Accepting, Front, accept};
-use clayshore::transport::places::{Place, Places};
+use gatherer::limits::{Plan, Side};
+use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::routing::Invariant;
+use gatherer::service::stage::Call;
+use gatherer::transport::gate::Gate;
+use gatherer::transport::listener::{Accept, Accepting, Front, accept};
+use gatherer::transport::places::{Place, Places};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -430,7 +430,7 @@
         };
         let clients: Vec<_> = (0..60).map(come).collect();
         // The one thread stands still past the moment at which the door closes: both lie there at the same wake.
-        std::thread::sleep(clayshore::service::stage::LINGER + Duration::from_millis(50));
+        std::thread::sleep(gatherer::service::stage::LINGER + Duration::from_millis(50));
         for client in clients {
             client.set_nonblocking(true).expect("set");
             let mut client = TcpStream::from_std(client).expect("a stream");
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -142,7 +142,7 @@
     }
     fleet.agreed();
     let run = |extra: &[&str]| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_clayshore"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
         let out =
             command.args(["members", &fleet.member(0).operators]).args(extra).output().expect("it runs");
         assert!(out.status.success(), "{out:?}");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Members in virtual time, under each fault that they have to bear: who is found dead and when, who is not, and what
 //! number of gatherers each goes by meanwhile.
 
-use clayshore::lab::world::{self, Net, counted};
-use clayshore::membership::{Node, State, Timing};
+use gatherer::lab::world::{self, Net, counted};
+use gatherer::membership::{Node, State, Timing};
 use std::time::Duration;
 
 type World = world::World<Node>;
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -1,8 +1,8 @@
 //! Faults drawn by lot, with shrinking, inside the bounds that docs/membership.md states: nobody who lives is buried, and
 //! all agree again afterwards. And proof that the guards are needed: without each, somebody who lives is buried.
 
-use clayshore::lab::world::{self, Net};
-use clayshore::membership::{Claim, Kind, Message, Node, Standing, State, Timing};
+use gatherer::lab::world::{self, Net};
+use gatherer::membership::{Claim, Kind, Message, Node, Standing, State, Timing};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,8 +1,8 @@
 //! Every way in which the first messages after a fault may be lost, played on the program's own state machine: three or
 //! four members, one crash, one cut, both, or one that stands still.
 
-use clayshore::lab::world;
-use clayshore::membership::{Node, State, Timing};
+use gatherer::lab::world;
+use gatherer::membership::{Node, State, Timing};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/tests/odd_orders.rs
+++ b/tests/odd_orders.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 use std::collections::BTreeMap;
 
 fn play(seed: u64, effect: Effect) {
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,7 +1,7 @@
 //! The program itself, on loopback sockets: start, one query, SIGTERM, exit.
 
 use bytes::BytesMut;
-use clayshore::protocol::http::{self, Incoming};
+use gatherer::protocol::http::{self, Incoming};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -102,7 +102,7 @@
     config["known"] = serde_json::from_str(&list).expect("JSON");
     let path = std::env::temp_dir().join(format!("clayshore-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_clayshore"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
     // The file goes before the variables: it alone can be replaced while the program runs.
     let first = config["discovery"].as_str().expect("an address").to_owned();
     let (child, address, log) = start(command.env_clear().env("LB_CONFIG", &path).env("LB_DISCOVERY", first));
@@ -143,7 +143,7 @@
     let text = include_str!("scenario/opensearch.toml");
     let path = std::env::temp_dir().join(format!("clayshore-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_clayshore"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
     let (child, address, log) = start(command.env_clear().arg(&path));
     let mut client = TcpStream::connect(&address).expect("connected");
     client.write_all(&http::request("POST", "/none/_search", "x", Some(b"{}"))).expect("written");
@@ -159,7 +159,7 @@
     std::fs::write(&path, include_str!("scenario/opensearch.toml")).expect("written");
     let limited = |most: u32| {
         let mut shell = Command::new("sh");
-        let line = format!("ulimit -n {most}; exec {} {}", env!("CARGO_BIN_EXE_clayshore"), path.display());
+        let line = format!("ulimit -n {most}; exec {} {}", env!("CARGO_BIN_EXE_gatherer"), path.display());
         shell.args(["-c", &line]).stderr(Stdio::piped());
         let mut child = shell.spawn().expect("the shell starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
@@ -179,7 +179,7 @@
 
 /// Runs the program to its end: its status, and what it printed.
 fn told(arguments: &[&str]) -> (Option<i32>, String) {
-    let run = Command::new(env!("CARGO_BIN_EXE_clayshore")).args(arguments).output().expect("it runs");
+    let run = Command::new(env!("CARGO_BIN_EXE_gatherer")).args(arguments).output().expect("it runs");
     let text = [run.stdout, run.stderr].concat();
     (run.status.code(), String::from_utf8(text).expect("text"))
 }
@@ -195,7 +195,7 @@
     let text = |path: &std::path::Path| path.to_str().expect("text").to_owned();
     let (front, operator, records) = (text(&front), text(&operator), text(&records));
     let serve = || {
-        start(Command::new(env!("CARGO_BIN_EXE_clayshore")).args(["serve", &front, "--operator", &operator]))
+        start(Command::new(env!("CARGO_BIN_EXE_gatherer")).args(["serve", &front, "--operator", &operator]))
     };
     let ask = |address: &str, times: usize| {
         let mut client = TcpStream::connect(address).expect("connected");
@@ -263,7 +263,7 @@
     for (at, message) in cases {
         let mut bad = good.clone();
         *bad.pointer_mut(at).expect("a key") = "x".into();
-        let error = clayshore::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
+        let error = gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
         assert!(error.contains(message), "{at}: {error}");
     }
     // Operators are called at an address of the file or of the environment; without either, nowhere.
@@ -271,7 +271,7 @@
         let mut json = good.clone();
         json["operator"] = value;
         let variable = variable.map(str::to_owned);
-        clayshore::program::config::Config::from_json(&json, |name| {
+        gatherer::program::config::Config::from_json(&json, |name| {
             variable.clone().filter(|_| name == "LB_OPERATOR")
         })
         .map(|config| config.operator.map(|address| address.to_string()))
@@ -293,12 +293,12 @@
         ("wanted_ms = 2500", "wanted_ms = 9000", "class.0.wanted_ms"),
     ];
     for (from, to, key) in cases {
-        let bad = clayshore::program::opensearch_file::FrontFile::parse(&toml.replacen(from, to, 1), 1);
+        let bad = gatherer::program::opensearch_file::FrontFile::parse(&toml.replacen(from, to, 1), 1);
         let error = bad.expect_err(key);
         assert!(error.contains(key), "{key}: {error}");
     }
     let operator = include_str!("../deploy/operator.toml");
-    let parse = clayshore::program::operator::Operator::parse;
+    let parse = gatherer::program::operator::Operator::parse;
     assert!(parse(operator).is_ok_and(|operator| operator.records.is_some()));
     // What is added stands behind the file's last line.
     let added = format!("line {}: records.", operator.lines().count() + 1);
@@ -329,6 +329,6 @@
     let secret = format!("{membership}secret = \"not to be printed\"\n");
     assert!(!format!("{:?}", parse(&secret).expect("sound")).contains("not to be"));
     let shipped =
-        clayshore::program::opensearch_file::FrontFile::parse(include_str!("../deploy/opensearch.toml"), 1);
+        gatherer::program::opensearch_file::FrontFile::parse(include_str!("../deploy/opensearch.toml"), 1);
     assert!(shipped.is_ok(), "{shipped:?}");
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,11 +1,11 @@
 //! Records: what is written is read back, whatever happens to the disk and to the files.
 
-use clayshore::api::Time;
-use clayshore::records::figures::{self, ENDS};
-use clayshore::records::line::{Body, Damage, LONGEST, Line, VERSION, WorkerState};
-use clayshore::records::reader::{Fault, Reader};
-use clayshore::records::segments::{Bounds, Name, surplus};
-use clayshore::records::{Disk, End, Figures, Seen, Summary, Writer};
+use gatherer::api::Time;
+use gatherer::records::figures::{self, ENDS};
+use gatherer::records::line::{Body, Damage, LONGEST, Line, VERSION, WorkerState};
+use gatherer::records::reader::{Fault, Reader};
+use gatherer::records::segments::{Bounds, Name, surplus};
+use gatherer::records::{Disk, End, Figures, Seen, Summary, Writer};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::io;
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 
 /// Two workers of which the second has turned parts away twice, so that it is suspect but speaks.
 fn one_trusted_one_suspect() -> Root {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::api::*;
 use common::*;
+use gatherer::api::*;
 
 fn answered(root: &Root, id: RequestId) -> Option<bool> {
     root.actions.iter().find_map(|action| match action {
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
-use clayshore::api::*;
-use clayshore::lab::world::World;
-use clayshore::membership::{Node, Timing};
 use common::{Root, Sent, class, entry, ms, settings};
+use gatherer::api::*;
+use gatherer::lab::world::World;
+use gatherer::membership::{Node, Timing};
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use clayshore::soak::judge::*;
-use clayshore::soak::plan;
+use gatherer::soak::judge::*;
+use gatherer::soak::plan;
 use std::time::Duration;
 
 const S: u64 = 1_000_000;
@@ -134,7 +134,7 @@
 fn a_short_soak_of_real_processes_breaks_no_invariant() {
     let library = common::process::faults_library();
     let logs = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("soak");
-    let mut soak = std::process::Command::new(env!("CARGO_BIN_EXE_clayshore-soak"));
+    let mut soak = std::process::Command::new(env!("CARGO_BIN_EXE_soak-test"));
     soak.args([
         "run",
         "--seed",
@@ -148,7 +148,7 @@
         "--clients",
         "8",
     ]);
-    soak.arg("--program").arg(env!("CARGO_BIN_EXE_clayshore")).arg("--library").arg(library);
+    soak.arg("--program").arg(env!("CARGO_BIN_EXE_gatherer")).arg("--library").arg(library);
     let played = soak.arg("--logs").arg(logs).output().expect("it is played");
     let said = String::from_utf8_lossy(&played.stdout);
     assert!(played.status.success(), "{said}{}", String::from_utf8_lossy(&played.stderr));
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -2,11 +2,11 @@
 //! with what the first has learned.
 
 use bytes::BytesMut;
-use clayshore::api::*;
-use clayshore::limits::{Descriptors, Plan, Side};
-use clayshore::program::config::Config;
-use clayshore::protocol::handover::{self, Message, State};
-use clayshore::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
+use gatherer::api::*;
+use gatherer::limits::{Descriptors, Plan, Side};
+use gatherer::program::config::Config;
+use gatherer::protocol::handover::{self, Message, State};
+use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,10 +1,10 @@
 //! A machine-usage table drives the core: its rows move a key off a busy home.
 
 use bytes::Bytes;
-use clayshore::api::*;
-use clayshore::program::config::Config;
-use clayshore::protocol::trace::{self, Error};
-use clayshore::routing::{Ask, AskPart, Core, End, Order};
+use gatherer::api::*;
+use gatherer::program::config::Config;
+use gatherer::protocol::trace::{self, Error};
+use gatherer::routing::{Ask, AskPart, Core, End, Order};
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -5,7 +5,7 @@
 
 /// Runs the adapter on this input; returns its exit status, output and errors.
 fn run(input: &str) -> (bool, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_clayshore-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,13 +1,13 @@
 //! The servers' side on a small budget of descriptors: wide queries, and idle connections that give way.
 
 use bytes::{Buf, BytesMut};
-use clayshore::api::*;
-use clayshore::limits::{Plan, Side};
-use clayshore::program::config::Config;
-use clayshore::routing::{Ask, AskPart, Broker, Clock, Core, Order, Verdict};
-use clayshore::transport::places::{Place, Places};
-use clayshore::transport::stream::{Dial, Dialling, Stream};
-use clayshore::transport::workers::Workers;
+use gatherer::api::*;
+use gatherer::limits::{Plan, Side};
+use gatherer::program::config::Config;
+use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Order, Verdict};
+use gatherer::transport::places::{Place, Places};
+use gatherer::transport::stream::{Dial, Dialling, Stream};
+use gatherer::transport::workers::Workers;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
