--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -4,10 +4,10 @@
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
-use gatherer::api::Time;
 use gatherer::lab::world::{Act, Peer, World, address, name};
 use gatherer::lab::{Experiment, Outcome, play};
 use gatherer::membership::{Change, Knock, Node, State, Timing};
+use gatherer::policy::Time;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde::{Deserialize, Serialize};
--- a/examples/report_scale.rs
+++ b/examples/report_scale.rs
@@ -1,7 +1,7 @@
 //! Measures a report over many lines: `cargo run --release --example report_scale -- LINES`. Writes so many lines of 20
 //! gatherers into a temporary folder, reads them in one pass, and prints time and peak memory.
 
-use gatherer::api::Time;
+use gatherer::policy::Time;
 use gatherer::program::inspect::Report;
 use gatherer::records::folder::Folder;
 use gatherer::records::{Body, Bounds, End, Figures, Seen, Writer, figures};
--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,6 +1,6 @@
 //! The words of the wire. Reads fields, settings, events and list entries; writes actions.
 
-use gatherer::api::*;
+use gatherer::policy::*;
 use gatherer::program::settings::Pairs;
 use std::fmt::Write;
 use std::str::FromStr;
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{self, Fields};
 use gatherer::Aggregator;
-use gatherer::api::*;
+use gatherer::policy::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -1,7 +1,7 @@
 //! The OpenSearch-style front: searches, pages of held results, and keys for searches that must not run twice.
 
 use super::counts;
-use crate::api::*;
+use crate::policy::*;
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::opensearch::{self, Fault, Merged, Search};
 use crate::routing::idempotency::{Bounds, Claim, IdempotencyStore};
--- a/src/lab/play.rs
+++ b/src/lab/play.rs
@@ -2,7 +2,7 @@
 
 use super::experiment::{Doing, Experiment, Step, Who};
 use super::world::{Peer, World, there};
-use crate::api::Time;
+use crate::policy::Time;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/lab/world.rs
+++ b/src/lab/world.rs
@@ -1,8 +1,8 @@
 //! Members in virtual time, with a network that loses, doubles, delays and cuts, and processes that stand still, die and
 //! start again. The same seed plays the same way.
 
-use crate::api::Time;
 use crate::membership::{Change, Claim, Knock, Message, Node, Order, Standing, State, Timing};
+use crate::policy::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! all events of a moment to [`Aggregator::turn`] and carry out the actions that come back.
 //!
 //! ```
-//! use gatherer::{Aggregator, api::*};
+//! use gatherer::policy::*;
 //! use std::time::Duration;
 //!
 //! let class = Class {
@@ -66,22 +66,17 @@
 //! assert!(actions.contains(&Action::Answer { id: query, whole: true }));
 //! ```
 
-pub mod api;
-mod client_retries;
-mod estimates;
 pub mod fronts;
 pub mod lab;
 pub mod limits;
 pub mod membership;
+pub mod policy;
 pub mod program;
 pub mod protocol;
 pub mod records;
 pub mod routing;
-pub mod rules;
 pub mod service;
 pub mod soak;
-mod state;
-mod tenant_shares;
 pub mod transport;
 
-pub use rules::Aggregator;
+pub use policy::Aggregator;
--- a/src/limits/accept_pacer.rs
+++ b/src/limits/accept_pacer.rs
@@ -1,6 +1,6 @@
 //! How fast newcomers pass: a flood of new connections takes a bounded share of the processor's time.
 
-use crate::api::Time;
+use crate::policy::Time;
 use std::time::Duration;
 
 /// Newcomers that pass in one turn.
--- a/src/limits/crowd.rs
+++ b/src/limits/crowd.rs
@@ -13,7 +13,7 @@
 //! more than its share gives before a well-behaved one of another does.
 
 use super::resource_pressure::ResourcePressure;
-use crate::api::Time;
+use crate::policy::Time;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 use std::time::Duration;
--- a/src/limits/lines.rs
+++ b/src/limits/lines.rs
@@ -1,6 +1,6 @@
 //! Connections to servers: which of the open ones takes a call, and who may open the next.
 
-use crate::api::{LeafId, Time};
+use crate::policy::{LeafId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -2,7 +2,7 @@
 
 use super::claim::Standing;
 use super::table::Table;
-use crate::api::Time;
+use crate::policy::Time;
 use std::time::Duration;
 
 /// How long those who fell silent still count where the others are the majority: longer than most cuts last.
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -13,7 +13,7 @@
 use super::order::Order;
 use super::table::Table;
 use super::timing::Timing;
-use crate::api::Time;
+use crate::policy::Time;
 use probing::Probe;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/membership/node/beliefs.rs
+++ b/src/membership/node/beliefs.rs
@@ -2,10 +2,10 @@
 //! is said of itself.
 
 use super::{GOSSIP_FANOUT, Node};
-use crate::api::Time;
 use crate::membership::claim::{Claim, Kind, Standing};
 use crate::membership::order::Order;
 use crate::membership::table::{Change, Link, State};
+use crate::policy::Time;
 use std::time::Duration;
 
 /// Members who on average ask a newly suspected one at once, so that it hears of it.
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -1,10 +1,10 @@
 //! Messages: what goes out with each, and what is taken from those that come in.
 
 use super::Node;
-use crate::api::Time;
 use crate::membership::claim::{Claim, Kind, Message, ROOM, Standing};
 use crate::membership::order::Order;
 use crate::membership::table::Link;
+use crate::policy::Time;
 use std::net::SocketAddr;
 
 impl Node {
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -1,10 +1,10 @@
 //! Probes: which member is probed next, which again and through others, and what an answer or its absence says.
 
 use super::{INDIRECT_PROBES, Node};
-use crate::api::Time;
 use crate::membership::claim::{Claim, Kind, Standing};
 use crate::membership::order::{Knock, Order};
 use crate::membership::table::{Link, Seen};
+use crate::policy::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,7 +1,7 @@
 //! What one member knows of the others, and what has changed.
 
 use super::claim::{Claim, Standing};
-use crate::api::Time;
+use crate::policy::Time;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/src/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -1,9 +1,10 @@
-//! How long a client has waited already when one of its tries arrives. A retry belongs to the client's first try, and
-//! the time in which an answer is wanted counts from there. Estimates only: nothing here refuses or chooses.
+//! How long a client has waited already when one of its tries arrives. A retry belongs to the client's first
+//! try, and the time in which an answer is wanted counts from there. Estimates only: nothing here refuses or
+//! chooses.
 
-use crate::api::{Class, ClassId, NewPart, NewQuery, Settings, Time};
-use crate::estimates::GAIN;
-use crate::state::{seconds, span};
+use crate::policy::estimates::GAIN;
+use crate::policy::state::{seconds, span};
+use crate::policy::{Class, ClassId, NewPart, NewQuery, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -56,8 +57,9 @@
         }
     }
 
-    /// Seconds for which the client of this query has waited before this try; nought for a first try. Of a marked retry
-    /// that shows no shorter time left, and whose first try went to another gatherer, the mean is told.
+    /// Seconds for which the client of this query has waited before this try; nought for a first try. Of a
+    /// marked retry that shows no shorter time left, and whose first try went to another gatherer, the mean
+    /// is told.
     pub fn waited(&mut self, now: Time, query: &NewQuery, parts: &[&NewPart], class: &Class) -> f64 {
         self.forget(now);
         let left = query.valid_until.since(now);
@@ -101,8 +103,8 @@
         (self.marked, self.mean_wait) = (known.marked, known.mean_wait);
     }
 
-    /// Whether less time is left than the first tries of this class come with: a client's last try has what is left of
-    /// its whole time.
+    /// Whether less time is left than the first tries of this class come with: a client's last try has what
+    /// is left of its whole time.
     fn shortened(&mut self, query: &NewQuery, left: Duration) -> bool {
         let usual = self.patience.entry(query.class).or_insert((left, 0));
         let alike = left.abs_diff(usual.0) < left.mul_f64(ALIKE);
--- a/src/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,7 +1,8 @@
-//! Estimators of the decision module: what is learned from few samples, and how it fades. Nothing here chooses.
+//! Estimators of the decision module: what is learned from few samples, and how it fades. Nothing here
+//! chooses.
 
-use crate::api::{Field, LeafId, Settings, Time};
-use crate::state::seconds;
+use crate::policy::state::seconds;
+use crate::policy::{Field, LeafId, Settings, Time};
 use serde::{Deserialize, Serialize};
 
 /// Weight of a new sample in running means: about the last twenty count.
@@ -37,8 +38,8 @@
     settings.classes.iter().map(|class| seconds(class.aim)).fold(f64::INFINITY, f64::min)
 }
 
-/// Work of a part, in seconds, before any was seen and without a hint. Guards fast deployments against a guess made for slow
-/// ones: it would be over their whole aim, every query refused, and nothing ever seen.
+/// Work of a part, in seconds, before any was seen and without a hint. Guards fast deployments against a
+/// guess made for slow ones: it would be over their whole aim, every query refused, and nothing ever seen.
 pub fn first_work(settings: &Settings) -> f64 {
     FIRST_SHARE * shortest_aim(settings)
 }
@@ -74,8 +75,9 @@
     }
 }
 
-/// What a report says of the utilization: busy share, else parts in flight, else nought (DESIGN). Where neither is
-/// told, the utilization law gives the busy cores: rate times service time. Open scales are bounded to stay under 1.
+/// What a report says of the utilization: busy share, else parts in flight, else nought (DESIGN). Where
+/// neither is told, the utilization law gives the busy cores: rate times service time. Open scales are
+/// bounded to stay under 1.
 pub fn utilization(fields: &[Field], report: &[Option<f64>]) -> f64 {
     let value = |field: Field| {
         let at = fields.iter().position(|known| *known == field)?;
--- a/src/rules.rs
+++ b/src/policy/mod.rs
@@ -1,22 +1,32 @@
-//! Every decision of the gatherer. The types of its settings, events and actions stand in `src/api.rs`,
-//! the fields of what it remembers in `src/state.rs`.
+//! Every decision of the gatherer. The types of its settings, events and actions are in `types.rs`, the
+//! fields of what it remembers in `state.rs`.
 //!
 //! Order: constants, state, the turn, then membership, reports and multipliers, replica choice, admission and
 //! refusal, attempts, health, ending a query. `README.md` tells how the module sits in the program.
 
-use crate::api::*;
-use crate::client_retries::ClientRetries;
-use crate::estimates::{
+use client_retries::ClientRetries;
+use estimates::{
     FIRST_WORK, GAIN, MODEL_GAIN, Model, faded, first_work, normalise, shortest_aim, utilization,
 };
-use crate::state::{Attempt, Leaf, Part, Query, holders, seconds, span};
-use crate::tenant_shares::TenantShares;
+use state::{Attempt, Leaf, Part, Query, holders, seconds, span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
+use tenant_quota::TenantShares;
 use xxhash_rust::xxh3::xxh3_64;
 
-mod learned;
-pub use learned::Learned;
+mod client_retries;
+mod estimates;
+mod snapshot;
+mod state;
+mod tenant_quota;
+mod types;
+
+pub use snapshot::Learned;
+pub use types::{
+    Action, AttemptEnd, AttemptNo, Budget, CellId, Class, ClassId, Effect, Entry, Event, Field, Handle,
+    JobId, LeafId, Membership, NewPart, NewQuery, Outcome, Report, Reports, RequestId, Settings, ShardId,
+    Status, Tenant, TenantId, Time, ZoneId,
+};
 
 /// Share of a key's work that its home is expected to save (DESIGN's P; its default).
 const HIT: f64 = 0.5;
--- a/src/rules/learned.rs
+++ b/src/policy/snapshot.rs
@@ -1,10 +1,11 @@
-//! What an aggregator has learned, as others may read it, and as a successor takes it over. Nothing here decides.
+//! What an aggregator has learned, as others may read it, and as a successor takes it over. Nothing here
+//! decides.
 
 use super::Aggregator;
-use crate::api::*;
-use crate::client_retries::KnownPatience;
-use crate::estimates::{Model, normalise};
-use crate::state::Leaf;
+use crate::policy::client_retries::KnownPatience;
+use crate::policy::estimates::{Model, normalise};
+use crate::policy::state::Leaf;
+use crate::policy::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -64,8 +65,8 @@
         suspect.map(|(id, _)| *id)
     }
 
-    /// Has it push cold leaves by this multiple of what they bear, in place of that of its settings: two processes of one
-    /// root share it.
+    /// Has it push cold leaves by this multiple of what they bear, in place of that of its settings: two
+    /// processes of one root share it.
     pub fn push_cold_by(&mut self, multiple: f64) {
         self.settings.fall_multiple = multiple;
     }
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a process that
-    /// has been replaced since is left out, but for when it was last sent work.
+    /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a
+    /// process that has been replaced since is left out, but for when it was last sent work.
     pub fn take_over(&mut self, learned: Learned, leaf: impl Fn(&str) -> Option<LeafId>) {
         for of in learned.leaves {
             let Some(own) = leaf(&of.name).and_then(|id| self.leaves.get_mut(&id)) else { continue };
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -1,7 +1,7 @@
-//! What a root remembers of leaves, queries and their parts, as plain fields: no decision, table or tuned value
-//! stands here. Everything that reads or changes them is in `src/rules.rs`.
+//! What a root remembers of leaves, queries and their parts, as plain fields: no decision, table or tuned
+//! value stands here. Everything that reads or changes them is in `src/policy/`.
 
-use crate::api::*;
+use crate::policy::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -33,7 +33,8 @@
     /// When an attempt was sent that could not connect, with no answer since.
     pub unreached: Option<Time>,
     pub strikes: u32,
-    /// Share of attempts that stayed without answer and when that was last judged: of each class, and of all (`None`).
+    /// Share of attempts that stayed without answer and when that was last judged: of each class, and of all
+    /// (`None`).
     pub lost: BTreeMap<Option<ClassId>, (f64, Time)>,
     /// Not to be used before, and the pause that led there; `None` while trusted.
     pub suspect: Option<(Time, Duration)>,
@@ -106,8 +107,9 @@
     Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
 }
 
-/// The active leaves that hold each shard, by id: shard `s` lies in `span` cells in a row from cell `s`, or with every
-/// leaf where there are no cells. Goes by cells, so that a list of many leaves does not cost their square.
+/// The active leaves that hold each shard, by id: shard `s` lies in `span` cells in a row from cell `s`, or
+/// with every leaf where there are no cells. Goes by cells, so that a list of many leaves does not cost their
+/// square.
 pub fn holders(leaves: &BTreeMap<LeafId, Leaf>, settings: &Settings) -> BTreeMap<ShardId, Vec<LeafId>> {
     let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
     let mut by_cell: BTreeMap<u32, Vec<LeafId>> = BTreeMap::new();
--- a/src/tenant_shares.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,7 +1,8 @@
-//! How much of their shares tenants have left at this gatherer. Accounting only: what follows is decided elsewhere.
+//! How much of their shares tenants have left at this gatherer. Accounting only: what follows is decided
+//! elsewhere.
 
-use crate::api::{TenantId, Time};
-use crate::state::seconds;
+use crate::policy::state::seconds;
+use crate::policy::{TenantId, Time};
 use std::collections::BTreeMap;
 
 /// Queries that each tenant has left, and when that was last reckoned.
@@ -9,8 +10,8 @@
 pub struct TenantShares(BTreeMap<TenantId, (f64, Time)>);
 
 impl TenantShares {
-    /// Books a query of a tenant that may ask `rate` a second, and `burst` seconds' worth of that at once; whether it goes
-    /// beyond its share. A client's retry belongs to its first try, and uses up nothing.
+    /// Books a query of a tenant that may ask `rate` a second, and `burst` seconds' worth of that at once;
+    /// whether it goes beyond its share. A client's retry belongs to its first try, and uses up nothing.
     pub fn exceeded(&mut self, now: Time, tenant: TenantId, rate: f64, burst: f64, retry: bool) -> bool {
         let most = (rate * burst).max(1.0);
         let (left, at) = self.0.entry(tenant).or_insert((most, now));
--- a/src/api.rs
+++ b/src/policy/types.rs
@@ -147,7 +147,8 @@
     pub classes: Vec<Class>,
     /// Tenants by index; empty where there are none.
     pub tenants: Vec<Tenant>,
-    /// Share of its class's worth that a query beyond its tenant's share earns; `None` where shares do not count.
+    /// Share of its class's worth that a query beyond its tenant's share earns; `None` where shares do not
+    /// count.
     pub over_share_worth: Option<f64>,
     /// Least time between turns.
     pub quantum: Duration,
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -2,9 +2,9 @@
 
 use super::config::Error;
 use super::settings::Faulty;
-use crate::api::*;
 use crate::fronts::opensearch::Names;
 use crate::limits::descriptors;
+use crate::policy::*;
 use crate::routing::{Contracts, Limits, Listing, Member};
 use serde::Deserialize;
 use std::collections::HashMap;
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance, by path: the one place that reads, checks and defaults them, for the simulator's
 //! `path=value` pairs and for nested JSON alike.
 
-use crate::api::*;
+use crate::policy::*;
 use crate::protocol::frame;
 use crate::routing::{Contracts, Limits};
 use serde_json::Value;
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's list of workers, whole or as changes.
 
-use crate::api::{Status, Time};
+use crate::policy::{Status, Time};
 use crate::routing::{Listing, Member};
 use serde::Deserialize;
 
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -1,6 +1,6 @@
 //! Frames between gatherers and workers: a four-byte length, least significant byte first, a letter, the rest.
 
-use crate::api::{Field, Outcome, Report, Time};
+use crate::policy::{Field, Outcome, Report, Time};
 use crate::routing::Dispatch;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -1,8 +1,8 @@
 //! What the two processes of an upgrade tell each other. Each message is one line `clayshore-handover VERSION LENGTH
 //! CHECKSUM`, the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
 
+use crate::policy::Learned;
 use crate::routing::Listing;
-use crate::rules::Learned;
 use crate::service::Bans;
 use bytes::{Buf, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's client protocol: `POST /api` to an [`Ask`], and a [`Verdict`] to its answer.
 
 use super::http::{MOST_BODY, Request, Response};
-use crate::api::ShardId;
+use crate::policy::ShardId;
 use crate::routing::{Ask, AskPart, Contracts, Verdict};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
--- a/src/protocol/trace.rs
+++ b/src/protocol/trace.rs
@@ -1,7 +1,7 @@
 //! Machine-usage tables of public cluster traces, as CSV: machine id, time in seconds, CPU share in percent. Further
 //! columns are passed over; a first line that names the columns is allowed.
 
-use crate::api::{Field, Report};
+use crate::policy::{Field, Report};
 use std::io::Read;
 use std::time::Duration;
 
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -3,7 +3,7 @@
 use super::line::Body;
 use super::segments::Bounds;
 use super::writer::{Disk, Writer};
-use crate::api::Time;
+use crate::policy::Time;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -1,6 +1,6 @@
 //! Segments of a folder of records: when the next begins, what they are called, and which of them go.
 
-use crate::api::Time;
+use crate::policy::Time;
 use std::time::Duration;
 
 /// How much is kept, and in which pieces.
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -2,7 +2,7 @@
 
 use super::line::{Body, LONGEST, Line, VERSION};
 use super::segments::{Bounds, Name, Rotation, surplus};
-use crate::api::Time;
+use crate::policy::Time;
 use std::io;
 use std::time::Duration;
 
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -2,7 +2,7 @@
 //! which hold no state of the broker.
 
 use super::invariants::SendPermit;
-use crate::api::*;
+use crate::policy::*;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -6,7 +6,7 @@
 use super::order::Order;
 use super::query::{Ask, Verdict};
 use super::worker_registry::Listing;
-use crate::api::*;
+use crate::policy::*;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -1,7 +1,7 @@
 //! What the teams have agreed on, by name: classes with their contracts, tenants with their shares, zones, and the
 //! limits within which the broker serves them.
 
-use crate::api::*;
+use crate::policy::*;
 use std::time::Duration;
 
 /// Limits of the broker itself and of the connections that carry its parts.
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -18,7 +18,7 @@
 use super::worker_list::WorkerList;
 use super::worker_states::WorkerStates;
 use crate::Aggregator;
-use crate::api::*;
+use crate::policy::*;
 use crate::records::figures::{self, Figures, Seen};
 use crate::records::line::Body;
 use std::collections::BTreeMap;
--- a/src/routing/core/turn.rs
+++ b/src/routing/core/turn.rs
@@ -1,7 +1,7 @@
 //! The turn: everything that has happened goes to the module at once, and what it decides becomes orders.
 
 use super::Core;
-use crate::api::*;
+use crate::policy::*;
 use crate::records::figures;
 use crate::routing::attempt::{Dispatch, End, Ticket};
 use crate::routing::in_flight::SentAttempt;
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -2,13 +2,13 @@
 //! process of this gatherer knew; and what the records are told of it.
 
 use super::Core;
-use crate::api::*;
+use crate::policy::Learned;
+use crate::policy::*;
 use crate::records::line::{Body, WorkerState};
 use crate::routing::order::Order;
 use crate::routing::worker_list::{MOST_NAMES, WorkerList};
 use crate::routing::worker_registry::Listing;
 use crate::routing::worker_states::WorkerStates;
-use crate::rules::Learned;
 use crate::service::Bans;
 use std::time::Duration;
 
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,6 +1,6 @@
 //! What the broker took in, sent and answered, counted since its start.
 
-use crate::api::Outcome;
+use crate::policy::Outcome;
 use crate::records::figures;
 use std::fmt;
 
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -3,7 +3,7 @@
 //! Only a key that this start issued and still holds ever runs, and it runs once. Whatever is unknown (issued
 //! before a restart, by another gatherer, or past retention) is told so and runs nothing.
 
-use crate::api::Time;
+use crate::policy::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::watch;
--- a/src/routing/in_flight.rs
+++ b/src/routing/in_flight.rs
@@ -1,7 +1,7 @@
 //! The attempts that were sent and have not ended: where each went, when, and until when it is waited for.
 
 use super::attempt::Ticket;
-use crate::api::*;
+use crate::policy::*;
 use std::collections::{BTreeMap, HashSet};
 
 /// One attempt that was sent.
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -6,7 +6,7 @@
 //! fault of the program, whatever the traffic.
 
 use super::open_queries::OpenPart;
-use crate::api::*;
+use crate::policy::*;
 use std::fmt;
 use std::time::Duration;
 
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -1,7 +1,7 @@
 //! The queries that wait for their answer, with their parts and what has come in for them. It owns no attempt: those are
 //! in [`super::in_flight`].
 
-use crate::api::*;
+use crate::policy::*;
 use crate::records::figures::Seen;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
--- a/src/routing/order.rs
+++ b/src/routing/order.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Dispatch, Ticket};
 use super::query::Verdict;
-use crate::api::*;
+use crate::policy::*;
 
 /// What the core asks of its host.
 #[derive(Clone, Debug)]
--- a/src/routing/query.rs
+++ b/src/routing/query.rs
@@ -1,6 +1,6 @@
 //! A query as a front offers it, and the one final answer that it gets. Plain values, which hold no state of the broker.
 
-use crate::api::*;
+use crate::policy::*;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -1,6 +1,6 @@
 //! Results held for further pages: bounded in number and bytes, each until its time is over.
 
-use crate::api::Time;
+use crate::policy::Time;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -3,7 +3,7 @@
 //! Starts are told in Unix time. A wall clock that was stepped back, here before this process read it or at the worker,
 //! puts them after now. Such a start is held to have been as it was first told, so that its worker grows warm in its time.
 
-use crate::api::{LeafId, Time};
+use crate::policy::{LeafId, Time};
 use std::collections::HashMap;
 
 /// A start that was told before it could have been.
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -6,7 +6,7 @@
 use super::order::Order;
 use super::start_times::StartTimes;
 use super::worker_registry::{Listing, Member, WorkerRegistry};
-use crate::api::*;
+use crate::policy::*;
 use crate::service::Bans;
 use std::collections::{HashMap, HashSet};
 
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -1,6 +1,6 @@
 //! Workers by name, as discovery tells of them, and the ids under which the module knows them.
 
-use crate::api::*;
+use crate::policy::*;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -1,6 +1,6 @@
 //! How workers are seen, for the records: it remembers what was recorded of each, so that only changes are.
 
-use crate::api::*;
+use crate::policy::*;
 use crate::records::line::WorkerState;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/src/service/bans.rs
+++ b/src/service/bans.rs
@@ -1,6 +1,6 @@
 //! Workers that operators have taken out by hand: a fact beside discovery's list, which no news undoes.
 
-use crate::api::{Status, Time};
+use crate::policy::{Status, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/service/stage.rs
+++ b/src/service/stage.rs
@@ -1,6 +1,6 @@
 //! Where a gatherer is in its life, and what leads on: operators' calls, SIGTERM, a successor, time.
 
-use crate::api::Time;
+use crate::policy::Time;
 use std::time::Duration;
 
 /// For so long after the first no to health the front layer may still send clients here, and they are served. After
--- a/src/transport/places.rs
+++ b/src/transport/places.rs
@@ -1,10 +1,10 @@
 //! The process's descriptors and buffered bytes as the sockets see them: places that give themselves back, and waiting
 //! for one. Who gets what is decided in [`crate::limits`].
 
-use crate::api::{LeafId, Time};
 use crate::limits::descriptors::SIDES;
 use crate::limits::lines::{self, Number, Openings, Turned};
 use crate::limits::{BufferBudget, Denied, Descriptors, Plan, ResourcePressure, Side, Tally};
+use crate::policy::{LeafId, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -7,9 +7,9 @@
 
 use super::places::Places;
 use super::stream::Dial;
-use crate::api::*;
 use crate::limits::Side;
 use crate::limits::lines::{self, Choice};
+use crate::policy::*;
 use crate::routing::{Broker, Carrier, Dispatch, End, Ticket};
 use connection::Connection;
 use session::{Disconnect, Shared};
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -1,7 +1,7 @@
 //! One connection's calls: the frames that wait to be written, the parts that are out, and what is taken back unsent. It
 //! does no input or output; [`super::session`] carries what stands here.
 
-use crate::api::Time;
+use crate::policy::Time;
 use crate::protocol::frame;
 use crate::routing::{Dispatch, Ticket};
 use crate::transport::places::Place;
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -2,7 +2,7 @@
 //! the answers, and says why it ended. It reports each answer; what is still out at the end is the pool's to report.
 
 use super::connection::Connection;
-use crate::api::{Field, LeafId};
+use crate::policy::{Field, LeafId};
 use crate::protocol::frame::{self, Incoming};
 use crate::routing::{Broker, End, Limits};
 use crate::transport::failure;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 
 /// One worker for each of eight shards, and a class that may be answered from half of its parts.
 fn one_worker_a_shard() -> Root {
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -1,6 +1,6 @@
 //! Workers out by hand, as the core hands them to the module: nothing new while out, a cold one's share once back.
 
-use gatherer::api::*;
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::records::line::{Body, WorkerState};
 use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 
 /// A try of a request, which its hint tells apart from others, with the time that its client gives each try.
 fn try_of(root: &mut Root, hint: u64, left: u64, retry: bool) -> (RequestId, Vec<Event>) {
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the fleet at size: a hundred roots, sixty workers in three zones, and an overbooked discovery.
 
 use super::{Root, Sent, class, entry, ms, settings};
-use gatherer::api::*;
+use gatherer::policy::*;
 use std::collections::VecDeque;
 
 pub const ROOTS: u32 = 100;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub mod process;
 
 use gatherer::Aggregator;
-use gatherer::api::*;
+use gatherer::policy::*;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,10 +1,10 @@
 //! Properties of the limits of connections, descriptors and bytes, over random histories.
 
-use gatherer::api::{LeafId, Time};
 use gatherer::limits::crowd::Record;
 use gatherer::limits::descriptors::SIDES;
 use gatherer::limits::lines::{self, Choice, Line, Number, Openings};
 use gatherer::limits::{BufferBudget, Crowd, Denied, Descriptors, Plan, ResourcePressure, Side, Source, Why};
+use gatherer::policy::{LeafId, Time};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -5,8 +5,8 @@
 
 use bytes::BytesMut;
 use common::process::{self, Folder, Gatherer, Worker, free, member, operate};
-use gatherer::api::{Status, Time};
 use gatherer::limits::{Backoff, Plan};
+use gatherer::policy::{Status, Time};
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Request, Response};
 use gatherer::records::line::{Body, WorkerState};
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,6 +1,6 @@
 //! The figures that operators read: each end of a query is counted once, in any order of events.
 
-use gatherer::api::*;
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::routing::{Ask, AskPart, Core, End, Order, Ticket};
 use proptest::prelude::*;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,8 +4,8 @@
 
 use common::fleet::{Fleet, ROOTS, Worker, ZONES, served};
 use common::ms;
-use gatherer::api::*;
 use gatherer::limits::Backoff;
+use gatherer::policy::*;
 
 #[test]
 fn a_lost_zone_is_learned_from_few_of_its_workers_and_trusted_again_at_one_answer() {
--- a/tests/grown.rs
+++ b/tests/grown.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 
 fn refused(root: &Root, id: RequestId) -> bool {
     root.actions.iter().any(|action| matches!(action, Action::Refuse { id: of, .. } if *of == id))
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,8 +1,8 @@
 //! Connections to index servers: which address is dialled, and what goes out on a connection that was kept.
 
 use bytes::BytesMut;
-use gatherer::api::*;
 use gatherer::limits::Plan;
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Response};
 use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Verdict};
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, ms};
-use gatherer::api::*;
 use gatherer::limits::{Plan, Side};
+use gatherer::policy::*;
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
 use gatherer::routing::{Invariant, Violations};
--- a/tests/odd_orders.rs
+++ b/tests/odd_orders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 use std::collections::BTreeMap;
 
 fn play(seed: u64, effect: Effect) {
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,6 +1,6 @@
 //! Records: what is written is read back, whatever happens to the disk and to the files.
 
-use gatherer::api::Time;
+use gatherer::policy::Time;
 use gatherer::records::figures::{self, ENDS};
 use gatherer::records::line::{Body, Damage, LONGEST, Line, VERSION, WorkerState};
 use gatherer::records::reader::{Fault, Reader};
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 
 /// Two workers of which the second has turned parts away twice, so that it is suspect but speaks.
 fn one_trusted_one_suspect() -> Root {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use gatherer::api::*;
+use gatherer::policy::*;
 
 fn answered(root: &Root, id: RequestId) -> Option<bool> {
     root.actions.iter().find_map(|action| match action {
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -2,11 +2,11 @@
 //! still until all is quiet. The transcript tells everything that each party received, and when.
 
 use bytes::{BufMut, BytesMut};
-use gatherer::api::{Status, Time};
 use gatherer::fronts::opensearch::OpenSearch;
 use gatherer::fronts::platform::Platform;
 use gatherer::limits::crowd::Source;
 use gatherer::limits::{Backoff, Plan};
+use gatherer::policy::{Status, Time};
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::protocol::http;
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{Root, Sent, class, entry, ms, settings};
-use gatherer::api::*;
 use gatherer::lab::world::World;
 use gatherer::membership::{Node, Timing};
+use gatherer::policy::*;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -2,8 +2,8 @@
 //! with what the first has learned.
 
 use bytes::BytesMut;
-use gatherer::api::*;
 use gatherer::limits::{Descriptors, Plan, Side};
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::handover::{self, Message, State};
 use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,7 +1,7 @@
 //! A machine-usage table drives the core: its rows move a key off a busy home.
 
 use bytes::Bytes;
-use gatherer::api::*;
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::trace::{self, Error};
 use gatherer::routing::{Ask, AskPart, Core, End, Order};
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,8 +1,8 @@
 //! The servers' side on a small budget of descriptors: wide queries, and idle connections that give way.
 
 use bytes::{Buf, BytesMut};
-use gatherer::api::*;
 use gatherer::limits::{Plan, Side};
+use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Order, Verdict};
 use gatherer::transport::places::{Place, Places};
