--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -75,20 +75,20 @@
             .map(RequestId)
             .ok_or_else(|| self.error(field, &format!("bad id {value:?}")))
     }
-    fn outcome(&mut self, field: &str) -> Result<Outcome, String> {
+    fn outcome(&mut self, field: &str) -> Result<AttemptOutcome, String> {
         Ok(match self.raw(field)? {
-            "done" => Outcome::Done,
-            "err" => Outcome::Error,
-            "busy" => Outcome::Busy,
-            "etimedout" => Outcome::TimedOut,
-            "econnrefused" => Outcome::Refused,
-            "econnreset" => Outcome::Reset,
-            "ecanceled" => Outcome::Cancelled,
-            "skipped" => Outcome::Skipped,
+            "done" => AttemptOutcome::Succeeded,
+            "err" => AttemptOutcome::Failed,
+            "busy" => AttemptOutcome::Rejected,
+            "etimedout" => AttemptOutcome::TimedOut,
+            "econnrefused" => AttemptOutcome::ConnectFailed,
+            "econnreset" => AttemptOutcome::ConnectionReset,
+            "ecanceled" => AttemptOutcome::Cancelled,
+            "skipped" => AttemptOutcome::NotSent,
             other => return Err(self.error(field, &format!("unknown outcome {other:?}"))),
         })
     }
-    fn report(&mut self, field: &str) -> Result<Option<Report>, String> {
+    fn report(&mut self, field: &str) -> Result<Option<LoadReport>, String> {
         let value = self.raw(field)?;
         if value == "-" {
             return Ok(None);
@@ -97,7 +97,7 @@
             "-" | "" => Ok(None),
             item => item.parse::<f64>().map(Some),
         };
-        let row: Result<Report, _> = value.split(',').map(parse).collect();
+        let row: Result<LoadReport, _> = value.split(',').map(parse).collect();
         row.map(Some).map_err(|_| self.error(field, &format!("bad report {value:?}")))
     }
     pub fn end(&mut self) -> Result<(), String> {
@@ -109,31 +109,31 @@
 }
 
 /// One `m` line.
-pub fn entry(line: &str) -> Result<Entry, String> {
+pub fn entry(line: &str) -> Result<Endpoint, String> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
         return Err(format!("{}: expected a list entry", fields.message()));
     }
-    let leaf = LeafId(fields.must("leaf")?);
+    let leaf = WorkerId(fields.must("leaf")?);
     let zone = ZoneId(fields.maybe("area")?.unwrap_or(0));
     let _kind: Option<u32> = fields.maybe("generation-hw")?;
     let cell = CellId(fields.maybe("set-no")?.unwrap_or(0));
     let status = match fields.raw("status")? {
-        "active" => Status::Active,
-        "leaving" => Status::Draining,
-        "left" => Status::Gone,
+        "active" => EndpointStatus::Active,
+        "leaving" => EndpointStatus::Draining,
+        "left" => EndpointStatus::Gone,
         other => return Err(fields.error("status", &format!("unknown status {other:?}"))),
     };
     let units = fields.number("units")?.unwrap_or(1.0);
     let since = fields.time("online-since")?.filter(|since| since.0 > 0);
     fields.end()?;
-    Ok(Entry { leaf, zone, cell, status, units, since })
+    Ok(Endpoint { worker: leaf, zone, cell, status, units, started_at: since })
 }
 
 /// An event of one instance, after its message name; lists are resolved by the caller's look-up.
 pub fn event(
     fields: &mut Fields<'_>,
-    list: impl Fn(usize) -> Option<Arc<[Entry]>>,
+    list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
 ) -> Result<Option<Event>, String> {
     let event = match fields.message() {
         "registry" => {
@@ -143,11 +143,11 @@
             let entries = |fields: &Fields<'_>| {
                 number.and_then(&list).ok_or_else(|| fields.error("roster-id", "no such list"))
             };
-            Some(Event::Membership(match how {
-                "D" => Membership::Delta(entries(fields)?),
-                "F" => Membership::Full(entries(fields)?),
-                "C" => Membership::Cached(entries(fields)?),
-                "X" => Membership::Failed,
+            Some(Event::EndpointUpdate(match how {
+                "D" => EndpointUpdate::Delta(entries(fields)?),
+                "F" => EndpointUpdate::Full(entries(fields)?),
+                "C" => EndpointUpdate::Cached(entries(fields)?),
+                "X" => EndpointUpdate::Failed,
                 other => return Err(fields.error("how", &format!("unknown kind {other:?}"))),
             }))
         }
@@ -157,24 +157,24 @@
             let attempt = AttemptNo(fields.must("shot")?);
             let _leaf: u32 = fields.must("leaf")?;
             let _elapsed = fields.span("cost-time")?;
-            Some(Event::Streaming { id, attempt })
+            Some(Event::StreamingStarted { id, attempt })
         }
-        "completed" => Some(Event::Ended(AttemptEnd {
+        "completed" => Some(Event::AttemptFinished(AttemptResult {
             id: fields.request("corr")?,
             attempt: AttemptNo(fields.must("shot")?),
-            leaf: LeafId(fields.must("leaf")?),
+            worker: WorkerId(fields.must("leaf")?),
             outcome: fields.outcome("disposition")?,
             elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            over: fields.flag("ended")?,
-            report: fields.report("report")?,
+            part_finished: fields.flag("ended")?,
+            load_report: fields.report("report")?,
         })),
-        "client_left" => Some(Event::ClientLeft { id: fields.request("corr")? }),
-        "due" => Some(Event::Due { handle: Handle(fields.must("handle")?) }),
-        "ping_result" => Some(Event::Probed {
-            leaf: LeafId(fields.must("leaf")?),
+        "client_left" => Some(Event::ClientDisconnected { id: fields.request("corr")? }),
+        "due" => Some(Event::TimerFired { timer: TimerId(fields.must("handle")?) }),
+        "ping_result" => Some(Event::HealthCheckFinished {
+            worker: WorkerId(fields.must("leaf")?),
             outcome: fields.outcome("disposition")?,
             elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            report: fields.report("report")?,
+            load_report: fields.report("report")?,
         }),
         "message" => {
             let _author: u32 = fields.must("author")?;
@@ -200,10 +200,17 @@
     let retry = fields.flag("is-retry")?;
     let _write = fields.flag("is-write")?;
     Ok(if range < 0.0 {
-        Event::Query(NewQuery { id, class, tenant, valid_until, job, retry })
+        Event::QueryReceived(NewQuery { id, class, tenant, valid_until, job, is_retry: retry })
     } else {
         let key = key.map(Arc::from);
-        Event::Part(NewPart { id, key, hint, job, shard: ShardId(range as u32), weight: measure })
+        Event::PartReceived(NewPart {
+            id,
+            key,
+            cost_hint: hint,
+            job,
+            shard: ShardId(range as u32),
+            weight: measure,
+        })
     })
 }
 
@@ -217,19 +224,21 @@
 /// Writes one action as a line.
 pub fn action(action: &Action, out: &mut String) {
     let written = match action {
-        Action::Send { id, leaf, timeout } => {
+        Action::Send { id, worker: leaf, timeout } => {
             writeln!(out, "issue {:016x} {} {}", id.0, leaf.0, timeout.as_nanos())
         }
         Action::Cancel { id, attempt } => writeln!(out, "cancel {:016x} {}", id.0, attempt.0),
-        Action::Answer { id, whole } => writeln!(out, "conclude {:016x} {}", id.0, u8::from(*whole)),
-        Action::Refuse { id, pause } => {
+        Action::Respond { id, complete: whole } => {
+            writeln!(out, "conclude {:016x} {}", id.0, u8::from(*whole))
+        }
+        Action::Reject { id, retry_after: pause } => {
             writeln!(out, "reject {:016x} {}", id.0, pause.unwrap_or_default().as_nanos())
         }
         Action::Fail { id } => writeln!(out, "give_up {:016x}", id.0),
-        Action::Wake { after, handle } => writeln!(out, "sleep {} {}", after.as_nanos(), handle.0),
-        Action::Probe { leaf } => writeln!(out, "sample {}", leaf.0),
-        Action::Watch => writeln!(out, "tail 1"),
-        Action::Trace { text } => writeln!(out, "trace {}", text.replace(['\n', '\r'], " ")),
+        Action::SetTimer { after, timer: handle } => writeln!(out, "sleep {} {}", after.as_nanos(), handle.0),
+        Action::SendHealthCheck { worker: leaf } => writeln!(out, "sample {}", leaf.0),
+        Action::SubscribeToEndpoints => writeln!(out, "tail 1"),
+        Action::Log { text } => writeln!(out, "trace {}", text.replace(['\n', '\r'], " ")),
     };
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -17,11 +17,11 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<usize, Arc<[Entry]>>,
+    lists: BTreeMap<usize, Arc<[Endpoint]>>,
     clock: Option<Time>,
     to: Option<u32>,
     /// A list being read: its number, its length and what is in so far.
-    filling: Option<(usize, usize, Vec<Entry>)>,
+    filling: Option<(usize, usize, Vec<Endpoint>)>,
 }
 
 impl Host {
@@ -92,7 +92,7 @@
         }
     }
 
-    fn fill(&mut self, number: usize, length: usize, entries: Vec<Entry>) {
+    fn fill(&mut self, number: usize, length: usize, entries: Vec<Endpoint>) {
         if entries.len() == length {
             self.lists.insert(number, entries.into());
         } else {
@@ -107,7 +107,7 @@
                 continue;
             }
             actions.clear();
-            instance.module.turn(now, instance.events.drain(..), &mut actions);
+            instance.module.step(now, instance.events.drain(..), &mut actions);
             if actions.is_empty() {
                 continue;
             }
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -313,7 +313,7 @@
             text: Bytes::from(text),
             parts: parts.collect(),
         };
-        Ok(Checked { search, ask, owner, once: contract.effect != Effect::Repeatable, digest })
+        Ok(Checked { search, ask, owner, once: contract.idempotency != Idempotency::Idempotent, digest })
     }
 
     async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, Fault> {
@@ -358,7 +358,7 @@
     }
 
     fn crowded(&self, _: Option<&Request>) -> Response {
-        let pause = self.broker.core(|core| core.contracts().settings.longest_pause);
+        let pause = self.broker.core(|core| core.contracts().settings.max_retry_after);
         opensearch::refused(Refusal::Full, pause)
     }
 
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -32,7 +32,7 @@
         };
         if !self.gate.stage().takes() {
             self.broker.core(|core| core.refuse_stopping(ask.class, ask.tenant));
-            let longest = self.broker.core(|core| core.contracts().settings.longest_pause);
+            let longest = self.broker.core(|core| core.contracts().settings.max_retry_after);
             return platform::refusal(longest.map(|longest| longest.min(STOPPING_PAUSE)));
         }
         if self.broker.core(|core| core.has(&ask.label)) {
@@ -79,7 +79,7 @@
                 core.refuse_crowded(class);
             }
         });
-        platform::refusal(self.broker.core(|core| core.contracts().settings.longest_pause))
+        platform::refusal(self.broker.core(|core| core.contracts().settings.max_retry_after))
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,69 +1,69 @@
-//! Decisions of an aggregator (root) that serves each query from many shards.
+//! Decisions of an aggregator (aggregator) that serves each query from many shards.
 //!
-//! A root owns sockets, clocks and timers; this crate owns the decisions: which replica each part goes to, when to
-//! try again or send a second copy, which queries to refuse, and when to answer. It does no input or output. Hand
-//! all events of a moment to [`Aggregator::turn`] and carry out the actions that come back.
+//! A aggregator owns sockets, clocks and timers; this crate owns the decisions: which replica each part goes to, when to
+//! try again or send a hedged request, which queries to reject, and when to answer. It does no input or output. Hand
+//! all events of a moment to [`Aggregator::step`] and carry out the actions that come back.
 //!
 //! ```
 //! use gatherer::policy::*;
 //! use std::time::Duration;
 //!
 //! let class = Class {
-//!     aim: Duration::from_millis(1500),
-//!     aim_stretch: 0.0,
+//!     latency_objective: Duration::from_millis(1500),
+//!     objective_stretch: 0.0,
 //!     deadline: Duration::from_secs(5),
-//!     effect: Effect::Repeatable,
-//!     window: Duration::ZERO,
-//!     worth: 1.0,
-//!     late_worth: 0.0,
-//!     min_share: 1.0,
-//!     whole_at: 1.0,
-//!     short_worth: 0.0,
-//!     follow_up: 0,
+//!     idempotency: Idempotency::Idempotent,
+//!     repeat_window: Duration::ZERO,
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
+//!     min_coverage: 1.0,
+//!     complete_coverage: 1.0,
+//!     partial_weight: 0.0,
+//!     second_step_parts: 0,
 //! };
-//! let mut root = Aggregator::new(Settings {
+//! let mut aggregator = Aggregator::new(Settings {
 //!     seed: 42,
-//!     roots: 2,
+//!     fleet_size: 2,
 //!     classes: vec![class],
 //!     shards: 1,
-//!     per_call: 16,
+//!     parts_per_call: 16,
 //!     ..Settings::default()
 //! });
 //!
-//! // The membership list comes in; the module asks for a timer, which the root sends back as `Event::Due`.
-//! let leaf = |id| Entry { leaf: LeafId(id), units: 1.0, ..Entry::default() };
-//! let list = Membership::Full(vec![leaf(1), leaf(2)].into());
+//! // The endpoint list comes in; the module asks for a timer, which the host sends back as `Event::TimerFired`.
+//! let worker = |id| Endpoint { worker: WorkerId(id), units: 1.0, ..Endpoint::default() };
+//! let list = EndpointUpdate::Full(vec![worker(1), worker(2)].into());
 //! let mut actions = Vec::new();
-//! root.turn(Time(0), [Event::Membership(list)], &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::Wake { .. })));
+//! aggregator.step(Time(0), [Event::EndpointUpdate(list)], &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::SetTimer { .. })));
 //!
 //! // A query with one part: the module sends it to a replica.
 //! let (query, part, job) = (RequestId(1), RequestId(2), JobId(1));
 //! let valid_until = Time(5_000_000_000);
-//! let asked = NewQuery { id: query, class: ClassId(0), tenant: None, valid_until, job, retry: false };
+//! let asked = NewQuery { id: query, class: ClassId(0), tenant: None, valid_until, job, is_retry: false };
 //! let key = Some("account-17".into());
-//! let needed = NewPart { id: part, key, hint: None, job, shard: ShardId(0), weight: 1.0 };
+//! let needed = NewPart { id: part, key, cost_hint: None, job, shard: ShardId(0), weight: 1.0 };
 //! actions.clear();
-//! root.turn(Time(1_000_000), [Event::Query(asked), Event::Part(needed)], &mut actions);
+//! aggregator.step(Time(1_000_000), [Event::QueryReceived(asked), Event::PartReceived(needed)], &mut actions);
 //! let sent = actions.iter().find_map(|action| match action {
-//!     Action::Send { id, leaf, .. } if *id == part => Some(*leaf),
+//!     Action::Send { id, worker, .. } if *id == part => Some(*worker),
 //!     _ => None,
 //! });
-//! let leaf = sent.expect("the part is sent");
+//! let worker = sent.expect("the part is sent");
 //!
-//! // The leaf answers, and so does the root.
-//! let end = AttemptEnd {
+//! // The leaf answers, and so does the aggregator.
+//! let result = AttemptResult {
 //!     id: part,
 //!     attempt: AttemptNo(0),
-//!     leaf,
-//!     outcome: Outcome::Done,
+//!     worker,
+//!     outcome: AttemptOutcome::Succeeded,
 //!     elapsed: Duration::from_millis(80),
-//!     over: true,
-//!     report: None,
+//!     part_finished: true,
+//!     load_report: None,
 //! };
 //! actions.clear();
-//! root.turn(Time(81_000_000), [Event::Ended(end)], &mut actions);
-//! assert!(actions.contains(&Action::Answer { id: query, whole: true }));
+//! aggregator.step(Time(81_000_000), [Event::AttemptFinished(result)], &mut actions);
+//! assert!(actions.contains(&Action::Respond { id: query, complete: true }));
 //! ```
 
 pub mod fronts;
--- a/src/limits/lines.rs
+++ b/src/limits/lines.rs
@@ -1,6 +1,6 @@
 //! Connections to servers: which of the open ones takes a call, and who may open the next.
 
-use crate::policy::{LeafId, Time};
+use crate::policy::{Time, WorkerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Wait {
-    leaf: LeafId,
+    leaf: WorkerId,
 }
 
 /// The queue for new connections to servers. It is short, goes by what runs out of time first, and keeps room for
@@ -68,8 +68,8 @@
     most_opening: usize,
     most_each: usize,
     waits: BTreeMap<(Time, u64), Wait>,
-    waiting: BTreeMap<LeafId, usize>,
-    opening: BTreeMap<LeafId, usize>,
+    waiting: BTreeMap<WorkerId, usize>,
+    opening: BTreeMap<WorkerId, usize>,
     next: u64,
 }
 
@@ -107,7 +107,7 @@
 
     /// A call of so much time joins the queue. Where that is full, one leaves it: of the server with the most waiting,
     /// the one with the most time left, which may be the newcomer.
-    pub fn join(&mut self, now: Time, leaf: LeafId, left: Duration) -> (Number, Option<Number>) {
+    pub fn join(&mut self, now: Time, leaf: WorkerId, left: Duration) -> (Number, Option<Number>) {
         self.next += 1;
         let number = Number(now.after(left), self.next);
         self.waits.insert((number.0, number.1), Wait { leaf });
@@ -132,7 +132,7 @@
     }
 
     /// Who may open the next connection, if anyone: it is taken off the queue and counts as opening.
-    pub fn admit(&mut self) -> Option<(Number, LeafId)> {
+    pub fn admit(&mut self) -> Option<(Number, WorkerId)> {
         if self.opening() >= self.most_opening {
             return None;
         }
@@ -152,12 +152,12 @@
     }
 
     /// A connection is up, or will not be.
-    pub fn settled(&mut self, leaf: LeafId) {
+    pub fn settled(&mut self, leaf: WorkerId) {
         less(&mut self.opening, leaf);
     }
 }
 
-fn less(counts: &mut BTreeMap<LeafId, usize>, leaf: LeafId) {
+fn less(counts: &mut BTreeMap<WorkerId, usize>, leaf: WorkerId) {
     if let Some(count) = counts.get_mut(&leaf) {
         *count -= 1;
         if *count == 0 {
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -52,7 +52,7 @@
     pub fn new(settings: &Settings) -> ClientRetries {
         ClientRetries {
             memory: settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
-            longest_pause: settings.longest_pause.unwrap_or_default(),
+            longest_pause: settings.max_retry_after.unwrap_or_default(),
             ..ClientRetries::default()
         }
     }
@@ -65,12 +65,12 @@
         let left = query.valid_until.since(now);
         let spent = class.deadline.saturating_sub(left);
         let shortened = self.shortened(query, left);
-        self.marked |= query.retry;
+        self.marked |= query.is_retry;
         // Unmarked, it could come a part of an aim after the longest pause; later means little patience.
-        let in_reach = spent <= class.aim.mul_f64(UNMARKED_SPAN) + self.longest_pause;
-        let may_be_retry = query.retry || !self.marked && in_reach;
+        let in_reach = spent <= class.latency_objective.mul_f64(UNMARKED_SPAN) + self.longest_pause;
+        let may_be_retry = query.is_retry || !self.marked && in_reach;
         let digest = digest(query, parts);
-        let first = self.requests.get(&digest).map(|(first, _)| *first).filter(|_| query.retry);
+        let first = self.requests.get(&digest).map(|(first, _)| *first).filter(|_| query.is_retry);
         let waited = match first {
             _ if shortened && may_be_retry => seconds(spent),
             Some(first) => {
@@ -78,7 +78,7 @@
                 self.mean_wait += GAIN * (waited - self.mean_wait);
                 waited
             }
-            None if query.retry => self.mean_wait.min(seconds(spent)),
+            None if query.is_retry => self.mean_wait.min(seconds(spent)),
             None => 0.0,
         };
         let first = Time(now.0.saturating_sub(span(waited).as_nanos() as u64));
@@ -108,7 +108,7 @@
     fn shortened(&mut self, query: &NewQuery, left: Duration) -> bool {
         let usual = self.patience.entry(query.class).or_insert((left, 0));
         let alike = left.abs_diff(usual.0) < left.mul_f64(ALIKE);
-        if !query.retry {
+        if !query.is_retry {
             usual.1 += if alike { 1 } else { -1 };
             if usual.1 < 0 {
                 *usual = (left, 0);
@@ -140,7 +140,7 @@
     for part in parts {
         add(u64::from(part.shard.0));
         add(part.weight.to_bits());
-        add(part.hint.map_or(u64::MAX, |hint| hint.as_nanos() as u64));
+        add(part.cost_hint.map_or(u64::MAX, |hint| hint.as_nanos() as u64));
     }
     let keys = parts.iter().filter_map(|part| part.key.as_deref());
     keys.for_each(|key| hash.update(key.as_bytes()));
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -2,7 +2,7 @@
 //! chooses.
 
 use crate::policy::state::seconds;
-use crate::policy::{Field, LeafId, Settings, Time};
+use crate::policy::{ReportField, Settings, Time, WorkerId};
 use serde::{Deserialize, Serialize};
 
 /// Weight of a new sample in running means: about the last twenty count.
@@ -35,7 +35,7 @@
 
 /// The shortest aim of any class, in seconds; infinite where there is no class.
 pub fn shortest_aim(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|class| seconds(class.aim)).fold(f64::INFINITY, f64::min)
+    settings.classes.iter().map(|class| seconds(class.latency_objective)).fold(f64::INFINITY, f64::min)
 }
 
 /// Work of a part, in seconds, before any was seen and without a hint. Guards fast deployments against a
@@ -68,7 +68,7 @@
 }
 
 /// Makes the multipliers of a shard sum to 1.
-pub fn normalise(row: &mut [(LeafId, f64)]) {
+pub fn normalise(row: &mut [(WorkerId, f64)]) {
     let total: f64 = row.iter().map(|replica| replica.1).sum();
     for replica in row.iter_mut() {
         replica.1 /= total;
@@ -78,16 +78,16 @@
 /// What a report says of the utilization: busy share, else parts in flight, else nought (DESIGN). Where
 /// neither is told, the utilization law gives the busy cores: rate times service time. Open scales are
 /// bounded to stay under 1.
-pub fn utilization(fields: &[Field], report: &[Option<f64>]) -> f64 {
-    let value = |field: Field| {
+pub fn utilization(fields: &[ReportField], report: &[Option<f64>]) -> f64 {
+    let value = |field: ReportField| {
         let at = fields.iter().position(|known| *known == field)?;
         report.get(at).copied().flatten().filter(|value| value.is_finite() && *value >= 0.0)
     };
     let bounded = |value: f64| value / (1.0 + value);
-    match (value(Field::Busy), value(Field::InFlight)) {
+    match (value(ReportField::Busy), value(ReportField::InFlight)) {
         (Some(busy), _) => busy.min(1.0),
         (None, Some(parts)) => bounded(parts),
-        (None, None) => match (value(Field::Rate), value(Field::LatencyMs)) {
+        (None, None) => match (value(ReportField::Rate), value(ReportField::LatencyMs)) {
             (Some(rate), Some(latency)) => bounded(rate * latency / 1000.0),
             _ => 0.0,
         },
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,7 +8,7 @@
 use estimates::{
     FIRST_WORK, GAIN, MODEL_GAIN, Model, faded, first_work, normalise, shortest_aim, utilization,
 };
-use state::{Attempt, Leaf, Part, Query, holders, seconds, span};
+use state::{Attempt, Part, Query, WorkerState, holders, seconds, span};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tenant_quota::TenantShares;
@@ -21,11 +21,11 @@
 mod tenant_quota;
 mod types;
 
-pub use snapshot::Learned;
+pub use snapshot::PolicySnapshot;
 pub use types::{
-    Action, AttemptEnd, AttemptNo, Budget, CellId, Class, ClassId, Effect, Entry, Event, Field, Handle,
-    JobId, LeafId, Membership, NewPart, NewQuery, Outcome, Report, Reports, RequestId, Settings, ShardId,
-    Status, Tenant, TenantId, Time, ZoneId,
+    Action, AttemptNo, AttemptOutcome, AttemptResult, CellId, Class, ClassId, Endpoint, EndpointStatus,
+    EndpointUpdate, Event, Idempotency, JobId, LoadReport, NewPart, NewQuery, ReportField, ReportSource,
+    RequestId, RetryBudget, Settings, ShardId, Tenant, TenantId, Time, TimerId, WorkerId, ZoneId,
 };
 
 /// Share of a key's work that its home is expected to save (DESIGN's P; its default).
@@ -102,7 +102,7 @@
 /// Slack in sums of weights, which come rounded: the rule on honest answers lets them fall so short.
 const EPSILON: f64 = 1e-4;
 
-impl Leaf {
+impl WorkerState {
     /// Books a part, and its place in the turn's call.
     fn load(&mut self, work: f64, per_call: u32) {
         self.owed += work;
@@ -110,7 +110,7 @@
     }
     /// Work of the call that a further part would open.
     fn opens(&self, settings: &Settings) -> f64 {
-        if self.call_room == 0 { seconds(settings.call_work) } else { 0.0 }
+        if self.call_room == 0 { seconds(settings.call_cost) } else { 0.0 }
     }
     /// Share of a class's attempts that it loses, or of all if that is more.
     fn loss(&self, now: Time, class: ClassId) -> f64 {
@@ -154,9 +154,9 @@
     settings: Settings,
     random: fastrand::Rng,
     now: Time,
-    leaves: BTreeMap<LeafId, Leaf>,
+    leaves: BTreeMap<WorkerId, WorkerState>,
     /// Multipliers m of the active replicas of each shard.
-    shards: BTreeMap<ShardId, Vec<(LeafId, f64)>>,
+    shards: BTreeMap<ShardId, Vec<(WorkerId, f64)>>,
     queries: BTreeMap<RequestId, Query>,
     jobs: BTreeMap<JobId, RequestId>,
     parts: BTreeMap<RequestId, Part>,
@@ -198,7 +198,7 @@
             born: Time(u64::MAX),
             gap: 1.0,
             base: vec![first_work(&settings); settings.classes.len()],
-            watch_at: settings.ask_discovery.then_some(Time(0)),
+            watch_at: settings.poll_discovery.then_some(Time(0)),
             watch_backoff: FIRST_HOLD,
             retries: ClientRetries::new(&settings),
             settings,
@@ -207,7 +207,7 @@
     }
 
     /// Applies all events of a turn, then decides once.
-    pub fn turn(&mut self, now: Time, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>) {
+    pub fn step(&mut self, now: Time, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>) {
         self.trials = 0;
         self.stalled = self.born < now && seconds(now.since(self.now)) > STALL * seconds(TICK);
         self.now = self.now.max(now);
@@ -216,7 +216,7 @@
         events.into_iter().for_each(|event| self.apply(event, actions));
         // The subscription is asked for at the start, and again after each failure, with back-off.
         if self.watch_at.take_if(|at| *at <= self.now).is_some() {
-            actions.push(Action::Watch);
+            actions.push(Action::SubscribeToEndpoints);
         }
         self.judge_silence(actions);
         self.settle(actions);
@@ -225,7 +225,7 @@
         self.probe(actions);
         if !self.wake_set {
             self.wake_set = true;
-            actions.push(Action::Wake { after: TICK, handle: Handle(0) });
+            actions.push(Action::SetTimer { after: TICK, timer: TimerId(0) });
         }
     }
 
@@ -235,48 +235,50 @@
 
     fn apply(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Membership(news) => self.learn_membership(news),
-            Event::Query(query) => self.take(query),
-            Event::Part(part) => self.take_part(part),
-            Event::Streaming { .. } => {}
-            Event::Ended(end) => self.attempt_ended(end),
-            Event::ClientLeft { id } => self.forget(id, actions),
-            Event::Due { handle: _ } => self.wake_set = false,
-            Event::Probed { leaf, outcome, elapsed: _, report } => self.probed(leaf, outcome, report),
+            Event::EndpointUpdate(news) => self.learn_membership(news),
+            Event::QueryReceived(query) => self.take(query),
+            Event::PartReceived(part) => self.take_part(part),
+            Event::StreamingStarted { .. } => {}
+            Event::AttemptFinished(end) => self.attempt_ended(end),
+            Event::ClientDisconnected { id } => self.forget(id, actions),
+            Event::TimerFired { timer: _ } => self.wake_set = false,
+            Event::HealthCheckFinished { worker: leaf, outcome, elapsed: _, load_report: report } => {
+                self.probed(leaf, outcome, report)
+            }
         }
     }
 
     // ---- Membership: list, discovery, drains, cold leaves ----
 
-    fn learn_membership(&mut self, news: Membership) {
+    fn learn_membership(&mut self, news: EndpointUpdate) {
         let (entries, complete) = match news {
-            Membership::Failed => {
+            EndpointUpdate::Failed => {
                 let wait = self.watch_backoff.mul_f64(1.0 + 0.5 * self.random.f64());
-                self.watch_at = self.settings.ask_discovery.then_some(self.now.after(wait));
+                self.watch_at = self.settings.poll_discovery.then_some(self.now.after(wait));
                 self.watch_backoff = (self.watch_backoff * 2).min(LONGEST_HOLD);
                 return;
             }
-            Membership::Delta(entries) => (entries, false),
-            Membership::Full(entries) | Membership::Cached(entries) => (entries, true),
+            EndpointUpdate::Delta(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (entries, true),
         };
         self.watch_backoff = FIRST_HOLD;
         if complete {
-            let listed: BTreeSet<LeafId> = entries.iter().map(|entry| entry.leaf).collect();
+            let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
             for (_, leaf) in self.leaves.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                leaf.entry.status = Status::Gone;
+                leaf.entry.status = EndpointStatus::Gone;
             }
         }
         for entry in entries.iter() {
-            let fresh = entry.since.filter(|since| self.now.since(*since) < self.settings.warm_up);
-            let leaf = self.leaves.entry(entry.leaf).or_insert_with(|| Leaf {
+            let fresh = entry.started_at.filter(|since| self.now.since(*since) < self.settings.warm_up);
+            let leaf = self.leaves.entry(entry.worker).or_insert_with(|| WorkerState {
                 seen: FIRST_WORK,
                 planned: FIRST_WORK,
                 answers_probes: true,
                 last_done: self.now,
                 probe_at: self.now,
-                ..Leaf::default()
+                ..WorkerState::default()
             });
-            if leaf.entry.since != entry.since && fresh.is_some() {
+            if leaf.entry.started_at != entry.started_at && fresh.is_some() {
                 // A new process: what was held against the old one is void.
                 leaf.cold_from = leaf.cold_from.max(fresh);
                 leaf.trust();
@@ -291,7 +293,7 @@
     fn place_shards(&mut self) {
         let before = std::mem::take(&mut self.shards);
         for (shard, held) in holders(&self.leaves, &self.settings) {
-            let mut row: Vec<(LeafId, f64)> = held.into_iter().map(|id| (id, 1.0)).collect();
+            let mut row: Vec<(WorkerId, f64)> = held.into_iter().map(|id| (id, 1.0)).collect();
             let even = 1.0 / row.len().max(1) as f64;
             for (id, m) in &mut row {
                 let known = before.get(&shard).and_then(|row| row.iter().find(|known| known.0 == *id));
@@ -304,7 +306,7 @@
 
     /// Whether a cold leaf may get this much more work now. Guards against pushing a starting leaf over: this
     /// root's share of the push that the rule allows, in every window of the rule's length.
-    fn cold_allows(&self, leaf: &Leaf, work: f64) -> bool {
+    fn cold_allows(&self, leaf: &WorkerState, work: f64) -> bool {
         let Some(from) = leaf.cold_from else { return true };
         let rules = &self.settings;
         let age = seconds(self.now.since(from));
@@ -313,14 +315,14 @@
             return true;
         }
         // A warm leaf is judged by the most that one answered lately, less what so few answers may err by.
-        let roots = f64::from(rules.roots.max(1));
+        let roots = f64::from(rules.fleet_size.max(1));
         let sure = |served: f64| roots * (served - (served * work / SPAN).sqrt());
         let seen = self.leaves.values().map(|leaf| sure(leaf.served)).fold(0.0, f64::max);
         let warm = seen.clamp(LEAST_CAPACITY, 4.0 * LEAST_CAPACITY);
-        let carries = |ramp: f64| rules.cold_share + (1.0 - rules.cold_share) * ramp;
-        let share = |ramp: f64| COLD_CARE * rules.fall_multiple * carries(ramp) * warm / roots;
-        let push = share(ramp) * seconds(rules.fall);
-        let recent = leaf.sent.iter().filter(|(at, _)| self.now.since(*at) <= rules.fall);
+        let carries = |ramp: f64| rules.cold_capacity_fraction + (1.0 - rules.cold_capacity_fraction) * ramp;
+        let share = |ramp: f64| COLD_CARE * rules.slow_start_budget_factor * carries(ramp) * warm / roots;
+        let push = share(ramp) * seconds(rules.slow_start_budget_window);
+        let recent = leaf.sent.iter().filter(|(at, _)| self.now.since(*at) <= rules.slow_start_budget_window);
         if work <= push {
             return recent.map(|(_, work)| work).sum::<f64>() + work <= push;
         }
@@ -335,7 +337,7 @@
     // ---- Reports and multipliers ----
 
     /// DESIGN's step: m += beta (mean - u) dt for each shard of the leaf, floored, then normalised.
-    fn report(&mut self, id: LeafId, utilization: f64) {
+    fn report(&mut self, id: WorkerId, utilization: f64) {
         let Some(leaf) = self.leaves.get_mut(&id) else { return };
         let since = leaf.heard.map_or(0.0, |heard| seconds(self.now.since(heard)));
         (leaf.utilization, leaf.heard) = (Some(utilization), Some(self.now));
@@ -361,7 +363,7 @@
     // ---- Replica choice ----
 
     /// Expected seconds until a leaf would answer a part of this much work.
-    fn expect(&self, leaf: &Leaf, work: f64) -> f64 {
+    fn expect(&self, leaf: &WorkerState, work: f64) -> f64 {
         // Guards against refusing for good on stale guesses: without answers, what was learned fades.
         let fade = |since: Time| (-seconds(self.now.since(since)) / (FORGET * self.gap.max(1.0))).exp();
         let (own, ahead) = self.model.line();
@@ -372,23 +374,25 @@
     }
 
     /// The replica with the least vote over m among those that the guards let through.
-    fn choose(&self, part: &Part) -> Option<(LeafId, f64)> {
+    fn choose(&self, part: &Part) -> Option<(WorkerId, f64)> {
         let row = self.shards.get(&part.asked.shard)?;
-        let mut open: Vec<(LeafId, f64, &Leaf)> =
+        let mut open: Vec<(WorkerId, f64, &WorkerState)> =
             row.iter().filter_map(|(id, m)| Some((*id, *m, self.leaves.get(id)?))).collect();
         // Health filters only while a trusted replica is left; what runs once goes to none on trial.
-        let once = self.class(part.class).is_none_or(|class| class.effect != Effect::Repeatable);
+        let once = self.class(part.class).is_none_or(|class| class.idempotency != Idempotency::Idempotent);
         let aim_at = self.queries.get(&part.query).map_or(self.now, |query| query.aim_at);
-        let trial = |leaf: &Leaf| !once && leaf.out.is_empty() && leaf.answers_probes && self.trials < TRIALS;
+        let trial =
+            |leaf: &WorkerState| !once && leaf.out.is_empty() && leaf.answers_probes && self.trials < TRIALS;
         // Guards what runs once against leaves that lose its class: refused it is harmless, lost it is not.
-        let loses = |leaf: &Leaf, share: f64| once && leaf.loss(self.now, part.class) > share;
-        let sound = |leaf: &Leaf| leaf.suspect.is_none_or(|(next, _)| next <= self.now && trial(leaf));
-        let trusted = |leaf: &Leaf| sound(leaf) && !loses(leaf, LOSES.0);
-        let speaks = |leaf: &Leaf| !leaf.silent && !loses(leaf, LOSES.0);
+        let loses = |leaf: &WorkerState, share: f64| once && leaf.loss(self.now, part.class) > share;
+        let sound = |leaf: &WorkerState| leaf.suspect.is_none_or(|(next, _)| next <= self.now && trial(leaf));
+        let trusted = |leaf: &WorkerState| sound(leaf) && !loses(leaf, LOSES.0);
+        let speaks = |leaf: &WorkerState| !leaf.silent && !loses(leaf, LOSES.0);
         // What has failed at all that are trusted goes to a suspect that speaks, not to the same again.
-        let fresh = |id: LeafId| part.attempts.iter().all(|attempt| attempt.leaf != id);
+        let fresh = |id: WorkerId| part.attempts.iter().all(|attempt| attempt.leaf != id);
         let ended = !part.attempts.iter().any(|attempt| attempt.out());
-        let left = |may: &dyn Fn(&Leaf) -> bool| open.iter().any(|(id, _, leaf)| fresh(*id) && may(leaf));
+        let left =
+            |may: &dyn Fn(&WorkerState) -> bool| open.iter().any(|(id, _, leaf)| fresh(*id) && may(leaf));
         let elsewhere = ended && !left(&trusted) && left(&speaks);
         if !elsewhere && open.iter().any(|(_, _, leaf)| trusted(leaf)) {
             open.retain(|(_, _, leaf)| trusted(leaf));
@@ -399,7 +403,7 @@
         if open.iter().any(|(id, _, _)| fresh(*id)) {
             open.retain(|(id, _, _)| fresh(*id));
         }
-        let expect = |leaf: &Leaf| self.expect(leaf, part.work);
+        let expect = |leaf: &WorkerState| self.expect(leaf, part.work);
         let soonest = open.iter().map(|(_, _, leaf)| expect(leaf)).fold(f64::INFINITY, f64::min);
         let fingerprint = part.key.unwrap_or(xxh3_64(&part.asked.id.0.to_le_bytes()));
         let home = row.iter().map(|(id, _)| *id).max_by_key(|id| affinity(fingerprint, *id));
@@ -412,7 +416,7 @@
         });
         let waste = self.settings.waste_price;
         let priced = if waste > 0.0 { self.settings.cross_zone_price / waste } else { 0.0 };
-        let cost = |(id, m, leaf): &(LeafId, f64, &Leaf)| {
+        let cost = |(id, m, leaf): &(WorkerId, f64, &WorkerState)| {
             let saved = if part.key.is_some() && home == Some(*id) { HIT } else { 0.0 };
             let vote = part.work * (1.0 - saved) / (m * row.len() as f64);
             // Departure "lag": acts when a replica would answer later than the soonest by LAG of own work.
@@ -448,9 +452,9 @@
         let Some((tenant, quota)) = asked.tenant.and_then(|tenant| Some((tenant, quota(tenant)?))) else {
             return false;
         };
-        let rate = quota / f64::from(self.settings.roots.max(1));
-        let exceeded = self.shares.exceeded(self.now, tenant, rate, SHARE_BURST, asked.retry);
-        exceeded && self.settings.over_share_worth.is_some_and(|worth| worth < 1.0)
+        let rate = quota / f64::from(self.settings.fleet_size.max(1));
+        let exceeded = self.shares.exceeded(self.now, tenant, rate, SHARE_BURST, asked.is_retry);
+        exceeded && self.settings.over_quota_weight.is_some_and(|worth| worth < 1.0)
     }
 
     fn take(&mut self, asked: NewQuery) {
@@ -476,7 +480,7 @@
             query: query.asked.id,
             class,
             key: asked.key.as_ref().map(|key| xxh3_64(key.as_bytes())),
-            work: asked.hint.map(seconds).filter(|work| *work > 0.0).unwrap_or(usual),
+            work: asked.cost_hint.map(seconds).filter(|work| *work > 0.0).unwrap_or(usual),
             attempts: Vec::new(),
             done: false,
             over: false,
@@ -493,7 +497,7 @@
         let parts: Vec<&NewPart> =
             query.parts.iter().filter_map(|part| Some(&self.parts.get(part)?.asked)).collect();
         let waited = self.retries.waited(self.now, &query.asked, &parts, class);
-        let aim = class.aim.saturating_sub(span(waited));
+        let aim = class.latency_objective.saturating_sub(span(waited));
         query.aim_at = self.now.after(aim).min(query.asked.valid_until);
     }
 
@@ -507,8 +511,8 @@
         for (id, query) in self.queries.iter().filter(|(_, query)| !query.admitted && !waits(query)) {
             let work: f64 =
                 query.parts.iter().filter_map(|part| self.parts.get(part)).map(|part| part.work).sum();
-            let worth = self.class(query.asked.class).map_or(0.0, |class| class.worth);
-            let share = if query.over_share { self.settings.over_share_worth.unwrap_or(1.0) } else { 1.0 };
+            let worth = self.class(query.asked.class).map_or(0.0, |class| class.priority_weight);
+            let share = if query.over_share { self.settings.over_quota_weight.unwrap_or(1.0) } else { 1.0 };
             let worth = worth * share;
             fresh.push((worth / work.max(1e-6), *id));
         }
@@ -541,18 +545,21 @@
         };
         // Guards against queues for answers that come in part only, and against refusing all for one cell.
         let need = match query.first_step {
-            Some(_) => class.min_share,
-            None => class.min_share.max(class.whole_at * all_but_one_cell).min(class.whole_at),
+            Some(_) => class.min_coverage,
+            None => class
+                .min_coverage
+                .max(class.complete_coverage * all_but_one_cell)
+                .min(class.complete_coverage),
         };
         let edge = (usual_edge - self.lost.min(0.5)) * if over_share { OVER_SHARE_EDGE } else { 1.0 };
         let left = seconds(query.aim_at.since(self.now));
-        let mut plan: Vec<(RequestId, f64, f64, LeafId, f64)> = Vec::new();
+        let mut plan: Vec<(RequestId, f64, f64, WorkerId, f64)> = Vec::new();
         for id in query.parts.clone() {
             let Some(part) = self.parts.get(&id).filter(|part| part.attempts.is_empty()) else { continue };
             let (work, weight) = (part.work, part.asked.weight);
             let Some((to, expected)) = self.choose(part) else { continue };
             if let Some(leaf) = self.leaves.get_mut(&to) {
-                leaf.load(work, self.settings.per_call);
+                leaf.load(work, self.settings.parts_per_call);
                 self.trials += usize::from(leaf.suspect.is_some());
             }
             plan.push((id, work, weight, to, expected));
@@ -588,24 +595,24 @@
         let Some(class) = self.class(part.class) else { return false };
         let first_risk =
             part.attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| attempt.sent);
-        let effect = match (class.effect, first_risk) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::ByKey, Some(at)) => self.now.since(at) < class.window,
-            (Effect::Once, Some(_)) => false,
+        let effect = match (class.idempotency, first_risk) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::Keyed, Some(at)) => self.now.since(at) < class.repeat_window,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        effect && self.settings.most_attempts.is_none_or(|most| (part.attempts.len() as u32) < most)
+        effect && self.settings.max_attempts.is_none_or(|most| (part.attempts.len() as u32) < most)
     }
 
     /// Every guard on sending a part to a leaf.
-    fn guard(&self, part: &Part, leaf: &Leaf) -> bool {
+    fn guard(&self, part: &Part, leaf: &WorkerState) -> bool {
         let further = !part.attempts.is_empty();
         let out = part.attempts.iter().any(|attempt| attempt.out());
-        let drained = leaf.entry.status != Status::Active;
+        let drained = leaf.entry.status != EndpointStatus::Active;
         !part.done
             && !part.over
             && !drained
             && self.may_follow(part)
-            && (!out || self.settings.second_copies)
+            && (!out || self.settings.hedging_allowed)
             && (!further || self.budget_allows(self.doubles(part)))
             && self.cold_allows(leaf, part.work + leaf.opens(&self.settings))
     }
@@ -621,16 +628,17 @@
     fn budget_allows(&self, copy: bool) -> bool {
         let taken = self.taken.len() as f64;
         let copies = self.further.iter().filter(|(_, copy)| *copy).count() as f64;
-        let budget = self.settings.budget.as_ref();
-        budget.is_none_or(|limit| self.further.len() as f64 + 1.0 <= limit.free + limit.ratio * taken)
+        let budget = self.settings.retry_budget.as_ref();
+        budget
+            .is_none_or(|limit| self.further.len() as f64 + 1.0 <= limit.free_attempts + limit.ratio * taken)
             && (!copy || copies + 1.0 <= COPIES + COPY_SHARE * taken * (1.0 - self.reported))
     }
 
     /// The one place that sends.
-    fn issue(&mut self, id: RequestId, to: LeafId, expected: f64, actions: &mut Vec<Action>) {
+    fn issue(&mut self, id: RequestId, to: WorkerId, expected: f64, actions: &mut Vec<Action>) {
         let (Some(part), Some(leaf)) = (self.parts.get(&id), self.leaves.get(&to)) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
-        let late_worth = self.class(query.asked.class).map_or(0.0, |class| class.late_worth);
+        let late_worth = self.class(query.asked.class).map_or(0.0, |class| class.late_weight);
         let until = if late_worth >= LATE_WORTH { query.asked.valid_until } else { query.aim_at };
         let timeout = until.since(self.now);
         if timeout.is_zero() || !self.guard(part, leaf) {
@@ -656,33 +664,34 @@
         leaf.out.insert((sent, id, number));
         leaf.sent.retain(|(at, _)| self.now.since(*at) <= self.settings.warm_up);
         leaf.sent.push_back((sent, work + leaf.opens(&self.settings)));
-        leaf.load(work, self.settings.per_call);
+        leaf.load(work, self.settings.parts_per_call);
         if let Some((_, hold)) = leaf.suspect {
             leaf.suspect = Some((self.now.after(hold), (hold * 2).min(LONGEST_HOLD)));
         }
-        actions.push(Action::Send { id, leaf: to, timeout });
+        actions.push(Action::Send { id, worker: to, timeout });
     }
 
-    fn attempt_ended(&mut self, end: AttemptEnd) {
+    fn attempt_ended(&mut self, end: AttemptResult) {
         let Some(part) = self.parts.get_mut(&end.id) else { return };
         let outcome = end.outcome;
-        part.over |= end.over && outcome != Outcome::Done;
+        part.over |= end.part_finished && outcome != AttemptOutcome::Succeeded;
         let class = part.class;
         let Some(attempt) = part.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.out()) else { return };
         attempt.outcome = Some(outcome);
         let Attempt { sent, expected, work, ahead, missed, .. } = *attempt;
-        part.done |= outcome == Outcome::Done;
+        part.done |= outcome == AttemptOutcome::Succeeded;
         // Guards against jams: the more attempts are lost, the less wait a query is admitted to.
-        let lost = f64::from(u8::from(matches!(outcome, Outcome::Busy | Outcome::TimedOut)));
+        let lost =
+            f64::from(u8::from(matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut)));
         self.lost += if self.stalled { 0.0 } else { MODEL_GAIN * (lost - self.lost) };
-        if outcome == Outcome::Skipped && end.attempt.0 > 0 {
+        if outcome == AttemptOutcome::NotSent && end.attempt.0 > 0 {
             // Never sent, so it does not count against the budget.
             self.further.iter().position(|(at, _)| *at == sent).map(|at| self.further.remove(at));
         }
-        if let Some(leaf) = self.leaves.get_mut(&end.leaf) {
+        if let Some(leaf) = self.leaves.get_mut(&end.worker) {
             leaf.out.remove(&(sent, end.id, end.attempt));
             leaf.owed = if leaf.out.is_empty() { 0.0 } else { (leaf.owed - work).max(0.0) };
-            if outcome == Outcome::Done && !self.stalled {
+            if outcome == AttemptOutcome::Succeeded && !self.stalled {
                 let latency = seconds(end.elapsed);
                 let (own, slope) = self.model.line();
                 let rare = seconds(self.now.since(leaf.last_done)) / RARE;
@@ -697,31 +706,31 @@
             }
         }
         let overdue = seconds(self.now.since(sent)) > expected + self.spread();
-        match (self.leaves.get_mut(&end.leaf), outcome) {
+        match (self.leaves.get_mut(&end.worker), outcome) {
             _ if self.stalled => {}
-            (_, Outcome::Done) => self.overtake(end.leaf, class, sent),
-            (Some(leaf), Outcome::Error) => leaf.judge(self.now, class, true),
-            (Some(leaf), Outcome::Refused) => leaf.unreached = Some(sent),
+            (_, AttemptOutcome::Succeeded) => self.overtake(end.worker, class, sent),
+            (Some(leaf), AttemptOutcome::Failed) => leaf.judge(self.now, class, true),
+            (Some(leaf), AttemptOutcome::ConnectFailed) => leaf.unreached = Some(sent),
             // Counted where nothing was answered since, else where it was overtaken: it may be a queue.
-            (Some(leaf), Outcome::TimedOut | Outcome::Cancelled)
+            (Some(leaf), AttemptOutcome::TimedOut | AttemptOutcome::Cancelled)
                 if overdue && !missed && leaf.last_done < sent =>
             {
                 leaf.judge(self.now, class, true);
             }
             _ => {}
         }
-        self.judge_outcome(end.leaf, outcome, work);
-        if let Some(report) = end.report {
-            let utilization = utilization(&self.settings.fields, &report);
+        self.judge_outcome(end.worker, outcome, work);
+        if let Some(report) = end.load_report {
+            let utilization = utilization(&self.settings.report_fields, &report);
             self.reported += GAIN * (utilization - self.reported);
-            self.report(end.leaf, utilization);
+            self.report(end.worker, utilization);
         }
         self.drop_if_over(end.id);
     }
 
     /// The span over which requests taken and further attempts are counted.
     fn window(&self) -> Duration {
-        self.settings.budget.map_or(LONGEST_HOLD, |budget| budget.window)
+        self.settings.retry_budget.map_or(LONGEST_HOLD, |budget| budget.window)
     }
 
     /// Sends parts that have no attempt out, and copies of parts that are overdue.
@@ -763,7 +772,7 @@
     }
 
     /// Seconds by which the oldest attempt out at a leaf is later than expected, past the usual spread.
-    fn overdue(&self, leaf: &Leaf) -> f64 {
+    fn overdue(&self, leaf: &WorkerState) -> f64 {
         let Some((sent, id, number)) = leaf.out.first() else { return 0.0 };
         let attempt = self.parts.get(id).and_then(|part| part.attempts.get(number.0 as usize));
         let expected = attempt.map_or(FIRST_WORK, |attempt| attempt.expected);
@@ -775,15 +784,15 @@
     /// utilization, and an attempt that is twice overdue with nothing answered since makes the leaf suspect.
     fn judge_silence(&mut self, actions: &mut Vec<Action>) {
         let late = self.leaves.iter().map(|(id, leaf)| (*id, self.overdue(leaf)));
-        let late: BTreeMap<LeafId, f64> = late.filter(|row| row.1 > 0.0).collect();
+        let late: BTreeMap<WorkerId, f64> = late.filter(|row| row.1 > 0.0).collect();
         let spread = self.spread();
         for (id, overdue) in &late {
             self.report(*id, 1.0);
             let Some(leaf) = self.leaves.get_mut(id).filter(|leaf| leaf.suspect.is_none()) else { continue };
             if *overdue > spread && leaf.out.first().is_some_and(|(sent, _, _)| *sent > leaf.last_done) {
-                leaf.distrust(self.now, true, hold(self.settings.roots, &mut self.random));
+                leaf.distrust(self.now, true, hold(self.settings.fleet_size, &mut self.random));
                 let text = format!("leaf {} suspect: silent, {overdue:.2} s late", id.0);
-                actions.push(Action::Trace { text });
+                actions.push(Action::Log { text });
             }
         }
         // One that stood still itself hears of everything late.
@@ -794,9 +803,9 @@
 
     /// Guards against learning of a lost zone one leaf after the other: where several of a zone's leaves are
     /// late or cannot be reached, and none has answered since, all of them are suspect at once.
-    fn judge_zones(&mut self, late: &BTreeMap<LeafId, f64>, actions: &mut Vec<Action>) {
+    fn judge_zones(&mut self, late: &BTreeMap<WorkerId, f64>, actions: &mut Vec<Action>) {
         let mut zones: BTreeMap<ZoneId, (Time, Vec<Time>)> = BTreeMap::new();
-        for (id, leaf) in self.leaves.iter().filter(|(_, leaf)| leaf.entry.status == Status::Active) {
+        for (id, leaf) in self.leaves.iter().filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active) {
             let zone = zones.entry(leaf.entry.zone).or_default();
             zone.0 = zone.0.max(leaf.spoke);
             let since = leaf.out.first().map(|(sent, _, _)| *sent).filter(|_| late.contains_key(id));
@@ -806,20 +815,20 @@
         zones.retain(|_, (spoke, late)| late.iter().filter(|at| **at > *spoke).count() >= OUTAGE);
         for zone in zones.into_keys() {
             let mut count = 0;
-            let of = |leaf: &&mut Leaf| leaf.entry.zone == zone && leaf.suspect.is_none();
+            let of = |leaf: &&mut WorkerState| leaf.entry.zone == zone && leaf.suspect.is_none();
             for leaf in self.leaves.values_mut().filter(of) {
-                leaf.distrust(self.now, true, hold(self.settings.roots, &mut self.random));
+                leaf.distrust(self.now, true, hold(self.settings.fleet_size, &mut self.random));
                 (leaf.inferred, count) = (true, count + 1);
             }
             if count > 0 {
                 let text = format!("zone {}: no answer from any leaf; {count} more are suspect", zone.0);
-                actions.push(Action::Trace { text });
+                actions.push(Action::Log { text });
             }
         }
     }
 
     /// Books an answer, and as lost what is overdue while later ones are answered: it is in no queue.
-    fn overtake(&mut self, id: LeafId, class: ClassId, sent: Time) {
+    fn overtake(&mut self, id: WorkerId, class: ClassId, sent: Time) {
         let (now, spread) = (self.now, self.spread());
         let Some(leaf) = self.leaves.get_mut(&id) else { return };
         leaf.judge(now, class, false);
@@ -835,70 +844,79 @@
         }
     }
 
-    fn judge_outcome(&mut self, id: LeafId, outcome: Outcome, work: f64) {
+    fn judge_outcome(&mut self, id: WorkerId, outcome: AttemptOutcome, work: f64) {
         let now = self.now;
         let Some(leaf) = self.leaves.get_mut(&id) else { return };
-        if matches!(outcome, Outcome::Done | Outcome::Error | Outcome::Busy) {
+        if matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::Rejected) {
             (leaf.spoke, leaf.silent, leaf.unreached) = (now, false, None);
             // Its zone is not lost: what is suspect for that alone is not.
             let zone = leaf.entry.zone;
-            let of = |leaf: &&mut Leaf| leaf.inferred && leaf.entry.zone == zone;
-            self.leaves.values_mut().filter(of).for_each(Leaf::trust);
+            let of = |leaf: &&mut WorkerState| leaf.inferred && leaf.entry.zone == zone;
+            self.leaves.values_mut().filter(of).for_each(WorkerState::trust);
         }
         let Some(leaf) = self.leaves.get_mut(&id) else { return };
         match outcome {
-            Outcome::Done => {
+            AttemptOutcome::Succeeded => {
                 let gap = seconds(now.since(leaf.last_done)) / SPAN;
                 leaf.served = leaf.served * (-gap).exp() + work / SPAN;
                 leaf.last_done = now;
                 leaf.trust();
             }
             // It comes at once and counts as a loss: another try costs less than a replica that is full.
-            Outcome::Error => {}
-            Outcome::Busy | Outcome::Refused | Outcome::Reset | Outcome::TimedOut => {
+            AttemptOutcome::Failed => {}
+            AttemptOutcome::Rejected
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionReset
+            | AttemptOutcome::TimedOut => {
                 leaf.strikes += 1;
                 // One connection that broke may be that alone; a process that died refuses the next.
-                let silent = outcome == Outcome::Refused;
+                let silent = outcome == AttemptOutcome::ConnectFailed;
                 if silent || leaf.strikes >= STRIKES {
-                    let hold = if silent { hold(self.settings.roots, &mut self.random) } else { FIRST_HOLD };
+                    let hold =
+                        if silent { hold(self.settings.fleet_size, &mut self.random) } else { FIRST_HOLD };
                     leaf.distrust(now, silent, hold);
                 }
                 self.report(id, 1.0);
             }
-            Outcome::Cancelled | Outcome::Skipped => {}
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
-    fn probed(&mut self, id: LeafId, outcome: Outcome, report: Option<Report>) {
+    fn probed(&mut self, id: WorkerId, outcome: AttemptOutcome, report: Option<LoadReport>) {
         let Some(leaf) = self.leaves.get_mut(&id) else { return };
         leaf.probing = false;
-        leaf.answers_probes = outcome == Outcome::Done;
+        leaf.answers_probes = outcome == AttemptOutcome::Succeeded;
         if !leaf.answers_probes {
             self.judge_outcome(id, outcome, 0.0);
         }
         if let Some(report) = report {
-            self.report(id, utilization(&self.settings.fields, &report));
+            self.report(id, utilization(&self.settings.report_fields, &report));
         }
     }
 
     /// Where reports come by probe alone each active leaf is probed as often as the price allows; elsewhere
     /// only suspects are, before a part is risked on them.
     fn probe(&mut self, actions: &mut Vec<Action>) {
-        if !self.settings.may_probe {
+        if !self.settings.may_health_check {
             return;
         }
-        let active = self.leaves.values().filter(|leaf| leaf.entry.status == Status::Active).count() as f64;
+        let active =
+            self.leaves.values().filter(|leaf| leaf.entry.status == EndpointStatus::Active).count() as f64;
         let parts_per_s = self.taken.len() as f64 / seconds(self.window());
-        let period = (active * self.settings.probe_price / (PROBE_POINTS * parts_per_s.max(1.0)))
+        let period = (active * self.settings.health_check_price / (PROBE_POINTS * parts_per_s.max(1.0)))
             .clamp(PROBE_PERIOD.0, PROBE_PERIOD.1);
-        let all = self.settings.reports == Reports::Probes;
+        let all = self.settings.report_source == ReportSource::HealthChecks;
         for (id, leaf) in &mut self.leaves {
             let wanted = all || leaf.suspect.is_some();
-            if wanted && leaf.entry.status == Status::Active && !leaf.probing && leaf.probe_at <= self.now {
+            if wanted
+                && leaf.entry.status == EndpointStatus::Active
+                && !leaf.probing
+                && leaf.probe_at <= self.now
+            {
                 leaf.probing = true;
                 let period = leaf.suspect.map_or(period, |(_, hold)| period.min(seconds(hold)));
                 leaf.probe_at = self.now.after(span(period * (0.8 + 0.4 * self.random.f64())));
-                actions.push(Action::Probe { leaf: *id });
+                actions.push(Action::SendHealthCheck { worker: *id });
             }
         }
     }
@@ -916,7 +934,7 @@
 
     fn ending(&self, id: RequestId) -> Option<Ending> {
         let query = self.queries.get(&id)?;
-        let abandon = Ending::Abandon { pause: self.settings.longest_pause.unwrap_or_default() };
+        let abandon = Ending::Abandon { pause: self.settings.max_retry_after.unwrap_or_default() };
         let Some(class) = self.class(query.asked.class) else { return Some(abandon) };
         if !query.admitted && self.now < query.asked.valid_until {
             return None;
@@ -926,29 +944,29 @@
         let all = !parts.is_empty() && parts.iter().all(|part| part.done);
         let whole = match query.first_step {
             Some(first) => all && first,
-            None => share >= class.whole_at - EPSILON && !parts.is_empty(),
+            None => share >= class.complete_coverage - EPSILON && !parts.is_empty(),
         };
         if whole || (all && query.first_step.is_some()) {
             return Some(Ending::Answer { whole });
         }
-        let margin = TICK + self.settings.quantum * 2;
-        let enough = !parts.is_empty() && share >= class.min_share - EPSILON;
+        let margin = TICK + self.settings.min_step_interval * 2;
+        let enough = !parts.is_empty() && share >= class.min_coverage - EPSILON;
         let out = parts.iter().any(|part| part.attempts.iter().any(|attempt| attempt.out()));
         let late = self.now.after(margin) >= query.aim_at;
         let over = self.now.after(margin) >= query.asked.valid_until;
-        let earns = class.short_worth * share / class.whole_at.max(EPSILON);
-        if enough && (over || late && earns > class.late_worth) {
+        let earns = class.partial_weight * share / class.complete_coverage.max(EPSILON);
+        if enough && (over || late && earns > class.late_weight) {
             return Some(Ending::Answer { whole: false });
         }
-        let hopeless = self.now >= query.aim_at && (class.late_worth < LATE_WORTH || !out);
+        let hopeless = self.now >= query.aim_at && (class.late_weight < LATE_WORTH || !out);
         // Guards against requests that bring down whoever begins them: no part may break a third connection.
-        let broke = |attempt: &&Attempt| attempt.outcome == Some(Outcome::Reset);
+        let broke = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
         let breaks = |part: &&Part| part.attempts.iter().filter(broke).count() > 1;
         // Guards against holding a lost query back: a part with none out and none to follow is lost.
         let is_out = |part: &Part| part.attempts.iter().any(|attempt| attempt.out());
         let dead = |part: &&&Part| !part.done && !is_out(part) && !self.may_follow(part);
         let dead: f64 = parts.iter().filter(dead).map(|part| part.asked.weight).sum();
-        let lost = dead > EPSILON && 1.0 - dead < class.min_share - EPSILON;
+        let lost = dead > EPSILON && 1.0 - dead < class.min_coverage - EPSILON;
         (over || hopeless || lost || parts.iter().any(breaks)).then_some(abandon)
     }
 
@@ -958,8 +976,8 @@
         let class = self.settings.classes.get(query.asked.class.0);
         match ending {
             Ending::Answer { whole } => {
-                actions.push(Action::Answer { id, whole });
-                if class.is_some_and(|class| class.follow_up > 0) && query.first_step.is_none() {
+                actions.push(Action::Respond { id, complete: whole });
+                if class.is_some_and(|class| class.second_step_parts > 0) && query.first_step.is_none() {
                     query.first_step = Some(whole);
                     query.admitted = false;
                     let first = std::mem::take(&mut query.parts);
@@ -970,9 +988,14 @@
                 let ran = |part: &Part| part.attempts.iter().any(|attempt| attempt.may_have_run());
                 let mut parts = query.parts.iter().filter_map(|part| self.parts.get(part));
                 let may_have_run = query.first_step.is_some() || parts.any(ran);
-                let risky = class.is_none_or(|class| class.effect != Effect::Repeatable) && may_have_run;
-                let pause = self.settings.longest_pause.map(|longest| pause.min(longest));
-                actions.push(if risky { Action::Fail { id } } else { Action::Refuse { id, pause } });
+                let risky =
+                    class.is_none_or(|class| class.idempotency != Idempotency::Idempotent) && may_have_run;
+                let pause = self.settings.max_retry_after.map(|longest| pause.min(longest));
+                actions.push(if risky {
+                    Action::Fail { id }
+                } else {
+                    Action::Reject { id, retry_after: pause }
+                });
             }
         }
         self.forget(id, actions);
@@ -1005,7 +1028,7 @@
 }
 
 /// The stable hash by which all roots agree on a key's home.
-fn affinity(key: u64, leaf: LeafId) -> u64 {
+fn affinity(key: u64, leaf: WorkerId) -> u64 {
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&leaf.0.to_le_bytes());
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -4,14 +4,14 @@
 use super::Aggregator;
 use crate::policy::client_retries::KnownPatience;
 use crate::policy::estimates::{Model, normalise};
-use crate::policy::state::Leaf;
+use crate::policy::state::WorkerState;
 use crate::policy::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// What was learned of one leaf, by its name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LearnedLeaf {
+pub struct WorkerSnapshot {
     name: String,
     /// The start of the process of which it was learned.
     since: Option<Time>,
@@ -34,8 +34,8 @@
 
 /// What was learned in all: of leaves, of the multipliers of each shard's replicas, and for admission.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
-    leaves: Vec<LearnedLeaf>,
+pub struct PolicySnapshot {
+    leaves: Vec<WorkerSnapshot>,
     shards: Vec<(ShardId, Vec<(String, f64)>)>,
     shares: Vec<(TenantId, f64, Time)>,
     #[serde(flatten)]
@@ -48,40 +48,40 @@
     base: Vec<f64>,
 }
 
-impl Learned {
+impl PolicySnapshot {
     /// The leaves of which anything was learned, those that are gone among them.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn worker_names(&self) -> impl Iterator<Item = &str> {
         self.leaves.iter().map(|leaf| leaf.name.as_str())
     }
 }
 
 impl Aggregator {
     /// The active leaves that it sends nothing to but trials.
-    pub fn suspects(&self) -> impl Iterator<Item = LeafId> + '_ {
+    pub fn ejected_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
         let suspect = self
             .leaves
             .iter()
-            .filter(|(_, leaf)| leaf.entry.status == Status::Active && leaf.suspect.is_some());
+            .filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active && leaf.suspect.is_some());
         suspect.map(|(id, _)| *id)
     }
 
     /// Has it push cold leaves by this multiple of what they bear, in place of that of its settings: two
     /// processes of one root share it.
-    pub fn push_cold_by(&mut self, multiple: f64) {
-        self.settings.fall_multiple = multiple;
+    pub fn set_slow_start_budget_factor(&mut self, multiple: f64) {
+        self.settings.slow_start_budget_factor = multiple;
     }
 
     /// So many roots share the fleet, in place of the number of its settings.
-    pub fn among(&mut self, roots: u32) {
-        self.settings.roots = roots.max(1);
+    pub fn set_fleet_size(&mut self, roots: u32) {
+        self.settings.fleet_size = roots.max(1);
     }
 
     /// What it has learned of the leaves that have a name.
-    pub fn learned<'a>(&self, name: impl Fn(LeafId) -> Option<&'a str>) -> Learned {
-        let of = |(id, leaf): (&LeafId, &Leaf)| {
-            Some(LearnedLeaf {
+    pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
+        let of = |(id, leaf): (&WorkerId, &WorkerState)| {
+            Some(WorkerSnapshot {
                 name: name(*id)?.to_owned(),
-                since: leaf.entry.since,
+                since: leaf.entry.started_at,
                 cold_from: leaf.cold_from,
                 sent: leaf.sent.iter().copied().collect(),
                 utilization: leaf.utilization,
@@ -99,10 +99,10 @@
                 served: leaf.served,
             })
         };
-        let row = |row: &Vec<(LeafId, f64)>| {
+        let row = |row: &Vec<(WorkerId, f64)>| {
             row.iter().filter_map(|(id, m)| Some((name(*id)?.to_owned(), *m))).collect()
         };
-        Learned {
+        PolicySnapshot {
             leaves: self.leaves.iter().filter_map(of).collect(),
             shards: self.shards.iter().map(|(shard, held)| (*shard, row(held))).collect(),
             shares: self.shares.known(),
@@ -118,12 +118,12 @@
 
     /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a
     /// process that has been replaced since is left out, but for when it was last sent work.
-    pub fn take_over(&mut self, learned: Learned, leaf: impl Fn(&str) -> Option<LeafId>) {
+    pub fn restore(&mut self, learned: PolicySnapshot, leaf: impl Fn(&str) -> Option<WorkerId>) {
         for of in learned.leaves {
             let Some(own) = leaf(&of.name).and_then(|id| self.leaves.get_mut(&id)) else { continue };
             own.sent = of.sent.into();
             own.cold_from = own.cold_from.max(of.cold_from);
-            if own.entry.since != of.since {
+            if own.entry.started_at != of.since {
                 continue;
             }
             (own.utilization, own.heard) = (of.utilization, of.heard);
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -7,8 +7,8 @@
 
 /// A leaf as this root knows it.
 #[derive(Default)]
-pub struct Leaf {
-    pub entry: Entry,
+pub struct WorkerState {
+    pub entry: Endpoint,
     /// Start of its warm-up.
     pub cold_from: Option<Time>,
     /// Work sent within a warm-up, for the cold allowance.
@@ -48,7 +48,7 @@
 
 /// An attempt of a part.
 pub struct Attempt {
-    pub leaf: LeafId,
+    pub leaf: WorkerId,
     pub sent: Time,
     pub expected: f64,
     pub work: f64,
@@ -58,7 +58,7 @@
     /// It is booked as lost.
     pub missed: bool,
     /// How it ended; `None` while it is out.
-    pub outcome: Option<Outcome>,
+    pub outcome: Option<AttemptOutcome>,
 }
 
 impl Attempt {
@@ -66,7 +66,7 @@
         self.outcome.is_none()
     }
     pub fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::proves_unrun)
+        !self.outcome.is_some_and(AttemptOutcome::proves_unrun)
     }
 }
 
@@ -110,16 +110,19 @@
 /// The active leaves that hold each shard, by id: shard `s` lies in `span` cells in a row from cell `s`, or
 /// with every leaf where there are no cells. Goes by cells, so that a list of many leaves does not cost their
 /// square.
-pub fn holders(leaves: &BTreeMap<LeafId, Leaf>, settings: &Settings) -> BTreeMap<ShardId, Vec<LeafId>> {
+pub fn holders(
+    leaves: &BTreeMap<WorkerId, WorkerState>,
+    settings: &Settings,
+) -> BTreeMap<ShardId, Vec<WorkerId>> {
     let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
-    let mut by_cell: BTreeMap<u32, Vec<LeafId>> = BTreeMap::new();
-    for (id, leaf) in leaves.iter().filter(|(_, leaf)| leaf.entry.status == Status::Active) {
+    let mut by_cell: BTreeMap<u32, Vec<WorkerId>> = BTreeMap::new();
+    for (id, leaf) in leaves.iter().filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active) {
         by_cell.entry(cell_of(leaf.entry.cell.0)).or_default().push(*id);
     }
-    let steps = if settings.cells == 0 { 1 } else { settings.span.min(settings.cells) };
+    let steps = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
     let held = |shard: u32| {
         let cells = (0..steps).filter_map(|step| by_cell.get(&cell_of(cell_of(shard) + step)));
-        let mut ids: Vec<LeafId> = cells.flatten().copied().collect();
+        let mut ids: Vec<WorkerId> = cells.flatten().copied().collect();
         ids.sort_unstable();
         (ShardId(shard), ids)
     };
--- a/src/policy/types.rs
+++ b/src/policy/types.rs
@@ -34,7 +34,7 @@
     /// The number that joins a query and its parts at one root.
     JobId(u64);
     /// A server that answers parts.
-    LeafId(u32);
+    WorkerId(u32);
     /// A slice of the data; `shard s` is held by `span` cells in a row from cell `s`.
     ShardId(u32);
     /// A position of a leaf in the layout.
@@ -46,48 +46,48 @@
     /// A zone.
     ZoneId(u32);
     /// A number that comes back with a timer.
-    Handle(u64);
+    TimerId(u64);
     /// The number of an attempt of a part, from 0.
     AttemptNo(u32);
 }
 
 /// What a repeat of a part's effect would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Harmless.
     #[default]
-    Repeatable,
+    Idempotent,
     /// Dropped by the leaves while the window since the first attempt is open.
-    ByKey,
+    Keyed,
     /// Done again: never to be allowed.
-    Once,
+    NonIdempotent,
 }
 
 /// One class of query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer inside this time earns full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// The aim grows by this multiple of the request's own work; 0 where not set.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The longest a client waits, over all its tries.
     pub deadline: Duration,
     /// What a repeat does.
-    pub effect: Effect,
-    /// For [`Effect::ByKey`]: how long repeats are dropped.
-    pub window: Duration,
+    pub idempotency: Idempotency,
+    /// For [`Idempotency::ByKey`]: how long repeats are dropped.
+    pub repeat_window: Duration,
     /// Worth of a whole answer.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Least share of the parts' weight for any answer.
-    pub min_share: f64,
+    pub min_coverage: f64,
     /// Share of the parts' weight that makes an answer whole.
-    pub whole_at: f64,
+    pub complete_coverage: f64,
     /// A partial answer earns this times its share.
-    pub short_worth: f64,
+    pub partial_weight: f64,
     /// Parts of the second step; 0 for one step.
-    pub follow_up: u32,
+    pub second_step_parts: u32,
 }
 
 /// The share of one tenant.
@@ -99,7 +99,7 @@
 
 /// A value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum ReportField {
     /// Share of the processors in use.
     Busy,
     /// Parts being handled.
@@ -116,21 +116,21 @@
 
 /// How load reports arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum ReportSource {
     /// With answers and probe results.
-    Answers,
+    Responses,
     /// With probe results only.
-    Probes,
+    HealthChecks,
     /// Never.
     #[default]
-    Silent,
+    None,
 }
 
 /// The limit on further attempts; see [`Settings::budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Attempts that are free in each window.
-    pub free: f64,
+    pub free_attempts: f64,
     /// Attempts for each request taken in the window.
     pub ratio: f64,
     /// The window.
@@ -143,7 +143,7 @@
     /// Seed of the instance's generator.
     pub seed: u64,
     /// Roots in the fleet, this one included; at least 1.
-    pub roots: u32,
+    pub fleet_size: u32,
     /// Zone of this root.
     pub zone: ZoneId,
     /// Classes by index.
@@ -152,64 +152,64 @@
     pub tenants: Vec<Tenant>,
     /// Share of its class's worth that a query beyond its tenant's share earns; `None` where shares do not
     /// count.
-    pub over_share_worth: Option<f64>,
+    pub over_quota_weight: Option<f64>,
     /// Least time between turns.
-    pub quantum: Duration,
+    pub min_step_interval: Duration,
     /// The membership list must be asked for.
-    pub ask_discovery: bool,
+    pub poll_discovery: bool,
     /// With `ask_discovery`: an instance without subscription must ask within this time.
-    pub must_ask_in: Duration,
+    pub poll_within: Duration,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Leaves may be probed.
-    pub may_probe: bool,
+    pub may_health_check: bool,
     /// A part may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Attempts a part may have; `None` where unlimited.
-    pub most_attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Longest pause that clients heed; `None` where they take no advice.
-    pub longest_pause: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// Limit on further attempts; `None` where there is none.
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Cells in the layout; 0 where not told.
     pub cells: u32,
     /// Cells in a row that hold a shard.
-    pub span: u32,
+    pub cells_per_shard: u32,
     /// Shards.
     pub shards: u32,
     /// Parts that a call carries.
-    pub per_call: u32,
+    pub parts_per_call: u32,
     /// Work of a call beside its parts.
-    pub call_work: Duration,
+    pub call_cost: Duration,
     /// Leaves serve recurring keys for less.
-    pub warm_keys: bool,
+    pub keys_are_cached: bool,
     /// Points (as a share of service) for each part that crosses zones.
     pub cross_zone_price: f64,
     /// Points for work wasted, as much as was asked for.
     pub waste_price: f64,
     /// Points for one probe a part.
-    pub probe_price: f64,
+    pub health_check_price: f64,
     /// How reports arrive.
-    pub reports: Reports,
+    pub report_source: ReportSource,
     /// Values of a report, in order.
-    pub fields: Vec<Field>,
+    pub report_fields: Vec<ReportField>,
     /// Leaf sizes in the list may be set against each other.
-    pub sized: bool,
+    pub sizes_comparable: bool,
     /// A fresh leaf carries at least this share of its capacity.
-    pub cold_share: f64,
+    pub cold_capacity_fraction: f64,
     /// A leaf is warm within this time of its start.
     pub warm_up: Duration,
     /// A cold leaf sent this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub slow_start_budget_factor: f64,
     /// ... for this long falls over.
-    pub fall: Duration,
+    pub slow_start_budget_window: Duration,
     /// Grace for an answer after the client's time.
-    pub answer_grace: Duration,
+    pub response_grace: Duration,
 }
 
 /// Whether a listed leaf takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
+pub enum EndpointStatus {
     /// It does.
     #[default]
     Active,
@@ -221,64 +221,64 @@
 
 /// One line of the membership list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The leaf.
-    pub leaf: LeafId,
+    pub worker: WorkerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Whether it takes work.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Its listed size.
     pub units: f64,
     /// When it last started; `None` for long ago.
-    pub since: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// News of the membership.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Membership {
+pub enum EndpointUpdate {
     /// Changed entries.
-    Delta(Arc<[Entry]>),
+    Delta(Arc<[Endpoint]>),
     /// The complete list.
-    Full(Arc<[Entry]>),
+    Full(Arc<[Endpoint]>),
     /// The list as last held, possibly stale.
-    Cached(Arc<[Entry]>),
+    Cached(Arc<[Endpoint]>),
     /// A call failed or the subscription broke.
     Failed,
 }
 
 /// How an attempt or probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
-    Done,
+    Succeeded,
     /// Error; it may have run.
-    Error,
+    Failed,
     /// Turned away unseen.
-    Busy,
+    Rejected,
     /// No reply in time.
     TimedOut,
     /// No connection.
-    Refused,
+    ConnectFailed,
     /// The connection broke.
-    Reset,
+    ConnectionReset,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Skipped,
+    NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether it proves that the attempt never ran.
     pub fn proves_unrun(self) -> bool {
-        matches!(self, Outcome::Busy | Outcome::Refused | Outcome::Skipped)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
 /// The values of a load report in the order of [`Settings::fields`].
-pub type Report = Vec<Option<f64>>;
+pub type LoadReport = Vec<Option<f64>>;
 
 /// A query that arrives; its parts follow in the same turn.
 #[derive(Clone, Debug, PartialEq)]
@@ -294,7 +294,7 @@
     /// Joins it to its parts.
     pub job: JobId,
     /// A client's repeat, where clients mark them.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// A part of a query.
@@ -305,7 +305,7 @@
     /// What it is about.
     pub key: Option<Arc<str>>,
     /// Rough expected work.
-    pub hint: Option<Duration>,
+    pub cost_hint: Option<Duration>,
     /// Joins it to its query.
     pub job: JobId,
     /// The shard that it needs.
@@ -316,61 +316,61 @@
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptEnd {
+pub struct AttemptResult {
     /// The part.
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
     /// The leaf it went to.
-    pub leaf: LeafId,
+    pub worker: WorkerId,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub elapsed: Duration,
     /// The part is over.
-    pub over: bool,
+    pub part_finished: bool,
     /// The leaf's load report, if one came along.
-    pub report: Option<Report>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// What a root tells the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the membership.
-    Membership(Membership),
+    EndpointUpdate(EndpointUpdate),
     /// A query arrives.
-    Query(NewQuery),
+    QueryReceived(NewQuery),
     /// A part of a query arrives.
-    Part(NewPart),
+    PartReceived(NewPart),
     /// A streamed attempt has begun to answer; the client owns it now.
-    Streaming {
+    StreamingStarted {
         /// The part.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
     /// An attempt has ended.
-    Ended(AttemptEnd),
+    AttemptFinished(AttemptResult),
     /// The client of a query has left.
-    ClientLeft {
+    ClientDisconnected {
         /// The query.
         id: RequestId,
     },
     /// A timer is due.
-    Due {
+    TimerFired {
         /// The timer.
-        handle: Handle,
+        timer: TimerId,
     },
     /// A probe has ended.
-    Probed {
+    HealthCheckFinished {
         /// The leaf.
-        leaf: LeafId,
+        worker: WorkerId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Time since it was sent.
         elapsed: Duration,
         /// The leaf's load report, if one came along.
-        report: Option<Report>,
+        load_report: Option<LoadReport>,
     },
 }
 
@@ -382,7 +382,7 @@
         /// The part.
         id: RequestId,
         /// The leaf.
-        leaf: LeafId,
+        worker: WorkerId,
         /// The attempt's time-out.
         timeout: Duration,
     },
@@ -394,18 +394,18 @@
         attempt: AttemptNo,
     },
     /// Answer a query from the parts that are in.
-    Answer {
+    Respond {
         /// The query.
         id: RequestId,
         /// The answer is whole.
-        whole: bool,
+        complete: bool,
     },
     /// Refuse a query: a retry is harmless.
-    Refuse {
+    Reject {
         /// The query.
         id: RequestId,
         /// When to come back; `None` for no advice.
-        pause: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Fail a query, with no promise.
     Fail {
@@ -413,21 +413,21 @@
         id: RequestId,
     },
     /// Send [`Event::Due`] after a time.
-    Wake {
+    SetTimer {
         /// How long from now.
         after: Duration,
         /// Comes back with the event.
-        handle: Handle,
+        timer: TimerId,
     },
     /// Probe a leaf.
-    Probe {
+    SendHealthCheck {
         /// The leaf.
-        leaf: LeafId,
+        worker: WorkerId,
     },
     /// Subscribe to the membership list.
-    Watch,
+    SubscribeToEndpoints,
     /// Write a line for the people on call.
-    Trace {
+    Log {
         /// The line.
         text: String,
     },
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -135,11 +135,11 @@
             return Err(Faulty::new("settings.categories", "there must be one at least"));
         }
         // Neither has a form on the platform's wires: an answer ends a query, and nothing is probed or asked for.
-        contracts.settings.classes.iter_mut().for_each(|class| class.follow_up = 0);
-        contracts.settings.may_probe = false;
-        let asked = contracts.settings.ask_discovery;
-        let ask_in = asked.then_some(contracts.settings.must_ask_in);
-        contracts.settings.ask_discovery = false;
+        contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
+        contracts.settings.may_health_check = false;
+        let asked = contracts.settings.poll_discovery;
+        let ask_in = asked.then_some(contracts.settings.poll_within);
+        contracts.settings.poll_discovery = false;
         Ok(Config {
             name: text("name", "LB_NAME")?,
             listen,
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -51,7 +51,7 @@
     let (stated, zone, may_tell) = broker.core(|core| {
         let contracts = core.contracts();
         let zone = contracts.zones.get(contracts.settings.zone.0 as usize).cloned();
-        (contracts.settings.roots, zone.unwrap_or_default(), contracts.limits.may_tell)
+        (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_tell)
     });
     if !may_tell {
         log::warn!("membership stays off: the settings do not allow gatherers to talk (allowed.may-tell)");
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -203,20 +203,20 @@
                 return Err(Faulty::new(&key("floor"), "a share over 0 and up to 1"));
             }
             classes.push(Class {
-                aim: Duration::from_millis(class.wanted_ms),
-                aim_stretch: 0.0,
+                latency_objective: Duration::from_millis(class.wanted_ms),
+                objective_stretch: 0.0,
                 deadline: Duration::from_millis(class.deadline_ms),
-                effect: match class.effect {
-                    FileEffect::Repeatable => Effect::Repeatable,
-                    FileEffect::Once => Effect::Once,
+                idempotency: match class.effect {
+                    FileEffect::Repeatable => Idempotency::Idempotent,
+                    FileEffect::Once => Idempotency::NonIdempotent,
                 },
-                window: Duration::ZERO,
-                worth: class.worth,
-                late_worth: class.late_worth,
-                min_share: class.floor,
-                whole_at: 1.0,
-                short_worth: 1.0,
-                follow_up: 0,
+                repeat_window: Duration::ZERO,
+                priority_weight: class.worth,
+                late_weight: class.late_worth,
+                min_coverage: class.floor,
+                complete_coverage: 1.0,
+                partial_weight: 1.0,
+                second_step_parts: 0,
             });
         }
         let mut zones = vec![self.zone];
@@ -233,7 +233,7 @@
                 address: server.address,
                 zone: server.zone,
                 cell: server.cell,
-                status: Status::Active,
+                status: EndpointStatus::Active,
                 units: 1.0,
                 since: None,
             });
@@ -241,7 +241,7 @@
         let contracts = Contracts {
             settings: Settings {
                 seed,
-                roots: self.gatherers.max(1),
+                fleet_size: self.gatherers.max(1),
                 zone: ZoneId(0),
                 classes,
                 tenants: self
@@ -249,19 +249,19 @@
                     .iter()
                     .map(|tenant| Tenant { quota_per_s: tenant.quota_per_s })
                     .collect(),
-                quantum: Duration::from_millis(5),
+                min_step_interval: Duration::from_millis(5),
                 may_cancel: true,
-                second_copies: true,
-                most_attempts: Some(attempts),
-                longest_pause: Some(Duration::from_millis(self.limits.longest_pause_ms)),
+                hedging_allowed: true,
+                max_attempts: Some(attempts),
+                max_retry_after: Some(Duration::from_millis(self.limits.longest_pause_ms)),
                 cells,
-                span,
+                cells_per_shard: span,
                 shards,
-                per_call: 1,
-                warm_keys: true,
-                cold_share: 1.0,
-                fall_multiple: 1.0,
-                answer_grace: Duration::from_millis(20),
+                parts_per_call: 1,
+                keys_are_cached: true,
+                cold_capacity_fraction: 1.0,
+                slow_start_budget_factor: 1.0,
+                response_grace: Duration::from_millis(20),
                 ..Settings::default()
             },
             classes: self.class.iter().map(|class| class.name.clone()).collect(),
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -94,7 +94,7 @@
         let places = places(&allowed)?;
         let digest = digest(&config.contracts);
         let clock = Clock::system();
-        let (seed, roots) = (config.contracts.settings.seed, config.contracts.settings.roots);
+        let (seed, roots) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
         let backoff = match config.ask_in {
             Some(ask_in) => Backoff::new(seed, roots, ask_in),
             None => Backoff::pushed(seed, config.contracts.limits.drain_grace),
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -155,24 +155,24 @@
         let deadline = self.span(&path("deadline"))?.unwrap_or_default();
         let whole_at = self.by_class("domain.whole-at", at)?.unwrap_or(1.0);
         Ok(Class {
-            aim: self.span(&path("promise"))?.unwrap_or(deadline),
-            aim_stretch: self.number(&path("aim-stretch"))?.unwrap_or(0.0),
+            latency_objective: self.span(&path("promise"))?.unwrap_or(deadline),
+            objective_stretch: self.number(&path("aim-stretch"))?.unwrap_or(0.0),
             deadline,
-            effect: match self.text(&path("semantics")) {
-                Some("repeatable") => Effect::Repeatable,
-                Some("by_key") => Effect::ByKey,
-                Some("once") | None => Effect::Once,
+            idempotency: match self.text(&path("semantics")) {
+                Some("repeatable") => Idempotency::Idempotent,
+                Some("by_key") => Idempotency::Keyed,
+                Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => {
                     return Err(Faulty::new(&path("semantics"), format!("unknown value {other:?}")));
                 }
             },
-            window: self.span(&path("window"))?.unwrap_or_default(),
-            worth: self.number(&path("worth"))?.unwrap_or(1.0),
-            late_worth: self.number(&path("late-worth"))?.unwrap_or(0.0),
-            min_share: self.by_class("domain.min-share", at)?.unwrap_or(whole_at),
-            whole_at,
-            short_worth: self.by_class("domain.short-worth", at)?.unwrap_or(0.0),
-            follow_up: self.by_class("domain.follow-up", at)?.unwrap_or(0.0).max(0.0) as u32,
+            repeat_window: self.span(&path("window"))?.unwrap_or_default(),
+            priority_weight: self.number(&path("worth"))?.unwrap_or(1.0),
+            late_weight: self.number(&path("late-worth"))?.unwrap_or(0.0),
+            min_coverage: self.by_class("domain.min-share", at)?.unwrap_or(whole_at),
+            complete_coverage: whole_at,
+            partial_weight: self.by_class("domain.short-worth", at)?.unwrap_or(0.0),
+            second_step_parts: self.by_class("domain.follow-up", at)?.unwrap_or(0.0).max(0.0) as u32,
         })
     }
 
@@ -183,8 +183,8 @@
             tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
         }
         let budget = match self.span("rules.look-back")? {
-            Some(window) => Some(Budget {
-                free: self.number("rules.free-resends")?.unwrap_or(0.0),
+            Some(window) => Some(RetryBudget {
+                free_attempts: self.number("rules.free-resends")?.unwrap_or(0.0),
                 ratio: self.number("rules.further-ratio")?.unwrap_or(0.0),
                 window,
             }),
@@ -192,44 +192,44 @@
         };
         Ok(Settings {
             seed,
-            roots: self.count("balancers")?.max(1),
+            fleet_size: self.count("balancers")?.max(1),
             zone: ZoneId(self.count("az")?),
             classes: classes.collect::<Result<_, _>>()?,
             tenants,
-            over_share_worth: self.number("over-share-worth")?,
-            quantum: self.span("quantum")?.unwrap_or_default(),
-            ask_discovery: self.text("discovery") == Some("on_request"),
-            must_ask_in: self.span("rules.must-ask-in")?.unwrap_or_default(),
+            over_quota_weight: self.number("over-share-worth")?,
+            min_step_interval: self.span("quantum")?.unwrap_or_default(),
+            poll_discovery: self.text("discovery") == Some("on_request"),
+            poll_within: self.span("rules.must-ask-in")?.unwrap_or_default(),
             may_cancel: self.flag("allowed.cancel")?,
-            may_probe: self.flag("allowed.probing")?,
-            second_copies: self.flag("allowed.second-copies")?,
-            most_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
-            longest_pause: match self.flag("allowed.retry-after")? {
+            may_health_check: self.flag("allowed.probing")?,
+            hedging_allowed: self.flag("allowed.second-copies")?,
+            max_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
+            max_retry_after: match self.flag("allowed.retry-after")? {
                 true => self.span("allowed.max-retry-after")?,
                 false => None,
             },
-            budget,
+            retry_budget: budget,
             cells: self.count("domain.cells")?,
-            span: self.count("domain.span")?.max(1),
+            cells_per_shard: self.count("domain.span")?.max(1),
             shards: self.count("domain.slices")?,
-            per_call: self.count("domain.per-call")?.max(1),
-            call_work: self.span("domain.call")?.unwrap_or_default(),
-            warm_keys: self.flag("domain.warm-keys")?,
+            parts_per_call: self.count("domain.per-call")?.max(1),
+            call_cost: self.span("domain.call")?.unwrap_or_default(),
+            keys_are_cached: self.flag("domain.warm-keys")?,
             cross_zone_price: self.number("deductions.cross-zone")?.unwrap_or(0.0),
             waste_price: self.number("deductions.waste")?.unwrap_or(0.0),
-            probe_price: self.number("deductions.probe")?.unwrap_or(0.0),
-            reports: match self.text("report.source") {
-                Some("piggyback") => Reports::Answers,
-                Some("pull") => Reports::Probes,
-                _ => Reports::Silent,
+            health_check_price: self.number("deductions.probe")?.unwrap_or(0.0),
+            report_source: match self.text("report.source") {
+                Some("piggyback") => ReportSource::Responses,
+                Some("pull") => ReportSource::HealthChecks,
+                _ => ReportSource::None,
             },
-            fields: self.names("report.fields").iter().map(|name| frame::field(name)).collect(),
-            sized: self.text("weights").is_some_and(|weights| weights != "silent"),
-            cold_share: self.number("rules.cold-share")?.unwrap_or(1.0),
+            report_fields: self.names("report.fields").iter().map(|name| frame::field(name)).collect(),
+            sizes_comparable: self.text("weights").is_some_and(|weights| weights != "silent"),
+            cold_capacity_fraction: self.number("rules.cold-share")?.unwrap_or(1.0),
             warm_up: self.span("rules.warm-up")?.unwrap_or_default(),
-            fall_multiple: self.number("rules.fall-multiple")?.unwrap_or(1.0),
-            fall: self.span("rules.fall")?.unwrap_or_default(),
-            answer_grace: self.span("rules.grace-to-answer")?.unwrap_or_default(),
+            slow_start_budget_factor: self.number("rules.fall-multiple")?.unwrap_or(1.0),
+            slow_start_budget_window: self.span("rules.fall")?.unwrap_or_default(),
+            response_grace: self.span("rules.grace-to-answer")?.unwrap_or_default(),
         })
     }
 }
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's list of workers, whole or as changes.
 
-use crate::policy::{Status, Time};
+use crate::policy::{EndpointStatus, Time};
 use crate::routing::{Listing, Member};
 use serde::Deserialize;
 
@@ -56,9 +56,9 @@
         zone: entry.locality,
         cell: entry.cell,
         status: match entry.phase {
-            Phase::Serving => Status::Active,
-            Phase::Draining => Status::Draining,
-            Phase::Deleted => Status::Gone,
+            Phase::Serving => EndpointStatus::Active,
+            Phase::Draining => EndpointStatus::Draining,
+            Phase::Deleted => EndpointStatus::Gone,
         },
         units: entry.size,
         since: (entry.up_since_ms > 0).then(|| Time(entry.up_since_ms.saturating_mul(1_000_000))),
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -1,6 +1,6 @@
 //! Frames between gatherers and workers: a four-byte length, least significant byte first, a letter, the rest.
 
-use crate::policy::{Field, Outcome, Report, Time};
+use crate::policy::{AttemptOutcome, LoadReport, ReportField, Time};
 use crate::routing::Dispatch;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
@@ -29,11 +29,11 @@
         /// The part's id.
         id: String,
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// Its value.
         value: Bytes,
         /// The worker's load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The frame before could not be used; the worker closes the connection.
     Rejected(String),
@@ -70,7 +70,7 @@
 }
 
 /// Takes one whole frame off the front of the buffer; `None` while it is not all there.
-pub fn take(buffer: &mut BytesMut, fields: &[Field]) -> Result<Option<Incoming>, Malformed> {
+pub fn take(buffer: &mut BytesMut, fields: &[ReportField]) -> Result<Option<Incoming>, Malformed> {
     let Some(length) = buffer.first_chunk::<4>().map(|bytes| u32::from_le_bytes(*bytes) as usize) else {
         return Ok(None);
     };
@@ -94,7 +94,7 @@
     }
 }
 
-fn answer(rest: &[u8], fields: &[Field]) -> Result<Incoming, Malformed> {
+fn answer(rest: &[u8], fields: &[ReportField]) -> Result<Incoming, Malformed> {
     let line = rest.iter().position(|byte| *byte == b'\n').ok_or(Malformed::Line("no end of line"))?;
     let text = std::str::from_utf8(&rest[..line]).map_err(|_| Malformed::Line("not UTF-8"))?;
     let mut words = text.split(' ');
@@ -104,13 +104,13 @@
         return Err(Malformed::Line("not four words"));
     };
     let outcome = match end {
-        "good" => Outcome::Done,
-        "bad" => Outcome::Error,
-        "later" => Outcome::Busy,
+        "good" => AttemptOutcome::Succeeded,
+        "bad" => AttemptOutcome::Failed,
+        "later" => AttemptOutcome::Rejected,
         _ => return Err(Malformed::Line("unknown end")),
     };
     let value = &rest[line + 1..];
-    if outcome == Outcome::Done && std::str::from_utf8(value).is_err() {
+    if outcome == AttemptOutcome::Succeeded && std::str::from_utf8(value).is_err() {
         return Err(Malformed::Line("a value that is no text"));
     }
     // Guards against losing a good answer for a load report that cannot be read.
@@ -119,13 +119,13 @@
 }
 
 /// A load report by name, put in the order of the settings; `None` where there is none, or none that can be read.
-fn report(text: &str, fields: &[Field]) -> Option<Report> {
+fn report(text: &str, fields: &[ReportField]) -> Option<LoadReport> {
     let mut row = vec![None; fields.len()];
     for item in text.split(',') {
         let (name, value) = item.split_once('=')?;
         let value = value.parse::<f64>().ok().filter(|value| value.is_finite())?;
         let known = field(name);
-        if let Some(at) = fields.iter().position(|field| *field == known && known != Field::Unknown) {
+        if let Some(at) = fields.iter().position(|field| *field == known && known != ReportField::Unknown) {
             row[at] = Some(value);
         }
     }
@@ -133,13 +133,13 @@
 }
 
 /// The value that a report calls by this name, in the words of sockets or of the simulator.
-pub fn field(name: &str) -> Field {
+pub fn field(name: &str) -> ReportField {
     match name {
-        "util" | "busy" => Field::Busy,
-        "inflight" | "rif" => Field::InFlight,
-        "queue" | "q" => Field::Queued,
-        "latency_ms" | "lat_ms" => Field::LatencyMs,
-        "qps" | "rate" => Field::Rate,
-        _ => Field::Unknown,
+        "util" | "busy" => ReportField::Busy,
+        "inflight" | "rif" => ReportField::InFlight,
+        "queue" | "q" => ReportField::Queued,
+        "latency_ms" | "lat_ms" => ReportField::LatencyMs,
+        "qps" | "rate" => ReportField::Rate,
+        _ => ReportField::Unknown,
     }
 }
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -1,7 +1,7 @@
 //! What the two processes of an upgrade tell each other. Each message is one line `clayshore-handover VERSION LENGTH
 //! CHECKSUM`, the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
 
-use crate::policy::Learned;
+use crate::policy::PolicySnapshot;
 use crate::routing::Listing;
 use crate::service::Bans;
 use bytes::{Buf, Bytes, BytesMut};
@@ -25,7 +25,7 @@
     /// An operator has it drained.
     pub drained: bool,
     /// What the module has learned.
-    pub learned: Learned,
+    pub learned: PolicySnapshot,
 }
 
 /// A message.
--- a/src/protocol/trace.rs
+++ b/src/protocol/trace.rs
@@ -1,7 +1,7 @@
 //! Machine-usage tables of public cluster traces, as CSV: machine id, time in seconds, CPU share in percent. Further
 //! columns are passed over; a first line that names the columns is allowed.
 
-use crate::policy::{Field, Report};
+use crate::policy::{LoadReport, ReportField};
 use std::io::Read;
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
 
 impl Usage {
     /// The load report that it makes, for reports of these fields.
-    pub fn report(&self, fields: &[Field]) -> Report {
-        fields.iter().map(|field| (*field == Field::Busy).then_some(self.busy)).collect()
+    pub fn report(&self, fields: &[ReportField]) -> LoadReport {
+        fields.iter().map(|field| (*field == ReportField::Busy).then_some(self.busy)).collect()
     }
 }
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -51,16 +51,16 @@
 #[derive(Clone, Debug)]
 pub struct End {
     /// The outcome.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The value, with [`Outcome::Done`].
     pub value: Bytes,
     /// The worker's load, in the order of the settings' fields.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl End {
     /// An end that brings nothing but its outcome.
-    pub fn bare(outcome: Outcome) -> End {
+    pub fn bare(outcome: AttemptOutcome) -> End {
         End { outcome, value: Bytes::new(), report: None }
     }
 }
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -44,16 +44,16 @@
 /// Carries attempts to workers. Their ends come back through [`Broker::ended`].
 pub trait Carrier {
     /// A worker is listed: its address, and whether it may be sent anything new.
-    fn member(&self, worker: LeafId, name: &str, address: &str, open: bool);
+    fn member(&self, worker: WorkerId, name: &str, address: &str, open: bool);
     /// A worker is no longer listed.
-    fn gone(&self, worker: LeafId);
+    fn gone(&self, worker: WorkerId);
     /// Carry these attempts as one call.
-    fn call(&self, worker: LeafId, parts: Vec<Dispatch>);
+    fn call(&self, worker: WorkerId, parts: Vec<Dispatch>);
     /// Nobody waits for this attempt any longer.
-    fn abandon(&self, worker: LeafId, ticket: Ticket);
+    fn abandon(&self, worker: WorkerId, ticket: Ticket);
     /// What this attempt brings is of no use, but it may not be called off: it is not to be sent, if nothing of it is sent
     /// yet. A carrier whose attempts may always be called off never hears this.
-    fn withdraw(&self, _worker: LeafId, _ticket: Ticket) {}
+    fn withdraw(&self, _worker: WorkerId, _ticket: Ticket) {}
 }
 
 struct Inner {
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -32,7 +32,7 @@
     events: Vec<Event>,
     /// What is to be done beside what the module decides.
     orders: Vec<Order>,
-    timers: BTreeMap<(Time, u64), Handle>,
+    timers: BTreeMap<(Time, u64), TimerId>,
     open: OpenQueries,
     in_flight: InFlight,
     workers: WorkerList,
@@ -132,7 +132,7 @@
         if self.is_full() {
             self.counters.refused_full += 1;
             self.count_end(seen, figures::End::RefusedFull, Duration::ZERO);
-            let pause = self.contracts.settings.longest_pause;
+            let pause = self.contracts.settings.max_retry_after;
             return Err(Verdict::Refused { why: Refusal::Full, pause });
         }
         Ok(self.open_query(now, seen, ask))
@@ -149,13 +149,20 @@
         let (id, job) = (RequestId(number), JobId(number));
         let valid_until = now.after(ask.left);
         let (class, tenant, retry) = (ask.class, ask.tenant, ask.retry);
-        self.events.push(Event::Query(NewQuery { id, class, tenant, valid_until, job, retry }));
+        self.events.push(Event::QueryReceived(NewQuery {
+            id,
+            class,
+            tenant,
+            valid_until,
+            job,
+            is_retry: retry,
+        }));
         let mut parts = Vec::with_capacity(ask.parts.len());
         for part in ask.parts {
             parts.push(self.open_part(id, job, part));
         }
         let class = self.contracts.settings.classes.get(seen.class);
-        let at_most_once = class.is_none_or(|class| class.effect != Effect::Repeatable);
+        let at_most_once = class.is_none_or(|class| class.idempotency != Idempotency::Idempotent);
         let (label, text) = (ask.label, ask.text);
         self.open.insert(id, OpenQuery { label, text, at_most_once, valid_until, parts, seen, taken: now });
         id
@@ -164,7 +171,7 @@
     fn open_part(&mut self, query: RequestId, job: JobId, part: AskPart) -> RequestId {
         let id = RequestId(self.number());
         let AskPart { shard, weight, hint, key } = part;
-        self.events.push(Event::Part(NewPart { id, key, hint, job, shard, weight }));
+        self.events.push(Event::PartReceived(NewPart { id, key, cost_hint: hint, job, shard, weight }));
         self.open.insert_part(id, OpenPart::new(query, shard, weight));
         id
     }
@@ -174,7 +181,7 @@
         if let Some((query, _)) = self.close(id) {
             self.counters.left += 1;
             self.count_end(query.seen, figures::End::Left, now.since(query.taken));
-            self.events.push(Event::ClientLeft { id });
+            self.events.push(Event::ClientDisconnected { id });
         }
     }
 
@@ -213,18 +220,26 @@
             figures.attempt(name, outcome_name(outcome), elapsed);
         }
         let part = self.open.part(ticket.part);
-        let over = outcome == Outcome::Done || part.is_none();
+        let over = outcome == AttemptOutcome::Succeeded || part.is_none();
         if let Some(part) = part {
             part.last_outcome = Some(outcome);
             if outcome.proves_unrun() {
                 part.possible_runs.remove(&ticket.attempt);
             }
-            if outcome == Outcome::Done {
+            if outcome == AttemptOutcome::Succeeded {
                 part.value.get_or_insert(value);
             }
         }
         let (id, attempt, leaf) = (ticket.part, ticket.attempt, sent.worker);
-        self.events.push(Event::Ended(AttemptEnd { id, attempt, leaf, outcome, elapsed, over, report }));
+        self.events.push(Event::AttemptFinished(AttemptResult {
+            id,
+            attempt,
+            worker: leaf,
+            outcome,
+            elapsed,
+            part_finished: over,
+            load_report: report,
+        }));
     }
 
     /// Counts the end of a query.
--- a/src/routing/core/turn.rs
+++ b/src/routing/core/turn.rs
@@ -43,10 +43,10 @@
 
 /// The attempts that one turn sends, by worker.
 #[derive(Default)]
-struct Calls(Vec<(LeafId, Vec<Dispatch>)>);
+struct Calls(Vec<(WorkerId, Vec<Dispatch>)>);
 
 impl Calls {
-    fn add(&mut self, worker: LeafId, dispatch: Dispatch) {
+    fn add(&mut self, worker: WorkerId, dispatch: Dispatch) {
         match self.0.iter_mut().find(|(to, _)| *to == worker) {
             Some((_, parts)) => parts.push(dispatch),
             None => self.0.push((worker, vec![dispatch])),
@@ -83,7 +83,7 @@
 
     /// How long after its client's time a query may still be answered by the module.
     fn overdue_grace(&self) -> Duration {
-        self.contracts.settings.answer_grace / 2
+        self.contracts.settings.response_grace / 2
     }
 
     /// Hands everything that has happened to the module in one turn, and returns what is to be done.
@@ -92,13 +92,13 @@
         self.time_out_attempts(now);
         let mut actions = Vec::new();
         if !self.events.is_empty() {
-            self.module.turn(now, self.events.drain(..), &mut actions);
+            self.module.step(now, self.events.drain(..), &mut actions);
         }
         let mut calls = Calls::default();
         for action in actions {
             self.carry_out(now, action, &mut calls);
         }
-        let per_call = self.contracts.settings.per_call.max(1) as usize;
+        let per_call = self.contracts.settings.parts_per_call.max(1) as usize;
         self.orders.extend(calls.into_orders(per_call));
         self.fail_overdue(now);
         std::mem::take(&mut self.orders)
@@ -107,21 +107,21 @@
     fn fire_timers(&mut self, now: Time) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             let handle = entry.remove();
-            self.events.push(Event::Due { handle });
+            self.events.push(Event::TimerFired { timer: handle });
         }
     }
 
     fn time_out_attempts(&mut self, now: Time) {
         for (ticket, sent) in self.in_flight.take_expired(now) {
             self.orders.push(Order::Abandon { worker: sent.worker, ticket });
-            self.attempt_ended(now, ticket, &sent, End::bare(Outcome::TimedOut));
+            self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::TimedOut));
         }
     }
 
     /// Guards against a query that the module lets run past its client's time: it is failed, not lost.
     fn fail_overdue(&mut self, now: Time) {
         for query in self.open.overdue(now, self.overdue_grace()) {
-            self.events.push(Event::ClientLeft { id: query });
+            self.events.push(Event::ClientDisconnected { id: query });
             self.orders.push(Order::Trace(format!("query {} ran past its time", query.0)));
             self.settle(now, query, Ending::FailOverdue);
         }
@@ -129,23 +129,23 @@
 
     fn carry_out(&mut self, now: Time, action: Action, calls: &mut Calls) {
         match action {
-            Action::Send { id, leaf, timeout } => self.send(now, id, leaf, timeout, calls),
+            Action::Send { id, worker: leaf, timeout } => self.send(now, id, leaf, timeout, calls),
             Action::Cancel { id, attempt } => self.cancel(now, Ticket { part: id, attempt }, calls),
-            Action::Answer { id, whole } => self.settle(now, id, Ending::Answer { whole }),
-            Action::Refuse { id, pause } => self.settle(now, id, Ending::Refuse { pause }),
+            Action::Respond { id, complete: whole } => self.settle(now, id, Ending::Answer { whole }),
+            Action::Reject { id, retry_after: pause } => self.settle(now, id, Ending::Refuse { pause }),
             Action::Fail { id } => self.settle(now, id, Ending::Fail),
-            Action::Wake { after, handle } => {
+            Action::SetTimer { after, timer: handle } => {
                 let number = self.number();
                 self.timers.insert((now.after(after), number), handle);
             }
             // Membership comes unasked here, and probes are not allowed: the module does not ask for either.
-            Action::Watch | Action::Probe { .. } => {}
-            Action::Trace { text } => self.orders.push(Order::Trace(text)),
+            Action::SubscribeToEndpoints | Action::SendHealthCheck { .. } => {}
+            Action::Log { text } => self.orders.push(Order::Trace(text)),
         }
     }
 
     /// The one way by which attempts leave. What would break a rule stays here, and ends as never sent.
-    fn send(&mut self, now: Time, id: RequestId, worker: LeafId, timeout: Duration, calls: &mut Calls) {
+    fn send(&mut self, now: Time, id: RequestId, worker: WorkerId, timeout: Duration, calls: &mut Calls) {
         let permit = self.permit(now, id, worker, timeout);
         let Some((part, query)) = self.open.part_with_query(id) else { return };
         let ticket = Ticket { part: id, attempt: AttemptNo(part.attempts) };
@@ -171,7 +171,7 @@
         &mut self,
         now: Time,
         id: RequestId,
-        worker: LeafId,
+        worker: WorkerId,
         timeout: Duration,
     ) -> Result<SendPermit, Invariant> {
         let worker_serves = self.workers.serves(worker);
@@ -187,19 +187,19 @@
             attempts: part.attempts,
             first_possible_run: part.possible_runs.values().min().copied(),
             is_out,
-            second_copies: settings.second_copies,
-            most_attempts: settings.most_attempts,
+            second_copies: settings.hedging_allowed,
+            most_attempts: settings.max_attempts,
         };
         sending.permit(timeout)
     }
 
     /// Ends an attempt that would break a rule as one that was never sent.
-    fn withhold(&mut self, now: Time, ticket: Ticket, worker: LeafId, broken: Invariant, part: &str) {
+    fn withhold(&mut self, now: Time, ticket: Ticket, worker: WorkerId, broken: Invariant, part: &str) {
         let name = self.workers.registry.name(worker).unwrap_or("of no name");
         let concerns = format!("attempt {} of part {part} to worker {name}", ticket.attempt.0);
         self.violated(broken, &concerns);
         let sent = SentAttempt { worker, at: now, deadline: now };
-        self.attempt_ended(now, ticket, &sent, End::bare(Outcome::Skipped));
+        self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::NotSent));
     }
 
     /// Counts why an attempt follows another.
@@ -220,7 +220,7 @@
         let Some(sent) = self.in_flight.remove(ticket) else { return };
         calls.remove(ticket);
         self.orders.push(Order::Abandon { worker: sent.worker, ticket });
-        self.attempt_ended(now, ticket, &sent, End::bare(Outcome::Cancelled));
+        self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::Cancelled));
     }
 
     /// Gives a query its one final answer; none if it has ended before.
@@ -240,7 +240,7 @@
 
     /// The one guard on ending a query: what would break a rule ends as the nearest that does not.
     fn hold_to_rules(&mut self, now: Time, query: &OpenQuery, parts: &[OpenPart], ending: Ending) -> Ending {
-        let latest = query.valid_until.after(self.contracts.settings.answer_grace + LATE_SLACK);
+        let latest = query.valid_until.after(self.contracts.settings.response_grace + LATE_SLACK);
         if now > latest {
             let late = now.since(query.valid_until).as_millis();
             self.violated(Invariant::EndedInTime, &format!("query {} ends {late} ms late", query.label));
@@ -276,6 +276,6 @@
     /// Whether an answer after so much time is later than its class wants.
     fn is_late(&self, query: &OpenQuery, took: Duration) -> bool {
         let class = self.contracts.settings.classes.get(query.seen.class);
-        class.is_some_and(|class| took > class.aim)
+        class.is_some_and(|class| took > class.latency_objective)
     }
 }
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -2,7 +2,7 @@
 //! process of this gatherer knew; and what the records are told of it.
 
 use super::Core;
-use crate::policy::Learned;
+use crate::policy::PolicySnapshot;
 use crate::policy::*;
 use crate::records::line::{Body, WorkerState};
 use crate::routing::order::Order;
@@ -25,12 +25,12 @@
 
     /// Listed workers that are out by hand, or get nothing but trials.
     pub fn avoided(&self) -> usize {
-        let suspects = self.module.suspects().filter(|worker| self.workers.contains(*worker));
+        let suspects = self.module.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_out() + suspects.count()
     }
 
     /// The name of a worker that was ever listed.
-    pub fn name(&self, worker: LeafId) -> Option<&str> {
+    pub fn name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.registry.name(worker)
     }
 
@@ -57,18 +57,23 @@
         self.orders.extend(orders);
         self.record_list(now, listing, &entries);
         self.workers.forget_gone(&self.in_flight);
-        self.events.push(Event::Membership(match (cached, listing.complete) {
-            (true, _) => Membership::Cached(entries.into()),
-            (false, true) => Membership::Full(entries.into()),
-            (false, false) => Membership::Delta(entries.into()),
+        self.events.push(Event::EndpointUpdate(match (cached, listing.complete) {
+            (true, _) => EndpointUpdate::Cached(entries.into()),
+            (false, true) => EndpointUpdate::Full(entries.into()),
+            (false, false) => EndpointUpdate::Delta(entries.into()),
         }));
     }
 
     /// A load report that came by itself, not with an answer.
-    pub fn load_report(&mut self, worker: &str, report: Report) -> bool {
+    pub fn load_report(&mut self, worker: &str, report: LoadReport) -> bool {
         let Some(leaf) = self.workers.registry.known(worker) else { return false };
-        let (outcome, elapsed) = (Outcome::Done, Duration::ZERO);
-        self.events.push(Event::Probed { leaf, outcome, elapsed, report: Some(report) });
+        let (outcome, elapsed) = (AttemptOutcome::Succeeded, Duration::ZERO);
+        self.events.push(Event::HealthCheckFinished {
+            worker: leaf,
+            outcome,
+            elapsed,
+            load_report: Some(report),
+        });
         true
     }
 
@@ -94,7 +99,7 @@
             let entry = self.workers.entry(&self.contracts, worker, member);
             self.orders.push(WorkerList::order(&entry, member));
             self.record_states(now, std::slice::from_ref(&entry), Vec::new());
-            self.events.push(Event::Membership(Membership::Delta([entry].into())));
+            self.events.push(Event::EndpointUpdate(EndpointUpdate::Delta([entry].into())));
         }
         true
     }
@@ -102,25 +107,25 @@
     /// So many processes are this one gatherer, and share what it may hold and push.
     pub fn share(&mut self, processes: u32) {
         self.processes = processes.max(1);
-        let whole = self.contracts.settings.fall_multiple;
-        self.module.push_cold_by(whole / f64::from(self.processes));
+        let whole = self.contracts.settings.slow_start_budget_factor;
+        self.module.set_slow_start_budget_factor(whole / f64::from(self.processes));
     }
 
     /// So many gatherers share the fleet: in place of the settings' number, for cold workers, trials of suspects, tenants'
     /// quotas and calls to discovery.
     pub fn among(&mut self, gatherers: u32) {
-        self.contracts.settings.roots = gatherers.max(1);
-        self.module.among(gatherers);
+        self.contracts.settings.fleet_size = gatherers.max(1);
+        self.module.set_fleet_size(gatherers);
     }
 
     /// How many share it.
     pub fn gatherers(&self) -> u32 {
-        self.contracts.settings.roots
+        self.contracts.settings.fleet_size
     }
 
     /// What the module has learned.
-    pub fn learned(&self) -> Learned {
-        self.module.learned(|worker| self.workers.registry.name(worker))
+    pub fn learned(&self) -> PolicySnapshot {
+        self.module.snapshot(|worker| self.workers.registry.name(worker))
     }
 
     /// A worker that a list named to another process of this gatherer.
@@ -129,18 +134,18 @@
     }
 
     /// Takes over what another process of this gatherer knew: its list, who is out by hand, what its module learned.
-    pub fn take_over(&mut self, now: Time, list: &Listing, bans: Bans, learned: Learned) {
-        learned.names().chain(bans.all()).take(MOST_NAMES).for_each(|name| self.know(name));
+    pub fn take_over(&mut self, now: Time, list: &Listing, bans: Bans, learned: PolicySnapshot) {
+        learned.worker_names().chain(bans.all()).take(MOST_NAMES).for_each(|name| self.know(name));
         self.workers.bans = bans;
         self.learn(now, list, true);
         // The module has to know the leaves before it is told of them.
         let orders = self.turn(now);
-        self.module.take_over(learned, |name| self.workers.registry.known(name));
+        self.module.restore(learned, |name| self.workers.registry.known(name));
         self.orders.extend(orders);
     }
 
     /// Tells the records what a list has changed.
-    fn record_list(&mut self, now: Time, listing: &Listing, entries: &[Entry]) {
+    fn record_list(&mut self, now: Time, listing: &Listing, entries: &[Endpoint]) {
         if self.figures.is_none() {
             return;
         }
@@ -151,21 +156,21 @@
     }
 
     /// Tells the records how these workers are seen now, where that has changed, and which are gone.
-    fn record_states(&mut self, now: Time, entries: &[Entry], gone: Vec<LeafId>) {
+    fn record_states(&mut self, now: Time, entries: &[Endpoint], gone: Vec<WorkerId>) {
         if self.figures.is_none() {
             return;
         }
         for entry in entries {
-            let out = self.workers.is_out(entry.leaf);
+            let out = self.workers.is_out(entry.worker);
             let warm_up = self.contracts.settings.warm_up;
-            self.record_state(entry.leaf, WorkerStates::of(entry, out, now, warm_up));
+            self.record_state(entry.worker, WorkerStates::of(entry, out, now, warm_up));
         }
         for worker in gone {
             self.record_state(worker, WorkerState::Gone);
         }
     }
 
-    fn record_state(&mut self, worker: LeafId, state: WorkerState) {
+    fn record_state(&mut self, worker: WorkerId, state: WorkerState) {
         if self.states.update(worker, state)
             && let Some(name) = self.workers.registry.name(worker)
         {
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,6 +1,6 @@
 //! What the broker took in, sent and answered, counted since its start.
 
-use crate::policy::Outcome;
+use crate::policy::AttemptOutcome;
 use crate::records::figures;
 use std::fmt;
 
@@ -130,31 +130,31 @@
 }
 
 /// The name of an outcome in the records.
-pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
+pub(super) fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Done => figures::DONE,
-        Outcome::Error => "error",
-        Outcome::Busy => "busy",
-        Outcome::TimedOut => "timed_out",
-        Outcome::Refused => "refused",
-        Outcome::Reset => "reset",
-        Outcome::Cancelled => "cancelled",
-        Outcome::Skipped => "skipped",
+        AttemptOutcome::Succeeded => figures::DONE,
+        AttemptOutcome::Failed => "error",
+        AttemptOutcome::Rejected => "busy",
+        AttemptOutcome::TimedOut => "timed_out",
+        AttemptOutcome::ConnectFailed => "refused",
+        AttemptOutcome::ConnectionReset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "skipped",
     }
 }
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn ended(&mut self, outcome: AttemptOutcome) {
         *match outcome {
-            Outcome::Done => &mut self.ended_done,
-            Outcome::Error => &mut self.ended_error,
-            Outcome::Busy => &mut self.ended_busy,
-            Outcome::TimedOut => &mut self.ended_timed_out,
-            Outcome::Refused => &mut self.ended_refused,
-            Outcome::Reset => &mut self.ended_reset,
-            Outcome::Cancelled => &mut self.ended_cancelled,
-            Outcome::Skipped => &mut self.ended_skipped,
+            AttemptOutcome::Succeeded => &mut self.ended_done,
+            AttemptOutcome::Failed => &mut self.ended_error,
+            AttemptOutcome::Rejected => &mut self.ended_busy,
+            AttemptOutcome::TimedOut => &mut self.ended_timed_out,
+            AttemptOutcome::ConnectFailed => &mut self.ended_refused,
+            AttemptOutcome::ConnectionReset => &mut self.ended_reset,
+            AttemptOutcome::Cancelled => &mut self.ended_cancelled,
+            AttemptOutcome::NotSent => &mut self.ended_skipped,
         } += 1;
     }
 }
--- a/src/routing/in_flight.rs
+++ b/src/routing/in_flight.rs
@@ -7,7 +7,7 @@
 /// One attempt that was sent.
 pub(super) struct SentAttempt {
     /// The worker that it was sent to.
-    pub worker: LeafId,
+    pub worker: WorkerId,
     /// When it was sent.
     pub at: Time,
     /// It counts as timed out from then on.
@@ -47,7 +47,7 @@
     }
 
     /// The workers that any attempt is out at.
-    pub fn workers(&self) -> HashSet<LeafId> {
+    pub fn workers(&self) -> HashSet<WorkerId> {
         self.0.values().map(|sent| sent.worker).collect()
     }
 }
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -174,11 +174,11 @@
 
     /// What is left of the window in which the part may be repeated; `None` where any time will do.
     fn window(&self) -> Result<Option<Duration>, Invariant> {
-        match (self.class.effect, self.first_possible_run) {
-            (Effect::Repeatable, _) | (_, None) => Ok(None),
-            (Effect::Once, Some(_)) => Err(Invariant::RepeatedSafely),
-            (Effect::ByKey, Some(first)) => {
-                let left = self.class.window.saturating_sub(self.now.since(first));
+        match (self.class.idempotency, self.first_possible_run) {
+            (Idempotency::Idempotent, _) | (_, None) => Ok(None),
+            (Idempotency::NonIdempotent, Some(_)) => Err(Invariant::RepeatedSafely),
+            (Idempotency::Keyed, Some(first)) => {
+                let left = self.class.repeat_window.saturating_sub(self.now.since(first));
                 if left.is_zero() { Err(Invariant::RepeatedInWindow) } else { Ok(Some(left)) }
             }
         }
@@ -187,10 +187,10 @@
 
 /// Whether an answer may be given, and marked whole, with parts of this weight in.
 pub fn check_answer(class: &Class, share: f64, whole: bool) -> Result<(), Invariant> {
-    if share < class.min_share.min(class.whole_at) - EPSILON {
+    if share < class.min_coverage.min(class.complete_coverage) - EPSILON {
         return Err(Invariant::AnsweredAboveFloor);
     }
-    if whole && share < class.whole_at - EPSILON {
+    if whole && share < class.complete_coverage - EPSILON {
         return Err(Invariant::MarkedWholeTruly);
     }
     Ok(())
@@ -198,7 +198,7 @@
 
 /// Whether a refusal may be given: it promises that a retry is harmless.
 pub fn check_refusal(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
-    let harmless = class.effect == Effect::Repeatable || !any_possible_run;
+    let harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
     if harmless { Ok(()) } else { Err(Invariant::RefusedUnrun) }
 }
 
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -39,7 +39,7 @@
     /// When those of its attempts were sent that may have run, or may yet.
     pub possible_runs: BTreeMap<AttemptNo, Time>,
     /// How the latest attempt that has ended did.
-    pub last_outcome: Option<Outcome>,
+    pub last_outcome: Option<AttemptOutcome>,
     /// The value, once one is in.
     pub value: Option<Bytes>,
 }
--- a/src/routing/order.rs
+++ b/src/routing/order.rs
@@ -10,7 +10,7 @@
     /// A worker is listed at this address; `open` is whether it may be sent anything new.
     Member {
         /// The worker.
-        worker: LeafId,
+        worker: WorkerId,
         /// Its name.
         name: String,
         /// Its address.
@@ -21,19 +21,19 @@
     /// A worker is no longer listed.
     Gone {
         /// The worker.
-        worker: LeafId,
+        worker: WorkerId,
     },
     /// Carry these attempts as one call.
     Call {
         /// To this worker.
-        worker: LeafId,
+        worker: WorkerId,
         /// The attempts.
         parts: Vec<Dispatch>,
     },
     /// Wait no longer for this attempt; its end is already booked.
     Abandon {
         /// At this worker.
-        worker: LeafId,
+        worker: WorkerId,
         /// The attempt.
         ticket: Ticket,
     },
@@ -41,7 +41,7 @@
     /// yet. Its end is told as ever.
     Withdraw {
         /// From this worker.
-        worker: LeafId,
+        worker: WorkerId,
         /// The attempt.
         ticket: Ticket,
     },
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -3,7 +3,7 @@
 //! Starts are told in Unix time. A wall clock that was stepped back, here before this process read it or at the worker,
 //! puts them after now. Such a start is held to have been as it was first told, so that its worker grows warm in its time.
 
-use crate::policy::{LeafId, Time};
+use crate::policy::{Time, WorkerId};
 use std::collections::HashMap;
 
 /// A start that was told before it could have been.
@@ -15,11 +15,11 @@
 
 /// Such starts, by worker.
 #[derive(Default)]
-pub(super) struct StartTimes(HashMap<LeafId, Early>);
+pub(super) struct StartTimes(HashMap<WorkerId, Early>);
 
 impl StartTimes {
     /// Discovery lists this start of a worker.
-    pub fn learn(&mut self, now: Time, worker: LeafId, listed: Option<Time>) {
+    pub fn learn(&mut self, now: Time, worker: WorkerId, listed: Option<Time>) {
         let known = self.0.get(&worker).is_some_and(|early| Some(early.listed) == listed);
         match listed.filter(|listed| *listed > now) {
             _ if known => {}
@@ -29,7 +29,7 @@
     }
 
     /// When a worker is held to have started, of which the list says this.
-    pub fn held(&self, worker: LeafId, listed: Option<Time>) -> Option<Time> {
+    pub fn held(&self, worker: WorkerId, listed: Option<Time>) -> Option<Time> {
         match self.0.get(&worker) {
             Some(early) if Some(early.listed) == listed => Some(early.told),
             _ => listed,
@@ -37,7 +37,7 @@
     }
 
     /// Forgets workers that are no longer listed.
-    pub fn retain(&mut self, is_listed: impl Fn(LeafId) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
         self.0.retain(|worker, _| is_listed(*worker));
     }
 }
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -20,7 +20,7 @@
     pub registry: WorkerRegistry,
     /// Who is out by hand.
     pub bans: Bans,
-    listed: HashMap<LeafId, Member>,
+    listed: HashMap<WorkerId, Member>,
     /// Starts that lie in the future.
     starts: StartTimes,
 }
@@ -32,23 +32,23 @@
     }
 
     /// Whether the list names this worker.
-    pub fn contains(&self, worker: LeafId) -> bool {
+    pub fn contains(&self, worker: WorkerId) -> bool {
         self.listed.contains_key(&worker)
     }
 
     /// A listed worker.
-    pub fn get(&self, worker: LeafId) -> Option<&Member> {
+    pub fn get(&self, worker: WorkerId) -> Option<&Member> {
         self.listed.get(&worker)
     }
 
     /// Whether new work may go to a worker: it is listed, serves, and is not out by hand.
-    pub fn serves(&self, worker: LeafId) -> bool {
+    pub fn serves(&self, worker: WorkerId) -> bool {
         let listed = self.listed.get(&worker);
-        listed.is_some_and(|member| self.bans.status(&member.name, member.status) == Status::Active)
+        listed.is_some_and(|member| self.bans.status(&member.name, member.status) == EndpointStatus::Active)
     }
 
     /// Whether a listed worker is out by hand.
-    pub fn is_out(&self, worker: LeafId) -> bool {
+    pub fn is_out(&self, worker: WorkerId) -> bool {
         self.listed.get(&worker).is_some_and(|member| self.bans.is_out(&member.name))
     }
 
@@ -65,7 +65,12 @@
     }
 
     /// Takes news of discovery: an entry for each member that it names, and what the transport is to do.
-    pub fn take(&mut self, now: Time, contracts: &Contracts, listing: &Listing) -> (Vec<Entry>, Vec<Order>) {
+    pub fn take(
+        &mut self,
+        now: Time,
+        contracts: &Contracts,
+        listing: &Listing,
+    ) -> (Vec<Endpoint>, Vec<Order>) {
         let mut entries = Vec::new();
         let mut orders = Vec::new();
         let mut named = HashSet::new();
@@ -74,7 +79,7 @@
             named.insert(worker);
             self.starts.learn(now, worker, member.since);
             let entry = self.entry(contracts, worker, member);
-            if member.status == Status::Gone {
+            if member.status == EndpointStatus::Gone {
                 self.listed.remove(&worker);
                 orders.push(Order::Gone { worker });
             } else {
@@ -92,35 +97,35 @@
     }
 
     /// An entry as the module is told of it.
-    pub fn entry(&self, contracts: &Contracts, worker: LeafId, member: &Member) -> Entry {
-        Entry {
-            leaf: worker,
+    pub fn entry(&self, contracts: &Contracts, worker: WorkerId, member: &Member) -> Endpoint {
+        Endpoint {
+            worker: worker,
             zone: contracts.zone(&member.zone),
             cell: CellId(member.cell),
             status: self.bans.status(&member.name, member.status),
             units: member.units,
-            since: self.bans.since(&member.name, self.starts.held(worker, member.since)),
+            started_at: self.bans.since(&member.name, self.starts.held(worker, member.since)),
         }
     }
 
     /// What the transport is told of a listed worker.
-    pub fn order(entry: &Entry, member: &Member) -> Order {
+    pub fn order(entry: &Endpoint, member: &Member) -> Order {
         Order::Member {
-            worker: entry.leaf,
+            worker: entry.worker,
             name: member.name.clone(),
             address: member.address.clone(),
-            open: entry.status == Status::Active,
+            open: entry.status == EndpointStatus::Active,
         }
     }
 
     /// Forgets the names of workers that are no longer listed and have no attempt out, once there are too many.
     pub fn forget_gone(&mut self, in_flight: &InFlight) {
-        let known: Vec<LeafId> = self.registry.all().collect();
+        let known: Vec<WorkerId> = self.registry.all().collect();
         if known.len() <= MOST_NAMES {
             return;
         }
         let busy = in_flight.workers();
-        let idle = |worker: &LeafId| !self.listed.contains_key(worker) && !busy.contains(worker);
+        let idle = |worker: &WorkerId| !self.listed.contains_key(worker) && !busy.contains(worker);
         self.registry.forget(known.into_iter().filter(idle));
         self.bans.forget(|name| self.registry.known(name).is_some());
     }
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -17,7 +17,7 @@
     /// Its place in the layout.
     pub cell: u32,
     /// Whether it takes work.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Its listed size.
     pub units: f64,
     /// Its last start in Unix time; `None` for long ago.
@@ -38,19 +38,19 @@
 /// Names to ids. An id is a hash of the name, so that all gatherers prefer the same worker for a key.
 #[derive(Debug, Default)]
 pub struct WorkerRegistry {
-    ids: HashMap<String, LeafId>,
-    names: HashMap<LeafId, String>,
+    ids: HashMap<String, WorkerId>,
+    names: HashMap<WorkerId, String>,
 }
 
 impl WorkerRegistry {
     /// The id of this worker, made up on first sight. Two names that hash alike take neighbouring ids.
-    pub fn id(&mut self, name: &str) -> LeafId {
+    pub fn id(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let mut id = LeafId(xxh3_64(name.as_bytes()) as u32);
+        let mut id = WorkerId(xxh3_64(name.as_bytes()) as u32);
         while self.names.contains_key(&id) {
-            id = LeafId(id.0.wrapping_add(1));
+            id = WorkerId(id.0.wrapping_add(1));
         }
         self.ids.insert(name.to_owned(), id);
         self.names.insert(id, name.to_owned());
@@ -58,22 +58,22 @@
     }
 
     /// Whether this worker was ever listed.
-    pub fn known(&self, name: &str) -> Option<LeafId> {
+    pub fn known(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
     /// The name of a worker.
-    pub fn name(&self, worker: LeafId) -> Option<&str> {
+    pub fn name(&self, worker: WorkerId) -> Option<&str> {
         self.names.get(&worker).map(String::as_str)
     }
 
     /// All workers ever listed.
-    pub fn all(&self) -> impl Iterator<Item = LeafId> + '_ {
+    pub fn all(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.names.keys().copied()
     }
 
     /// Forgets workers that are gone, once there are more names than any fleet has.
-    pub fn forget(&mut self, gone: impl Iterator<Item = LeafId>) {
+    pub fn forget(&mut self, gone: impl Iterator<Item = WorkerId>) {
         for id in gone {
             if let Some(name) = self.names.remove(&id) {
                 self.ids.remove(&name);
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -7,29 +7,29 @@
 
 /// The state in which each worker was last recorded.
 #[derive(Default)]
-pub(super) struct WorkerStates(HashMap<LeafId, WorkerState>);
+pub(super) struct WorkerStates(HashMap<WorkerId, WorkerState>);
 
 impl WorkerStates {
     /// The state of a listed worker. `out` is whether it is out by hand, `warm_up` how long a start is held to be cold.
-    pub fn of(entry: &Entry, out: bool, now: Time, warm_up: Duration) -> WorkerState {
+    pub fn of(entry: &Endpoint, out: bool, now: Time, warm_up: Duration) -> WorkerState {
         match entry.status {
-            Status::Gone => WorkerState::Gone,
-            Status::Draining if out => WorkerState::OutByHand,
-            Status::Draining => WorkerState::Draining,
-            Status::Active if entry.since.is_some_and(|since| now.since(since) < warm_up) => {
+            EndpointStatus::Gone => WorkerState::Gone,
+            EndpointStatus::Draining if out => WorkerState::OutByHand,
+            EndpointStatus::Draining => WorkerState::Draining,
+            EndpointStatus::Active if entry.started_at.is_some_and(|since| now.since(since) < warm_up) => {
                 WorkerState::Cold
             }
-            Status::Active => WorkerState::Active,
+            EndpointStatus::Active => WorkerState::Active,
         }
     }
 
     /// The recorded workers that are not listed any longer.
-    pub fn missing(&self, listed: impl Fn(LeafId) -> bool) -> Vec<LeafId> {
+    pub fn missing(&self, listed: impl Fn(WorkerId) -> bool) -> Vec<WorkerId> {
         self.0.keys().copied().filter(|worker| !listed(*worker)).collect()
     }
 
     /// Books the state of a worker; whether that is news. The end of one that was never recorded is none.
-    pub fn update(&mut self, worker: LeafId, state: WorkerState) -> bool {
+    pub fn update(&mut self, worker: WorkerId, state: WorkerState) -> bool {
         match state {
             WorkerState::Gone => self.0.remove(&worker).is_some(),
             state => self.0.insert(worker, state) != Some(state),
--- a/src/service/bans.rs
+++ b/src/service/bans.rs
@@ -1,6 +1,6 @@
 //! Workers that operators have taken out by hand: a fact beside discovery's list, which no news undoes.
 
-use crate::policy::{Status, Time};
+use crate::policy::{EndpointStatus, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,9 +34,9 @@
         self.out.iter().map(String::as_str)
     }
     /// What holds for a worker of which the list says this.
-    pub fn status(&self, name: &str, listed: Status) -> Status {
+    pub fn status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
-            Status::Active if self.is_out(name) => Status::Draining,
+            EndpointStatus::Active if self.is_out(name) => EndpointStatus::Draining,
             listed => listed,
         }
     }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -31,7 +31,7 @@
     dial: Rc<dyn Dial>,
     limits: Limits,
     places: Rc<Places>,
-    links: RefCell<HashMap<LeafId, Rc<Link>>>,
+    links: RefCell<HashMap<WorkerId, Rc<Link>>>,
     running: RefCell<HashMap<Ticket, AbortHandle>>,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// The life of one attempt.
-    async fn search(self, leaf: LeafId, link: Rc<Link>, part: Dispatch) {
+    async fn search(self, leaf: WorkerId, link: Rc<Link>, part: Dispatch) {
         let end = self.exchange(leaf, &link, &part).await;
         self.0.running.borrow_mut().remove(&part.ticket);
         self.0.broker.ended(part.ticket, end);
@@ -93,10 +93,10 @@
         }
     }
 
-    async fn exchange(&self, leaf: LeafId, link: &Rc<Link>, part: &Dispatch) -> End {
-        let Ok(_place) = link.places.acquire().await else { return End::bare(Outcome::Skipped) };
+    async fn exchange(&self, leaf: WorkerId, link: &Rc<Link>, part: &Dispatch) -> End {
+        let Ok(_place) = link.places.acquire().await else { return End::bare(AttemptOutcome::NotSent) };
         if !link.open.get() {
-            return End::bare(Outcome::Skipped);
+            return End::bare(AttemptOutcome::NotSent);
         }
         // Guards what runs once against a kept connection that the server closes just then: it may have run, and is lost.
         let kept = if part.at_most_once { None } else { self.kept(link).await };
@@ -105,14 +105,18 @@
             None => {
                 // Nothing has run where there was no place for it.
                 let Ok(opening) = self.0.places.open(leaf, part.time_left(self.0.broker.now())).await else {
-                    return End::bare(Outcome::Skipped);
+                    return End::bare(AttemptOutcome::NotSent);
                 };
                 match dial_within(&*self.0.dial, &link.address, self.0.limits.connect_timeout).await {
                     Ok(stream) => (stream, opening.up()),
                     Err(error) => {
                         log::warn!("index server at {}: cannot connect: {error}", link.address);
                         let local = failure::is_local(&error);
-                        return End::bare(if local { Outcome::Skipped } else { Outcome::Refused });
+                        return End::bare(if local {
+                            AttemptOutcome::NotSent
+                        } else {
+                            AttemptOutcome::ConnectFailed
+                        });
                     }
                 }
             }
@@ -135,22 +139,22 @@
                 }
                 match response.status {
                     200 if opensearch::is_result(&response.body) => {
-                        End { outcome: Outcome::Done, value: response.body, report: None }
+                        End { outcome: AttemptOutcome::Succeeded, value: response.body, report: None }
                     }
                     // The one status by which a server says that it turned the search away unseen.
-                    429 => End::bare(Outcome::Busy),
+                    429 => End::bare(AttemptOutcome::Rejected),
                     status => {
                         log::warn!("index server at {}: status {status}, no whole result", link.address);
-                        End::bare(Outcome::Error)
+                        End::bare(AttemptOutcome::Failed)
                     }
                 }
             }
             Err(error) => {
                 log::warn!("index server at {}: {error}", link.address);
                 End::bare(match error {
-                    Broken::Unsent(_) => Outcome::Refused,
-                    Broken::Unanswered(_) => Outcome::Reset,
-                    Broken::Malformed(_) => Outcome::Error,
+                    Broken::Unsent(_) => AttemptOutcome::ConnectFailed,
+                    Broken::Unanswered(_) => AttemptOutcome::ConnectionReset,
+                    Broken::Malformed(_) => AttemptOutcome::Failed,
                 })
             }
         }
@@ -181,7 +185,7 @@
 }
 
 impl Carrier for IndexServers {
-    fn member(&self, leaf: LeafId, _name: &str, address: &str, open: bool) {
+    fn member(&self, leaf: WorkerId, _name: &str, address: &str, open: bool) {
         let mut links = self.0.links.borrow_mut();
         // One that moves is another server: what waits for the old one is not sent, what is out there goes on.
         let moved = links.get(&leaf).is_some_and(|link| link.address != address);
@@ -203,13 +207,13 @@
         drop(before);
     }
 
-    fn gone(&self, leaf: LeafId) {
+    fn gone(&self, leaf: WorkerId) {
         if let Some(link) = self.0.links.borrow_mut().remove(&leaf) {
             link.open.set(false);
         }
     }
 
-    fn call(&self, leaf: LeafId, parts: Vec<Dispatch>) {
+    fn call(&self, leaf: WorkerId, parts: Vec<Dispatch>) {
         let link = self.0.links.borrow().get(&leaf).cloned();
         for part in parts {
             let ticket = part.ticket;
@@ -218,13 +222,13 @@
                     let task = spawn_local(self.clone().search(leaf, link.clone(), part));
                     self.0.running.borrow_mut().insert(ticket, task.abort_handle());
                 }
-                None => self.0.broker.ended(ticket, End::bare(Outcome::Skipped)),
+                None => self.0.broker.ended(ticket, End::bare(AttemptOutcome::NotSent)),
             }
         }
     }
 
     /// Closing the connection is how the form gives a search up.
-    fn abandon(&self, _leaf: LeafId, ticket: Ticket) {
+    fn abandon(&self, _leaf: WorkerId, ticket: Ticket) {
         if let Some(task) = self.0.running.borrow_mut().remove(&ticket) {
             task.abort();
         }
--- a/src/transport/places.rs
+++ b/src/transport/places.rs
@@ -4,7 +4,7 @@
 use crate::limits::descriptors::SIDES;
 use crate::limits::lines::{self, Number, Openings, Turned};
 use crate::limits::{BufferBudget, Denied, Descriptors, Plan, ResourcePressure, Side, Tally};
-use crate::policy::{LeafId, Time};
+use crate::policy::{Time, WorkerId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -142,7 +142,7 @@
     }
 
     /// Waits for the right to open a connection to a server, for a call of so much time. Dropped, it waits no longer.
-    pub async fn open(self: &Rc<Self>, leaf: LeafId, left: Duration) -> Result<Opening, Turned> {
+    pub async fn open(self: &Rc<Self>, leaf: WorkerId, left: Duration) -> Result<Opening, Turned> {
         let (number, out) = self.openings.borrow_mut().join(self.now(), leaf, left);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, tell);
@@ -253,7 +253,7 @@
 
 struct ComingUp {
     places: Rc<Places>,
-    leaf: LeafId,
+    leaf: WorkerId,
 }
 
 impl Drop for ComingUp {
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -33,7 +33,7 @@
     silence: Duration,
     /// A worker may be told that a part is given up.
     may_cancel: bool,
-    workers: RefCell<HashMap<LeafId, Worker>>,
+    workers: RefCell<HashMap<WorkerId, Worker>>,
 }
 
 /// A worker, for as long as it is listed or has a connection.
@@ -76,19 +76,19 @@
         let contracts = broker.core(|core| core.contracts().clone());
         let (limits, settings) = (contracts.limits, contracts.settings);
         // Guards against writing on into a machine that vanished: silence is judged by what answers may take here.
-        let aims = settings.classes.iter().map(|class| class.aim);
+        let aims = settings.classes.iter().map(|class| class.latency_objective);
         let silence = aims.min().unwrap_or_default().mul_f64(SILENCE_SHARE);
-        let shared = Shared { broker, dial, limits, places, fields: settings.fields };
+        let shared = Shared { broker, dial, limits, places, fields: settings.report_fields };
         let (may_cancel, workers) = (settings.may_cancel, RefCell::default());
         Workers(Rc::new(Pool { shared, silence, may_cancel, workers }))
     }
 
-    fn end_all(&self, tickets: Vec<Ticket>, outcome: Outcome) {
+    fn end_all(&self, tickets: Vec<Ticket>, outcome: AttemptOutcome) {
         tickets.into_iter().for_each(|ticket| self.0.shared.broker.ended(ticket, End::bare(outcome)));
     }
 
     /// The connection for a call, where the worker takes any.
-    fn connection(&self, id: LeafId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
+    fn connection(&self, id: WorkerId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.get_mut(&id).filter(|worker| worker.open)?;
@@ -115,14 +115,14 @@
     }
 
     /// The life of one connection.
-    async fn run(self, id: LeafId, connection: Rc<Connection>, left: Duration) {
+    async fn run(self, id: WorkerId, connection: Rc<Connection>, left: Duration) {
         let disconnect = session::run(&self.0.shared, id, &connection, left).await;
         connection.retire();
         self.count(&disconnect);
         let (why, unwritten, written) = match disconnect {
-            Disconnect::Closed(why) => (why, Outcome::Refused, Outcome::Reset),
-            Disconnect::Untrusted(why) => (why, Outcome::Refused, Outcome::Error),
-            Disconnect::Unopened(why) => (why, Outcome::Skipped, Outcome::Reset),
+            Disconnect::Closed(why) => (why, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionReset),
+            Disconnect::Untrusted(why) => (why, AttemptOutcome::ConnectFailed, AttemptOutcome::Failed),
+            Disconnect::Unopened(why) => (why, AttemptOutcome::NotSent, AttemptOutcome::ConnectionReset),
         };
         self.forget(id, &connection, &why);
         connection.place.take();
@@ -143,7 +143,7 @@
     }
 
     /// Takes a connection that has ended out of the pool, and its worker with it where that is gone.
-    fn forget(&self, id: LeafId, connection: &Rc<Connection>, why: &str) {
+    fn forget(&self, id: WorkerId, connection: &Rc<Connection>, why: &str) {
         let mut workers = self.0.workers.borrow_mut();
         if let Some(worker) = workers.get_mut(&id) {
             worker.connections.retain(|other| !Rc::ptr_eq(other, connection));
@@ -172,7 +172,7 @@
 }
 
 impl Carrier for Workers {
-    fn member(&self, id: LeafId, name: &str, address: &str, open: bool) {
+    fn member(&self, id: WorkerId, name: &str, address: &str, open: bool) {
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.entry(id).or_insert_with(|| Worker::new(name, address));
         worker.listed = true;
@@ -183,10 +183,10 @@
             worker.retire();
         }
         drop(workers);
-        self.end_all(back, Outcome::Skipped);
+        self.end_all(back, AttemptOutcome::NotSent);
     }
 
-    fn gone(&self, id: LeafId) {
+    fn gone(&self, id: WorkerId) {
         let mut workers = self.0.workers.borrow_mut();
         let Some(worker) = workers.get_mut(&id) else { return };
         let back = worker.stop();
@@ -195,13 +195,13 @@
         worker.retire();
         workers.retain(|_, worker| worker.is_needed());
         drop(workers);
-        self.end_all(back, Outcome::Skipped);
+        self.end_all(back, AttemptOutcome::NotSent);
     }
 
-    fn call(&self, id: LeafId, parts: Vec<Dispatch>) {
+    fn call(&self, id: WorkerId, parts: Vec<Dispatch>) {
         let Some(connection) = self.connection(id, &parts) else {
             let tickets = parts.iter().map(|part| part.ticket).collect();
-            return self.end_all(tickets, Outcome::Skipped);
+            return self.end_all(tickets, AttemptOutcome::NotSent);
         };
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         connection.send(parts);
@@ -211,15 +211,15 @@
         }
     }
 
-    fn withdraw(&self, id: LeafId, ticket: Ticket) {
+    fn withdraw(&self, id: WorkerId, ticket: Ticket) {
         let workers = self.0.workers.borrow();
         let connections = workers.get(&id).into_iter().flat_map(|worker| &worker.connections);
         let back = connections.flat_map(|connection| connection.withdraw(ticket)).collect();
         drop(workers);
-        self.end_all(back, Outcome::Skipped);
+        self.end_all(back, AttemptOutcome::NotSent);
     }
 
-    fn abandon(&self, id: LeafId, ticket: Ticket) {
+    fn abandon(&self, id: WorkerId, ticket: Ticket) {
         let workers = self.0.workers.borrow();
         if let Some(worker) = workers.get(&id) {
             let (silence, tell) = (self.0.silence, self.0.may_cancel);
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -2,7 +2,7 @@
 //! the answers, and says why it ended. It reports each answer; what is still out at the end is the pool's to report.
 
 use super::connection::Connection;
-use crate::policy::{Field, LeafId};
+use crate::policy::{ReportField, WorkerId};
 use crate::protocol::frame::{self, Incoming};
 use crate::routing::{Broker, End, Limits};
 use crate::transport::failure;
@@ -35,7 +35,7 @@
     /// The process's descriptors and bytes.
     pub places: Rc<Places>,
     /// The fields of a load report.
-    pub fields: Vec<Field>,
+    pub fields: Vec<ReportField>,
 }
 
 /// How a connection ended.
@@ -61,7 +61,7 @@
 /// Opens a connection within `left` and serves it to its end.
 pub(super) async fn run(
     shared: &Shared,
-    worker: LeafId,
+    worker: WorkerId,
     connection: &Connection,
     left: Duration,
 ) -> Disconnect {
@@ -82,7 +82,7 @@
 /// Waits for a place and connects; `None` where the connection is no longer needed by then.
 async fn connect(
     shared: &Shared,
-    worker: LeafId,
+    worker: WorkerId,
     connection: &Connection,
     left: Duration,
 ) -> Result<Option<Box<dyn Stream>>, Disconnect> {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -7,10 +7,11 @@
 
 /// One worker for each of eight shards, and a class that may be answered from half of its parts.
 fn one_worker_a_shard() -> Root {
-    let partial = Class { min_share: 0.5, short_worth: 0.8, ..class(Effect::Repeatable) };
+    let partial = Class { min_coverage: 0.5, partial_weight: 0.8, ..class(Idempotency::Idempotent) };
     let mut root = Root::new(Settings { classes: vec![partial], cells: 8, shards: 8, ..settings() }, &[]);
-    let workers = (0..8).map(|cell| Entry { cell: CellId(cell), ..entry(cell + 1, Status::Active, None) });
-    root.turn(vec![Event::Membership(Membership::Full(workers.collect()))]);
+    let workers =
+        (0..8).map(|cell| Endpoint { cell: CellId(cell), ..entry(cell + 1, EndpointStatus::Active, None) });
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(workers.collect()))]);
     root
 }
 
@@ -19,8 +20,8 @@
     for (shard, work) in shards.iter().flat_map(|shard| [(*shard, 900), (*shard, 140)]) {
         let (_, _, mut events) = root.query(None, &[shard]);
         for event in &mut events {
-            if let Event::Part(part) = event {
-                part.hint = Some(ms(work));
+            if let Event::PartReceived(part) = event {
+                part.cost_hint = Some(ms(work));
             }
         }
         let before = root.sent.len();
@@ -35,7 +36,7 @@
     fill(&mut root, &[0, 1, 2, 3]);
     let before = root.sent.len();
     let (query, _) = root.ask(None, &[0, 1, 2, 3, 4, 5, 6, 7]);
-    assert!(root.actions.iter().any(|action| matches!(action, Action::Refuse { id, .. } if *id == query)));
+    assert!(root.actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == query)));
     assert_eq!(root.sent.len(), before, "no part of it joins the queues");
 }
 
@@ -55,7 +56,7 @@
         root.ask(None, &[number % 8]);
         let sent = root.last();
         root.pass(if number % 2 == 0 { 20 } else { 120 });
-        root.turn(vec![root.end(sent, Outcome::Done, Some(busy))]);
+        root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, Some(busy))]);
     }
     let answered = root.sent.len();
     for shard in 0..8 {
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -18,7 +18,7 @@
     core
 }
 
-fn news(core: &mut Core, now: Time, name: &str, status: Status, since: Option<Time>) {
+fn news(core: &mut Core, now: Time, name: &str, status: EndpointStatus, since: Option<Time>) {
     let (address, zone) = (name.to_owned(), String::new());
     let member = Member { name: name.to_owned(), address, zone, cell: 0, status, units: 1.0, since };
     core.learn(now, &Listing { revision: 2, complete: false, members: vec![member] }, false);
@@ -36,7 +36,7 @@
     for order in core.turn(now) {
         if let Order::Call { worker: leaf, parts } = order {
             sent.push(leaf);
-            parts.iter().for_each(|part| core.ended(now, part.ticket, End::bare(Outcome::Done)));
+            parts.iter().for_each(|part| core.ended(now, part.ticket, End::bare(AttemptOutcome::Succeeded)));
         }
     }
     core.turn(now);
@@ -78,7 +78,7 @@
     assert!(core.disable(START, "w1") && core.disable(START, "w1"));
     assert_eq!(told(&mut core), state(WorkerState::OutByHand), "once, however often it is called");
     // What discovery says meanwhile changes nothing of it.
-    news(&mut core, START, "w1", Status::Active, Some(START));
+    news(&mut core, START, "w1", EndpointStatus::Active, Some(START));
     assert_eq!(told(&mut core), []);
     assert!(core.enable(START, "w1"));
     assert_eq!(told(&mut core), state(WorkerState::Cold));
@@ -103,9 +103,9 @@
                     prop_assert!(core.enable(now, name));
                     out[worker] = false;
                 }
-                3 => news(&mut core, now, name, Status::Active, Some(now)),
-                4 => news(&mut core, now, name, Status::Gone, None),
-                _ => news(&mut core, now, name, Status::Draining, None),
+                3 => news(&mut core, now, name, EndpointStatus::Active, Some(now)),
+                4 => news(&mut core, now, name, EndpointStatus::Gone, None),
+                _ => news(&mut core, now, name, EndpointStatus::Draining, None),
             }
             prop_assert!(!core.disable(now, "w3") && !core.enable(now, "w3"));
             let sent = ask(&mut core, now);
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -10,10 +10,10 @@
     let (id, _, mut events) = root.query(Some("station-17"), &[0, 1]);
     for event in &mut events {
         match event {
-            Event::Query(query) => {
-                (query.retry, query.valid_until) = (retry, root.now.after(ms(left)));
+            Event::QueryReceived(query) => {
+                (query.is_retry, query.valid_until) = (retry, root.now.after(ms(left)));
             }
-            Event::Part(part) => part.hint = Some(ms(hint)),
+            Event::PartReceived(part) => part.cost_hint = Some(ms(hint)),
             _ => {}
         }
     }
@@ -21,7 +21,7 @@
 }
 
 fn refused(root: &Root, id: RequestId) -> bool {
-    root.actions.iter().any(|action| matches!(action, Action::Refuse { id: of, .. } if *of == id))
+    root.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
 }
 
 /// The first try is refused for want of any worker; then the workers are listed.
@@ -30,7 +30,7 @@
     let (first, events) = try_of(&mut root, 100, left, false);
     root.turn(events);
     assert!(refused(&root, first));
-    root.turn(vec![Event::Membership(Membership::Full(list(&[1, 2, 3])))]);
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(&[1, 2, 3])))]);
     root
 }
 
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -20,7 +20,7 @@
 }
 
 /// When an attempt ends, and how.
-type Due = (Time, Sent, Outcome);
+type Due = (Time, Sent, AttemptOutcome);
 
 /// The roots, each with what will come back to it, and the workers.
 pub struct Fleet {
@@ -30,17 +30,29 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, effect: Effect) -> Fleet {
-        let at = |id| Entry { zone: ZoneId(id % ZONES), cell: CellId(id), ..entry(id, Status::Active, None) };
-        let list: Vec<Entry> = (0..CELLS).map(at).collect();
-        let classes = vec![Class { aim: ms(650), ..class(effect) }];
+    pub fn new(seed: u64, effect: Idempotency) -> Fleet {
+        let at = |id| Endpoint {
+            zone: ZoneId(id % ZONES),
+            cell: CellId(id),
+            ..entry(id, EndpointStatus::Active, None)
+        };
+        let list: Vec<Endpoint> = (0..CELLS).map(at).collect();
+        let classes = vec![Class { latency_objective: ms(650), ..class(effect) }];
         let (cells, shards, most_attempts) = (CELLS, CELLS, Some(4));
-        let all = Settings { roots: ROOTS, classes, cells, span: 4, shards, most_attempts, ..settings() };
+        let all = Settings {
+            fleet_size: ROOTS,
+            classes,
+            cells,
+            cells_per_shard: 4,
+            shards,
+            max_attempts: most_attempts,
+            ..settings()
+        };
         let root = |id: u32| {
             let seed = seed << 32 | u64::from(id);
-            let own = Settings { seed, zone: ZoneId(id % ZONES), may_probe: false, ..all.clone() };
+            let own = Settings { seed, zone: ZoneId(id % ZONES), may_health_check: false, ..all.clone() };
             let mut root = Root::new(own, &[]);
-            root.turn(vec![Event::Membership(Membership::Full(list.clone().into()))]);
+            root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.clone().into()))]);
             (root, Vec::new())
         };
         let (roots, workers) = ((0..ROOTS).map(root).collect(), vec![Worker::Answers; CELLS as usize]);
@@ -58,10 +70,10 @@
             for (root, due) in &mut self.roots {
                 root.now = root.now.after(ms(STEP));
                 let ready = due.extract_if(.., |(at, ..)| *at <= root.now);
-                let busy = |outcome| (outcome == Outcome::Done).then_some(0.5);
+                let busy = |outcome| (outcome == AttemptOutcome::Succeeded).then_some(0.5);
                 let ended = ready.map(|(_, sent, outcome)| root.end(sent, outcome, busy(outcome)));
                 let mut events: Vec<Event> = ended.collect();
-                events.push(Event::Due { handle: Handle(0) });
+                events.push(Event::TimerFired { timer: TimerId(0) });
                 if self.random.u64(..1000) < 4 * STEP {
                     let shards: [u32; 8] = std::array::from_fn(|_| self.random.u32(..CELLS));
                     events.extend(root.query(Some(&format!("k{}", shards[0])), &shards).2);
@@ -72,16 +84,16 @@
                     let worker = self.workers[sent.leaf.0 as usize];
                     (to_these, all) = (to_these + usize::from(which(sent.leaf.0)), all + 1);
                     let (outcome, took) = match worker {
-                        Worker::Lost => (Outcome::Refused, 250),
-                        Worker::Errs if self.random.u32(..10) < 8 => (Outcome::Error, STEP),
-                        _ => (Outcome::Done, 20 + self.random.u64(..20)),
+                        Worker::Lost => (AttemptOutcome::ConnectFailed, 250),
+                        Worker::Errs if self.random.u32(..10) < 8 => (AttemptOutcome::Failed, STEP),
+                        _ => (AttemptOutcome::Succeeded, 20 + self.random.u64(..20)),
                     };
                     due.push((root.now.after(ms(took)), *sent, outcome));
                 }
                 for action in &root.actions {
                     let Action::Cancel { id, attempt } = action else { continue };
                     let off = due.iter_mut().find(|(_, sent, _)| (sent.id, sent.attempt) == (*id, *attempt));
-                    off.into_iter().for_each(|off| (off.0, off.2) = (root.now, Outcome::Cancelled));
+                    off.into_iter().for_each(|off| (off.0, off.2) = (root.now, AttemptOutcome::Cancelled));
                 }
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,50 +20,57 @@
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
-        roots: 1,
-        classes: vec![class(Effect::Repeatable)],
-        quantum: ms(5),
+        fleet_size: 1,
+        classes: vec![class(Idempotency::Idempotent)],
+        min_step_interval: ms(5),
         may_cancel: true,
-        may_probe: true,
-        second_copies: true,
-        most_attempts: Some(3),
+        may_health_check: true,
+        hedging_allowed: true,
+        max_attempts: Some(3),
         cells: 1,
-        span: 1,
+        cells_per_shard: 1,
         shards: 8,
-        per_call: 4,
-        reports: Reports::Answers,
-        fields: vec![Field::Busy],
-        cold_share: 0.2,
+        parts_per_call: 4,
+        report_source: ReportSource::Responses,
+        report_fields: vec![ReportField::Busy],
+        cold_capacity_fraction: 0.2,
         warm_up: ms(10_000),
-        fall_multiple: 2.0,
-        fall: ms(1000),
-        answer_grace: ms(20),
+        slow_start_budget_factor: 2.0,
+        slow_start_budget_window: ms(1000),
+        response_grace: ms(20),
         ..Settings::default()
     }
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: ms(1500),
-        aim_stretch: 0.0,
+        latency_objective: ms(1500),
+        objective_stretch: 0.0,
         deadline: ms(5000),
-        effect,
-        window: ms(1000),
-        worth: 1.0,
-        late_worth: 0.0,
-        min_share: 1.0,
-        whole_at: 1.0,
-        short_worth: 0.9,
-        follow_up: 0,
+        idempotency: effect,
+        repeat_window: ms(1000),
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        min_coverage: 1.0,
+        complete_coverage: 1.0,
+        partial_weight: 0.9,
+        second_step_parts: 0,
     }
 }
 
-pub fn entry(leaf: u32, status: Status, since: Option<Time>) -> Entry {
-    Entry { leaf: LeafId(leaf), zone: ZoneId(0), cell: CellId(0), status, units: 1.0, since }
+pub fn entry(leaf: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
+    Endpoint {
+        worker: WorkerId(leaf),
+        zone: ZoneId(0),
+        cell: CellId(0),
+        status,
+        units: 1.0,
+        started_at: since,
+    }
 }
 
-pub fn list(leaves: &[u32]) -> Arc<[Entry]> {
-    leaves.iter().map(|leaf| entry(*leaf, Status::Active, None)).collect()
+pub fn list(leaves: &[u32]) -> Arc<[Endpoint]> {
+    leaves.iter().map(|leaf| entry(*leaf, EndpointStatus::Active, None)).collect()
 }
 
 /// A send that the module asked for.
@@ -71,7 +78,7 @@
 pub struct Sent {
     pub id: RequestId,
     pub attempt: AttemptNo,
-    pub leaf: LeafId,
+    pub leaf: WorkerId,
     pub at: Time,
     pub timeout: Duration,
 }
@@ -95,15 +102,15 @@
             actions: Vec::new(),
             next: 1,
         };
-        root.turn(vec![Event::Membership(Membership::Full(list(leaves)))]);
+        root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(leaves)))]);
         root
     }
 
     pub fn turn(&mut self, events: Vec<Event>) {
         self.actions.clear();
-        self.module.turn(self.now, events, &mut self.actions);
+        self.module.step(self.now, events, &mut self.actions);
         for action in &self.actions {
-            if let Action::Send { id, leaf, timeout } = action {
+            if let Action::Send { id, worker: leaf, timeout } = action {
                 let attempt = AttemptNo(self.sent.iter().filter(|sent| sent.id == *id).count() as u32);
                 self.sent.push(Sent { id: *id, attempt, leaf: *leaf, at: self.now, timeout: *timeout });
             }
@@ -114,7 +121,7 @@
     pub fn pass(&mut self, span: u64) {
         for _ in 0..span / 10 {
             self.now = self.now.after(ms(10));
-            self.turn(vec![Event::Due { handle: Handle(0) }]);
+            self.turn(vec![Event::TimerFired { timer: TimerId(0) }]);
         }
     }
 
@@ -130,23 +137,23 @@
         let job = JobId(self.next);
         self.next += 1;
         let valid_until = self.now.after(ms(5000));
-        let mut events = vec![Event::Query(NewQuery {
+        let mut events = vec![Event::QueryReceived(NewQuery {
             id,
             class: ClassId(0),
             tenant: None,
             valid_until,
             job,
-            retry: false,
+            is_retry: false,
         })];
         let mut parts = Vec::new();
         for shard in shards {
             let part = RequestId(self.next);
             self.next += 1;
             parts.push(part);
-            events.push(Event::Part(NewPart {
+            events.push(Event::PartReceived(NewPart {
                 id: part,
                 key: key.map(Arc::from),
-                hint: Some(ms(100)),
+                cost_hint: Some(ms(100)),
                 job,
                 shard: ShardId(*shard),
                 weight: 1.0 / shards.len() as f64,
@@ -155,15 +162,15 @@
         (id, parts, events)
     }
 
-    pub fn end(&self, sent: Sent, outcome: Outcome, busy: Option<f64>) -> Event {
-        Event::Ended(AttemptEnd {
+    pub fn end(&self, sent: Sent, outcome: AttemptOutcome, busy: Option<f64>) -> Event {
+        Event::AttemptFinished(AttemptResult {
             id: sent.id,
             attempt: sent.attempt,
-            leaf: sent.leaf,
+            worker: sent.leaf,
             outcome,
             elapsed: self.now.since(sent.at),
-            over: outcome == Outcome::Done,
-            report: busy.map(|busy| vec![Some(busy)]),
+            part_finished: outcome == AttemptOutcome::Succeeded,
+            load_report: busy.map(|busy| vec![Some(busy)]),
         })
     }
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -4,7 +4,7 @@
 use gatherer::limits::descriptors::SIDES;
 use gatherer::limits::lines::{self, Choice, Line, Number, Openings};
 use gatherer::limits::{BufferBudget, Crowd, Denied, Descriptors, Plan, ResourcePressure, Side, Source, Why};
-use gatherer::policy::{LeafId, Time};
+use gatherer::policy::{Time, WorkerId};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -167,7 +167,7 @@
             now = now.after(ms(1));
             match what {
                 0 => {
-                    let (number, out) = openings.join(now, LeafId(leaf), ms(left));
+                    let (number, out) = openings.join(now, WorkerId(leaf), ms(left));
                     waits.insert(number, leaf);
                     let count = |leaf: u32, waits: &BTreeMap<Number, u32>| waits.values().filter(|l| **l == leaf).count();
                     if let Some(out) = out {
@@ -182,7 +182,7 @@
                     let would = openings.would_admit();
                     let admitted = openings.admit();
                     prop_assert_eq!(admitted.is_some(), would);
-                    if let Some((number, LeafId(leaf))) = admitted {
+                    if let Some((number, WorkerId(leaf))) = admitted {
                         prop_assert_eq!(waits.remove(&number), Some(leaf));
                         let passed = |l: u32| up.iter().filter(|u| **u == l).count() >= each;
                         prop_assert!(waits.iter().all(|(n, l)| *n > number || passed(*l)));
@@ -191,7 +191,7 @@
                         prop_assert!(up.len() >= opening || waits.values().all(|l| up.iter().filter(|u| *u == l).count() >= each));
                     }
                 }
-                _ => if let Some(leaf) = up.pop() { openings.settled(LeafId(leaf)); },
+                _ => if let Some(leaf) = up.pop() { openings.settled(WorkerId(leaf)); },
             }
             prop_assert!(openings.waiting() == waits.len() && waits.len() <= most);
             prop_assert!(openings.opening() == up.len() && up.len() <= opening);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use common::process::{self, Folder, Gatherer, Worker, free, member, operate};
 use gatherer::limits::{Backoff, Plan};
-use gatherer::policy::{Status, Time};
+use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Request, Response};
 use gatherer::records::line::{Body, WorkerState};
@@ -186,7 +186,7 @@
 /// Whether it has heard that `w1` drains.
 fn knows(broker: &Broker) -> bool {
     let list = broker.core(|core| core.list_told());
-    list.members.iter().any(|member| member.name == "w1" && member.status == Status::Draining)
+    list.members.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
 /// Waits until all gatherers know; how long that took.
@@ -297,7 +297,7 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     assert_eq!((config.ask_in, config.peer_datagrams), (Some(ASK_IN), true));
     // The watch is the network code's: the module does not ask beside it.
-    assert!(!config.contracts.settings.ask_discovery);
+    assert!(!config.contracts.settings.poll_discovery);
 }
 
 /// The configuration of a process that holds a list of worker `w1`, beside a discovery that is down.
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -71,7 +71,7 @@
                 }
                 Happens::Ended(at, how) if !out.is_empty() => {
                     let ticket = out.remove(at % out.len());
-                    let outcome = [Outcome::Done, Outcome::Reset, Outcome::Busy, Outcome::Refused];
+                    let outcome = [AttemptOutcome::Succeeded, AttemptOutcome::ConnectionReset, AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed];
                     core.ended(now, ticket, End::bare(outcome[usize::from(how)]));
                 }
                 Happens::Passes(span) => now = now.after(Duration::from_millis(span)),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 fn a_lost_zone_is_learned_from_few_of_its_workers_and_trusted_again_at_one_answer() {
     let zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Effect::Repeatable);
+        let mut fleet = Fleet::new(seed, Idempotency::Idempotent);
         fleet.pass(3000, zone);
         fleet.make(zone, Worker::Lost);
         let (first, later) = (fleet.pass(1000, zone).0, fleet.pass(2000, zone).0);
@@ -29,7 +29,7 @@
 fn what_runs_once_is_kept_from_workers_that_err() {
     let bad = |id| id % 10 == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Effect::Once);
+        let mut fleet = Fleet::new(seed, Idempotency::NonIdempotent);
         fleet.pass(2000, bad);
         fleet.make(bad, Worker::Errs);
         fleet.pass(4000, bad);
--- a/tests/grown.rs
+++ b/tests/grown.rs
@@ -6,21 +6,21 @@
 use gatherer::policy::*;
 
 fn refused(root: &Root, id: RequestId) -> bool {
-    root.actions.iter().any(|action| matches!(action, Action::Refuse { id: of, .. } if *of == id))
+    root.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
 }
 
 /// Asks for one part of shard 0 with so much time left; whether it was sent in that turn.
 fn admitted(root: &mut Root, left: u64, retry: bool) -> bool {
     let (query, _, mut events) = root.query(Some("k"), &[0]);
-    if let Some(Event::Query(asked)) = events.first_mut() {
-        (asked.valid_until, asked.retry) = (root.now.after(ms(left)), retry);
+    if let Some(Event::QueryReceived(asked)) = events.first_mut() {
+        (asked.valid_until, asked.is_retry) = (root.now.after(ms(left)), retry);
     }
     root.turn(events);
     let sent = root.sent.last().filter(|sent| sent.at == root.now).copied();
     assert_eq!(sent.is_none(), refused(root, query));
     root.pass(100);
     if let Some(sent) = sent {
-        root.turn(vec![root.end(sent, Outcome::Done, None)]);
+        root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, None)]);
     }
     sent.is_some()
 }
@@ -32,10 +32,10 @@
     let start = Time(1_000_000 * MS);
     let mut sent: Vec<Time> = Vec::new();
     for seed in 0..roots {
-        let settings = Settings { seed, roots: roots as u32, may_probe: false, ..settings() };
+        let settings = Settings { seed, fleet_size: roots as u32, may_health_check: false, ..settings() };
         let mut root = Root::new(settings, &[]);
-        let news = [entry(1, Status::Active, Some(start))];
-        root.turn(vec![Event::Membership(Membership::Full(news[..].into()))]);
+        let news = [entry(1, EndpointStatus::Active, Some(start))];
+        root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(news[..].into()))]);
         root.pass(10 * (seed % 50));
         // Retries and queries alike: each root has a part for the leaf twice a second.
         while root.now < start.after(ms(10_000)) {
@@ -43,7 +43,7 @@
             root.pass(150);
             let out: Vec<Sent> =
                 root.sent.iter().copied().filter(|one| one.at.after(ms(150)) == root.now).collect();
-            root.turn(out.iter().map(|one| root.end(*one, Outcome::Done, None)).collect());
+            root.turn(out.iter().map(|one| root.end(*one, AttemptOutcome::Succeeded, None)).collect());
             root.pass(350);
         }
         sent.extend(root.sent.iter().map(|one| one.at));
@@ -62,13 +62,13 @@
 
 #[test]
 fn a_root_that_stood_still_does_not_blame_its_leaves() {
-    let settings = Settings { may_probe: false, ..settings() };
+    let settings = Settings { may_health_check: false, ..settings() };
     let mut root = Root::new(settings, &[1]);
     for _ in 0..20 {
         root.ask(Some("k"), &[0]);
         let sent = root.last();
         root.now = root.now.after(ms(1300));
-        root.turn(vec![root.end(sent, Outcome::Done, None)]);
+        root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, None)]);
     }
     let before = root.sent.len();
     root.ask(Some("k"), &[0, 1, 2, 3]);
@@ -78,7 +78,7 @@
 #[test]
 fn a_repeat_past_its_first_aim_is_refused_at_once() {
     // najdeno-ljubljana grown, big-2: such repeats were half of all tries.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..5 {
         assert!(admitted(&mut root, 4000, false));
     }
@@ -89,7 +89,7 @@
 #[test]
 fn little_patience_is_not_taken_for_a_repeat() {
     // Incident idf13d3: clients that wait half a second, at a site that marks no repeats.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..5 {
         assert!(admitted(&mut root, 4000, false));
     }
@@ -100,15 +100,16 @@
 #[test]
 fn copies_beside_sound_leaves_keep_within_a_share_of_the_requests() {
     // najdeno-ljubljana grown: ten free attempts in 2 s at each of 79 roots were as much work as was asked for.
-    let budget = Some(Budget { free: 100.0, ratio: 1.0, window: ms(10_000) });
-    let mut root = Root::new(Settings { may_probe: false, budget, ..settings() }, &[1, 2, 3]);
+    let budget = Some(RetryBudget { free_attempts: 100.0, ratio: 1.0, window: ms(10_000) });
+    let mut root =
+        Root::new(Settings { may_health_check: false, retry_budget: budget, ..settings() }, &[1, 2, 3]);
     root.ask(Some("k"), &[0, 1, 2, 3, 4, 5, 6, 7]);
     let first = root.sent.clone();
     root.pass(200);
     // Each leaf that has parts answers one of them now, so its others are late and it is sound.
-    for leaf in [1, 2, 3].map(LeafId) {
+    for leaf in [1, 2, 3].map(WorkerId) {
         if let Some(sent) = first.iter().find(|sent| sent.leaf == leaf) {
-            root.turn(vec![root.end(*sent, Outcome::Done, None)]);
+            root.turn(vec![root.end(*sent, AttemptOutcome::Succeeded, None)]);
         }
     }
     root.pass(1100);
@@ -118,12 +119,13 @@
 
 #[test]
 fn a_query_meets_no_more_than_two_suspects() {
-    let settings = Settings { cells: 8, span: 2, shards: 8, may_probe: false, ..settings() };
+    let settings =
+        Settings { cells: 8, cells_per_shard: 2, shards: 8, may_health_check: false, ..settings() };
     let mut root = Root::new(settings, &[]);
-    let cell = |leaf: u32| Entry { cell: CellId(leaf), ..entry(leaf, Status::Active, None) };
-    let news: Vec<Entry> = (0..8).map(cell).collect();
-    root.turn(vec![Event::Membership(Membership::Full(news.into()))]);
-    let suspects: Vec<LeafId> = [0, 2, 4, 6].map(LeafId).into();
+    let cell = |leaf: u32| Endpoint { cell: CellId(leaf), ..entry(leaf, EndpointStatus::Active, None) };
+    let news: Vec<Endpoint> = (0..8).map(cell).collect();
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(news.into()))]);
+    let suspects: Vec<WorkerId> = [0, 2, 4, 6].map(WorkerId).into();
     for round in 0..20 {
         root.ask(Some(&format!("k{round}")), &[0, 1, 2, 3, 4, 5, 6, 7]);
         let tried =
@@ -134,7 +136,9 @@
             let out: Vec<Sent> = root.sent.iter().copied().filter(|sent| sent.at == root.now).collect();
             root.pass(100);
             let bad = |sent: &Sent| suspects.contains(&sent.leaf);
-            let outcome = |sent: &Sent| if bad(sent) { Outcome::Refused } else { Outcome::Done };
+            let outcome = |sent: &Sent| {
+                if bad(sent) { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded }
+            };
             root.turn(out.iter().map(|sent| root.end(*sent, outcome(sent), Some(1.0))).collect());
         }
         root.pass(10_000);
@@ -144,17 +148,18 @@
 #[test]
 fn a_leaf_that_loses_most_attempts_is_left_alone_though_it_answers_some() {
     // ahmedabad-orders grown: a path that lost most attempts was cleared by each answer.
-    let mut root = Root::new(Settings { may_probe: false, second_copies: false, ..settings() }, &[1, 2]);
+    let mut root =
+        Root::new(Settings { may_health_check: false, hedging_allowed: false, ..settings() }, &[1, 2]);
     root.ask(Some("k"), &[0]);
     let (home, mut lossy) = (root.last().leaf, Vec::new());
     let mut sent = root.last();
     for round in 0..30 {
         if sent.leaf == home && round % 4 != 3 {
             root.pass(1500);
-            root.turn(vec![root.end(sent, Outcome::TimedOut, None)]);
+            root.turn(vec![root.end(sent, AttemptOutcome::TimedOut, None)]);
         } else {
             root.pass(100);
-            root.turn(vec![root.end(sent, Outcome::Done, None)]);
+            root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, None)]);
         }
         root.pass(300);
         root.ask(Some("k"), &[0]);
@@ -167,12 +172,12 @@
 
 #[test]
 fn a_part_that_breaks_two_connections_ends_its_query() {
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2, 3]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3]);
     let (query, _) = root.ask(Some("k"), &[0]);
     for _ in 0..2 {
         let sent = root.last();
         root.pass(10);
-        root.turn(vec![root.end(sent, Outcome::Reset, None)]);
+        root.turn(vec![root.end(sent, AttemptOutcome::ConnectionReset, None)]);
     }
     assert!(refused(&root, query));
     root.pass(1500);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -35,7 +35,8 @@
 
 #[test]
 fn each_rule_of_sending_holds_back_what_breaks_it() {
-    let (search, seal, stamp) = (class(Effect::Repeatable), class(Effect::Once), class(Effect::ByKey));
+    let (search, seal, stamp) =
+        (class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(Idempotency::Keyed));
     let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
     let permit = sound(&search).permit(ms(900)).expect("sound");
     assert_eq!(permit.deadline(), NOW.after(ms(500)), "never longer than the client waits");
@@ -60,11 +61,11 @@
 
 #[test]
 fn each_rule_of_ending_holds_back_what_breaks_it() {
-    let half = Class { min_share: 0.5, ..class(Effect::Repeatable) };
+    let half = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
     assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::AnsweredAboveFloor));
     assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::MarkedWholeTruly));
     assert_eq!((check_answer(&half, 0.5, false), check_answer(&half, 0.99995, true)), (Ok(()), Ok(())));
-    let seal = class(Effect::Once);
+    let seal = class(Idempotency::NonIdempotent);
     assert_eq!(check_refusal(&seal, true), Err(Invariant::RefusedUnrun));
     assert_eq!((check_refusal(&seal, false), check_refusal(&half, true)), (Ok(()), Ok(())));
 }
--- a/tests/odd_orders.rs
+++ b/tests/odd_orders.rs
@@ -6,22 +6,23 @@
 use gatherer::policy::*;
 use std::collections::BTreeMap;
 
-fn play(seed: u64, effect: Effect) {
+fn play(seed: u64, effect: Idempotency) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let budget = Budget { free: 3.0, ratio: 0.1, window: ms(2000) };
-    let partial = Class { min_share: 0.6, ..class(effect) };
-    let settings = Settings { seed, roots: 2, classes: vec![partial], budget: Some(budget), ..settings() };
+    let budget = RetryBudget { free_attempts: 3.0, ratio: 0.1, window: ms(2000) };
+    let partial = Class { min_coverage: 0.6, ..class(effect) };
+    let settings =
+        Settings { seed, fleet_size: 2, classes: vec![partial], retry_budget: Some(budget), ..settings() };
     let mut root = Root::new(settings, &[1, 2, 3, 4]);
     let mut open: BTreeMap<RequestId, (Time, Vec<RequestId>)> = BTreeMap::new();
     let mut out: Vec<Sent> = Vec::new();
     let mut done: Vec<RequestId> = Vec::new();
     let mut may_have_run: BTreeMap<RequestId, Time> = BTreeMap::new();
-    let mut drained: BTreeMap<LeafId, Time> = BTreeMap::new();
+    let mut drained: BTreeMap<WorkerId, Time> = BTreeMap::new();
     let mut taken: Vec<Time> = Vec::new();
     let mut further: Vec<Time> = Vec::new();
     for step in 0..3000 {
         root.now = root.now.after(ms(random.u64(1..20)));
-        let mut events = vec![Event::Due { handle: Handle(0) }];
+        let mut events = vec![Event::TimerFired { timer: TimerId(0) }];
         if step < 2500 && random.u8(0..4) == 0 {
             let (id, parts, new) = root.query(Some(&format!("k{}", random.u8(0..9))), &[0, 1, 2]);
             events.extend(new);
@@ -36,17 +37,17 @@
                 continue;
             }
             let outcome = match random.u8(0..10) {
-                _ if over => Outcome::TimedOut,
-                0 => Outcome::Error,
-                1 => Outcome::Busy,
-                2 => Outcome::Refused,
-                3 => Outcome::Reset,
-                _ => Outcome::Done,
+                _ if over => AttemptOutcome::TimedOut,
+                0 => AttemptOutcome::Failed,
+                1 => AttemptOutcome::Rejected,
+                2 => AttemptOutcome::ConnectFailed,
+                3 => AttemptOutcome::ConnectionReset,
+                _ => AttemptOutcome::Succeeded,
             };
-            if !matches!(outcome, Outcome::Busy | Outcome::Refused) {
+            if !matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed) {
                 may_have_run.entry(sent.id).or_insert(sent.at);
             }
-            if outcome == Outcome::Done {
+            if outcome == AttemptOutcome::Succeeded {
                 done.push(sent.id);
             }
             events.push(root.end(sent, outcome, Some(f64::from(random.u8(0..200)) / 100.0)));
@@ -54,13 +55,17 @@
         out = still;
         if random.u16(0..400) == 0 {
             let leaf = random.u32(1..5);
-            let status = if drained.contains_key(&LeafId(leaf)) { Status::Active } else { Status::Draining };
+            let status = if drained.contains_key(&WorkerId(leaf)) {
+                EndpointStatus::Active
+            } else {
+                EndpointStatus::Draining
+            };
             match status {
-                Status::Active => drained.remove(&LeafId(leaf)),
-                _ => drained.insert(LeafId(leaf), root.now),
+                EndpointStatus::Active => drained.remove(&WorkerId(leaf)),
+                _ => drained.insert(WorkerId(leaf), root.now),
             };
             let news = vec![entry(leaf, status, None)].into();
-            events.push(Event::Membership(Membership::Delta(news)));
+            events.push(Event::EndpointUpdate(EndpointUpdate::Delta(news)));
         }
         let before = root.sent.len();
         root.turn(events);
@@ -71,9 +76,9 @@
             let earlier = out.iter().filter(|other| other.id == sent.id).map(|other| other.at).min();
             let risk = may_have_run.get(&sent.id).copied().into_iter().chain(earlier).min();
             match effect {
-                Effect::Repeatable => {}
-                Effect::ByKey => assert!(risk.is_none_or(|at| root.now.since(at) <= ms(1000))),
-                Effect::Once => assert!(risk.is_none(), "seed {seed}: effect may happen twice"),
+                Idempotency::Idempotent => {}
+                Idempotency::Keyed => assert!(risk.is_none_or(|at| root.now.since(at) <= ms(1000))),
+                Idempotency::NonIdempotent => assert!(risk.is_none(), "seed {seed}: effect may happen twice"),
             }
             if sent.attempt.0 > 0 {
                 further.push(root.now);
@@ -85,8 +90,8 @@
         }
         for action in root.actions.clone() {
             let (id, whole) = match action {
-                Action::Answer { id, whole } => (id, Some(whole)),
-                Action::Refuse { id, .. } | Action::Fail { id } => (id, None),
+                Action::Respond { id, complete: whole } => (id, Some(whole)),
+                Action::Reject { id, .. } | Action::Fail { id } => (id, None),
                 _ => continue,
             };
             let (_, parts) = open.remove(&id).expect("one final answer for each query");
@@ -97,7 +102,7 @@
             let risky = parts
                 .iter()
                 .any(|part| may_have_run.contains_key(part) || out.iter().any(|other| other.id == *part));
-            if matches!(action, Action::Refuse { .. }) && effect == Effect::Once {
+            if matches!(action, Action::Reject { .. }) && effect == Idempotency::NonIdempotent {
                 assert!(!risky, "seed {seed}: refused though it may have run");
             }
         }
@@ -110,8 +115,8 @@
 #[test]
 fn the_rules_hold_in_odd_orders() {
     for seed in 0..12 {
-        play(seed, Effect::Repeatable);
-        play(seed, Effect::ByKey);
-        play(seed, Effect::Once);
+        play(seed, Idempotency::Idempotent);
+        play(seed, Idempotency::Keyed);
+        play(seed, Idempotency::NonIdempotent);
     }
 }
