--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,14 +7,14 @@
 
 fn answered(root: &Root, id: RequestId) -> Option<bool> {
     root.actions.iter().find_map(|action| match action {
-        Action::Answer { id: of, whole } if *of == id => Some(*whole),
+        Action::Respond { id: of, complete: whole } if *of == id => Some(*whole),
         _ => None,
     })
 }
 
 fn ended(root: &Root, id: RequestId) -> bool {
     root.actions.iter().any(|action| match action {
-        Action::Answer { id: of, .. } | Action::Refuse { id: of, .. } | Action::Fail { id: of } => *of == id,
+        Action::Respond { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of } => *of == id,
         _ => false,
     })
 }
@@ -26,7 +26,7 @@
         let mut root = Root::new(settings(), &[3, 5, 9]);
         root.ask(Some("account-17"), &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, None)]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, None)]);
         root.ask(Some("account-17"), &[4]);
         homes.push(root.sent.iter().map(|sent| sent.leaf).collect::<Vec<_>>());
     }
@@ -40,9 +40,9 @@
     let (query, _) = root.ask(Some("k"), &[0, 1]);
     let sent = root.sent.clone();
     root.now = root.now.after(ms(100));
-    root.turn(vec![root.end(sent[0], Outcome::Done, None)]);
+    root.turn(vec![root.end(sent[0], AttemptOutcome::Succeeded, None)]);
     assert_eq!(answered(&root, query), None);
-    root.turn(vec![root.end(sent[1], Outcome::Done, None)]);
+    root.turn(vec![root.end(sent[1], AttemptOutcome::Succeeded, None)]);
     assert_eq!(answered(&root, query), Some(true));
 }
 
@@ -54,15 +54,15 @@
         let mut root = Root::new(Settings { shards: parts, ..settings() }, &[1, 2, 3]);
         let (query, _, mut events) = root.query(Some("k"), &shards);
         for event in &mut events {
-            if let Event::Part(part) = event {
+            if let Event::PartReceived(part) = event {
                 part.weight = (1e6 / f64::from(parts)).round() / 1e6;
-                part.hint = Some(ms(1));
+                part.cost_hint = Some(ms(1));
             }
         }
         root.turn(events);
         let (last, others) = root.sent.split_last().expect("it is taken");
-        let (last, done) = (root.end(*last, Outcome::Done, None), others.iter());
-        let others = done.map(|sent| root.end(*sent, Outcome::Done, None)).collect();
+        let (last, done) = (root.end(*last, AttemptOutcome::Succeeded, None), others.iter());
+        let others = done.map(|sent| root.end(*sent, AttemptOutcome::Succeeded, None)).collect();
         root.turn(others);
         assert_eq!(answered(&root, query), None, "{parts} parts, one of them out");
         root.turn(vec![last]);
@@ -95,23 +95,35 @@
 fn unknown_ids_are_skipped() {
     let mut root = Root::new(settings(), &[1]);
     let stray =
-        Sent { id: RequestId(99), attempt: AttemptNo(4), leaf: LeafId(77), at: root.now, timeout: ms(1) };
-    let end = root.end(stray, Outcome::Done, Some(f64::NAN));
-    let probe = Event::Probed { leaf: LeafId(77), outcome: Outcome::Done, elapsed: ms(1), report: None };
+        Sent { id: RequestId(99), attempt: AttemptNo(4), leaf: WorkerId(77), at: root.now, timeout: ms(1) };
+    let end = root.end(stray, AttemptOutcome::Succeeded, Some(f64::NAN));
+    let probe = Event::HealthCheckFinished {
+        worker: WorkerId(77),
+        outcome: AttemptOutcome::Succeeded,
+        elapsed: ms(1),
+        load_report: None,
+    };
     root.turn(vec![
         end,
         probe,
-        Event::ClientLeft { id: RequestId(99) },
-        Event::Due { handle: Handle(9) },
-        Event::Streaming { id: RequestId(99), attempt: AttemptNo(0) },
+        Event::ClientDisconnected { id: RequestId(99) },
+        Event::TimerFired { timer: TimerId(9) },
+        Event::StreamingStarted { id: RequestId(99), attempt: AttemptNo(0) },
     ]);
     assert!(root.sent.is_empty());
 }
 
 #[test]
 fn a_part_that_may_have_run_once_is_not_resent_and_its_query_not_refused() {
-    for (outcome, resent) in [(Outcome::Reset, false), (Outcome::Busy, true), (Outcome::Refused, true)] {
-        let mut root = Root::new(Settings { classes: vec![class(Effect::Once)], ..settings() }, &[1, 2, 3]);
+    for (outcome, resent) in [
+        (AttemptOutcome::ConnectionReset, false),
+        (AttemptOutcome::Rejected, true),
+        (AttemptOutcome::ConnectFailed, true),
+    ] {
+        let mut root = Root::new(
+            Settings { classes: vec![class(Idempotency::NonIdempotent)], ..settings() },
+            &[1, 2, 3],
+        );
         let (query, _) = root.ask(Some("k"), &[0]);
         let first = root.last();
         root.now = root.now.after(ms(5));
@@ -120,7 +132,7 @@
         let mut refused = false;
         for _ in 0..500 {
             root.pass(10);
-            refused |= root.actions.contains(&Action::Refuse { id: query, pause: None });
+            refused |= root.actions.contains(&Action::Reject { id: query, retry_after: None });
         }
         assert!(!refused, "{outcome:?}: an attempt is out or may have run");
     }
@@ -130,13 +142,13 @@
 fn a_keyed_effect_is_resent_inside_its_window_only() {
     for (after, resent) in [(500, true), (1100, false)] {
         let mut root = Root::new(
-            Settings { classes: vec![class(Effect::ByKey)], second_copies: false, ..settings() },
+            Settings { classes: vec![class(Idempotency::Keyed)], hedging_allowed: false, ..settings() },
             &[1, 2, 3],
         );
         root.ask(Some("k"), &[0]);
         let first = root.last();
         root.now = root.now.after(ms(after));
-        root.turn(vec![root.end(first, Outcome::Reset, None)]);
+        root.turn(vec![root.end(first, AttemptOutcome::ConnectionReset, None)]);
         assert_eq!(root.sent.len() > 1, resent, "after {after} ms");
     }
 }
@@ -144,84 +156,84 @@
 #[test]
 fn a_draining_leaf_gets_nothing_new() {
     let mut root = Root::new(settings(), &[1, 2]);
-    let news = vec![entry(1, Status::Draining, None)].into();
-    root.turn(vec![Event::Membership(Membership::Delta(news))]);
+    let news = vec![entry(1, EndpointStatus::Draining, None)].into();
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news))]);
     for key in 0..20 {
         root.ask(Some(&format!("k{key}")), &[0]);
     }
     assert!(root.sent.len() > 5);
-    assert!(root.sent.iter().all(|sent| sent.leaf == LeafId(2)));
+    assert!(root.sent.iter().all(|sent| sent.leaf == WorkerId(2)));
 }
 
 #[test]
 fn a_leaf_missing_from_a_full_list_is_gone() {
     let mut root = Root::new(settings(), &[1, 2]);
-    root.turn(vec![Event::Membership(Membership::Full(list(&[2])))]);
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(&[2])))]);
     for key in 0..10 {
         root.ask(Some(&format!("k{key}")), &[0]);
     }
-    assert!(root.sent.iter().all(|sent| sent.leaf == LeafId(2)));
+    assert!(root.sent.iter().all(|sent| sent.leaf == WorkerId(2)));
 }
 
 #[test]
 fn a_cold_leaf_stays_within_this_roots_share_even_when_all_are_cold() {
-    let mut root = Root::new(Settings { roots: 2, ..settings() }, &[]);
+    let mut root = Root::new(Settings { fleet_size: 2, ..settings() }, &[]);
     let since = Some(root.now);
-    let news: Vec<Entry> = [1, 2].iter().map(|leaf| entry(*leaf, Status::Active, since)).collect();
-    root.turn(vec![Event::Membership(Membership::Full(news.into()))]);
+    let news: Vec<Endpoint> = [1, 2].iter().map(|leaf| entry(*leaf, EndpointStatus::Active, since)).collect();
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(news.into()))]);
     for key in 0..40 {
         root.ask(Some(&format!("k{key}")), &[0]);
         root.pass(20);
     }
     for leaf in [1, 2] {
         // The push allowed in a second to one core at 0.2 to 0.3 of its capacity, halved among two roots.
-        let work = root.sent.iter().filter(|sent| sent.leaf == LeafId(leaf)).count() as f64 * 0.1;
+        let work = root.sent.iter().filter(|sent| sent.leaf == WorkerId(leaf)).count() as f64 * 0.1;
         assert!(work <= 2.0 * 0.3 / 2.0 + 1e-9, "leaf {leaf} was sent {work} s of work");
     }
 }
 
 #[test]
 fn further_attempts_keep_within_the_budget() {
-    let budget = Budget { free: 2.0, ratio: 0.05, window: ms(10_000) };
-    let mut root = Root::new(Settings { budget: Some(budget), ..settings() }, &[1, 2, 3, 4]);
+    let budget = RetryBudget { free_attempts: 2.0, ratio: 0.05, window: ms(10_000) };
+    let mut root = Root::new(Settings { retry_budget: Some(budget), ..settings() }, &[1, 2, 3, 4]);
     let mut taken = 0.0;
     for key in 0..30 {
         root.ask(Some(&format!("k{key}")), &[0]);
         taken += 2.0;
         let out: Vec<Sent> = root.sent.iter().copied().filter(|sent| sent.at == root.now).collect();
         root.now = root.now.after(ms(5));
-        let events = out.iter().map(|sent| root.end(*sent, Outcome::Error, None)).collect();
+        let events = out.iter().map(|sent| root.end(*sent, AttemptOutcome::Failed, None)).collect();
         root.turn(events);
         let further = root.sent.iter().filter(|sent| sent.attempt.0 > 0).count() as f64;
-        assert!(further <= budget.free + budget.ratio * taken, "{further} after {taken} requests");
+        assert!(further <= budget.free_attempts + budget.ratio * taken, "{further} after {taken} requests");
     }
     assert!(root.sent.iter().any(|sent| sent.attempt.0 > 0));
 }
 
 #[test]
 fn a_skipped_attempt_gives_its_place_in_the_budget_back() {
-    let budget = Budget { free: 1.0, ratio: 0.0, window: ms(10_000) };
-    let mut root = Root::new(Settings { budget: Some(budget), ..settings() }, &[1, 2, 3, 4]);
+    let budget = RetryBudget { free_attempts: 1.0, ratio: 0.0, window: ms(10_000) };
+    let mut root = Root::new(Settings { retry_budget: Some(budget), ..settings() }, &[1, 2, 3, 4]);
     root.ask(Some("k"), &[0]);
     root.now = root.now.after(ms(5));
-    root.turn(vec![root.end(root.last(), Outcome::Error, None)]);
+    root.turn(vec![root.end(root.last(), AttemptOutcome::Failed, None)]);
     assert_eq!(root.sent.len(), 2);
     root.now = root.now.after(ms(5));
-    root.turn(vec![root.end(root.last(), Outcome::Skipped, None)]);
+    root.turn(vec![root.end(root.last(), AttemptOutcome::NotSent, None)]);
     assert_eq!(root.sent.len(), 3, "the skipped one is not counted");
     root.now = root.now.after(ms(5));
-    root.turn(vec![root.end(root.last(), Outcome::Error, None)]);
+    root.turn(vec![root.end(root.last(), AttemptOutcome::Failed, None)]);
     assert_eq!(root.sent.len(), 3, "the budget is spent");
 }
 
 #[test]
 fn a_partial_answer_comes_just_before_the_aim_and_is_not_called_whole() {
-    let partial = Class { min_share: 0.5, ..class(Effect::Repeatable) };
+    let partial = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
     let mut root = Root::new(Settings { classes: vec![partial], ..settings() }, &[1, 2, 3]);
     let (query, parts) = root.ask(Some("k"), &[0, 1]);
     let first = root.sent.iter().copied().find(|sent| sent.id == parts[0]).expect("sent");
     root.now = root.now.after(ms(100));
-    root.turn(vec![root.end(first, Outcome::Done, None)]);
+    root.turn(vec![root.end(first, AttemptOutcome::Succeeded, None)]);
     assert_eq!(answered(&root, query), None, "waiting still earns more");
     let mut at = None;
     for _ in 0..150 {
@@ -238,41 +250,50 @@
 
 #[test]
 fn a_second_step_waits_for_all_its_parts() {
-    let two_steps = Class { follow_up: 1, ..class(Effect::Repeatable) };
+    let two_steps = Class { second_step_parts: 1, ..class(Idempotency::Idempotent) };
     let mut root = Root::new(Settings { classes: vec![two_steps], ..settings() }, &[1, 2, 3]);
     let (query, _) = root.ask(Some("k"), &[0]);
     let first = root.last();
     root.now = root.now.after(ms(100));
-    root.turn(vec![root.end(first, Outcome::Done, None)]);
+    root.turn(vec![root.end(first, AttemptOutcome::Succeeded, None)]);
     assert_eq!(answered(&root, query), Some(true));
-    let part =
-        NewPart { id: RequestId(500), key: None, hint: None, job: JobId(1), shard: ShardId(0), weight: 1.0 };
-    root.turn(vec![Event::Part(part)]);
+    let part = NewPart {
+        id: RequestId(500),
+        key: None,
+        cost_hint: None,
+        job: JobId(1),
+        shard: ShardId(0),
+        weight: 1.0,
+    };
+    root.turn(vec![Event::PartReceived(part)]);
     assert_eq!(root.last().id, RequestId(500));
     assert_eq!(answered(&root, query), None);
     let second = root.last();
     root.now = root.now.after(ms(100));
-    root.turn(vec![root.end(second, Outcome::Done, None)]);
+    root.turn(vec![root.end(second, AttemptOutcome::Succeeded, None)]);
     assert_eq!(answered(&root, query), Some(true));
 }
 
 #[test]
 fn asked_discovery_subscribes_at_start_and_again_after_a_failure() {
-    let mut root = Root::new(Settings { ask_discovery: true, ..settings() }, &[1]);
-    assert!(root.actions.contains(&Action::Watch));
-    root.turn(vec![Event::Membership(Membership::Failed)]);
-    assert!(!root.actions.contains(&Action::Watch), "not at once: the list's server may be swamped");
+    let mut root = Root::new(Settings { poll_discovery: true, ..settings() }, &[1]);
+    assert!(root.actions.contains(&Action::SubscribeToEndpoints));
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
+    assert!(
+        !root.actions.contains(&Action::SubscribeToEndpoints),
+        "not at once: the list's server may be swamped"
+    );
     let mut again = 0;
     for _ in 0..200 {
         root.pass(10);
-        again += root.actions.iter().filter(|action| **action == Action::Watch).count();
+        again += root.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count();
     }
     assert_eq!(again, 1);
 }
 
 /// Drives leaf 1 silent while the others answer after 100 ms; returns the sends of the last second.
 fn with_silent(silent: &[u32], leaves: &[u32]) -> Vec<Sent> {
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, leaves);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, leaves);
     let start = root.now;
     for step in 0..400u64 {
         root.now = start.after(ms(10 * step));
@@ -283,7 +304,7 @@
             .filter(|sent| !silent.contains(&sent.leaf.0) && root.now.since(sent.at) == ms(100))
             .collect();
         let mut events: Vec<Event> =
-            due.iter().map(|sent| root.end(*sent, Outcome::Done, Some(0.5))).collect();
+            due.iter().map(|sent| root.end(*sent, AttemptOutcome::Succeeded, Some(0.5))).collect();
         if step % 5 == 0 {
             events.extend(root.query(Some(&format!("k{step}")), &[0]).2);
         }
@@ -295,7 +316,7 @@
 #[test]
 fn a_silent_leaf_is_left_alone_but_for_trials() {
     let sends = with_silent(&[1], &[1, 2, 3]);
-    let silent = sends.iter().filter(|sent| sent.leaf == LeafId(1)).count();
+    let silent = sends.iter().filter(|sent| sent.leaf == WorkerId(1)).count();
     assert!(silent <= 2, "{silent} of {} sends to a silent leaf", sends.len());
 }
 
@@ -310,15 +331,15 @@
 #[test]
 fn a_failed_connection_alone_does_not_make_a_leaf_cold() {
     // At full size a verdict of cold shuts a leaf for most of a warm-up, so only the list gives it.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1]);
     root.ask(Some("k"), &[0]);
     let first = root.last();
-    root.turn(vec![root.end(first, Outcome::Refused, None)]);
+    root.turn(vec![root.end(first, AttemptOutcome::ConnectFailed, None)]);
     root.pass(1100);
     root.ask(Some("k"), &[0]);
     let second = root.last();
     root.pass(100);
-    root.turn(vec![root.end(second, Outcome::Done, None)]);
+    root.turn(vec![root.end(second, AttemptOutcome::Succeeded, None)]);
     let before = root.sent.len();
     for key in 0..4 {
         root.ask(Some(&format!("k{key}")), &[0]);
@@ -329,12 +350,12 @@
 #[test]
 fn one_short_pause_does_not_turn_deep_queues_away() {
     // Quiet days of the first version: a mean of ratios took one pause for a leaf ten times slower.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for round in 0..10 {
         root.ask(Some("k"), &[0]);
         let sent = root.last();
         root.pass(if round == 9 { 400 } else { 100 });
-        root.turn(vec![root.end(sent, Outcome::Done, None)]);
+        root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, None)]);
     }
     let before = root.sent.len();
     root.ask(Some("k"), &[0, 1, 2, 3, 4, 5, 6]);
@@ -344,9 +365,9 @@
 #[test]
 fn a_late_part_gets_its_copy_while_a_fresh_answer_still_fits() {
     // Incident idf13d3: tries that live 400 ms never wait for four deviations.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2, 3]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3]);
     let (_, _, mut events) = root.query(Some("k"), &[0]);
-    if let Some(Event::Query(query)) = events.first_mut() {
+    if let Some(Event::QueryReceived(query)) = events.first_mut() {
         query.valid_until = root.now.after(ms(400));
     }
     root.turn(events);
@@ -358,13 +379,15 @@
 #[test]
 fn guesses_from_a_bad_spell_do_not_refuse_for_good() {
     // Incident i8d1b18: with all queries refused nothing answers, and frozen guesses refuse the next ones too.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..30 {
         root.ask(Some("k"), &[0]);
         let before = root.sent.len();
         let start = root.now;
         root.pass(1400);
-        let outcome = |sent: &Sent| if sent.at == start { Outcome::Done } else { Outcome::Cancelled };
+        let outcome = |sent: &Sent| {
+            if sent.at == start { AttemptOutcome::Succeeded } else { AttemptOutcome::Cancelled }
+        };
         let out = &root.sent[before.saturating_sub(1)..];
         root.turn(out.iter().map(|sent| root.end(*sent, outcome(sent), None)).collect());
     }
@@ -377,10 +400,10 @@
 fn attempts_lost_make_admission_stricter() {
     // Incident i20f1d2: where partial answers count, queues ran full and half of all attempts were turned away.
     let mut admitted = Vec::new();
-    for outcome in [Outcome::Done, Outcome::Busy] {
-        let partial = Class { min_share: 0.5, ..class(Effect::Repeatable) };
+    for outcome in [AttemptOutcome::Succeeded, AttemptOutcome::Rejected] {
+        let partial = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
         let settings =
-            Settings { classes: vec![partial], may_probe: false, most_attempts: Some(1), ..settings() };
+            Settings { classes: vec![partial], may_health_check: false, max_attempts: Some(1), ..settings() };
         let mut root = Root::new(settings, &[1]);
         for _ in 0..120 {
             let before = root.sent.len();
@@ -393,7 +416,7 @@
         root.pass(2000);
         root.ask(Some("k"), &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, None)]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, None)]);
         let before = root.sent.len();
         for _ in 0..30 {
             root.ask(Some("k"), &[0]);
@@ -409,7 +432,7 @@
     let mut root = Root::new(settings(), &[1, 2, 3]);
     root.ask(Some("k"), &[0, 1, 2, 3, 4, 5]);
     for leaf in [1, 2, 3] {
-        let parts = root.sent.iter().filter(|sent| sent.leaf == LeafId(leaf)).count();
+        let parts = root.sent.iter().filter(|sent| sent.leaf == WorkerId(leaf)).count();
         assert!((1..=3).contains(&parts), "leaf {leaf} got {parts} of 6 parts");
     }
 }
@@ -417,23 +440,23 @@
 #[test]
 fn parts_stay_in_their_zone_where_crossing_is_dear() {
     let mut root = Root::new(Settings { cross_zone_price: 0.04, waste_price: 0.03, ..settings() }, &[]);
-    let news: Vec<Entry> = [1, 2]
+    let news: Vec<Endpoint> = [1, 2]
         .iter()
-        .map(|leaf| Entry { zone: ZoneId(leaf - 1), ..entry(*leaf, Status::Active, None) })
+        .map(|leaf| Endpoint { zone: ZoneId(leaf - 1), ..entry(*leaf, EndpointStatus::Active, None) })
         .collect();
-    root.turn(vec![Event::Membership(Membership::Full(news.into()))]);
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(news.into()))]);
     for key in 0..10 {
         root.ask(Some(&format!("k{key}")), &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, None)]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, None)]);
     }
-    assert!(root.sent.iter().all(|sent| sent.leaf == LeafId(1)));
+    assert!(root.sent.iter().all(|sent| sent.leaf == WorkerId(1)));
 }
 
 #[test]
 fn a_query_expected_only_at_the_edge_of_its_aim_is_refused_at_once() {
     // Incidents i474707 and iff9891: queries admitted at the edge lose all their parts' work.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1]);
     let mut refused = 0;
     for _ in 0..20 {
         let (query, _) = root.ask(Some("k"), &[0]);
@@ -453,14 +476,14 @@
         let sent = root.last();
         root.pass(100);
         let busy = if sent.leaf == home { 1.0 } else { 0.0 };
-        let other = if home == LeafId(1) { LeafId(2) } else { LeafId(1) };
-        let probe = Event::Probed {
-            leaf: other,
-            outcome: Outcome::Done,
+        let other = if home == WorkerId(1) { WorkerId(2) } else { WorkerId(1) };
+        let probe = Event::HealthCheckFinished {
+            worker: other,
+            outcome: AttemptOutcome::Succeeded,
             elapsed: ms(1),
-            report: Some(vec![Some(0.0)]),
+            load_report: Some(vec![Some(0.0)]),
         };
-        root.turn(vec![root.end(sent, Outcome::Done, Some(busy)), probe]);
+        root.turn(vec![root.end(sent, AttemptOutcome::Succeeded, Some(busy)), probe]);
         root.ask(Some("hot"), &[0]);
         moved |= root.last().leaf != home;
     }
@@ -470,10 +493,11 @@
 #[test]
 fn a_query_that_cannot_be_served_any_more_ends_at_once() {
     // Such a query was held until its aim: its client waited for nothing, its other parts went on working.
-    let mut root = Root::new(Settings { classes: vec![class(Effect::Once)], ..settings() }, &[1, 2, 3]);
+    let mut root =
+        Root::new(Settings { classes: vec![class(Idempotency::NonIdempotent)], ..settings() }, &[1, 2, 3]);
     let (query, _) = root.ask(Some("k"), &[0, 1]);
     let first = root.sent[0];
-    root.turn(vec![root.end(first, Outcome::Reset, None)]);
+    root.turn(vec![root.end(first, AttemptOutcome::ConnectionReset, None)]);
     assert!(root.actions.contains(&Action::Fail { id: query }), "{:?}", root.actions);
     // The other part is called off, and nothing is sent again.
     assert!(root.actions.iter().any(|action| matches!(action, Action::Cancel { .. })));
@@ -485,13 +509,18 @@
     // On an overloaded day refusals fell on traffic inside and beyond the shares alike.
     let tenants = [Some(1.0), Some(1000.0)].map(|quota_per_s| Tenant { quota_per_s });
     let over_share_worth = Some(0.1);
-    let settings = Settings { tenants: tenants.into(), over_share_worth, may_probe: false, ..settings() };
+    let settings = Settings {
+        tenants: tenants.into(),
+        over_quota_weight: over_share_worth,
+        may_health_check: false,
+        ..settings()
+    };
     let mut root = Root::new(settings, &[1]);
     let mut served = [0, 0];
     for turn in 0..12 {
         let tenant = turn % 2;
         let (query, _, mut events) = root.query(Some("k"), &[0]);
-        if let Some(Event::Query(asked)) = events.first_mut() {
+        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
             asked.tenant = Some(TenantId(tenant));
         }
         root.turn(events);
@@ -505,11 +534,11 @@
 
 /// How many of so many queries at once a root sends to one leaf that reports to be so busy.
 fn admitted_at(busy: f64) -> usize {
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for _ in 0..20 {
         root.ask(Some("k"), &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(busy))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(busy))]);
     }
     let before = root.sent.len();
     (0..30).for_each(|_| drop(root.ask(Some("k"), &[0])));
@@ -526,19 +555,19 @@
 #[test]
 fn a_class_that_a_leaf_loses_is_kept_from_it() {
     // Six of twelve leaves answered every class but the one that runs once: a quarter of its queries failed.
-    let classes = vec![class(Effect::Repeatable), class(Effect::Once)];
-    let settings = Settings { classes, may_probe: false, ..settings() };
+    let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
+    let settings = Settings { classes, may_health_check: false, ..settings() };
     // A key whose home is the first leaf.
     let goes = |key: &String| {
         let mut root = Root::new(settings.clone(), &[1, 2]);
         root.ask(Some(key), &[0]);
         root.last().leaf
     };
-    let key = (0..).map(|at| format!("k{at}")).find(|key| goes(key) == LeafId(1)).expect("a key");
+    let key = (0..).map(|at| format!("k{at}")).find(|key| goes(key) == WorkerId(1)).expect("a key");
     let mut root = Root::new(settings.clone(), &[1]);
     let once = |root: &mut Root| {
         let (_, _, mut events) = root.query(Some(&key), &[0]);
-        if let Some(Event::Query(asked)) = events.first_mut() {
+        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
             asked.class = ClassId(1);
         }
         root.turn(events);
@@ -549,25 +578,26 @@
     for _ in 0..14 {
         root.ask(Some(&key), &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
     }
-    root.turn(vec![root.end(lost, Outcome::TimedOut, None)]);
-    root.turn(vec![Event::Membership(Membership::Full(list(&[1, 2])))]);
+    root.turn(vec![root.end(lost, AttemptOutcome::TimedOut, None)]);
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(&[1, 2])))]);
     root.ask(Some(&key), &[0]);
-    assert_eq!(root.last().leaf, LeafId(1), "what it answers still goes there");
-    assert_eq!(once(&mut root).leaf, LeafId(2), "what it loses does not");
+    assert_eq!(root.last().leaf, WorkerId(1), "what it answers still goes there");
+    assert_eq!(once(&mut root).leaf, WorkerId(2), "what it loses does not");
 }
 
 #[test]
 fn what_runs_once_is_refused_where_every_replica_loses_its_class() {
     // Eight of twelve leaves lost the class that runs once: while its other replica was suspect, parts that run once
     // went to one that had lost six before them.
-    let classes = vec![class(Effect::Repeatable), class(Effect::Once)];
-    let settings = Settings { classes, may_probe: false, longest_pause: Some(ms(500)), ..settings() };
+    let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
+    let settings =
+        Settings { classes, may_health_check: false, max_retry_after: Some(ms(500)), ..settings() };
     let mut root = Root::new(settings, &[1]);
     let once = |root: &mut Root| {
         let (query, _, mut events) = root.query(None, &[0]);
-        if let Some(Event::Query(asked)) = events.first_mut() {
+        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
             asked.class = ClassId(1);
         }
         let before = root.sent.len();
@@ -582,39 +612,43 @@
     for _ in 0..10 {
         root.ask(None, &[0]);
         root.pass(100);
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
     }
     let (query, sent) = once(&mut root);
     assert!(!sent, "it would be lost");
-    let refused = |action: &Action| matches!(action, Action::Refuse { id, .. } if *id == query);
+    let refused = |action: &Action| matches!(action, Action::Reject { id, .. } if *id == query);
     assert!(root.actions.iter().any(refused), "and refused at once, while nothing of it has run");
     root.ask(None, &[0]);
-    assert_eq!(root.last().leaf, LeafId(1), "what may be repeated is served");
+    assert_eq!(root.last().leaf, WorkerId(1), "what may be repeated is served");
     // Another replica that is suspect for broken connections is better than one that loses the class.
-    root.turn(vec![Event::Membership(Membership::Full(list(&[1, 2])))]);
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(&[1, 2])))]);
     let to_two = loop {
         root.ask(None, &[0]);
-        if root.last().leaf == LeafId(2) {
+        if root.last().leaf == WorkerId(2) {
             break root.last();
         }
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
     };
-    root.turn(vec![root.end(to_two, Outcome::Refused, None)]);
+    root.turn(vec![root.end(to_two, AttemptOutcome::ConnectFailed, None)]);
     assert!(once(&mut root).1);
-    assert_eq!(root.last().leaf, LeafId(2));
+    assert_eq!(root.last().leaf, WorkerId(2));
 }
 
 #[test]
 fn one_connection_that_broke_does_not_bar_its_leaf() {
     // Where connections break now and then, most leaves were suspect at any time, and the worst were left to choose.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     root.ask(Some("k"), &[0]);
     let home = root.last().leaf;
-    for (outcome, at_home) in [(Outcome::Done, true), (Outcome::Reset, true), (Outcome::Refused, false)] {
+    for (outcome, at_home) in [
+        (AttemptOutcome::Succeeded, true),
+        (AttemptOutcome::ConnectionReset, true),
+        (AttemptOutcome::ConnectFailed, false),
+    ] {
         root.turn(vec![root.end(root.last(), outcome, Some(0.3))]);
         // A copy of what broke goes to the other leaf.
-        if outcome != Outcome::Done {
-            root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+        if outcome != AttemptOutcome::Succeeded {
+            root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
         }
         root.ask(Some("k"), &[0]);
         assert_eq!(root.last().leaf == home, at_home, "after {outcome:?}");
@@ -624,28 +658,35 @@
 #[test]
 fn errors_alone_make_no_suspect() {
     // zone+vast: two errors barred a replica that fails at once while the other was full. Suspects alone are probed.
-    for (outcome, suspect) in [(Outcome::Error, false), (Outcome::Busy, true)] {
+    for (outcome, suspect) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
         let mut root = Root::new(settings(), &[1]);
         root.ask(Some("k"), &[0]);
         for _ in 0..2 {
             root.turn(vec![root.end(root.last(), outcome, None)]);
         }
-        assert_eq!(root.actions.contains(&Action::Probe { leaf: LeafId(1) }), suspect, "{outcome:?}");
+        assert_eq!(
+            root.actions.contains(&Action::SendHealthCheck { worker: WorkerId(1) }),
+            suspect,
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn what_turned_parts_away_is_tried_sooner_than_what_cannot_be_reached() {
-    for (outcome, strikes, again) in [(Outcome::Busy, 2, true), (Outcome::Refused, 1, false)] {
-        let mut root = Root::new(Settings { may_probe: false, roots: 100, ..settings() }, &[1, 2]);
+    for (outcome, strikes, again) in
+        [(AttemptOutcome::Rejected, 2, true), (AttemptOutcome::ConnectFailed, 1, false)]
+    {
+        let mut root =
+            Root::new(Settings { may_health_check: false, fleet_size: 100, ..settings() }, &[1, 2]);
         root.ask(Some("k"), &[0]);
         let home = root.last().leaf;
         for _ in 0..strikes {
             root.turn(vec![root.end(root.last(), outcome, None)]);
-            root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+            root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
             root.ask(Some("k"), &[0]);
         }
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.3))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.3))]);
         root.pass(1200);
         // A trial goes beside an attempt at the other.
         root.ask(Some("k"), &[0]);
@@ -656,11 +697,11 @@
 
 #[test]
 fn one_late_answer_tells_where_answers_are_rare() {
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for took in [100; 20].into_iter().chain([230]) {
         root.ask(Some("k"), &[0]);
         root.pass(took);
-        root.turn(vec![root.end(root.last(), Outcome::Done, Some(0.5))]);
+        root.turn(vec![root.end(root.last(), AttemptOutcome::Succeeded, Some(0.5))]);
         root.pass(if took == 100 { 1500 } else { 0 });
     }
     let home = root.last().leaf;
@@ -671,14 +712,13 @@
 #[test]
 fn a_root_that_stood_still_takes_no_zone_for_lost() {
     for (step, lost) in [(10, true), (3000, false)] {
-        let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
+        let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
         (0..12).for_each(|key| drop(root.ask(Some(&format!("k{key}")), &[0])));
         let mut told = false;
         for _ in 0..3000 / step {
             root.now = root.now.after(ms(step));
-            root.turn(vec![Event::Due { handle: Handle(0) }]);
-            told |=
-                root.actions.iter().any(|a| matches!(a, Action::Trace { text } if text.contains("zone 0")));
+            root.turn(vec![Event::TimerFired { timer: TimerId(0) }]);
+            told |= root.actions.iter().any(|a| matches!(a, Action::Log { text } if text.contains("zone 0")));
         }
         assert_eq!(told, lost, "in steps of {step} ms");
     }
@@ -687,9 +727,9 @@
 #[test]
 fn a_zone_that_is_back_with_new_processes_is_not_lost_for_what_the_old_ones_missed() {
     // zone+mass: each root called the whole zone lost again 10 ms after the list that named its workers' new starts.
-    let mut root = Root::new(Settings { may_probe: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
+    let mut root = Root::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
     let lost = |root: &Root| {
-        root.actions.iter().any(|a| matches!(a, Action::Trace { text } if text.contains("zone 0: no answer")))
+        root.actions.iter().any(|a| matches!(a, Action::Log { text } if text.contains("zone 0: no answer")))
     };
     let mut told = false;
     (0..12).for_each(|key| drop(root.ask(Some(&format!("k{key}")), &[0])));
@@ -700,21 +740,22 @@
     assert!(told, "nothing in it answers");
     root.pass(1000);
     let since = Some(root.now);
-    let back = (1..=6).map(|leaf| entry(leaf, Status::Active, since)).collect();
-    root.turn(vec![Event::Membership(Membership::Full(back))]);
+    let back = (1..=6).map(|leaf| entry(leaf, EndpointStatus::Active, since)).collect();
+    root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(back))]);
     assert!(!lost(&root), "it is lost again for what came before the new starts");
 }
 
 #[test]
 fn a_tail_of_slow_answers_leaves_a_late_part_time_for_a_copy() {
     // zone+mass: one worker in eight was slow, 4 deviations were 0.5 to 1.1 s, and the aim 0.63 s: no copy went out.
-    let classes = vec![Class { aim: ms(700), ..class(Effect::Repeatable) }];
-    let mut root = Root::new(Settings { may_probe: false, classes, ..settings() }, &[1, 2, 3]);
+    let classes = vec![Class { latency_objective: ms(700), ..class(Idempotency::Idempotent) }];
+    let mut root = Root::new(Settings { may_health_check: false, classes, ..settings() }, &[1, 2, 3]);
     for round in 0..80 {
         let before = root.sent.len();
         root.ask(Some(&format!("k{round}")), &[0]);
         root.pass(if round % 8 == 0 { 600 } else { 20 });
-        let ends = root.sent[before..].iter().map(|sent| root.end(*sent, Outcome::Done, None)).collect();
+        let ends =
+            root.sent[before..].iter().map(|sent| root.end(*sent, AttemptOutcome::Succeeded, None)).collect();
         root.turn(ends);
     }
     let before = root.sent.len();
@@ -727,13 +768,14 @@
 fn a_fast_deployment_without_hints_is_served_from_its_first_query() {
     // Guards against a first guess made for slow ones: over the whole aim, it has every query refused, and nothing is learned.
     for aim in [20, 80, 2500, 60_000] {
-        let fast = Class { aim: ms(aim), deadline: ms(2 * aim), ..class(Effect::Repeatable) };
+        let fast =
+            Class { latency_objective: ms(aim), deadline: ms(2 * aim), ..class(Idempotency::Idempotent) };
         let mut root = Root::new(Settings { classes: vec![fast], ..settings() }, &[1, 2, 3]);
         let (_, _, mut events) = root.query(None, &[0, 1]);
         for event in &mut events {
             match event {
-                Event::Query(query) => query.valid_until = root.now.after(ms(2 * aim)),
-                Event::Part(part) => part.hint = None,
+                Event::QueryReceived(query) => query.valid_until = root.now.after(ms(2 * aim)),
+                Event::PartReceived(part) => part.cost_hint = None,
                 _ => {}
             }
         }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -6,7 +6,7 @@
 use gatherer::fronts::platform::Platform;
 use gatherer::limits::crowd::Source;
 use gatherer::limits::{Backoff, Plan};
-use gatherer::policy::{Status, Time};
+use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::protocol::http;
@@ -316,10 +316,10 @@
         if who == "discovery" {
             let (status, name) = what.split_once(' ').expect("a status and a worker");
             let (status, since) = match status {
-                "SERVING" => (Status::Active, None),
-                "RESTARTED" => (Status::Active, Some(UNIX.after(self.start.elapsed()))),
-                "DRAINING" => (Status::Draining, None),
-                _ => (Status::Gone, None),
+                "SERVING" => (EndpointStatus::Active, None),
+                "RESTARTED" => (EndpointStatus::Active, Some(UNIX.after(self.start.elapsed()))),
+                "DRAINING" => (EndpointStatus::Draining, None),
+                _ => (EndpointStatus::Gone, None),
             };
             let (name, address, zone) = (name.to_owned(), name.to_owned(), String::new());
             let member = Member { name, address, zone, cell: 0, status, units: 1.0, since };
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -54,10 +54,17 @@
 
 impl Fleet {
     fn new(seed: u64, told: bool) -> Fleet {
-        let classes = vec![Class { aim: ms(1500), ..class(Effect::Repeatable) }];
+        let classes = vec![Class { latency_objective: ms(1500), ..class(Idempotency::Idempotent) }];
         let tenants = vec![Tenant { quota_per_s: Some(QUOTA) }; 2];
         let (roots, over_share_worth) = (GATHERERS as u32, Some(0.1));
-        let rules = Settings { roots, classes, tenants, over_share_worth, may_probe: false, ..settings() };
+        let rules = Settings {
+            fleet_size: roots,
+            classes,
+            tenants,
+            over_quota_weight: over_share_worth,
+            may_health_check: false,
+            ..settings()
+        };
         let root = |id: usize| {
             let all: Vec<u32> = (0..WORKERS).collect();
             (
@@ -81,9 +88,9 @@
         let now = self.roots[0].0.now;
         for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM as usize) {
             worker.since = Some(now);
-            let news = [entry(id as u32, Status::Active, Some(now))];
+            let news = [entry(id as u32, EndpointStatus::Active, Some(now))];
             for (root, _, _) in &mut self.roots {
-                root.turn(vec![Event::Membership(Membership::Delta(news.to_vec().into()))]);
+                root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
             }
         }
     }
@@ -106,16 +113,16 @@
                 let (root, due, asks) = &mut self.roots[id];
                 root.now = root.now.after(ms(STEP));
                 if self.told {
-                    root.module.among(self.world.gatherers(id).expect("it lives"));
+                    root.module.set_fleet_size(self.world.gatherers(id).expect("it lives"));
                 }
                 let now = root.now;
                 let ready: Vec<_> = due.extract_if(.., |(at, _)| *at <= now).collect();
                 let mut events: Vec<Event> = Vec::new();
                 for (_, sent) in ready {
                     let queue = self.workers[sent.leaf.0 as usize].free_at.since(now).as_secs_f64();
-                    events.push(root.end(sent, Outcome::Done, Some((queue * 2.0).min(1.0))));
+                    events.push(root.end(sent, AttemptOutcome::Succeeded, Some((queue * 2.0).min(1.0))));
                 }
-                events.push(Event::Due { handle: Handle(0) });
+                events.push(Event::TimerFired { timer: TimerId(0) });
                 for (tenant, to) in asked.into_iter().enumerate() {
                     if to != Some(at) {
                         continue;
@@ -123,7 +130,7 @@
                     let shards = [self.random.u32(..8), self.random.u32(..8)];
                     let key = format!("k{}", self.random.u32(..40));
                     let (id, _, mut query) = root.query(Some(&key), &shards);
-                    if let Some(Event::Query(asked)) = query.first_mut() {
+                    if let Some(Event::QueryReceived(asked)) = query.first_mut() {
                         asked.tenant = Some(TenantId(tenant));
                     }
                     events.extend(query);
@@ -137,8 +144,8 @@
                 root.turn(events);
                 for action in &root.actions {
                     match action {
-                        Action::Answer { id, .. } => played.answered[asks[id]] += 1,
-                        Action::Refuse { id, .. } | Action::Fail { id } => played.refused[asks[id]] += 1,
+                        Action::Respond { id, .. } => played.answered[asks[id]] += 1,
+                        Action::Reject { id, .. } | Action::Fail { id } => played.refused[asks[id]] += 1,
                         _ => {}
                     }
                 }
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -22,7 +22,7 @@
         address: name.to_owned(),
         zone: String::new(),
         cell: 0,
-        status: Status::Active,
+        status: EndpointStatus::Active,
         units: 1.0,
         since,
     };
@@ -55,7 +55,8 @@
         for order in core.turn(now) {
             let Order::Call { worker: leaf, parts } = order else { continue };
             let name = core.name(leaf).expect("a name").to_owned();
-            let outcome = if name == down { Outcome::Refused } else { Outcome::Done };
+            let outcome =
+                if name == down { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded };
             parts.iter().for_each(|part| core.ended(now, part.ticket, End::bare(outcome)));
             tried.push(name);
         }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -35,7 +35,7 @@
     for usage in trace::read(table.as_bytes()) {
         let usage = usage.expect("a row");
         now = start.after(usage.at);
-        let report = usage.report(&core.contracts().settings.fields);
+        let report = usage.report(&core.contracts().settings.report_fields);
         assert!(core.load_report(&usage.machine, report), "{} is known", usage.machine);
         orders.extend(core.turn(now));
     }
@@ -50,7 +50,7 @@
         match order {
             Order::Member { worker: leaf, name, .. } => names.push((leaf, name)),
             Order::Call { worker: leaf, parts } => {
-                core.ended(now, parts[0].ticket, End::bare(Outcome::Done));
+                core.ended(now, parts[0].ticket, End::bare(AttemptOutcome::Succeeded));
                 sent = Some(leaf);
             }
             _ => {}
