--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -1,7 +1,7 @@
 //! Measures what a flood of connections that say nothing costs the serving thread, and what a usual client beside it
 //! notices: `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
 
-use gatherer::limits::Plan;
+use gatherer::limits::DescriptorBudget;
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::Invariant;
 use gatherer::transport::gate::Gate;
@@ -108,7 +108,7 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
-        let plan = Plan::new(descriptors as usize, 16, 0).expect("enough");
+        let plan = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
         let gate = Gate::new(Places::new(plan, 12 << 20));
         let tended = gate.clone();
         tokio::task::spawn_local(async move { tended.tend().await });
--- a/examples/report_scale.rs
+++ b/examples/report_scale.rs
@@ -4,7 +4,9 @@
 use gatherer::policy::Time;
 use gatherer::program::inspect::Report;
 use gatherer::records::folder::Folder;
-use gatherer::records::{Body, Bounds, End, Figures, Seen, Writer, figures};
+use gatherer::records::{
+    MetricsAccumulator, QueryEnd, QueryLabels, RecordBody, SegmentLimits, Writer, metrics,
+};
 use std::time::{Duration, Instant};
 
 const GATHERERS: u64 = 20;
@@ -19,25 +21,37 @@
 fn main() {
     let lines: u64 = std::env::args().nth(1).map_or(1_000_000, |text| text.parse().expect("a number"));
     let folder = std::env::temp_dir().join(format!("clayshore-scale-{}", std::process::id()));
-    let bounds = Bounds { segment: 64 << 20, age: Duration::from_secs(1 << 40), all: 1 << 50 };
+    let bounds = SegmentLimits {
+        segment_bytes: 64 << 20,
+        max_age: Duration::from_secs(1 << 40),
+        total_bytes: 1 << 50,
+    };
     let begun = Instant::now();
     let mut random = fastrand::Rng::with_seed(7);
     for gatherer in 0..GATHERERS {
         let mut writer = Writer::new(Folder::new(&folder), &format!("g{gatherer}"), "s1", bounds);
         let classes = ["audit-report", "envelope-search", "seal-record"].map(str::to_owned).to_vec();
         let tenants = vec!["a".to_owned(), "b".to_owned()];
-        let start = Body::Start { configuration: "0".to_owned(), classes, tenants };
+        let start = RecordBody::Start { configuration: "0".to_owned(), classes, tenants };
         assert!(writer.write(Time(0), 0, start));
-        let mut figures = Figures::default();
+        let mut figures = MetricsAccumulator::default();
         for second in 1..lines / GATHERERS {
             for _ in 0..4 {
-                let seen = Seen { class: random.usize(0..3), tenant: Some(random.usize(0..2)) };
-                figures.taken(seen);
-                figures.ended(seen, End::WholeInTime, Duration::from_micros(random.u64(5_000..80_000)));
-                figures.attempt(&format!("w{}", random.u8(0..12)), figures::DONE, Duration::from_millis(9));
+                let seen = QueryLabels { class: random.usize(0..3), tenant: Some(random.usize(0..2)) };
+                figures.record_accepted(seen);
+                figures.record_end(
+                    seen,
+                    QueryEnd::CompleteInTime,
+                    Duration::from_micros(random.u64(5_000..80_000)),
+                );
+                figures.record_attempt(
+                    &format!("w{}", random.u8(0..12)),
+                    metrics::ATTEMPT_DONE,
+                    Duration::from_millis(9),
+                );
             }
             let now = Time(second * 1_000_000_000);
-            assert!(writer.write(now, second * 1000, Body::Figures(figures.take())));
+            assert!(writer.write(now, second * 1000, RecordBody::Metrics(figures.take_snapshot())));
         }
     }
     println!("written: {lines} lines in {:.1} s, peak {} kB", begun.elapsed().as_secs_f64(), peak());
--- a/src/limits/accept_pacer.rs
+++ b/src/limits/accept_pacer.rs
@@ -18,12 +18,12 @@
 
 impl AcceptPacer {
     /// Nobody waits at the door: the next burst starts afresh.
-    pub fn idle(&mut self) {
+    pub fn reset(&mut self) {
         self.burst = None;
     }
 
     /// One has passed, between `begun` and `now`. After a full burst, how long everyone else goes first.
-    pub fn passed(&mut self, begun: Time, now: Time) -> Option<Duration> {
+    pub fn record_accept(&mut self, begun: Time, now: Time) -> Option<Duration> {
         let (since, passed) = self.burst.unwrap_or((begun, 0));
         if passed + 1 < BURST {
             self.burst = Some((since, passed + 1));
@@ -47,22 +47,23 @@
             let begun = now;
             now = now.after(one);
             working += one;
-            if let Some(pause) = pacer.passed(begun, now) {
+            if let Some(pause) = pacer.record_accept(begun, now) {
                 now = now.after(pause);
                 resting += pause;
             }
         }
         assert_eq!(resting, working * 3);
         for _ in 0..1600 {
-            pacer.idle();
-            assert_eq!(pacer.passed(now, now.after(one)), None);
+            pacer.reset();
+            assert_eq!(pacer.record_accept(now, now.after(one)), None);
         }
     }
 
     #[test]
     fn a_stalled_process_does_not_shut_the_door_for_long() {
         let mut pacer = AcceptPacer::default();
-        let pauses: Vec<_> = (0..BURST).filter_map(|_| pacer.passed(Time(0), Time(3_000_000_000))).collect();
+        let pauses: Vec<_> =
+            (0..BURST).filter_map(|_| pacer.record_accept(Time(0), Time(3_000_000_000))).collect();
         assert_eq!(pauses, [LONGEST]);
     }
 }
--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -43,17 +43,17 @@
     }
     /// For one whose calls cost the service nothing: it is told by itself, and an agent beside the caller answers. What the
     /// agent has counts as told at once, and `grace` later nothing may go to who drains: pauses leave most of that.
-    pub fn pushed(seed: u64, grace: Duration) -> Backoff {
+    pub fn for_local_agent(seed: u64, grace: Duration) -> Backoff {
         Backoff { free: Some((grace / PAUSE_SHARE).min(SHORT)), ..Backoff::new(seed, 1, Duration::ZERO) }
     }
     /// So many callers there are now. Who calls at no cost is alone, however many others do the same.
-    pub fn among(&mut self, callers: u32) {
+    pub fn set_callers(&mut self, callers: u32) {
         if self.free.is_none() {
             self.callers = callers.max(1);
         }
     }
     /// The service has answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
     /// The time in which every caller may call once.
@@ -62,7 +62,7 @@
     }
     /// How long to wait before the next call, after one that failed; where the service is overbooked, so long that
     /// all callers together stay under what it bears.
-    pub fn pause(&mut self, overbooked: bool) -> Duration {
+    pub fn next_delay(&mut self, overbooked: bool) -> Duration {
         if let Some(longest) = self.free {
             return longest.mul_f64(self.random.f64());
         }
@@ -82,11 +82,11 @@
     }
     /// How long to wait before the first call, which asks for changes of a list that is held. Guards against all that
     /// start together asking together.
-    pub fn start(&mut self) -> Duration {
+    pub fn initial_delay(&mut self) -> Duration {
         (self.round() / CHEAPER).min(self.ask_in.mul_f64(CARE)).mul_f64(self.random.f64())
     }
     /// How long a call may wait for news: it is a call again when the wait is over.
-    pub fn wait(&self) -> Duration {
+    pub fn long_poll_timeout(&self) -> Duration {
         (self.round() + self.round() / 2).clamp(WAIT.0, WAIT.1)
     }
 }
--- a/src/limits/buffer_budget.rs
+++ b/src/limits/buffer_budget.rs
@@ -22,7 +22,7 @@
     }
 
     /// What each holder gets, however many there are.
-    pub fn least(&self) -> usize {
+    pub fn min_per_holder(&self) -> usize {
         self.least
     }
     /// Bytes that are held.
@@ -44,7 +44,7 @@
     }
 
     /// A holder's bytes change from `before` to `after`.
-    pub fn change(&mut self, before: usize, after: usize) {
+    pub fn update(&mut self, before: usize, after: usize) {
         self.used = (self.used + after).saturating_sub(before);
     }
 }
--- a/src/limits/crowd.rs
+++ b/src/limits/client_connections.rs
@@ -24,45 +24,51 @@
 
 /// Why a connection is made to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum EvictionReason {
     /// It never sent a byte.
     Silent,
     /// Its request does not come in time.
     Slow,
     /// It asked once, and stays.
-    AskedOnce,
+    SingleRequest,
     /// It sent rubbish before.
-    Marked,
+    Penalised,
     /// It has not come back.
     Idle,
     /// Its source holds more than its share.
-    OverShare,
+    OverQuota,
 }
 
 /// All reasons, in the order in which they are counted.
-pub const REASONS: [Why; 6] =
-    [Why::Silent, Why::Slow, Why::AskedOnce, Why::Marked, Why::Idle, Why::OverShare];
+pub const EVICTION_REASONS: [EvictionReason; 6] = [
+    EvictionReason::Silent,
+    EvictionReason::Slow,
+    EvictionReason::SingleRequest,
+    EvictionReason::Penalised,
+    EvictionReason::Idle,
+    EvictionReason::OverQuota,
+];
 
-impl fmt::Display for Why {
+impl fmt::Display for EvictionReason {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Why::Silent => "silent",
-            Why::Slow => "slow",
-            Why::AskedOnce => "asked_once",
-            Why::Marked => "marked",
-            Why::Idle => "idle",
-            Why::OverShare => "over_share",
+            EvictionReason::Silent => "silent",
+            EvictionReason::Slow => "slow",
+            EvictionReason::SingleRequest => "asked_once",
+            EvictionReason::Penalised => "marked",
+            EvictionReason::Idle => "idle",
+            EvictionReason::OverQuota => "over_share",
         })
     }
 }
 
 /// How a request ended, for the record of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Record {
+pub enum RequestValidity {
     /// It was a request, whatever came of it.
-    Sound,
+    Valid,
     /// It was none, or none that anyone serves.
-    Rubbish,
+    Invalid,
 }
 
 /// Time limits of a loose connection where there is room, and where there is none.
@@ -103,7 +109,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Loose(Why),
+    Loose(EvictionReason),
     Firm,
     Leaving,
 }
@@ -126,10 +132,10 @@
 
 /// Clients' connections by the order in which they would leave.
 #[derive(Debug, Default)]
-pub struct Crowd {
+pub struct ClientConnections {
     members: HashMap<u64, Member>,
-    order: BTreeSet<(Why, Time, u64)>,
-    by_source: HashMap<Source, BTreeSet<(Why, Time, u64)>>,
+    order: BTreeSet<(EvictionReason, Time, u64)>,
+    by_source: HashMap<Source, BTreeSet<(EvictionReason, Time, u64)>>,
     held: HashMap<Source, usize>,
     sizes: BTreeSet<(usize, Source)>,
     /// Sources that sent rubbish lately.
@@ -137,7 +143,7 @@
     next: u64,
 }
 
-impl Crowd {
+impl ClientConnections {
     /// Connections, firm and leaving ones among them.
     pub fn len(&self) -> usize {
         self.members.len()
@@ -147,30 +153,30 @@
         self.members.is_empty()
     }
     /// Whether any could be made to leave.
-    pub fn has_loose(&self) -> bool {
+    pub fn has_evictable(&self) -> bool {
         !self.order.is_empty()
     }
     /// Whether a query is open on this connection.
-    pub fn is_firm(&self, id: u64) -> bool {
+    pub fn is_busy(&self, id: u64) -> bool {
         self.members.get(&id).is_some_and(|member| member.state == State::Firm)
     }
     /// Whether it is held loosely and has not been told to leave.
-    pub fn is_loose(&self, id: u64) -> bool {
+    pub fn is_evictable(&self, id: u64) -> bool {
         self.members.get(&id).is_some_and(|member| matches!(member.state, State::Loose(_)))
     }
     /// What a source holds.
-    pub fn held_by(&self, source: Source) -> usize {
+    pub fn open_from(&self, source: Source) -> usize {
         self.held.get(&source).copied().unwrap_or(0)
     }
 
     /// A connection has come.
-    pub fn enter(&mut self, now: Time, source: Source) -> u64 {
+    pub fn accept(&mut self, now: Time, source: Source) -> u64 {
         self.next += 1;
         let id = self.next;
         // Guards against those who send rubbish, are closed, and are back at once: they come in as they left.
         let marked = self.marks.get(&source).is_some_and(|at| now.since(*at) < REMEMBERED)
             && self.held.keys().any(|other| *other != source);
-        let state = State::Loose(Why::Silent);
+        let state = State::Loose(EvictionReason::Silent);
         let member =
             Member { source, state, since: now, key: now, bytes: 0, answers: 0, gap: Duration::ZERO, marked };
         self.count(source, true);
@@ -211,9 +217,9 @@
     }
 
     /// Bytes have come on it, of a request that is not all there. One that was told to leave stays after all.
-    pub fn heard(&mut self, now: Time, id: u64, bytes: usize) {
+    pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
         let Some(member) = self.members.get_mut(&id) else { return };
-        let arriving = member.state == State::Loose(Why::Slow);
+        let arriving = member.state == State::Loose(EvictionReason::Slow);
         if member.state == State::Firm {
             return;
         }
@@ -226,33 +232,33 @@
         // The first request of a connection has the connection's own time: guards against bytes sent late and slowly.
         let begun = if arriving || member.answers == 0 { member.since } else { now };
         let bought = Duration::from_secs_f64(member.bytes as f64 / PACE);
-        self.place(id, State::Loose(Why::Slow), begun, begun.after(bought));
+        self.place(id, State::Loose(EvictionReason::Slow), begun, begun.after(bought));
     }
 
     /// Its request is all there: it is firm from now on.
-    pub fn opened(&mut self, now: Time, id: u64) {
+    pub fn start_query(&mut self, now: Time, id: u64) {
         self.place(id, State::Firm, now, now);
     }
 
     /// It has had its answer.
-    pub fn answered(&mut self, now: Time, id: u64, record: Record) {
+    pub fn finish_query(&mut self, now: Time, id: u64, record: RequestValidity) {
         let Some(member) = self.members.get_mut(&id) else { return };
         (member.answers, member.bytes) = (member.answers.saturating_add(1), 0);
-        member.marked = record == Record::Rubbish;
+        member.marked = record == RequestValidity::Invalid;
         let (answers, source) = (member.answers, member.source);
         let habit = (member.gap * HABIT).min(LONGEST_HABIT);
-        if record == Record::Rubbish {
+        if record == RequestValidity::Invalid {
             self.mark(now, source);
-            self.place(id, State::Loose(Why::Marked), now, now);
+            self.place(id, State::Loose(EvictionReason::Penalised), now, now);
         } else if answers == 1 {
-            self.place(id, State::Loose(Why::AskedOnce), now, now);
+            self.place(id, State::Loose(EvictionReason::SingleRequest), now, now);
         } else {
-            self.place(id, State::Loose(Why::Idle), now, now.after(habit));
+            self.place(id, State::Loose(EvictionReason::Idle), now, now.after(habit));
         }
     }
 
     /// What it sent was no request; it is answered and closed.
-    pub fn spoke_rubbish(&mut self, now: Time, id: u64) {
+    pub fn reject_malformed(&mut self, now: Time, id: u64) {
         let Some(member) = self.members.get(&id) else { return };
         let source = member.source;
         self.mark(now, source);
@@ -270,7 +276,7 @@
     }
 
     /// It says who it is: it counts as that source from now on.
-    pub fn belongs(&mut self, id: u64, source: Source) {
+    pub fn set_source(&mut self, id: u64, source: Source) {
         let Some(member) = self.members.get(&id) else { return };
         let (before, state, since, key) = (member.source, member.state, member.since, member.key);
         if before == source {
@@ -286,7 +292,7 @@
     }
 
     /// It is closed.
-    pub fn left(&mut self, id: u64) {
+    pub fn close(&mut self, id: u64) {
         let Some(member) = self.members.get(&id) else { return };
         let source = member.source;
         self.place(id, State::Leaving, member.since, member.key);
@@ -297,25 +303,27 @@
     /// Until when it may stay as it is, where places are so scarce. Nothing is due on a firm one.
     fn due(&self, member: &Member, pressure: ResourcePressure) -> Option<Time> {
         let State::Loose(why) = member.state else { return None };
-        let limit = |why: Why| {
+        let limit = |why: EvictionReason| {
             let Patience { calm, tight, .. } = PATIENCE[why as usize];
             pressure.limit(calm, tight)
         };
         Some(match why {
-            Why::Slow => member.key.after(limit(why)).min(member.since.after(LONGEST)),
+            EvictionReason::Slow => member.key.after(limit(why)).min(member.since.after(LONGEST)),
             // Its habit is kept where that is longer, up to what is left where there is room.
-            Why::Idle => member.key.max(member.since.after(limit(why))),
+            EvictionReason::Idle => member.key.max(member.since.after(limit(why))),
             // One that is back after rubbish is let stay as briefly as one that has just sent some.
-            Why::Silent if member.marked => member.since.after(limit(Why::Marked).min(limit(why))),
+            EvictionReason::Silent if member.marked => {
+                member.since.after(limit(EvictionReason::Penalised).min(limit(why)))
+            }
             why => member.since.after(limit(why)),
         })
     }
 
     /// Tells those to leave whose time is up.
-    pub fn sweep(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, Why)> {
+    pub fn evict_expired(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, EvictionReason)> {
         let over = |member: &Member| self.due(member, pressure).is_some_and(|due| due <= now);
         let late = self.order.iter().filter(|(_, _, id)| self.members.get(id).is_some_and(over));
-        let late: Vec<(u64, Why)> = late.map(|(why, _, id)| (*id, *why)).collect();
+        let late: Vec<(u64, EvictionReason)> = late.map(|(why, _, id)| (*id, *why)).collect();
         for (id, _) in &late {
             self.place(*id, State::Leaving, now, now);
         }
@@ -323,19 +331,24 @@
     }
 
     /// When the next one's time is up.
-    pub fn next_due(&self, pressure: ResourcePressure) -> Option<Time> {
+    pub fn next_deadline(&self, pressure: ResourcePressure) -> Option<Time> {
         self.order.iter().filter_map(|(_, _, id)| self.due(self.members.get(id)?, pressure)).min()
     }
 
     /// Tells the one to leave that is of least worth, for another that needs its place.
-    pub fn give_way(&mut self, now: Time) -> Option<(u64, Why)> {
+    pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
         let (id, why) = self.least_worth(now)?;
         self.place(id, State::Leaving, now, now);
         Some((id, why))
     }
 
-    fn least_worth(&self, now: Time) -> Option<(u64, Why)> {
-        for why in [Why::Silent, Why::Slow, Why::AskedOnce, Why::Marked] {
+    fn least_worth(&self, now: Time) -> Option<(u64, EvictionReason)> {
+        for why in [
+            EvictionReason::Silent,
+            EvictionReason::Slow,
+            EvictionReason::SingleRequest,
+            EvictionReason::Penalised,
+        ] {
             let first = self.order.range((why, Time(0), 0)..).next().filter(|first| first.0 == why);
             if let Some((_, key, id)) = first
                 && now.since(*key) >= PATIENCE[why as usize].grace
@@ -348,7 +361,7 @@
             && most * self.held.len() > self.members.len()
             && let Some((_, _, id)) = self.by_source.get(source).and_then(BTreeSet::first)
         {
-            return Some((*id, Why::OverShare));
+            return Some((*id, EvictionReason::OverQuota));
         }
         // Guards those who come back against a flood so fast that all of it is new: the newcomers go first, for one with
         // a request to send has sent it by the time that it is looked at. Who stays away too long is swept out anyway.
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -5,16 +5,16 @@
 pub mod accept_pacer;
 pub mod backoff;
 pub mod buffer_budget;
-pub mod crowd;
+pub mod client_connections;
+pub mod connection_counters;
+pub mod connection_pool;
 pub mod descriptors;
-pub mod lines;
 pub mod resource_pressure;
-pub mod tally;
 
 pub use accept_pacer::AcceptPacer;
 pub use backoff::Backoff;
 pub use buffer_budget::BufferBudget;
-pub use crowd::{Crowd, Source, Why};
-pub use descriptors::{Denied, Descriptors, Plan, Side};
+pub use client_connections::{ClientConnections, EvictionReason, Source};
+pub use connection_counters::ConnectionCounters;
+pub use descriptors::{DescriptorAllocator, DescriptorBudget, DescriptorClass, DescriptorDenied};
 pub use resource_pressure::ResourcePressure;
-pub use tally::Tally;
--- a/src/limits/resource_pressure.rs
+++ b/src/limits/resource_pressure.rs
@@ -13,7 +13,7 @@
     pub const FULL: ResourcePressure = ResourcePressure(1.0);
 
     /// ResourcePressure where `held` are taken: none up to `ease`, full from `tight` on, evenly between.
-    pub fn of(held: usize, ease: usize, tight: usize) -> ResourcePressure {
+    pub fn from_usage(held: usize, ease: usize, tight: usize) -> ResourcePressure {
         if held <= ease {
             return ResourcePressure::NONE;
         }
@@ -24,7 +24,7 @@
     }
 
     /// The greater of the two.
-    pub fn or(self, other: ResourcePressure) -> ResourcePressure {
+    pub fn max(self, other: ResourcePressure) -> ResourcePressure {
         if other > self { other } else { self }
     }
 
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -116,7 +116,7 @@
                 Faulty::new(&format!("limits.{key}"), format!("{count}: {least} at least are needed"))
             }),
         };
-        let sockets = limit("sockets", SOCKETS, descriptors::LEAST as u64)?;
+        let sockets = limit("sockets", SOCKETS, descriptors::MIN_DESCRIPTORS as u64)?;
         let memory_mb = limit("memory_mb", MEMORY_MB, LEAST_MEMORY_MB)?;
         let known = match json.get("known") {
             None | Some(Value::Null) => None,
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -4,10 +4,10 @@
 use super::opensearch_file::FrontFile;
 use super::operator::Operator;
 use crate::records::diagnosis::{Finding, diagnose};
-use crate::records::line::Line;
-use crate::records::page;
-use crate::records::reader::{Fault, Reader};
-use crate::records::segments::Name;
+use crate::records::html_report;
+use crate::records::reader::{DamagedRecord, Reader};
+use crate::records::record::Record;
+use crate::records::segments::SegmentName;
 use crate::records::summary::Summary;
 use serde_json::json;
 use std::fs::File;
@@ -35,7 +35,7 @@
 
 /// The schema of a line.
 pub fn schema() -> String {
-    serde_json::to_string_pretty(&schemars::schema_for!(Line)).unwrap_or_default()
+    serde_json::to_string_pretty(&schemars::schema_for!(Record)).unwrap_or_default()
 }
 
 /// All segments of these folders, each start's in the order in which they were written.
@@ -45,7 +45,7 @@
         let told = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
         for entry in std::fs::read_dir(folder).map_err(told)? {
             let file = entry?.file_name();
-            if let Some(name) = Name::read(&file.to_string_lossy()) {
+            if let Some(name) = SegmentName::parse(&file.to_string_lossy()) {
                 found.push((name, folder.join(file)));
             }
         }
@@ -54,7 +54,11 @@
     Ok(found.into_iter().map(|(_, path)| path).collect())
 }
 
-fn read(folders: &[PathBuf], mut take: impl FnMut(Line), mut fault: impl FnMut(Fault)) -> io::Result<Reader> {
+fn read(
+    folders: &[PathBuf],
+    mut take: impl FnMut(Record),
+    mut fault: impl FnMut(DamagedRecord),
+) -> io::Result<Reader> {
     let mut reader = Reader::default();
     for path in segments(folders)? {
         let told = |path: &Path, error: io::Error| {
@@ -72,12 +76,12 @@
 /// Reads every line and prints each that does not count; how many did, and how many did not.
 pub fn verify(folders: &[PathBuf]) -> io::Result<(u64, u64)> {
     let mut faults = 0;
-    let tell = |fault: Fault| {
+    let tell = |fault: DamagedRecord| {
         faults += 1;
         println!("{fault}");
     };
     let reader = read(folders, |_| {}, tell)?;
-    Ok((reader.counted, faults))
+    Ok((reader.valid_records, faults))
 }
 
 /// What happened, as records tell it.
@@ -99,26 +103,27 @@
         let step = u64::try_from(step.as_millis()).unwrap_or(u64::MAX);
         let (mut summary, mut faults) = (Summary::new(step, range.start, range.end), Vec::new());
         let mut damaged = 0;
-        let fault = |fault: Fault| {
+        let fault = |fault: DamagedRecord| {
             damaged += 1;
             if faults.len() < MOST_NAMED {
                 faults.push(fault.to_string());
             }
         };
-        let reader = read(folders, |line| summary.take(line), fault)?;
+        let reader = read(folders, |line| summary.add_record(line), fault)?;
         summary.finish();
         let findings = diagnose(&summary);
-        Ok(Report { summary, findings, damaged, faults, counted: reader.counted })
+        Ok(Report { summary, findings, damaged, faults, counted: reader.valid_records })
     }
 
     /// As a page.
     pub fn page(&self) -> String {
-        page::page(&self.summary, &self.findings, &self.faults, self.damaged)
+        html_report::render(&self.summary, &self.findings, &self.faults, self.damaged)
     }
 
     /// In one line.
     pub fn line(&self) -> String {
-        let found: Vec<String> = self.findings.iter().map(|finding| page::words(&finding.what)).collect();
+        let found: Vec<String> =
+            self.findings.iter().map(|finding| html_report::finding_title(&finding.kind)).collect();
         let found = if found.is_empty() { "no finding".to_owned() } else { found.join("; ") };
         format!("{} lines, {} damaged; {found}", self.counted, self.damaged)
     }
@@ -143,16 +148,16 @@
             steps.push(json!({"at_ms": begin, "classes": classes, "latency": latency, "workers": workers}));
         }
         let starts: Vec<_> = summary
-            .starts
+            .incarnations
             .iter()
             .map(|((gatherer, start), seen)| json!({"gatherer": gatherer, "start": start, "seen": seen}))
             .collect();
         let whole = json!({
-            "classes": summary.classes(),
+            "classes": summary.totals_by_class(),
             "findings": self.findings,
             "starts": starts,
-            "events": summary.told,
-            "events_left_out": summary.untold,
+            "events": summary.timeline,
+            "events_left_out": summary.timeline_dropped,
             "step_ms": summary.step_ms(),
             "steps": steps,
             "lines": {"counted": self.counted, "damaged": self.damaged, "first_damaged": self.faults},
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -6,7 +6,7 @@
 use crate::membership::{Change, Claim, Node, Standing};
 use crate::protocol::gossip::Seal;
 use crate::protocol::http;
-use crate::records::line::Body;
+use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock};
 use crate::transport::members::{Listener, Members};
 use bytes::BytesMut;
@@ -29,7 +29,7 @@
     fn changed(&self, change: &Change) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
-        self.recording.record(Body::Member { member, process, state: change.state });
+        self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
     fn gatherers(&self, count: u32) {
         log::info!("members: {count} gatherers share the fleet");
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -176,8 +176,8 @@
             return Err(Faulty::new("limits", "1 at least; max_open over layout.shards"));
         }
         let FileLimits { sockets, memory_mb, .. } = self.limits;
-        if sockets < descriptors::LEAST {
-            let what = format!("{sockets}: {} at least are needed", descriptors::LEAST);
+        if sockets < descriptors::MIN_DESCRIPTORS {
+            let what = format!("{sockets}: {} at least are needed", descriptors::MIN_DESCRIPTORS);
             return Err(Faulty::new("limits.sockets", what));
         }
         if memory_mb < LEAST_MEMORY_MB {
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -4,7 +4,7 @@
 use super::config::Error;
 use super::settings::Faulty;
 use crate::membership::Timing;
-use crate::records::Bounds;
+use crate::records::SegmentLimits;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -123,9 +123,13 @@
 
 impl Records {
     /// The bounds that it sets.
-    pub fn bounds(&self) -> Bounds {
+    pub fn bounds(&self) -> SegmentLimits {
         let (segment, all) = (self.segment_kb << 10, self.all_kb << 10);
-        Bounds { segment, age: Duration::from_secs(self.segment_s), all }
+        SegmentLimits {
+            segment_bytes: segment,
+            max_age: Duration::from_secs(self.segment_s),
+            total_bytes: all,
+        }
     }
 }
 
--- a/src/program/process.rs
+++ b/src/program/process.rs
@@ -1,7 +1,7 @@
 //! What the process itself may use: its own limit of descriptors, and those in use before any connection.
 
-use crate::limits::Plan;
-use crate::limits::descriptors::{OPERATORS, TooFew};
+use crate::limits::DescriptorBudget;
+use crate::limits::descriptors::{DescriptorLimitTooLow, OPERATOR_DESCRIPTORS};
 use rlimit::Resource;
 
 /// Descriptors that are taken to be in use where the system does not say.
@@ -54,12 +54,21 @@
         if descriptors < configured {
             log::warn!("of {configured} descriptors configured the system allows {descriptors}");
         }
-        Allowed { descriptors, standing, operators: if operated { OPERATORS } else { 0 }, memory_mb }
+        Allowed {
+            descriptors,
+            standing,
+            operators: if operated { OPERATOR_DESCRIPTORS } else { 0 },
+            memory_mb,
+        }
     }
 
     /// The share of one of so many processes.
-    pub fn plan(&self, processes: u32) -> Result<Plan, TooFew> {
-        let plan = Plan::new(self.descriptors / processes.max(1) as usize, self.standing, self.operators)?;
+    pub fn plan(&self, processes: u32) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
+        let plan = DescriptorBudget::new(
+            self.descriptors / processes.max(1) as usize,
+            self.standing,
+            self.operators,
+        )?;
         log::info!(
             "{} descriptors, {} in use; floors: clients {}, workers {}, discovery {}, files {}, operators {}",
             self.descriptors / processes.max(1) as usize,
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -1,10 +1,10 @@
 //! Keeps the records of a process: its start, a line of figures each second, what changes, its stop.
 
 use super::operator::Records;
-use crate::limits::Side;
+use crate::limits::DescriptorClass;
 use crate::records::folder::Recorder;
-use crate::records::line::Body;
-use crate::records::overload::Overload;
+use crate::records::overload::OverloadDetector;
+use crate::records::record::RecordBody;
 use crate::routing::Broker;
 use crate::transport::gate::Gate;
 use std::cell::RefCell;
@@ -37,12 +37,12 @@
             (core.contracts().classes.clone(), core.contracts().tenants.clone())
         });
         let configuration = format!("{:016x}", xxh3_64(configuration.as_bytes()));
-        recording.record(Body::Start { configuration, classes, tenants });
+        recording.record(RecordBody::Start { configuration, classes, tenants });
         Ok(recording)
     }
 
     /// Records this.
-    pub fn record(&self, body: Body) {
+    pub fn record(&self, body: RecordBody) {
         if let Some(recorder) = &mut *self.0.borrow_mut() {
             recorder.record(body);
         }
@@ -53,7 +53,7 @@
         if self.0.borrow().is_none() {
             return;
         }
-        let mut overload = Overload::default();
+        let mut overload = OverloadDetector::default();
         loop {
             tokio::time::sleep(EACH).await;
             self.take(&broker, &gate, Some(&mut overload));
@@ -61,21 +61,22 @@
     }
 
     /// Records what has happened since the last time.
-    fn take(&self, broker: &Broker, gate: &Gate, overload: Option<&mut Overload>) {
+    fn take(&self, broker: &Broker, gate: &Gate, overload: Option<&mut OverloadDetector>) {
         let taken = broker.core(|core| {
-            let second = core.figures.as_mut().map(|figures| figures.take())?;
+            let second = core.figures.as_mut().map(|figures| figures.take_snapshot())?;
             Some((std::mem::take(&mut core.news), second, core.open()))
         });
         let Some((news, mut second, open)) = taken else { return };
         news.into_iter().for_each(|body| self.record(body));
         second.open = open;
-        (second.descriptors, second.clients) =
-            gate.places().descriptors(|all| (all.plan().usable - all.free(), all.held(Side::Clients)));
+        (second.descriptors, second.clients) = gate
+            .places()
+            .descriptors(|all| (all.budget().usable - all.free(), all.held(DescriptorClass::Clients)));
         second.buffered = gate.places().buffered();
-        if let Some(begins) = overload.and_then(|overload| overload.second(&second)) {
-            self.record(Body::Overload { begins });
+        if let Some(begins) = overload.and_then(|overload| overload.observe(&second)) {
+            self.record(RecordBody::Overload { begins });
         }
-        self.record(Body::Figures(second));
+        self.record(RecordBody::Metrics(second));
     }
 
     /// Records the rest, and the stop. `answered` is whether all that was taken has been.
@@ -84,7 +85,7 @@
         self.take(broker, gate, None);
         // Guards against a stop that hides what the process took down: without the line, the rest shows as unknown.
         if answered {
-            self.record(Body::Stop);
+            self.record(RecordBody::Stop);
         }
         let recorder = self.0.borrow_mut().take();
         if let Some(recorder) = recorder {
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -13,9 +13,9 @@
 use crate::fronts::opensearch::OpenSearch;
 use crate::fronts::operators::Operators;
 use crate::fronts::platform::Platform;
-use crate::limits::{Backoff, Side};
+use crate::limits::{Backoff, DescriptorClass};
 use crate::policy::Settings;
-use crate::records::line::Body;
+use crate::records::record::RecordBody;
 use crate::routing::{Broker, Carrier, Clock, Contracts, Core, Invariant};
 use crate::service::stage::Call;
 use crate::transport::failure::{self, Pauses};
@@ -97,7 +97,7 @@
         let (seed, roots) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
         let backoff = match config.ask_in {
             Some(ask_in) => Backoff::new(seed, roots, ask_in),
-            None => Backoff::pushed(seed, config.contracts.limits.drain_grace),
+            None => Backoff::for_local_agent(seed, config.contracts.limits.drain_grace),
         };
         let broker = Broker::new(Core::new(config.contracts), clock);
         let start = format!("{:x}-{:x}", clock.now().0, std::process::id());
@@ -304,16 +304,16 @@
     recording: &Recording,
     read: &mut impl FnMut() -> Result<String, Error>,
 ) -> Option<Error> {
-    let _place = places.take(Side::Files).await;
+    let _place = places.take(DescriptorClass::Files).await;
     match read() {
         Ok(what) => {
             log::info!("configuration read again: {what}");
-            recording.record(Body::Reload { taken: true, what });
+            recording.record(RecordBody::Reload { applied: true, detail: what });
             None
         }
         Err(error) => {
             log::error!("configuration not read again, the old one holds: {error}");
-            recording.record(Body::Reload { taken: false, what: error.to_string() });
+            recording.record(RecordBody::Reload { applied: false, detail: error.to_string() });
             Some(error)
         }
     }
@@ -329,11 +329,11 @@
     let since = Instant::now();
     while error.may_pass() || since.elapsed() < BEING_WRITTEN {
         tokio::time::sleep(READ_AGAIN).await;
-        let _place = places.take(Side::Files).await;
+        let _place = places.take(DescriptorClass::Files).await;
         match read() {
             Ok(what) => {
                 log::info!("configuration read again: {what}");
-                return recording.record(Body::Reload { taken: true, what });
+                return recording.record(RecordBody::Reload { applied: true, detail: what });
             }
             Err(now) => error = now,
         }
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -3,7 +3,7 @@
 
 use super::process::Allowed;
 use crate::fronts::operators::{Change, Pair};
-use crate::limits::Side;
+use crate::limits::DescriptorClass;
 use crate::protocol::handover::{Message, State};
 use crate::routing::{Broker, Clock, Invariant};
 use crate::service::stage::Call;
@@ -360,7 +360,7 @@
                     log::debug!("upgrade: accept: {error}");
                     if failure::is_out_of_descriptors(&error) {
                         // One that a client holds loosely helps: a successor waits.
-                        self.gate.places().recall(Side::Clients);
+                        self.gate.places().recall(DescriptorClass::Clients);
                     }
                     tokio::time::sleep(AGAIN / 10).await;
                     continue;
--- a/src/records/diagnosis.rs
+++ b/src/records/diagnosis.rs
@@ -1,8 +1,8 @@
 //! What probably happened: findings from what records add up to, each with its evidence, span and certainty, and what
 //! speaks against it.
 
-use super::figures::Attempts;
-use super::summary::{Counts, StartSeen, Step, Summary};
+use super::metrics::AttemptMetrics;
+use super::summary::{IncarnationSummary, QueryCounts, Summary, TimeStep};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,13 +28,14 @@
 /// What a finding is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
+pub enum FindingKind {
     /// A gatherer ended without saying so.
     Death {
         /// Which.
         gatherer: String,
         /// In which start.
-        start: String,
+        #[serde(rename = "start")]
+        incarnation: String,
     },
     /// A gatherer dies again and again.
     RestartLoop {
@@ -49,7 +50,8 @@
         worker: String,
     },
     /// A worker does not answer what it is sent.
-    WorkerLoses {
+    #[serde(rename = "worker_loses")]
+    WorkerUnresponsive {
         /// Which.
         worker: String,
     },
@@ -79,7 +81,7 @@
 pub struct Finding {
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: FindingKind,
     /// From when, in Unix milliseconds.
     pub from_ms: u64,
     /// Until when.
@@ -89,7 +91,8 @@
     /// What speaks for it.
     pub evidence: String,
     /// What speaks against it, where anything does.
-    pub against: Option<String>,
+    #[serde(rename = "against")]
+    pub counter_evidence: Option<String>,
 }
 
 /// All findings, the earliest first.
@@ -98,14 +101,14 @@
     findings.extend(missing(summary));
     findings.extend(workers(summary));
     findings.extend(overload(summary, &findings));
-    findings.sort_by(|a, b| (a.from_ms, &a.what).cmp(&(b.from_ms, &b.what)));
+    findings.sort_by(|a, b| (a.from_ms, &a.kind).cmp(&(b.from_ms, &b.kind)));
     findings
 }
 
 fn deaths(summary: &Summary) -> Vec<Finding> {
-    let end = summary.starts.values().map(|seen| seen.last_ms).max().unwrap_or(0);
-    let mut by_gatherer: BTreeMap<&str, Vec<(&str, &StartSeen)>> = BTreeMap::new();
-    for ((gatherer, start), seen) in &summary.starts {
+    let end = summary.incarnations.values().map(|seen| seen.last_ms).max().unwrap_or(0);
+    let mut by_gatherer: BTreeMap<&str, Vec<(&str, &IncarnationSummary)>> = BTreeMap::new();
+    for ((gatherer, start), seen) in &summary.incarnations {
         by_gatherer.entry(gatherer).or_default().push((start, seen));
     }
     let mut findings = Vec::new();
@@ -133,26 +136,26 @@
                 )
             });
             findings.push(Finding {
-                what: What::Death { gatherer: gatherer.to_owned(), start: (*start).to_owned() },
+                kind: FindingKind::Death { gatherer: gatherer.to_owned(), incarnation: (*start).to_owned() },
                 from_ms: seen.last_ms,
                 to_ms: next.unwrap_or(end),
                 certainty: if next.is_some() { Certainty::Certain } else { Certainty::Likely },
                 evidence: format!(
                     "its last line is no stop, {again}; it took down {took} with no end on record"
                 ),
-                against: (next.is_none() && seen.told_lost + seen.missing > 0)
+                counter_evidence: (next.is_none() && seen.reported_lost + seen.missing > 0)
                     .then(|| "it had lost records before, so it may live and be unable to write".to_owned()),
             });
         }
         let looped = dead.windows(LOOP).find(|few| few[LOOP - 1].saturating_sub(few[0]) <= LOOP_MS);
         if let Some(few) = looped {
             findings.push(Finding {
-                what: What::RestartLoop { gatherer: gatherer.to_owned() },
+                kind: FindingKind::RestartLoop { gatherer: gatherer.to_owned() },
                 from_ms: few[0],
                 to_ms: dead.last().copied().unwrap_or(few[0]),
                 certainty: Certainty::Certain,
                 evidence: format!("{} starts without a stop", dead.len()),
-                against: None,
+                counter_evidence: None,
             });
         }
     }
@@ -160,18 +163,18 @@
 }
 
 fn missing(summary: &Summary) -> Vec<Finding> {
-    let lossy = summary.starts.iter().filter(|(_, seen)| seen.missing > 0);
+    let lossy = summary.incarnations.iter().filter(|(_, seen)| seen.missing > 0);
     lossy
         .map(|((gatherer, start), seen)| Finding {
-            what: What::RecordsMissing { gatherer: gatherer.clone() },
+            kind: FindingKind::RecordsMissing { gatherer: gatherer.clone() },
             from_ms: seen.first_ms,
             to_ms: seen.last_ms,
             certainty: Certainty::Certain,
             evidence: format!(
                 "{} lines of start {start} are on no record; it tells of {}",
-                seen.missing, seen.told_lost
+                seen.missing, seen.reported_lost
             ),
-            against: None,
+            counter_evidence: None,
         })
         .collect()
 }
@@ -182,17 +185,21 @@
 }
 
 /// Time that a worker's answers took on average, where enough were seen.
-fn pace(attempts: &Attempts) -> Option<f64> {
-    (attempts.done() >= LEAST_SEEN).then(|| attempts.done_us as f64 / attempts.done() as f64)
+fn pace(attempts: &AttemptMetrics) -> Option<f64> {
+    (attempts.successful() >= LEAST_SEEN).then(|| attempts.done_us as f64 / attempts.successful() as f64)
 }
 
 /// Whether enough was sent in a step to tell of any worker.
-fn tells(step: &Step) -> bool {
-    step.attempts.values().any(|attempts| attempts.all() >= LEAST_SEEN)
+fn tells(step: &TimeStep) -> bool {
+    step.attempts.values().any(|attempts| attempts.total() >= LEAST_SEEN)
 }
 
 /// Steps in a row become one span; steps that cannot tell do not part them.
-fn spans(summary: &Summary, steps: &BTreeSet<u64>, tells: impl Fn(u64, &Step) -> bool) -> Vec<(u64, u64)> {
+fn spans(
+    summary: &Summary,
+    steps: &BTreeSet<u64>,
+    tells: impl Fn(u64, &TimeStep) -> bool,
+) -> Vec<(u64, u64)> {
     let mut spans: Vec<(u64, u64)> = Vec::new();
     let mut goes_on = false;
     for (begin, step) in &summary.steps {
@@ -258,25 +265,25 @@
         spans(summary, &fleet, |begin, _| paces.get(&begin).is_some_and(|paces| paces.len() >= FEWEST))
     {
         findings.push(Finding {
-            what: What::FleetSlow,
+            kind: FindingKind::FleetSlow,
             from_ms,
             to_ms,
             certainty: Certainty::Likely,
             evidence: format!(
                 "most workers at once take up to {fleet_worst:.1} times what they usually take"
             ),
-            against: None,
+            counter_evidence: None,
         });
     }
     for (worker, steps) in slow {
         for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
             findings.push(Finding {
-                what: What::WorkerSlow { worker: worker.to_owned() },
+                kind: FindingKind::WorkerSlow { worker: worker.to_owned() },
                 from_ms,
                 to_ms,
                 certainty: Certainty::Likely,
                 evidence: format!("it takes up to {:.1} times what others take", worst[worker]),
-                against: None,
+                counter_evidence: None,
             });
         }
     }
@@ -285,17 +292,17 @@
 }
 
 fn losers(summary: &Summary) -> Vec<Finding> {
-    let lost = |attempts: &Attempts| -> u64 {
+    let lost = |attempts: &AttemptMetrics| -> u64 {
         ["error", "timed_out", "reset", "refused"].iter().filter_map(|end| attempts.ends.get(*end)).sum()
     };
     let mut steps: BTreeMap<&str, (BTreeSet<u64>, u64, u64)> = BTreeMap::new();
     for (begin, step) in &summary.steps {
         for (worker, attempts) in &step.attempts {
-            if attempts.all() >= LEAST_SEEN && lost(attempts) as f64 >= LOSES * attempts.all() as f64 {
+            if attempts.total() >= LEAST_SEEN && lost(attempts) as f64 >= LOSES * attempts.total() as f64 {
                 let seen = steps.entry(worker).or_default();
                 seen.0.insert(*begin);
                 seen.1 += lost(attempts);
-                seen.2 += attempts.all();
+                seen.2 += attempts.total();
             }
         }
     }
@@ -303,55 +310,56 @@
     for (worker, (steps, lost, all)) in steps {
         for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
             findings.push(Finding {
-                what: What::WorkerLoses { worker: worker.to_owned() },
+                kind: FindingKind::WorkerUnresponsive { worker: worker.to_owned() },
                 from_ms,
                 to_ms,
                 certainty: Certainty::Likely,
                 evidence: format!("{lost} of {all} attempts at it brought no answer"),
-                against: None,
+                counter_evidence: None,
             });
         }
     }
     findings
 }
 
-fn asked(step: &Step) -> Counts {
-    let mut all = Counts::default();
+fn asked(step: &TimeStep) -> QueryCounts {
+    let mut all = QueryCounts::default();
     for counts in step.queries.values() {
-        all.asked += counts.asked;
-        all.refused += counts.refused;
+        all.received += counts.received;
+        all.rejected += counts.rejected;
     }
     all
 }
 
 fn overload(summary: &Summary, others: &[Finding]) -> Vec<Finding> {
-    let usual = median(summary.steps.values().map(|step| asked(step).asked as f64).collect()).unwrap_or(0.0);
+    let usual =
+        median(summary.steps.values().map(|step| asked(step).received as f64).collect()).unwrap_or(0.0);
     let mut steps = BTreeSet::new();
     let (mut refused, mut most) = (0, 0.0_f64);
     for (begin, step) in &summary.steps {
         let all = asked(step);
-        if all.asked >= LEAST_SEEN && all.refused as f64 >= REFUSED * all.asked as f64 {
+        if all.received >= LEAST_SEEN && all.rejected as f64 >= REFUSED * all.received as f64 {
             steps.insert(*begin);
-            refused += all.refused;
-            most = most.max(all.asked as f64 / usual.max(1.0));
+            refused += all.rejected;
+            most = most.max(all.received as f64 / usual.max(1.0));
         }
     }
     let mut findings = Vec::new();
     for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
         let slow = others.iter().find(|finding| {
-            finding.what == What::FleetSlow && finding.from_ms < to_ms && finding.to_ms > from_ms
+            finding.kind == FindingKind::FleetSlow && finding.from_ms < to_ms && finding.to_ms > from_ms
         });
         // Where the servers are slow, refusals are their doing: nobody asked for more than before.
         if slow.is_some() && most < RUSH {
             continue;
         }
         findings.push(Finding {
-            what: What::Overload,
+            kind: FindingKind::Overload,
             from_ms,
             to_ms,
             certainty: if most >= RUSH { Certainty::Likely } else { Certainty::Possible },
             evidence: format!("{refused} refused; up to {most:.1} times as many asked as usual"),
-            against: slow.map(|_| "the workers are slow at the same time".to_owned()),
+            counter_evidence: slow.map(|_| "the workers are slow at the same time".to_owned()),
         });
     }
     findings
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -1,7 +1,7 @@
 //! The folder of records on the file system, and the thread that writes to it: serving never waits for either.
 
-use super::line::Body;
-use super::segments::Bounds;
+use super::record::RecordBody;
+use super::segments::SegmentLimits;
 use super::writer::{Disk, Writer};
 use crate::policy::Time;
 use std::fs::{self, File, OpenOptions};
@@ -68,7 +68,7 @@
 struct Entry {
     now: Time,
     at_ms: u64,
-    body: Body,
+    body: RecordBody,
     /// Records before it that found no room.
     missed: u64,
 }
@@ -84,7 +84,7 @@
 
 impl Recorder {
     /// Starts the thread. Nothing is touched before the first record.
-    pub fn start(path: &Path, gatherer: &str, start: &str, bounds: Bounds) -> io::Result<Recorder> {
+    pub fn start(path: &Path, gatherer: &str, start: &str, bounds: SegmentLimits) -> io::Result<Recorder> {
         let (send, receive) = sync_channel(WAITING);
         let (end, ended) = channel();
         let lost = Arc::new(AtomicU64::new(0));
@@ -99,7 +99,7 @@
     }
 
     /// Records this, if there is room; else it is counted, and a later line tells of it.
-    pub fn record(&mut self, body: Body) {
+    pub fn record(&mut self, body: RecordBody) {
         let now = Time(0).after(self.start.elapsed());
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let at_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
@@ -129,14 +129,14 @@
 fn write_all(receive: Receiver<Entry>, mut writer: Writer<Folder>, lost: &AtomicU64) {
     let mut said = false;
     for Entry { now, at_ms, body, missed } in receive {
-        writer.missed(missed, "they came faster than they could be written");
+        writer.count_dropped(missed, "they came faster than they could be written");
         let written = writer.write(now, at_ms, body);
         if !written {
             lost.fetch_add(1, Ordering::Relaxed);
         }
         // Told once when it begins and once when it ends, not at each record.
         if !written && !said {
-            log::warn!("records: not written: {}; serving goes on", writer.why());
+            log::warn!("records: not written: {}; serving goes on", writer.last_loss_reason());
         } else if written && said {
             log::info!("records: written again");
         }
--- a/src/records/page.rs
+++ b/src/records/html_report.rs
@@ -1,7 +1,7 @@
 //! The report as one HTML page that needs nothing else: findings first, then service, latency, workers and events.
 
-use super::diagnosis::{Certainty, Finding, What};
-use super::summary::{Counts, Step, Summary};
+use super::diagnosis::{Certainty, Finding, FindingKind};
+use super::summary::{QueryCounts, Summary, TimeStep};
 use jiff::Timestamp;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::prelude::*;
@@ -16,14 +16,14 @@
 const INK: RGBColor = RGBColor(128, 134, 139);
 
 /// Ends in the order in which they are stacked, with their colours.
-type Part = (&'static str, RGBColor, fn(&Counts) -> u64);
+type Part = (&'static str, RGBColor, fn(&QueryCounts) -> u64);
 const PARTS: [Part; 7] = [
-    ("whole in time", RGBColor(46, 125, 80), |counts| counts.whole_in_time),
-    ("whole late", RGBColor(150, 170, 60), |counts| counts.whole_late),
+    ("whole in time", RGBColor(46, 125, 80), |counts| counts.complete_in_time),
+    ("whole late", RGBColor(150, 170, 60), |counts| counts.complete_late),
     ("in part", RGBColor(70, 130, 180), |counts| counts.partial),
-    ("refused", RGBColor(222, 150, 50), |counts| counts.refused),
+    ("refused", RGBColor(222, 150, 50), |counts| counts.rejected),
     ("failed", RGBColor(200, 62, 62), |counts| counts.failed),
-    ("left", RGBColor(150, 110, 170), |counts| counts.left),
+    ("left", RGBColor(150, 110, 170), |counts| counts.client_disconnected),
     ("unknown", RGBColor(110, 70, 60), |counts| counts.unknown),
 ];
 
@@ -51,15 +51,15 @@
 }
 
 /// What a finding says, in words.
-pub fn words(what: &What) -> String {
+pub fn finding_title(what: &FindingKind) -> String {
     match what {
-        What::Death { gatherer, start } => format!("{gatherer} died (start {start})"),
-        What::RestartLoop { gatherer } => format!("{gatherer} dies again and again"),
-        What::FleetSlow => "The whole fleet was slow".to_owned(),
-        What::WorkerSlow { worker } => format!("Worker {worker} was slow"),
-        What::WorkerLoses { worker } => format!("Worker {worker} lost what it was sent"),
-        What::Overload => "Clients asked for more than could be served".to_owned(),
-        What::RecordsMissing { gatherer } => format!("Records of {gatherer} are missing"),
+        FindingKind::Death { gatherer, incarnation: start } => format!("{gatherer} died (start {start})"),
+        FindingKind::RestartLoop { gatherer } => format!("{gatherer} dies again and again"),
+        FindingKind::FleetSlow => "The whole fleet was slow".to_owned(),
+        FindingKind::WorkerSlow { worker } => format!("Worker {worker} was slow"),
+        FindingKind::WorkerUnresponsive { worker } => format!("Worker {worker} lost what it was sent"),
+        FindingKind::Overload => "Clients asked for more than could be served".to_owned(),
+        FindingKind::RecordsMissing { gatherer } => format!("Records of {gatherer} are missing"),
     }
 }
 
@@ -72,10 +72,10 @@
 }
 
 /// The page of these records; `faults` are lines that did not count, of `damaged` in all.
-pub fn page(summary: &Summary, findings: &[Finding], faults: &[String], damaged: u64) -> String {
-    let classes = summary.classes();
-    let first = summary.starts.values().map(|seen| seen.first_ms).min().unwrap_or(0);
-    let last = summary.starts.values().map(|seen| seen.last_ms).max().unwrap_or(0);
+pub fn render(summary: &Summary, findings: &[Finding], faults: &[String], damaged: u64) -> String {
+    let classes = summary.totals_by_class();
+    let first = summary.incarnations.values().map(|seen| seen.first_ms).min().unwrap_or(0);
+    let last = summary.incarnations.values().map(|seen| seen.last_ms).max().unwrap_or(0);
     html! {
         (DOCTYPE)
         html lang="en" {
@@ -88,7 +88,7 @@
             body {
                 h1 { "What happened" }
                 p.quiet {
-                    (time(first)) " to " (time(last)) " UTC, " (summary.starts.len()) " starts, in steps of "
+                    (time(first)) " to " (time(last)) " UTC, " (summary.incarnations.len()) " starts, in steps of "
                     (summary.step_ms() / 1000) " s"
                 }
                 h2 { "Findings" }
@@ -119,10 +119,10 @@
     let kind = if finding.certainty == Certainty::Possible { "finding possible" } else { "finding" };
     html! {
         div class=(kind) {
-            b { (words(&finding.what)) } " " span.quiet { "(" (certainty(finding.certainty)) ")" }
+            b { (finding_title(&finding.kind)) } " " span.quiet { "(" (certainty(finding.certainty)) ")" }
             div { (time(finding.from_ms)) " to " (clock(finding.to_ms)) }
             div { (finding.evidence) "." }
-            @if let Some(against) = &finding.against { div.quiet { "Against it: " (against) "." } }
+            @if let Some(against) = &finding.counter_evidence { div.quiet { "Against it: " (against) "." } }
         }
     }
 }
@@ -131,22 +131,22 @@
     html! { tr { th { (first) } th { "asked" } @for (name, _, _) in PARTS { th { (name) } } } }
 }
 
-fn row(first: &str, counts: &Counts) -> Markup {
-    html! { tr { td { (first) } td { (counts.asked) } @for (_, _, count) in PARTS { td { (count(counts)) } } } }
+fn row(first: &str, counts: &QueryCounts) -> Markup {
+    html! { tr { td { (first) } td { (counts.received) } @for (_, _, count) in PARTS { td { (count(counts)) } } } }
 }
 
-fn totals(classes: &BTreeMap<String, Counts>) -> Markup {
+fn totals(classes: &BTreeMap<String, QueryCounts>) -> Markup {
     html! { div.wide { table { (header("class")) @for (class, counts) in classes { (row(class, counts)) } } } }
 }
 
-fn sum<'a>(step: &'a Step, class: &'a str) -> Counts {
-    let mut all = Counts::default();
-    step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| all.join(counts));
+fn sum<'a>(step: &'a TimeStep, class: &'a str) -> QueryCounts {
+    let mut all = QueryCounts::default();
+    step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| all.merge(counts));
     all
 }
 
 fn of_class(summary: &Summary, class: &str) -> Markup {
-    let steps: Vec<(u64, Counts)> =
+    let steps: Vec<(u64, QueryCounts)> =
         summary.steps.iter().map(|(begin, step)| (*begin, sum(step, class))).collect();
     let latencies: Vec<(u64, f64, f64)> = summary
         .steps
@@ -186,7 +186,7 @@
     Some(PreEscaped(svg))
 }
 
-fn service_chart(summary: &Summary, steps: &[(u64, Counts)]) -> Option<Markup> {
+fn service_chart(summary: &Summary, steps: &[(u64, QueryCounts)]) -> Option<Markup> {
     let (first, last) = (steps.first()?.0, steps.last()?.0 + summary.step_ms());
     let most = steps.iter().map(|(_, counts)| counts.ended() + counts.unknown).max()?.max(1);
     chart(|area| {
@@ -250,9 +250,9 @@
 }
 
 fn tenants(summary: &Summary) -> Markup {
-    let mut all: BTreeMap<(String, String), Counts> = BTreeMap::new();
+    let mut all: BTreeMap<(String, String), QueryCounts> = BTreeMap::new();
     for (key, counts) in summary.steps.values().flat_map(|step| &step.queries) {
-        all.entry(key.clone()).or_default().join(counts);
+        all.entry(key.clone()).or_default().merge(counts);
     }
     let name = |(class, tenant): &(String, String)| match tenant.as_str() {
         "" => format!("{class}, no tenant told"),
@@ -270,24 +270,25 @@
 fn map(summary: &Summary) -> Markup {
     let workers: BTreeSet<&String> = summary.steps.values().flat_map(|step| step.attempts.keys()).collect();
     let each = summary.steps.len().div_ceil(MOST_COLUMNS).max(1);
-    let steps: Vec<(&u64, &Step)> = summary.steps.iter().collect();
-    let cell = |worker: &String, steps: &[(&u64, &Step)]| {
-        let mut all = super::figures::Attempts::default();
+    let steps: Vec<(&u64, &TimeStep)> = summary.steps.iter().collect();
+    let cell = |worker: &String, steps: &[(&u64, &TimeStep)]| {
+        let mut all = super::metrics::AttemptMetrics::default();
         steps
             .iter()
             .filter_map(|(_, step)| step.attempts.get(worker))
-            .for_each(|more| all.join(more.clone()));
-        let bad = all.all()
-            - all.done()
-            - all.ends.get("cancelled").copied().unwrap_or(0).min(all.all() - all.done());
-        let share = bad as f64 / all.all().max(1) as f64;
+            .for_each(|more| all.merge(more.clone()));
+        let bad = all.total()
+            - all.successful()
+            - all.ends.get("cancelled").copied().unwrap_or(0).min(all.total() - all.successful());
+        let share = bad as f64 / all.total().max(1) as f64;
         let hue = 130.0 * (1.0 - (share * 5.0).min(1.0));
-        let colour = if all.all() == 0 { "transparent".to_owned() } else { format!("hsl({hue:.0} 55% 45%)") };
-        let pace = all.done_us as f64 / all.done().max(1) as f64 / 1000.0;
+        let colour =
+            if all.total() == 0 { "transparent".to_owned() } else { format!("hsl({hue:.0} 55% 45%)") };
+        let pace = all.done_us as f64 / all.successful().max(1) as f64 / 1000.0;
         let told = format!(
             "{worker} {}: {} attempts, {bad} without an answer, {pace:.1} ms",
             clock(*steps[0].0),
-            all.all()
+            all.total()
         );
         html! { td style={"background:" (colour)} title=(told) {} }
     };
@@ -303,14 +304,14 @@
 }
 
 fn course(summary: &Summary) -> Markup {
-    let mut told: Vec<_> = summary.told.iter().collect();
+    let mut told: Vec<_> = summary.timeline.iter().collect();
     told.sort_by_key(|told| told.at_ms);
-    let left_out = told.len().saturating_sub(MOST_ROWS) as u64 + summary.untold;
+    let left_out = told.len().saturating_sub(MOST_ROWS) as u64 + summary.timeline_dropped;
     html! {
         div.wide { table {
             tr { th { "at" } th.text { "gatherer" } th.text { "what" } }
             @for told in told.iter().take(MOST_ROWS) {
-                tr { td { (time(told.at_ms)) } td.text { (told.gatherer) } td.text { (told.what) } }
+                tr { td { (time(told.at_ms)) } td.text { (told.gatherer) } td.text { (told.description) } }
             }
         } }
         @if left_out > 0 { p { (left_out) " further events are not shown." } }
@@ -321,7 +322,7 @@
     html! {
         div.wide { table {
             tr { th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "lines missing" } }
-            @for ((gatherer, start), seen) in summary.starts.iter().take(MOST_ROWS) {
+            @for ((gatherer, start), seen) in summary.incarnations.iter().take(MOST_ROWS) {
                 tr {
                     td { (gatherer) } td.text { (start) } td { (time(seen.first_ms)) } td { (time(seen.last_ms)) }
                     td { @if seen.stopped { "stop" } @else { "none on record" } } td { (seen.missing) }
--- a/src/records/figures.rs
+++ b/src/records/metrics.rs
@@ -16,43 +16,52 @@
 /// Every way a query can end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+#[schemars(rename = "End")]
+pub enum QueryEnd {
     /// Answered whole within its class's wanted time.
-    WholeInTime,
+    #[serde(rename = "whole_in_time")]
+    CompleteInTime,
     /// Answered whole, but later.
-    WholeLate,
+    #[serde(rename = "whole_late")]
+    CompleteLate,
     /// Answered in part, and said so.
     Partial,
     /// Refused: the module did not expect to serve it in time, or could not.
-    RefusedDeclined,
+    #[serde(rename = "refused_declined")]
+    RejectedByPolicy,
     /// Refused: as many queries and parts as may be were open.
-    RefusedFull,
+    #[serde(rename = "refused_full")]
+    RejectedAtCapacity,
     /// Refused: the process is stopping.
-    RefusedStopping,
+    #[serde(rename = "refused_stopping")]
+    RejectedShuttingDown,
     /// Failed: the module gave it up, and it may have run.
-    FailedGivenUp,
+    #[serde(rename = "failed_given_up")]
+    FailedAbandoned,
     /// Failed: it ran past its time.
-    FailedOverdue,
+    #[serde(rename = "failed_overdue")]
+    FailedDeadlineExceeded,
     /// Its client left first.
-    Left,
+    #[serde(rename = "left")]
+    ClientDisconnected,
 }
 
 /// All ends, in order.
-pub const ENDS: [End; 9] = [
-    End::WholeInTime,
-    End::WholeLate,
-    End::Partial,
-    End::RefusedDeclined,
-    End::RefusedFull,
-    End::RefusedStopping,
-    End::FailedGivenUp,
-    End::FailedOverdue,
-    End::Left,
+pub const QUERY_ENDS: [QueryEnd; 9] = [
+    QueryEnd::CompleteInTime,
+    QueryEnd::CompleteLate,
+    QueryEnd::Partial,
+    QueryEnd::RejectedByPolicy,
+    QueryEnd::RejectedAtCapacity,
+    QueryEnd::RejectedShuttingDown,
+    QueryEnd::FailedAbandoned,
+    QueryEnd::FailedDeadlineExceeded,
+    QueryEnd::ClientDisconnected,
 ];
 
 /// Which queries a count is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Seen {
+pub struct QueryLabels {
     /// Their class, as a number of the start's list.
     pub class: usize,
     /// Their tenant, where they have one.
@@ -61,16 +70,18 @@
 
 /// The queries of one class and tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Queries {
+#[schemars(rename = "Queries")]
+pub struct QueryMetrics {
     /// Their class, as a number of the start's list.
     pub class: usize,
     /// Their tenant, where they have one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<usize>,
     /// How many were taken.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// How many ended so.
-    pub ends: BTreeMap<End, u64>,
+    pub ends: BTreeMap<QueryEnd, u64>,
     /// Time from taking to answering, of those answered: a histogram of microseconds in HdrHistogram's V2 form, in
     /// base64; absent where none was answered.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -79,39 +90,41 @@
 
 /// The attempts at one worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Attempts {
+#[schemars(rename = "Attempts")]
+pub struct AttemptMetrics {
     /// How many ended so.
     pub ends: BTreeMap<String, u64>,
     /// Time that those took which ended with a value, in microseconds, in all.
     pub done_us: u64,
 }
 
-impl Attempts {
+impl AttemptMetrics {
     /// Those that ended with a value.
-    pub fn done(&self) -> u64 {
-        self.ends.get(DONE).copied().unwrap_or(0)
+    pub fn successful(&self) -> u64 {
+        self.ends.get(ATTEMPT_DONE).copied().unwrap_or(0)
     }
     /// All that ended.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.ends.values().sum()
     }
     /// Takes in those of another line.
-    pub fn join(&mut self, other: Attempts) {
+    pub fn merge(&mut self, other: AttemptMetrics) {
         other.ends.into_iter().for_each(|(end, count)| *self.ends.entry(end).or_default() += count);
         self.done_us += other.done_us;
     }
 }
 
 /// The name of the end that brings a value.
-pub const DONE: &str = "done";
+pub const ATTEMPT_DONE: &str = "done";
 
 /// What one line of figures tells.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Second {
+#[schemars(rename = "Second")]
+pub struct MetricsSnapshot {
     /// Queries, by class and tenant.
-    pub queries: Vec<Queries>,
+    pub queries: Vec<QueryMetrics>,
     /// Attempts that ended, by worker.
-    pub attempts: BTreeMap<String, Attempts>,
+    pub attempts: BTreeMap<String, AttemptMetrics>,
     /// Queries open at its end.
     pub open: usize,
     /// Descriptors held at its end.
@@ -122,14 +135,14 @@
     pub clients: usize,
 }
 
-struct Tally {
+struct QueryAccumulator {
     taken: u64,
-    ends: [u64; ENDS.len()],
+    ends: [u64; QUERY_ENDS.len()],
     latency: Histogram<u64>,
 }
 
 /// A histogram that holds what a query may take.
-pub fn histogram() -> Histogram<u64> {
+pub fn new_histogram() -> Histogram<u64> {
     // The bounds are constants that the library accepts; a histogram that resizes itself is as good.
     Histogram::new_with_max(LONGEST_US, DIGITS)
         .unwrap_or_else(|_| Histogram::new(DIGITS).expect("two digits"))
@@ -137,52 +150,52 @@
 
 /// Adds up what happens, until a line is made of it.
 #[derive(Default)]
-pub struct Figures {
-    queries: BTreeMap<Seen, Tally>,
-    attempts: BTreeMap<String, Attempts>,
+pub struct MetricsAccumulator {
+    queries: BTreeMap<QueryLabels, QueryAccumulator>,
+    attempts: BTreeMap<String, AttemptMetrics>,
 }
 
-impl Figures {
-    fn tally(&mut self, seen: Seen) -> &mut Tally {
-        let new = || Tally { taken: 0, ends: [0; ENDS.len()], latency: histogram() };
+impl MetricsAccumulator {
+    fn tally(&mut self, seen: QueryLabels) -> &mut QueryAccumulator {
+        let new = || QueryAccumulator { taken: 0, ends: [0; QUERY_ENDS.len()], latency: new_histogram() };
         self.queries.entry(seen).or_insert_with(new)
     }
 
     /// A query was taken.
-    pub fn taken(&mut self, seen: Seen) {
+    pub fn record_accepted(&mut self, seen: QueryLabels) {
         self.tally(seen).taken += 1;
     }
 
     /// A query ended, after so much time.
-    pub fn ended(&mut self, seen: Seen, end: End, took: Duration) {
+    pub fn record_end(&mut self, seen: QueryLabels, end: QueryEnd, took: Duration) {
         let tally = self.tally(seen);
         tally.ends[end as usize] += 1;
-        if matches!(end, End::WholeInTime | End::WholeLate | End::Partial) {
+        if matches!(end, QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial) {
             tally.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
         }
     }
 
     /// An attempt at a worker ended so, after so much time.
-    pub fn attempt(&mut self, worker: &str, end: &'static str, took: Duration) {
+    pub fn record_attempt(&mut self, worker: &str, end: &'static str, took: Duration) {
         if !self.attempts.contains_key(worker) {
-            self.attempts.insert(worker.to_owned(), Attempts::default());
+            self.attempts.insert(worker.to_owned(), AttemptMetrics::default());
         }
         let Some(attempts) = self.attempts.get_mut(worker) else { return };
         *attempts.ends.entry(end.to_owned()).or_default() += 1;
-        if end == DONE {
+        if end == ATTEMPT_DONE {
             attempts.done_us += u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
         }
     }
 
     /// Makes a line of what happened, and starts anew. What all lines and the rest add up to is all that happened.
-    pub fn take(&mut self) -> Second {
-        let mut second = Second::default();
-        for (Seen { class, tenant }, tally) in std::mem::take(&mut self.queries) {
-            let counted = ENDS.iter().map(|end| (*end, tally.ends[*end as usize]));
-            second.queries.push(Queries {
+    pub fn take_snapshot(&mut self) -> MetricsSnapshot {
+        let mut second = MetricsSnapshot::default();
+        for (QueryLabels { class, tenant }, tally) in std::mem::take(&mut self.queries) {
+            let counted = QUERY_ENDS.iter().map(|end| (*end, tally.ends[*end as usize]));
+            second.queries.push(QueryMetrics {
                 class,
                 tenant,
-                taken: tally.taken,
+                accepted: tally.taken,
                 ends: counted.filter(|(_, count)| *count > 0).collect(),
                 latency: if tally.latency.is_empty() { String::new() } else { write(&tally.latency) },
             });
@@ -202,7 +215,7 @@
 }
 
 /// Reads a histogram back. Guards against one that was made to be enormous.
-pub fn read(text: &str) -> Option<Histogram<u64>> {
+pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
     let bytes = BASE64.decode(text).ok()?;
     let histogram: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
     (histogram.high() <= 2 * LONGEST_US && histogram.sigfig() <= DIGITS).then_some(histogram)
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -2,18 +2,18 @@
 //! what a failing disk costs are plain values here; only [`folder`] knows files.
 
 pub mod diagnosis;
-pub mod figures;
 pub mod folder;
-pub mod line;
+pub mod html_report;
+pub mod metrics;
 pub mod overload;
-pub mod page;
 pub mod reader;
+pub mod record;
 pub mod segments;
 pub mod summary;
 pub mod writer;
 
-pub use figures::{End, Figures, Seen};
-pub use line::{Body, Damage, Line};
-pub use segments::{Bounds, Rotation};
-pub use summary::{Counts, Summary};
+pub use metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
+pub use record::{Record, RecordBody, RecordError};
+pub use segments::{OpenSegment, SegmentLimits};
+pub use summary::{QueryCounts, Summary};
 pub use writer::{Disk, Writer};
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -1,6 +1,6 @@
 //! When clients ask for more than is served: with a memory, so that one bad second is no period.
 
-use super::figures::{End, Second};
+use super::metrics::{MetricsSnapshot, QueryEnd};
 
 /// A period begins with a second of so many refusals, and of so great a share.
 const LEAST_REFUSED: u64 = 5;
@@ -11,17 +11,18 @@
 
 /// Follows refusals second by second.
 #[derive(Debug, Default)]
-pub struct Overload {
+pub struct OverloadDetector {
     on: bool,
     quiet: u32,
 }
 
-impl Overload {
+impl OverloadDetector {
     /// Whether a period begins (`true`) or ends (`false`) with this second.
-    pub fn second(&mut self, second: &Second) -> Option<bool> {
-        let taken: u64 = second.queries.iter().map(|queries| queries.taken).sum();
-        let refused = |end: End| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
-        let refused: u64 = refused(End::RefusedDeclined).chain(refused(End::RefusedFull)).sum();
+    pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
+        let taken: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
+        let refused = |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
+        let refused: u64 =
+            refused(QueryEnd::RejectedByPolicy).chain(refused(QueryEnd::RejectedAtCapacity)).sum();
         let share = refused as f64 / taken.max(refused).max(1) as f64;
         if !self.on {
             self.on = refused >= LEAST_REFUSED && share >= BEGINS;
@@ -40,21 +41,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::records::figures::Queries;
+    use crate::records::metrics::QueryMetrics;
 
-    fn second(taken: u64, refused: u64) -> Second {
-        let ends = [(End::RefusedDeclined, refused)].into();
-        Second { queries: vec![Queries { taken, ends, ..Queries::default() }], ..Second::default() }
+    fn second(taken: u64, refused: u64) -> MetricsSnapshot {
+        let ends = [(QueryEnd::RejectedByPolicy, refused)].into();
+        MetricsSnapshot {
+            queries: vec![QueryMetrics { accepted: taken, ends, ..QueryMetrics::default() }],
+            ..MetricsSnapshot::default()
+        }
     }
 
     #[test]
     fn a_period_has_one_begin_and_one_end() {
-        let mut overload = Overload::default();
+        let mut overload = OverloadDetector::default();
         let mut said = Vec::new();
         let seconds =
             [(100, 4), (100, 5), (100, 0), (100, 50), (0, 0), (0, 0), (0, 0), (0, 0), (100, 0), (100, 0)];
         for (at, (taken, refused)) in seconds.into_iter().enumerate() {
-            said.extend(overload.second(&second(taken, refused)).map(|begins| (at, begins)));
+            said.extend(overload.observe(&second(taken, refused)).map(|begins| (at, begins)));
         }
         assert_eq!(said, [(1, true), (8, false)]);
     }
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -1,23 +1,23 @@
 //! Reads lines back, in bounded memory, and tells of every one that does not count and why.
 
-use super::line::{Damage, LONGEST, Line};
+use super::record::{MAX_RECORD_BYTES, Record, RecordError};
 use std::collections::HashMap;
 use std::io::{self, BufRead};
 
 /// A line that does not count, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct DamagedRecord {
     /// The file.
     pub file: String,
     /// The line, from 1.
     pub line: u64,
     /// What is wrong with it.
-    pub damage: Damage,
+    pub error: RecordError,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for DamagedRecord {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "{}:{}: {}", self.file, self.line, self.damage)
+        write!(out, "{}:{}: {}", self.file, self.line, self.error)
     }
 }
 
@@ -27,7 +27,7 @@
     /// The last number read of each start, by gatherer and start.
     last: HashMap<(String, String), u64>,
     /// Lines that counted.
-    pub counted: u64,
+    pub valid_records: u64,
 }
 
 impl Reader {
@@ -37,8 +37,8 @@
         &mut self,
         file: &str,
         mut from: impl BufRead,
-        mut take: impl FnMut(Line),
-        mut fault: impl FnMut(Fault),
+        mut take: impl FnMut(Record),
+        mut fault: impl FnMut(DamagedRecord),
     ) -> io::Result<()> {
         let mut bytes = Vec::new();
         let mut number = 0;
@@ -50,26 +50,28 @@
             }
             number += 1;
             let read = match more {
-                true => Line::decode(&bytes).and_then(|line| self.in_order(line)),
+                true => Record::decode(&bytes).and_then(|line| self.in_order(line)),
                 // Guards against a last line that was cut right behind its checksum: whole, but nobody knows what of it.
-                false => Err(if bytes.len() > LONGEST { Damage::TooLong } else { Damage::Torn }),
+                false => {
+                    Err(if bytes.len() > MAX_RECORD_BYTES { RecordError::TooLong } else { RecordError::Torn })
+                }
             };
             match read {
                 Ok(line) => {
-                    self.counted += 1;
+                    self.valid_records += 1;
                     take(line);
                 }
-                Err(damage) => fault(Fault { file: file.to_owned(), line: number, damage }),
+                Err(damage) => fault(DamagedRecord { file: file.to_owned(), line: number, error: damage }),
             }
         }
     }
 
-    fn in_order(&mut self, line: Line) -> Result<Line, Damage> {
-        let key = (line.gatherer.clone(), line.start.clone());
+    fn in_order(&mut self, line: Record) -> Result<Record, RecordError> {
+        let key = (line.gatherer.clone(), line.incarnation.clone());
         match self.last.get(&key) {
-            Some(last) if *last == line.seq => return Err(Damage::Doubled(line.seq)),
+            Some(last) if *last == line.seq => return Err(RecordError::Duplicate(line.seq)),
             Some(last) if *last > line.seq => {
-                return Err(Damage::Disordered { found: line.seq, after: *last });
+                return Err(RecordError::OutOfOrder { found: line.seq, after: *last });
             }
             _ => {}
         }
@@ -91,7 +93,7 @@
         }
         let end = chunk.iter().position(|byte| *byte == b'\n');
         let used = end.map_or(chunk.len(), |end| end + 1);
-        let room = (LONGEST + 2).saturating_sub(bytes.len());
+        let room = (MAX_RECORD_BYTES + 2).saturating_sub(bytes.len());
         bytes.extend_from_slice(&chunk[..used.min(room)]);
         from.consume(used);
         if end.is_some() {
--- a/src/records/line.rs
+++ b/src/records/record.rs
@@ -1,6 +1,6 @@
 //! One record: a line of JSON with a version, a place in its start's sequence, and a checksum.
 
-use super::figures::Second;
+use super::metrics::MetricsSnapshot;
 use crate::membership::State;
 use crc::{CRC_32_ISCSI, Crc};
 use schemars::JsonSchema;
@@ -9,7 +9,7 @@
 /// The version that is written. Older ones are read forever; newer ones are told apart and left alone.
 pub const VERSION: u32 = 1;
 /// The longest line that is written or read, in bytes.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// CRC-32C (Castagnoli; RFC 3720, appendix B.4).
 const CRC: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
@@ -20,26 +20,30 @@
 
 /// A record as it is written, without its checksum.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Line {
+#[schemars(rename = "Line")]
+pub struct Record {
     /// Version of the form.
-    pub v: u32,
+    #[serde(rename = "v")]
+    pub version: u32,
     /// The gatherer, by its name.
     pub gatherer: String,
     /// This start of it, which no other start is called.
-    pub start: String,
+    #[serde(rename = "start")]
+    pub incarnation: String,
     /// The line's place among those of its start, from 0. A line that was lost leaves its number free.
     pub seq: u64,
     /// Unix time in milliseconds, by this gatherer's clock, which may differ from another's.
     pub at_ms: u64,
     /// What is recorded.
     #[serde(flatten)]
-    pub body: Body,
+    pub body: RecordBody,
 }
 
 /// What a record tells.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Body {
+#[schemars(rename = "Body")]
+pub enum RecordBody {
     /// The process serves from now on.
     Start {
         /// Digest of the configuration that it runs on, in hexadecimal.
@@ -54,12 +58,15 @@
     /// The configuration was read again.
     Reload {
         /// Whether it holds now.
-        taken: bool,
+        #[serde(rename = "taken")]
+        applied: bool,
         /// What holds now, or what is wrong with it.
-        what: String,
+        #[serde(rename = "what")]
+        detail: String,
     },
     /// Discovery told a list, or changes of it.
-    List {
+    #[serde(rename = "list")]
+    EndpointList {
         /// Its version.
         revision: u64,
         /// Whether it was the whole list.
@@ -72,7 +79,7 @@
         /// Its name.
         worker: String,
         /// How it is seen.
-        state: WorkerState,
+        state: RecordedWorkerState,
     },
     /// Another gatherer stands otherwise than before, as this one sees it.
     Member {
@@ -93,44 +100,67 @@
         /// How many.
         lost: u64,
         /// Why the last of them was lost.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// What happened since the last such line.
-    Figures(Second),
+    #[serde(rename = "figures")]
+    Metrics(MetricsSnapshot),
 }
 
 /// How a worker is seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum WorkerState {
+#[schemars(rename = "WorkerState")]
+pub enum RecordedWorkerState {
     /// It is listed and takes work.
     Active,
     /// It finishes what it has.
     Draining,
     /// It is no longer listed.
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
     /// It has started lately.
-    Cold,
+    #[serde(rename = "cold")]
+    WarmingUp,
     /// Its answers are overdue.
-    Suspect,
+    #[serde(rename = "suspect")]
+    Ejected,
     /// It answers again.
-    Trusted,
+    #[serde(rename = "trusted")]
+    Reinstated,
     /// An operator has taken it out.
-    OutByHand,
+    #[serde(rename = "out_by_hand")]
+    Disabled,
+}
+
+impl RecordedWorkerState {
+    /// The word of the report's timeline, which its readers match.
+    pub fn timeline_word(self) -> &'static str {
+        match self {
+            RecordedWorkerState::Active => "active",
+            RecordedWorkerState::Draining => "draining",
+            RecordedWorkerState::Removed => "gone",
+            RecordedWorkerState::WarmingUp => "cold",
+            RecordedWorkerState::Ejected => "suspect",
+            RecordedWorkerState::Reinstated => "trusted",
+            RecordedWorkerState::Disabled => "outbyhand",
+        }
+    }
 }
 
 /// Why bytes are no line that counts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Damage {
+pub enum RecordError {
     /// It stops short: a kill, a full disk or a cut.
     #[error("torn: the line does not end")]
     Torn,
     /// It has no checksum where one belongs.
     #[error("no checksum at its end")]
-    Unsealed,
+    MissingChecksum,
     /// What it says is not what was written.
     #[error("its checksum is {found:08x}, not {written:08x}: what it says is not what was written")]
-    Flipped {
+    ChecksumMismatch {
         /// The checksum that it carries.
         written: u32,
         /// The checksum that it has.
@@ -138,19 +168,19 @@
     },
     /// A later program wrote it.
     #[error("version {0}; this program reads up to {VERSION}")]
-    Newer(u64),
+    NewerVersion(u64),
     /// It is whole, but not in the form.
     #[error("not in the form: {0}")]
-    Form(String),
+    Malformed(String),
     /// No line is that long.
-    #[error("longer than {LONGEST} bytes")]
+    #[error("longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
     /// A line of this start and number was read before.
     #[error("doubled: line {0} of this start was read before")]
-    Doubled(u64),
+    Duplicate(u64),
     /// A line behind it was read before; it comes too late to be trusted.
     #[error("out of order: line {found} of this start comes after line {after}")]
-    Disordered {
+    OutOfOrder {
         /// Its number.
         found: u64,
         /// The number that came before.
@@ -158,7 +188,7 @@
     },
 }
 
-impl Line {
+impl Record {
     /// Its bytes, with the checksum and the end of the line.
     pub fn encode(&self) -> Vec<u8> {
         // Plain structs and maps with text keys: this cannot fail, and if it did the line would be damaged, not wrong.
@@ -171,24 +201,28 @@
     }
 
     /// Reads a line, with or without its end.
-    pub fn decode(bytes: &[u8]) -> Result<Line, Damage> {
+    pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         let bytes = bytes.strip_suffix(b"\n").unwrap_or(bytes);
-        if bytes.len() > LONGEST {
-            return Err(Damage::TooLong);
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(RecordError::TooLong);
         }
         if bytes.last() != Some(&b'}') {
-            return Err(Damage::Torn);
+            return Err(RecordError::Torn);
         }
         let (said, tail) = bytes.split_at(bytes.len().saturating_sub(TAIL));
-        let digits =
-            tail.strip_prefix(SEAL).and_then(|tail| tail.strip_suffix(b"\"}")).ok_or(Damage::Unsealed)?;
+        let digits = tail
+            .strip_prefix(SEAL)
+            .and_then(|tail| tail.strip_suffix(b"\"}"))
+            .ok_or(RecordError::MissingChecksum)?;
         // Lower case only: guards against a flipped letter that reads as the same number.
         let exact = digits.iter().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f'));
         let written = std::str::from_utf8(digits).ok().filter(|_| exact);
-        let written = written.and_then(|text| u32::from_str_radix(text, 16).ok()).ok_or(Damage::Unsealed)?;
+        let written = written
+            .and_then(|text| u32::from_str_radix(text, 16).ok())
+            .ok_or(RecordError::MissingChecksum)?;
         let found = CRC.checksum(said);
         if found != written {
-            return Err(Damage::Flipped { written, found });
+            return Err(RecordError::ChecksumMismatch { written, found });
         }
         let whole = [said, b"}"].concat();
         // The version goes first: what a later program wrote need not have today's form.
@@ -196,10 +230,10 @@
         struct Versioned {
             v: u64,
         }
-        let form = |error: serde_json::Error| Damage::Form(error.to_string());
+        let form = |error: serde_json::Error| RecordError::Malformed(error.to_string());
         let version = serde_json::from_slice::<Versioned>(&whole).map_err(form)?.v;
         if version > u64::from(VERSION) {
-            return Err(Damage::Newer(version));
+            return Err(RecordError::NewerVersion(version));
         }
         serde_json::from_slice(&whole).map_err(form)
     }
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -1,7 +1,7 @@
 //! Writes lines to segments on a disk that may fail at any point: what is lost is counted and told, never waited for.
 
-use super::line::{Body, LONGEST, Line, VERSION};
-use super::segments::{Bounds, Name, Rotation, surplus};
+use super::record::{MAX_RECORD_BYTES, Record, RecordBody, VERSION};
+use super::segments::{OpenSegment, SegmentLimits, SegmentName, segments_to_remove};
 use crate::policy::Time;
 use std::io;
 use std::time::Duration;
@@ -27,10 +27,10 @@
     disk: D,
     gatherer: String,
     start: String,
-    bounds: Bounds,
+    bounds: SegmentLimits,
     number: u32,
     seq: u64,
-    segment: Option<Rotation>,
+    segment: Option<OpenSegment>,
     lost: u64,
     why: String,
     /// Not to be tried before, and the pause that led there.
@@ -39,7 +39,7 @@
 
 impl<D: Disk> Writer<D> {
     /// A writer for this start of this gatherer. Nothing is touched yet.
-    pub fn new(disk: D, gatherer: &str, start: &str, bounds: Bounds) -> Writer<D> {
+    pub fn new(disk: D, gatherer: &str, start: &str, bounds: SegmentLimits) -> Writer<D> {
         Writer {
             disk,
             gatherer: gatherer.to_owned(),
@@ -55,11 +55,11 @@
     }
 
     /// Lines lost that no line tells of yet.
-    pub fn untold(&self) -> u64 {
+    pub fn unreported(&self) -> u64 {
         self.lost
     }
     /// Why the last of them was lost.
-    pub fn why(&self) -> &str {
+    pub fn last_loss_reason(&self) -> &str {
         &self.why
     }
     /// The disk.
@@ -68,7 +68,7 @@
     }
 
     /// Lines were lost before they came here.
-    pub fn missed(&mut self, count: u64, why: &str) {
+    pub fn count_dropped(&mut self, count: u64, why: &str) {
         if count > 0 {
             self.lost += count;
             why.clone_into(&mut self.why);
@@ -76,7 +76,7 @@
     }
 
     /// Writes a record of this moment, `at_ms` by the system's clock. True if it is on the disk.
-    pub fn write(&mut self, now: Time, at_ms: u64, body: Body) -> bool {
+    pub fn write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> bool {
         if self.paused.is_some_and(|(until, _)| now < until) {
             self.lose("the disk failed a moment ago");
             return false;
@@ -106,43 +106,45 @@
         }
     }
 
-    fn try_write(&mut self, now: Time, at_ms: u64, body: Body) -> io::Result<()> {
+    fn try_write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
         if self.lost > 0 {
-            let gap = Body::Gap { lost: self.lost, why: self.why.clone() };
+            let gap = RecordBody::Gap { lost: self.lost, reason: self.why.clone() };
             self.append(now, at_ms, gap)?;
             self.lost = 0;
         }
         self.append(now, at_ms, body)
     }
 
-    fn append(&mut self, now: Time, at_ms: u64, body: Body) -> io::Result<()> {
+    fn append(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
         let (gatherer, start) = (self.gatherer.clone(), self.start.clone());
-        let bytes = Line { v: VERSION, gatherer, start, seq: self.seq, at_ms, body }.encode();
-        if bytes.len() > LONGEST {
+        let bytes =
+            Record { version: VERSION, gatherer, incarnation: start, seq: self.seq, at_ms, body }.encode();
+        if bytes.len() > MAX_RECORD_BYTES {
             return Err(io::Error::other("the line is too long"));
         }
         let more = bytes.len() as u64;
         if self.segment.is_none_or(|segment| segment.is_full(now, more)) {
             self.segment = None;
             self.number += 1;
-            let name = Name::new(&self.gatherer, &self.start, self.number);
+            let name = SegmentName::new(&self.gatherer, &self.start, self.number);
             // The oldest go before the next begins: guards against a folder over its cap, and a disk filled by itself.
             let found = self.disk.list()?;
-            let found = found.into_iter().filter_map(|(file, bytes)| Some((Name::read(&file)?, bytes)));
-            let coming = self.bounds.segment.max(more);
-            for old in surplus(found.collect(), &name, &self.bounds, coming) {
-                match self.disk.remove(&old.file()) {
+            let found =
+                found.into_iter().filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
+            let coming = self.bounds.segment_bytes.max(more);
+            for old in segments_to_remove(found.collect(), &name, &self.bounds, coming) {
+                match self.disk.remove(&old.file_name()) {
                     // The other process of an upgrade, which writes here too, was faster.
                     Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                     removed => removed?,
                 }
             }
-            self.disk.begin(&name.file())?;
-            self.segment = Some(Rotation::new(self.bounds, now));
+            self.disk.begin(&name.file_name())?;
+            self.segment = Some(OpenSegment::new(self.bounds, now));
         }
         self.disk.append(&bytes)?;
         if let Some(segment) = &mut self.segment {
-            segment.wrote(more);
+            segment.add_bytes(more);
         }
         self.seq += 1;
         Ok(())
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -19,8 +19,8 @@
 use super::worker_states::WorkerStates;
 use crate::Aggregator;
 use crate::policy::*;
-use crate::records::figures::{self, Figures, Seen};
-use crate::records::line::Body;
+use crate::records::metrics::{self, MetricsAccumulator, QueryLabels};
+use crate::records::record::RecordBody;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -49,9 +49,9 @@
     /// How the queries of each class ended.
     ends: ClassEnds,
     /// The same by class, tenant and worker, for the records; `None` where there are none.
-    pub figures: Option<Figures>,
+    pub figures: Option<MetricsAccumulator>,
     /// What has changed since it was last read, for the records; nothing where there are none.
-    pub news: Vec<Body>,
+    pub news: Vec<RecordBody>,
     /// How each listed worker was last told of.
     states: WorkerStates,
 }
@@ -124,14 +124,14 @@
     /// Takes a query in. Its answer comes as [`Order::Settle`].
     pub fn offer(&mut self, now: Time, ask: Ask) -> Result<RequestId, Verdict> {
         self.counters.taken += 1;
-        let seen = Seen { class: ask.class.0, tenant: ask.tenant.map(|tenant| tenant.0) };
+        let seen = QueryLabels { class: ask.class.0, tenant: ask.tenant.map(|tenant| tenant.0) };
         self.ends.came(seen.class);
         if let Some(figures) = &mut self.figures {
-            figures.taken(seen);
+            figures.record_accepted(seen);
         }
         if self.is_full() {
             self.counters.refused_full += 1;
-            self.count_end(seen, figures::End::RefusedFull, Duration::ZERO);
+            self.count_end(seen, metrics::QueryEnd::RejectedAtCapacity, Duration::ZERO);
             let pause = self.contracts.settings.max_retry_after;
             return Err(Verdict::Refused { why: Refusal::Full, pause });
         }
@@ -144,7 +144,7 @@
     }
 
     /// Opens a query and its parts, and tells the module of them.
-    fn open_query(&mut self, now: Time, seen: Seen, ask: Ask) -> RequestId {
+    fn open_query(&mut self, now: Time, seen: QueryLabels, ask: Ask) -> RequestId {
         let number = self.number();
         let (id, job) = (RequestId(number), JobId(number));
         let valid_until = now.after(ask.left);
@@ -180,7 +180,7 @@
     pub fn client_left(&mut self, now: Time, id: RequestId) {
         if let Some((query, _)) = self.close(id) {
             self.counters.left += 1;
-            self.count_end(query.seen, figures::End::Left, now.since(query.taken));
+            self.count_end(query.seen, metrics::QueryEnd::ClientDisconnected, now.since(query.taken));
             self.events.push(Event::ClientDisconnected { id });
         }
     }
@@ -188,15 +188,15 @@
     /// A query came too late to be taken: the process is stopping.
     pub fn refuse_stopping(&mut self, class: ClassId, tenant: Option<TenantId>) {
         self.counters.refused_stopping += 1;
-        let seen = Seen { class: class.0, tenant: tenant.map(|tenant| tenant.0) };
+        let seen = QueryLabels { class: class.0, tenant: tenant.map(|tenant| tenant.0) };
         self.ends.came(seen.class);
-        self.count_end(seen, figures::End::RefusedStopping, Duration::ZERO);
+        self.count_end(seen, metrics::QueryEnd::RejectedShuttingDown, Duration::ZERO);
     }
 
     /// A query came for which there was no firm place; it was turned away unread.
     pub fn refuse_crowded(&mut self, class: ClassId) {
         self.ends.came(class.0);
-        self.ends.ended(class.0, figures::End::RefusedFull);
+        self.ends.ended(class.0, metrics::QueryEnd::RejectedAtCapacity);
     }
 
     /// So many attempts have been written to their worker, to the last byte.
@@ -217,7 +217,7 @@
         self.counters.ended(outcome);
         if let Some(figures) = &mut self.figures {
             let name = self.workers.registry.name(sent.worker).unwrap_or_default();
-            figures.attempt(name, outcome_name(outcome), elapsed);
+            figures.record_attempt(name, outcome_name(outcome), elapsed);
         }
         let part = self.open.part(ticket.part);
         let over = outcome == AttemptOutcome::Succeeded || part.is_none();
@@ -243,10 +243,10 @@
     }
 
     /// Counts the end of a query.
-    fn count_end(&mut self, seen: Seen, end: figures::End, took: Duration) {
+    fn count_end(&mut self, seen: QueryLabels, end: metrics::QueryEnd, took: Duration) {
         self.ends.ended(seen.class, end);
         if let Some(figures) = &mut self.figures {
-            figures.ended(seen, end, took);
+            figures.record_end(seen, end, took);
         }
     }
 
--- a/src/routing/core/turn.rs
+++ b/src/routing/core/turn.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use crate::policy::*;
-use crate::records::figures;
+use crate::records::metrics;
 use crate::routing::attempt::{Dispatch, End, Ticket};
 use crate::routing::in_flight::SentAttempt;
 use crate::routing::invariants::{Invariant, SendPermit, Sending, check_answer, check_refusal, share_in};
@@ -262,14 +262,14 @@
     }
 
     /// How an ending is counted.
-    fn end_of(&self, query: &OpenQuery, ending: Ending, took: Duration) -> figures::End {
+    fn end_of(&self, query: &OpenQuery, ending: Ending, took: Duration) -> metrics::QueryEnd {
         match ending {
-            Ending::Answer { whole: true } if self.is_late(query, took) => figures::End::WholeLate,
-            Ending::Answer { whole: true } => figures::End::WholeInTime,
-            Ending::Answer { whole: false } => figures::End::Partial,
-            Ending::Refuse { .. } => figures::End::RefusedDeclined,
-            Ending::Fail => figures::End::FailedGivenUp,
-            Ending::FailOverdue => figures::End::FailedOverdue,
+            Ending::Answer { whole: true } if self.is_late(query, took) => metrics::QueryEnd::CompleteLate,
+            Ending::Answer { whole: true } => metrics::QueryEnd::CompleteInTime,
+            Ending::Answer { whole: false } => metrics::QueryEnd::Partial,
+            Ending::Refuse { .. } => metrics::QueryEnd::RejectedByPolicy,
+            Ending::Fail => metrics::QueryEnd::FailedAbandoned,
+            Ending::FailOverdue => metrics::QueryEnd::FailedDeadlineExceeded,
         }
     }
 
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::policy::PolicySnapshot;
 use crate::policy::*;
-use crate::records::line::{Body, WorkerState};
+use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::order::Order;
 use crate::routing::worker_list::{MOST_NAMES, WorkerList};
 use crate::routing::worker_registry::Listing;
@@ -150,7 +150,7 @@
             return;
         }
         let (revision, complete, workers) = (listing.revision, listing.complete, self.workers.len());
-        self.news.push(Body::List { revision, complete, workers });
+        self.news.push(RecordBody::EndpointList { revision, complete, workers });
         let gone = self.states.missing(|worker| self.workers.contains(worker));
         self.record_states(now, entries, gone);
     }
@@ -166,15 +166,15 @@
             self.record_state(entry.worker, WorkerStates::of(entry, out, now, warm_up));
         }
         for worker in gone {
-            self.record_state(worker, WorkerState::Gone);
+            self.record_state(worker, RecordedWorkerState::Removed);
         }
     }
 
-    fn record_state(&mut self, worker: WorkerId, state: WorkerState) {
+    fn record_state(&mut self, worker: WorkerId, state: RecordedWorkerState) {
         if self.states.update(worker, state)
             && let Some(name) = self.workers.registry.name(worker)
         {
-            self.news.push(Body::Worker { worker: name.to_owned(), state });
+            self.news.push(RecordBody::Worker { worker: name.to_owned(), state });
         }
     }
 }
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,7 +1,7 @@
 //! What the broker took in, sent and answered, counted since its start.
 
 use crate::policy::AttemptOutcome;
-use crate::records::figures;
+use crate::records::metrics;
 use std::fmt;
 
 macro_rules! counters {
@@ -117,14 +117,16 @@
     }
 
     /// A query of this class ended. Every end of a query passes here, once.
-    pub fn ended(&mut self, class: usize, end: figures::End) {
-        use figures::End;
+    pub fn ended(&mut self, class: usize, end: metrics::QueryEnd) {
+        use metrics::QueryEnd;
         let Some(ends) = self.0.get_mut(class) else { return };
         *match end {
-            End::WholeInTime | End::WholeLate | End::Partial => &mut ends.succeeded,
-            End::RefusedDeclined | End::RefusedFull | End::RefusedStopping => &mut ends.declined,
-            End::FailedGivenUp | End::FailedOverdue => &mut ends.aborted,
-            End::Left => &mut ends.left,
+            QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial => &mut ends.succeeded,
+            QueryEnd::RejectedByPolicy | QueryEnd::RejectedAtCapacity | QueryEnd::RejectedShuttingDown => {
+                &mut ends.declined
+            }
+            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.aborted,
+            QueryEnd::ClientDisconnected => &mut ends.left,
         } += 1;
     }
 }
@@ -132,7 +134,7 @@
 /// The name of an outcome in the records.
 pub(super) fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        AttemptOutcome::Succeeded => figures::DONE,
+        AttemptOutcome::Succeeded => metrics::ATTEMPT_DONE,
         AttemptOutcome::Failed => "error",
         AttemptOutcome::Rejected => "busy",
         AttemptOutcome::TimedOut => "timed_out",
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -2,7 +2,7 @@
 //! in [`super::in_flight`].
 
 use crate::policy::*;
-use crate::records::figures::Seen;
+use crate::records::metrics::QueryLabels;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     /// Its parts.
     pub parts: Vec<RequestId>,
     /// Its class and tenant, as they are counted.
-    pub seen: Seen,
+    pub seen: QueryLabels,
     /// When it was taken in.
     pub taken: Time,
 }
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -1,25 +1,25 @@
 //! How workers are seen, for the records: it remembers what was recorded of each, so that only changes are.
 
 use crate::policy::*;
-use crate::records::line::WorkerState;
+use crate::records::record::RecordedWorkerState;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// The state in which each worker was last recorded.
 #[derive(Default)]
-pub(super) struct WorkerStates(HashMap<WorkerId, WorkerState>);
+pub(super) struct WorkerStates(HashMap<WorkerId, RecordedWorkerState>);
 
 impl WorkerStates {
     /// The state of a listed worker. `out` is whether it is out by hand, `warm_up` how long a start is held to be cold.
-    pub fn of(entry: &Endpoint, out: bool, now: Time, warm_up: Duration) -> WorkerState {
+    pub fn of(entry: &Endpoint, out: bool, now: Time, warm_up: Duration) -> RecordedWorkerState {
         match entry.status {
-            EndpointStatus::Gone => WorkerState::Gone,
-            EndpointStatus::Draining if out => WorkerState::OutByHand,
-            EndpointStatus::Draining => WorkerState::Draining,
+            EndpointStatus::Gone => RecordedWorkerState::Removed,
+            EndpointStatus::Draining if out => RecordedWorkerState::Disabled,
+            EndpointStatus::Draining => RecordedWorkerState::Draining,
             EndpointStatus::Active if entry.started_at.is_some_and(|since| now.since(since) < warm_up) => {
-                WorkerState::Cold
+                RecordedWorkerState::WarmingUp
             }
-            EndpointStatus::Active => WorkerState::Active,
+            EndpointStatus::Active => RecordedWorkerState::Active,
         }
     }
 
@@ -29,9 +29,9 @@
     }
 
     /// Books the state of a worker; whether that is news. The end of one that was never recorded is none.
-    pub fn update(&mut self, worker: WorkerId, state: WorkerState) -> bool {
+    pub fn update(&mut self, worker: WorkerId, state: RecordedWorkerState) -> bool {
         match state {
-            WorkerState::Gone => self.0.remove(&worker).is_some(),
+            RecordedWorkerState::Removed => self.0.remove(&worker).is_some(),
             state => self.0.insert(worker, state) != Some(state),
         }
     }
--- a/src/transport/gate.rs
+++ b/src/transport/gate.rs
@@ -2,8 +2,10 @@
 //! order and the time limits are decided in [`crate::limits::crowd`].
 
 use super::places::{Buffered, Place, Places};
-use crate::limits::crowd::{Record, Source, Why};
-use crate::limits::{Crowd, Denied, ResourcePressure, Side, Tally};
+use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
+use crate::limits::{
+    ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
+};
 use crate::service::stage::{Call, Refused};
 use crate::service::{Stage, Stages};
 use std::cell::{Cell, RefCell};
@@ -20,7 +22,7 @@
 /// The connections of one process, and how they are told to end.
 pub struct Gate {
     places: Rc<Places>,
-    crowd: RefCell<Crowd>,
+    crowd: RefCell<ClientConnections>,
     signals: RefCell<HashMap<u64, Rc<Signal>>>,
     /// A connection has become one that may be made to leave.
     loosened: Notify,
@@ -30,7 +32,7 @@
 
 #[derive(Default)]
 struct Signal {
-    why: Cell<Option<Why>>,
+    why: Cell<Option<EvictionReason>>,
     told: Notify,
 }
 
@@ -116,8 +118,8 @@
     /// How scarce places are for clients. Their own level comes first: what clients may hold at their end is less
     /// than what there is here, and who asked once and stays takes it from those who would come back.
     pub fn pressure(&self) -> ResourcePressure {
-        let floor = self.places.descriptors(|all| all.plan().floors[Side::Clients as usize]);
-        ResourcePressure::of(self.open(), floor / 3, floor * 3 / 4).or(self.places.pressure())
+        let floor = self.places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+        ResourcePressure::from_usage(self.open(), floor / 3, floor * 3 / 4).max(self.places.pressure())
     }
 
     /// Lets a connection in. Where there is no place, the one of least worth is told to leave; none at all is to be
@@ -125,9 +127,9 @@
     pub async fn admit(self: &Rc<Self>, source: Source, longest: Duration) -> Option<Pass> {
         let place = loop {
             let freed = self.places.freed();
-            match self.places.try_take(Side::Clients) {
+            match self.places.try_take(DescriptorClass::Clients) {
                 Ok(place) => break place,
-                Err(Denied::Full) if !self.leaving() => return None,
+                Err(DescriptorDenied::Exhausted) if !self.leaving() => return None,
                 Err(_) => {}
             }
             if tokio::time::timeout(longest, freed).await.is_err() {
@@ -135,7 +137,7 @@
             }
         };
         let now = self.places.now();
-        let id = self.crowd.borrow_mut().enter(now, source);
+        let id = self.crowd.borrow_mut().accept(now, source);
         let signal = Rc::new(Signal::default());
         self.signals.borrow_mut().insert(id, signal.clone());
         self.places.tally.borrow_mut().admitted += 1;
@@ -145,12 +147,12 @@
         let pass = Pass { gate: self.clone(), id, place, signal, bytes, waited };
         // The next one who comes is to find a place free. It is made only now, so that it costs nobody theirs before
         // it is needed, and so that the newcomer is judged beside the others.
-        let (free, door) = self.places.descriptors(|all| (all.free(), all.plan().door));
+        let (free, door) = self.places.descriptors(|all| (all.free(), all.budget().headroom));
         if free < door
-            && let Some(lender) = self.places.descriptors(|all| all.lender(Side::Clients))
+            && let Some(lender) = self.places.descriptors(|all| all.lender(DescriptorClass::Clients))
         {
             match lender {
-                Side::Clients => self.make_room(),
+                DescriptorClass::Clients => self.make_room(),
                 other => self.places.recall(other),
             }
         }
@@ -160,19 +162,19 @@
     /// Whether anyone has been told to leave who has not left yet.
     fn leaving(&self) -> bool {
         let crowd = self.crowd.borrow();
-        self.signals.borrow().keys().any(|id| !crowd.is_loose(*id) && !crowd.is_firm(*id))
+        self.signals.borrow().keys().any(|id| !crowd.is_evictable(*id) && !crowd.is_busy(*id))
     }
 
     fn make_room(&self) {
-        let chosen = self.crowd.borrow_mut().give_way(self.places.now());
+        let chosen = self.crowd.borrow_mut().evict(self.places.now());
         if let Some((id, why)) = chosen {
-            self.places.tally.borrow_mut().gave_way += 1;
+            self.places.tally.borrow_mut().evicted_early += 1;
             self.tell(id, why);
         }
     }
 
-    fn tell(&self, id: u64, why: Why) {
-        self.places.tally.borrow_mut().leaves(why);
+    fn tell(&self, id: u64, why: EvictionReason) {
+        self.places.tally.borrow_mut().count_eviction(why);
         if let Some(signal) = self.signals.borrow().get(&id) {
             signal.why.set(Some(why));
             signal.told.notify_one();
@@ -184,27 +186,27 @@
     pub async fn tend(&self) {
         let (mut said, mut said_at) = (0, self.places.now());
         loop {
-            if !self.crowd.borrow().has_loose() {
+            if !self.crowd.borrow().has_evictable() {
                 tokio::select! {
                     () = self.loosened.notified() => {}
-                    () = self.places.recalled(Side::Clients) => continue,
+                    () = self.places.recalled(DescriptorClass::Clients) => continue,
                 }
             }
             let pressure = self.pressure();
-            let due = self.crowd.borrow().next_due(pressure);
+            let due = self.crowd.borrow().next_deadline(pressure);
             let now = self.places.now();
             let due = due.map_or(TICK, |due| due.since(now)).min(TICK);
             tokio::select! {
-                () = self.places.recalled(Side::Clients) => self.make_room(),
+                () = self.places.recalled(DescriptorClass::Clients) => self.make_room(),
                 () = tokio::time::sleep_until(self.places.moment(now.after(due))) => {}
             }
             let pressure = self.pressure();
-            let late = self.crowd.borrow_mut().sweep(self.places.now(), pressure);
+            let late = self.crowd.borrow_mut().evict_expired(self.places.now(), pressure);
             late.into_iter().for_each(|(id, why)| self.tell(id, why));
             let now = self.places.now();
-            let early = self.places.tally.borrow().gave_way;
+            let early = self.places.tally.borrow().evicted_early;
             if early > said && now.since(said_at) >= TELL {
-                let left = self.places.tally.borrow().left.map(|count| count.to_string()).join(" ");
+                let left = self.places.tally.borrow().evicted.map(|count| count.to_string()).join(" ");
                 log::warn!(
                     "crowded: {} clients, {} left for others; since the start, silent, slow, asked once, marked, idle and over share: {left}",
                     self.open(),
@@ -233,7 +235,7 @@
     pub fn gate(&self) -> &Gate {
         &self.gate
     }
-    fn crowd<T>(&self, change: impl FnOnce(&mut Crowd) -> T) -> T {
+    fn crowd<T>(&self, change: impl FnOnce(&mut ClientConnections) -> T) -> T {
         change(&mut self.gate.crowd.borrow_mut())
     }
 
@@ -247,7 +249,7 @@
     }
 
     /// Waits until it is told to leave.
-    pub async fn told_to_leave(&self) -> Why {
+    pub async fn told_to_leave(&self) -> EvictionReason {
         loop {
             match self.signal.why.take() {
                 Some(why) => return why,
@@ -258,54 +260,54 @@
     /// Bytes of a request have come, which is not all there yet. One that was told to leave stays.
     pub fn heard(&self, bytes: usize) {
         if self.signal.why.take().is_some() {
-            self.gate.places.tally.borrow_mut().spared += 1;
+            self.gate.places.tally.borrow_mut().eviction_cancelled += 1;
         }
-        self.crowd(|crowd| crowd.heard(self.gate.places.now(), self.id, bytes));
+        self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
     }
     /// The client has said who it is.
     pub fn belongs(&self, source: Source) {
-        self.crowd(|crowd| crowd.belongs(self.id, source));
+        self.crowd(|crowd| crowd.set_source(self.id, source));
     }
     /// Its request is all there; false where it cannot be served without touching what others are promised.
     pub fn opened(&self) -> bool {
         let pinned = self.place.pin();
         if pinned {
             self.signal.why.take();
-            self.crowd(|crowd| crowd.opened(self.gate.places.now(), self.id));
+            self.crowd(|crowd| crowd.start_query(self.gate.places.now(), self.id));
         } else {
-            self.gate.places.tally.borrow_mut().unpinned += 1;
-            self.crowd(|crowd| crowd.spoke_rubbish(self.gate.places.now(), self.id));
+            self.gate.places.tally.borrow_mut().rejected_no_descriptor += 1;
+            self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
         }
         pinned
     }
     /// Its request has had its answer.
-    pub fn answered(&self, record: Record) {
+    pub fn answered(&self, record: RequestValidity) {
         self.place.unpin();
-        self.crowd(|crowd| crowd.answered(self.gate.places.now(), self.id, record));
+        self.crowd(|crowd| crowd.finish_query(self.gate.places.now(), self.id, record));
         self.gate.loosened.notify_one();
     }
     /// Counts something of it.
-    pub fn count(&self, change: impl FnOnce(&mut Tally)) {
+    pub fn count(&self, change: impl FnOnce(&mut ConnectionCounters)) {
         change(&mut self.gate.places.tally.borrow_mut());
     }
     /// What it sent was no request.
     pub fn spoke_rubbish(&self) {
-        self.crowd(|crowd| crowd.spoke_rubbish(self.gate.places.now(), self.id));
+        self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
     }
     /// It stays after all: a request came as it was to leave.
     pub fn spared(&self, bytes: usize) {
-        self.gate.places.tally.borrow_mut().spared += 1;
-        self.crowd(|crowd| crowd.heard(self.gate.places.now(), self.id, bytes));
+        self.gate.places.tally.borrow_mut().eviction_cancelled += 1;
+        self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
     }
     /// Its close crossed a request.
     pub fn crossed(&self) {
-        self.gate.places.tally.borrow_mut().crossed += 1;
+        self.gate.places.tally.borrow_mut().close_races += 1;
     }
 }
 
 impl Drop for Pass {
     fn drop(&mut self) {
-        self.crowd(|crowd| crowd.left(self.id));
+        self.crowd(|crowd| crowd.close(self.id));
         self.gate.signals.borrow_mut().remove(&self.id);
     }
 }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -4,7 +4,7 @@
 use super::failure;
 use super::places::{Buffered, Place, Places};
 use super::stream::{Dial, Stream, dial_within};
-use crate::limits::Side;
+use crate::limits::DescriptorClass;
 use crate::policy::*;
 use crate::protocol::{http, opensearch};
 use crate::routing::{Broker, Carrier, Dispatch, End, Limits, Ticket};
@@ -80,13 +80,13 @@
     /// lives.
     pub async fn give_way(self) {
         loop {
-            self.0.places.recalled(Side::Workers).await;
+            self.0.places.recalled(DescriptorClass::Workers).await;
             let links = self.0.links.borrow();
             let oldest = |link: &&Rc<Link>| link.idle.borrow().first().map(|idle| idle.since);
             let link = links.values().filter(|link| oldest(link).is_some()).min_by_key(oldest).cloned();
             drop(links);
             if let Some(link) = link {
-                self.0.places.tally.borrow_mut().lines_gave_way += 1;
+                self.0.places.tally.borrow_mut().worker_connections_evicted += 1;
                 let oldest = link.idle.borrow_mut().remove(0);
                 close(vec![oldest]);
             }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -5,8 +5,8 @@
 use super::owed_answer::OwedAnswer;
 use super::socket::Socket;
 use super::stream::Stream;
-use crate::limits::crowd::{Record, Source, Why};
-use crate::limits::{AcceptPacer, Side};
+use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
+use crate::limits::{AcceptPacer, DescriptorClass};
 use crate::protocol::http::{self, Request, Response};
 use crate::routing::Invariant;
 use crate::service::Stage;
@@ -107,7 +107,7 @@
         let accepted = match waiting {
             Some(accepted) => accepted,
             None => {
-                pacer.idle();
+                pacer.reset();
                 failing_since = None;
                 let accepted = tokio::select! {
                     biased;
@@ -144,7 +144,7 @@
             }
         }
         pauses = Pauses::default();
-        if let Some(pause) = pacer.passed(begun, gate.places().now()) {
+        if let Some(pause) = pacer.record_accept(begun, gate.places().now()) {
             tokio::time::sleep(pause).await;
         }
     }
@@ -161,14 +161,14 @@
     log::warn!("accept: {error}");
     // Descriptors have run out beside the budget: one that a client holds loosely helps.
     let freed = gate.places().freed();
-    gate.places().recall(Side::Clients);
+    gate.places().recall(DescriptorClass::Clients);
     // Whether it frees one or not, the next try comes soon.
     let _ = tokio::time::timeout(pauses.next_pause().min(ACCEPT_PAUSE), freed).await;
 }
 
 /// Tells one for whom there is no place when to come back: a query is open on every connection.
 async fn turn_away(mut stream: Box<dyn Stream>, response: &Response, gate: &Gate) {
-    gate.places().tally.borrow_mut().turned_away += 1;
+    gate.places().tally.borrow_mut().rejected += 1;
     let bytes = response.encode(true);
     let told = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
     // Whether it is read or not, nothing more can be done for it.
@@ -216,7 +216,7 @@
             biased;
             response = front.respond(request) => response,
             () = gone(&mut read, &mut buffer, &pass, body, &mut lost) => {
-                pass.count(|tally| tally.gone_waiting += 1);
+                pass.count(|tally| tally.client_closed_waiting += 1);
                 return owed.client_gone();
             }
         };
@@ -230,10 +230,10 @@
             Ok(Ok(())) => owed.given(),
             Ok(Err(error)) => {
                 log::debug!("client at {from}: the answer could not be written: {error}");
-                pass.count(|tally| tally.gone_answered += 1);
+                pass.count(|tally| tally.response_write_failed += 1);
                 return owed.client_gone();
             }
-            Err(_) => return pass.count(|tally| tally.not_taken += 1),
+            Err(_) => return pass.count(|tally| tally.response_write_timed_out += 1),
         }
         if close {
             if write.shutdown().await.is_ok() {
@@ -243,8 +243,8 @@
         }
         answers += 1;
         pass.answered(match response.status {
-            400 | 405 | 411..=414 | 431 | 501 => Record::Rubbish,
-            _ => Record::Sound,
+            400 | 405 | 411..=414 | 431 | 501 => RequestValidity::Invalid,
+            _ => RequestValidity::Valid,
         });
     }
 }
@@ -292,14 +292,14 @@
                         log::debug!("client: {error}");
                     }
                     let half = !buffer.is_empty();
-                    pass.count(|tally| *if half { &mut tally.gone_half } else { &mut tally.gone_idle } += 1);
+                    pass.count(|tally| *if half { &mut tally.client_closed_mid_request } else { &mut tally.client_closed_idle } += 1);
                     return Next::End;
                 }
             },
             () = pass.bytes.room(), if !more => {}
             why = pass.told_to_leave() => {
                 if !buffer.is_empty() {
-                    let why = if why == Why::Slow { "the request did not end in time" } else { "no room" };
+                    let why = if why == EvictionReason::Slow { "the request did not end in time" } else { "no room" };
                     return Next::Last(Response::text(408, why).encode(true));
                 }
                 if let Some(end) = part(read, write, buffer, front, pass, answers).await {
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -3,8 +3,8 @@
 use super::listener::drain;
 use super::places::{Place, Places};
 use super::socket::Socket;
-use crate::limits::Side;
-use crate::limits::descriptors::OPERATORS;
+use crate::limits::DescriptorClass;
+use crate::limits::descriptors::OPERATOR_DESCRIPTORS;
 use crate::protocol::http::{self, Request, Response};
 use bytes::BytesMut;
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Callers that are let in at once; the others of their descriptors are those of callers that are just leaving.
-const MOST: usize = OPERATORS - 2;
+const MOST: usize = OPERATOR_DESCRIPTORS - 2;
 /// Time for a call to arrive, and for its answer to be taken.
 const ARRIVE: Duration = Duration::from_millis(600);
 const TAKE: Duration = Duration::from_millis(400);
@@ -51,7 +51,7 @@
         {
             first.abort();
         }
-        let place = places.take(Side::Operators).await;
+        let place = places.take(DescriptorClass::Operators).await;
         let api = api.clone();
         callers.push_back(spawn_local(async move { call(stream, &*api, place).await }));
     }
--- a/src/transport/places.rs
+++ b/src/transport/places.rs
@@ -1,9 +1,12 @@
 //! The process's descriptors and buffered bytes as the sockets see them: places that give themselves back, and waiting
 //! for one. Who gets what is decided in [`crate::limits`].
 
-use crate::limits::descriptors::SIDES;
-use crate::limits::lines::{self, Number, Openings, Turned};
-use crate::limits::{BufferBudget, Denied, Descriptors, Plan, ResourcePressure, Side, Tally};
+use crate::limits::connection_pool::{self, ConnectQueue, ConnectTicket, ConnectWaitError};
+use crate::limits::descriptors::DESCRIPTOR_CLASSES;
+use crate::limits::{
+    BufferBudget, ConnectionCounters, DescriptorAllocator, DescriptorBudget, DescriptorClass,
+    DescriptorDenied, ResourcePressure,
+};
 use crate::policy::{Time, WorkerId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,15 +25,15 @@
 /// What all sides of one process share.
 pub struct Places {
     start: Instant,
-    descriptors: RefCell<Descriptors>,
+    descriptors: RefCell<DescriptorAllocator>,
     bytes: RefCell<BufferBudget>,
-    openings: RefCell<Openings>,
-    waiting: RefCell<BTreeMap<Number, oneshot::Sender<Opening>>>,
-    recalls: [Recall; SIDES.len()],
+    openings: RefCell<ConnectQueue>,
+    waiting: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<Opening>>>,
+    recalls: [Recall; DESCRIPTOR_CLASSES.len()],
     freed: Notify,
     room: Notify,
     /// What it has counted so far.
-    pub tally: RefCell<Tally>,
+    pub tally: RefCell<ConnectionCounters>,
 }
 
 #[derive(Default)]
@@ -41,13 +44,13 @@
 
 impl Places {
     /// All places are free; `bytes` may be buffered.
-    pub fn new(plan: Plan, bytes: usize) -> Rc<Places> {
-        let floor = plan.floors[Side::Workers as usize];
+    pub fn new(plan: DescriptorBudget, bytes: usize) -> Rc<Places> {
+        let floor = plan.floors[DescriptorClass::Workers as usize];
         Rc::new(Places {
             start: Instant::now(),
             bytes: RefCell::new(BufferBudget::new(bytes, plan.usable)),
-            openings: RefCell::new(Openings::new(plan.usable * WAITS_EACH, (floor / OPENING).max(4))),
-            descriptors: RefCell::new(Descriptors::new(plan)),
+            openings: RefCell::new(ConnectQueue::new(plan.usable * WAITS_EACH, (floor / OPENING).max(4))),
+            descriptors: RefCell::new(DescriptorAllocator::new(plan)),
             waiting: RefCell::default(),
             recalls: Default::default(),
             freed: Notify::new(),
@@ -65,7 +68,7 @@
         self.start + at.since(Time(0))
     }
     /// Reads the budget of descriptors; not to be held.
-    pub fn descriptors<T>(&self, read: impl FnOnce(&Descriptors) -> T) -> T {
+    pub fn descriptors<T>(&self, read: impl FnOnce(&DescriptorAllocator) -> T) -> T {
         read(&self.descriptors.borrow())
     }
     /// Bytes that are buffered for peers.
@@ -75,31 +78,28 @@
     /// How scarce descriptors and bytes are for all sides together.
     pub fn pressure(&self) -> ResourcePressure {
         let descriptors = self.descriptors.borrow();
-        let usable = descriptors.plan().usable;
+        let usable = descriptors.budget().usable;
         let bytes = self.bytes.borrow();
-        ResourcePressure::of(usable - descriptors.free(), usable * 3 / 4, usable).or(ResourcePressure::of(
-            bytes.used(),
-            bytes.total() / 2,
-            bytes.total(),
-        ))
+        ResourcePressure::from_usage(usable - descriptors.free(), usable * 3 / 4, usable)
+            .max(ResourcePressure::from_usage(bytes.used(), bytes.total() / 2, bytes.total()))
     }
 
     /// A loose place, if one is free; else someone is asked for theirs.
-    pub fn try_take(self: &Rc<Self>, side: Side) -> Result<Place, Denied> {
-        let taken = self.descriptors.borrow_mut().take(side);
+    pub fn try_take(self: &Rc<Self>, side: DescriptorClass) -> Result<Place, DescriptorDenied> {
+        let taken = self.descriptors.borrow_mut().acquire(side);
         if let Err(denied) = taken {
-            if let Denied::Recall(lender) = denied {
+            if let DescriptorDenied::Reclaim(lender) = denied {
                 self.recall(lender);
             }
             return Err(denied);
         }
-        let (held, free) = self.descriptors(|all| (all.held(side), all.plan().usable - all.free()));
-        self.tally.borrow_mut().holds(side, held, free);
+        let (held, free) = self.descriptors(|all| (all.held(side), all.budget().usable - all.free()));
+        self.tally.borrow_mut().record_held(side, held, free);
         Ok(Place { places: self.clone(), side, firm: Cell::new(false) })
     }
 
     /// A loose place for a side that never wants more than its floor.
-    pub async fn take(self: &Rc<Self>, side: Side) -> Place {
+    pub async fn take(self: &Rc<Self>, side: DescriptorClass) -> Place {
         loop {
             let freed = self.freed.notified();
             if let Ok(place) = self.try_take(side) {
@@ -110,13 +110,13 @@
     }
 
     /// Divides descriptors and bytes anew, and calls back what is held beyond that, as far as it is held loosely.
-    pub async fn replan(&self, plan: Plan, bytes: usize) {
+    pub async fn replan(&self, plan: DescriptorBudget, bytes: usize) {
         self.bytes.borrow_mut().resize(bytes, plan.usable);
-        self.descriptors.borrow_mut().replan(plan);
+        self.descriptors.borrow_mut().set_budget(plan);
         self.freed.notify_waiters();
         for _ in 0..self.descriptors(|all| all.excess()) {
             let freed = self.freed();
-            let side = self.descriptors(|all| all.yields().filter(|_| all.excess() > 0));
+            let side = self.descriptors(|all| all.class_to_reclaim_from().filter(|_| all.excess() > 0));
             let Some(side) = side else { return };
             self.recall(side);
             // Whoever is called may have nothing left to give: it is not waited for for long.
@@ -125,12 +125,12 @@
     }
 
     /// Asks a side to let one go.
-    pub fn recall(&self, side: Side) {
+    pub fn recall(&self, side: DescriptorClass) {
         self.recalls[side as usize].wanted.set(true);
         self.recalls[side as usize].notify.notify_one();
     }
     /// Waits until this side is to let one go.
-    pub async fn recalled(&self, side: Side) {
+    pub async fn recalled(&self, side: DescriptorClass) {
         let recall = &self.recalls[side as usize];
         while !recall.wanted.replace(false) {
             recall.notify.notified().await;
@@ -142,8 +142,8 @@
     }
 
     /// Waits for the right to open a connection to a server, for a call of so much time. Dropped, it waits no longer.
-    pub async fn open(self: &Rc<Self>, leaf: WorkerId, left: Duration) -> Result<Opening, Turned> {
-        let (number, out) = self.openings.borrow_mut().join(self.now(), leaf, left);
+    pub async fn open(self: &Rc<Self>, leaf: WorkerId, left: Duration) -> Result<Opening, ConnectWaitError> {
+        let (number, out) = self.openings.borrow_mut().enqueue(self.now(), leaf, left);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, tell);
         // Whoever is turned out learns it from the channel's end.
@@ -151,23 +151,25 @@
         drop(turned_out);
         let _waiting = Waiting { places: self, number };
         self.pump();
-        let end = match tokio::time::timeout(lines::patience(left), told).await {
+        let end = match tokio::time::timeout(connection_pool::connect_wait_limit(left), told).await {
             Ok(Ok(opening)) => return Ok(opening),
-            Ok(Err(_)) => Turned::Crowded,
-            Err(_) => Turned::Late,
+            Ok(Err(_)) => ConnectWaitError::QueueFull,
+            Err(_) => ConnectWaitError::TimedOut,
         };
-        self.tally.borrow_mut().not_opened += 1;
+        self.tally.borrow_mut().worker_connect_waits_failed += 1;
         Err(end)
     }
 
     /// Lets in whoever waits, as far as there are places.
     fn pump(self: &Rc<Self>) {
-        while self.openings.borrow().would_admit() && self.descriptors(|all| all.may_pin(Side::Workers)) {
-            let Ok(place) = self.try_take(Side::Workers) else { return };
+        while self.openings.borrow().can_start_next()
+            && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
+        {
+            let Ok(place) = self.try_take(DescriptorClass::Workers) else { return };
             place.pin();
-            let admitted = self.openings.borrow_mut().admit();
+            let admitted = self.openings.borrow_mut().start_next();
             let Some((number, leaf)) = admitted else { return };
-            self.tally.borrow_mut().opened += 1;
+            self.tally.borrow_mut().worker_connects_started += 1;
             let tell = self.waiting.borrow_mut().remove(&number);
             let opening = Opening { place, _coming_up: ComingUp { places: self.clone(), leaf } };
             if let Some(tell) = tell {
@@ -179,9 +181,9 @@
 
     fn change_bytes(&self, before: usize, after: usize) {
         let mut bytes = self.bytes.borrow_mut();
-        bytes.change(before, after);
+        bytes.update(before, after);
         let mut tally = self.tally.borrow_mut();
-        tally.most_bytes = tally.most_bytes.max(bytes.used());
+        tally.peak_buffered_bytes = tally.peak_buffered_bytes.max(bytes.used());
         if after < before {
             self.room.notify_waiters();
         }
@@ -191,12 +193,12 @@
 /// Leaves the queue when nobody waits any longer.
 struct Waiting<'a> {
     places: &'a Places,
-    number: Number,
+    number: ConnectTicket,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.places.openings.borrow_mut().leave(self.number);
+        self.places.openings.borrow_mut().cancel(self.number);
         self.places.waiting.borrow_mut().remove(&self.number);
     }
 }
@@ -204,7 +206,7 @@
 /// One descriptor of the budget, for as long as it is held.
 pub struct Place {
     places: Rc<Places>,
-    side: Side,
+    side: DescriptorClass,
     firm: Cell<bool>,
 }
 
@@ -212,14 +214,14 @@
     /// Makes it firm; false where floors forbid it.
     pub fn pin(&self) -> bool {
         if !self.firm.get() {
-            self.firm.set(self.places.descriptors.borrow_mut().pin(self.side));
+            self.firm.set(self.places.descriptors.borrow_mut().mark_busy(self.side));
         }
         self.firm.get()
     }
     /// Makes it loose.
     pub fn unpin(&self) {
         if self.firm.replace(false) {
-            self.places.descriptors.borrow_mut().unpin(self.side);
+            self.places.descriptors.borrow_mut().mark_evictable(self.side);
             self.places.pump();
         }
     }
@@ -229,9 +231,9 @@
     fn drop(&mut self) {
         let mut descriptors = self.places.descriptors.borrow_mut();
         if self.firm.get() {
-            descriptors.unpin(self.side);
+            descriptors.mark_evictable(self.side);
         }
-        descriptors.give_back(self.side);
+        descriptors.release(self.side);
         drop(descriptors);
         self.places.freed.notify_waiters();
         self.places.pump();
@@ -258,7 +260,7 @@
 
 impl Drop for ComingUp {
     fn drop(&mut self) {
-        self.places.openings.borrow_mut().settled(self.leaf);
+        self.places.openings.borrow_mut().finish_connect(self.leaf);
         self.places.pump();
     }
 }
--- a/src/transport/watch.rs
+++ b/src/transport/watch.rs
@@ -3,7 +3,7 @@
 use super::client;
 use super::places::Places;
 use super::stream::{Dial, dial_within};
-use crate::limits::{Backoff, Side};
+use crate::limits::{Backoff, DescriptorClass};
 use crate::protocol::{discovery, http};
 use crate::routing::Broker;
 use bytes::BytesMut;
@@ -31,7 +31,7 @@
     let (mut at, mut said) = (address.borrow_and_update().clone(), String::new());
     let mut revision = held;
     // Where there is a list, it serves meanwhile.
-    let mut pause = if broker.core(|core| core.ready()) { backoff.start() } else { Duration::ZERO };
+    let mut pause = if broker.core(|core| core.ready()) { backoff.initial_delay() } else { Duration::ZERO };
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -42,10 +42,10 @@
         if next != at {
             // Guards against changes missed between the two: another agent is asked for its whole list.
             (at, revision, said) = (next, None, String::new());
-            backoff.answered();
+            backoff.record_success();
         }
         // Its floor holds it: it never has to wait for long, whatever the crowd.
-        let _place = places.take(Side::Discovery).await;
+        let _place = places.take(DescriptorClass::Discovery).await;
         let (error, overbooked) = tokio::select! {
             biased;
             Ok(()) = address.changed() => continue,
@@ -56,9 +56,9 @@
             log::warn!("discovery at {at}: {error}; serving goes on with the last list");
             said = error;
         }
-        backoff.among(broker.core(|core| core.gatherers()));
+        backoff.set_callers(broker.core(|core| core.gatherers()));
         // Guards against keeping an overbooked discovery so: a constant pause of all gatherers never let it recover.
-        pause = backoff.pause(overbooked);
+        pause = backoff.next_delay(overbooked);
     }
 }
 
@@ -70,7 +70,7 @@
     revision: &mut Option<u64>,
     backoff: &mut Backoff,
 ) -> (String, bool) {
-    let wait = backoff.wait();
+    let wait = backoff.long_poll_timeout();
     let mut stream = match dial_within(dial, address, CONNECT).await {
         Ok(stream) => stream,
         Err(error) => return (format!("cannot connect: {error}"), false),
@@ -105,7 +105,7 @@
                     continue;
                 }
                 *revision = Some(listing.revision);
-                backoff.answered();
+                backoff.record_success();
                 // A list without entries says only that the wait is over, unless it is the whole list.
                 if listing.complete || !listing.members.is_empty() {
                     broker.learn(&listing, false);
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -7,8 +7,8 @@
 
 use super::places::Places;
 use super::stream::Dial;
-use crate::limits::Side;
-use crate::limits::lines::{self, Choice};
+use crate::limits::DescriptorClass;
+use crate::limits::connection_pool::{self, ConnectionChoice};
 use crate::policy::*;
 use crate::routing::{Broker, Carrier, Dispatch, End, Ticket};
 use connection::Connection;
@@ -94,16 +94,16 @@
         let worker = workers.get_mut(&id).filter(|worker| worker.open)?;
         let Shared { places, limits, .. } = &self.0.shared;
         // An idle connection holds its place loosely, and needs a firm one again.
-        let may_pin = places.descriptors(|all| all.may_pin(Side::Workers));
-        let seen = worker.connections.iter().map(|connection| lines::Line {
-            calls: connection.open_calls(),
-            room: connection.accepts(parts, limits.multiplex, self.0.silence)
+        let may_pin = places.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers));
+        let seen = worker.connections.iter().map(|connection| connection_pool::PooledConnection {
+            in_flight: connection.open_calls(),
+            has_capacity: connection.accepts(parts, limits.multiplex, self.0.silence)
                 && (may_pin || !connection.is_idle()),
-            live: !connection.is_retired(),
+            accepts_calls: !connection.is_retired(),
         });
-        match lines::choose(at_most_once, &seen.collect::<Vec<_>>(), MAX_CONNECTIONS) {
-            Choice::Use(at) => worker.connections.get(at).cloned(),
-            Choice::Open => {
+        match connection_pool::choose_connection(at_most_once, &seen.collect::<Vec<_>>(), MAX_CONNECTIONS) {
+            ConnectionChoice::Reuse(at) => worker.connections.get(at).cloned(),
+            ConnectionChoice::OpenNew => {
                 let connection = Rc::new(Connection::new(&worker.address));
                 worker.connections.push(connection.clone());
                 let now = self.0.shared.broker.now();
@@ -136,9 +136,9 @@
     fn count(&self, disconnect: &Disconnect) {
         let mut tally = self.0.shared.places.tally.borrow_mut();
         *match disconnect {
-            Disconnect::Closed(_) => &mut tally.lines_closed,
-            Disconnect::Untrusted(_) => &mut tally.lines_untrusted,
-            Disconnect::Unopened(_) => &mut tally.lines_unopened,
+            Disconnect::Closed(_) => &mut tally.worker_connections_closed,
+            Disconnect::Untrusted(_) => &mut tally.worker_connections_untrusted,
+            Disconnect::Unopened(_) => &mut tally.worker_connections_unopened,
         } += 1;
     }
 
@@ -159,12 +159,12 @@
     pub async fn give_way(self) {
         let places = &self.0.shared.places;
         loop {
-            places.recalled(Side::Workers).await;
+            places.recalled(DescriptorClass::Workers).await;
             let workers = self.0.workers.borrow();
             let connections = workers.values().flat_map(|worker| &worker.connections);
             let idle = connections.filter(|connection| connection.is_evictable());
             if let Some(connection) = idle.min_by_key(|connection| connection.last_used.get()) {
-                places.tally.borrow_mut().lines_gave_way += 1;
+                places.tally.borrow_mut().worker_connections_evicted += 1;
                 connection.retire();
             }
         }
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -2,7 +2,7 @@
 
 use gatherer::policy::*;
 use gatherer::program::config::Config;
-use gatherer::records::line::{Body, WorkerState};
+use gatherer::records::record::{RecordBody, RecordedWorkerState};
 use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -69,19 +69,19 @@
     core.figures = Some(Default::default());
     let told = |core: &mut Core| {
         let states = std::mem::take(&mut core.news).into_iter().filter_map(|body| match body {
-            Body::Worker { worker, state } => Some((worker, state)),
+            RecordBody::Worker { worker, state } => Some((worker, state)),
             _ => None,
         });
         states.collect::<Vec<_>>()
     };
     let state = |state| vec![("w1".to_owned(), state)];
     assert!(core.disable(START, "w1") && core.disable(START, "w1"));
-    assert_eq!(told(&mut core), state(WorkerState::OutByHand), "once, however often it is called");
+    assert_eq!(told(&mut core), state(RecordedWorkerState::Disabled), "once, however often it is called");
     // What discovery says meanwhile changes nothing of it.
     news(&mut core, START, "w1", EndpointStatus::Active, Some(START));
     assert_eq!(told(&mut core), []);
     assert!(core.enable(START, "w1"));
-    assert_eq!(told(&mut core), state(WorkerState::Cold));
+    assert_eq!(told(&mut core), state(RecordedWorkerState::WarmingUp));
 }
 
 proptest! {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,9 +1,14 @@
 //! Properties of the limits of connections, descriptors and bytes, over random histories.
 
-use gatherer::limits::crowd::Record;
-use gatherer::limits::descriptors::SIDES;
-use gatherer::limits::lines::{self, Choice, Line, Number, Openings};
-use gatherer::limits::{BufferBudget, Crowd, Denied, Descriptors, Plan, ResourcePressure, Side, Source, Why};
+use gatherer::limits::client_connections::RequestValidity;
+use gatherer::limits::connection_pool::{
+    self, ConnectQueue, ConnectTicket, ConnectionChoice, PooledConnection,
+};
+use gatherer::limits::descriptors::DESCRIPTOR_CLASSES;
+use gatherer::limits::{
+    BufferBudget, ClientConnections, DescriptorAllocator, DescriptorBudget, DescriptorClass,
+    DescriptorDenied, EvictionReason, ResourcePressure, Source,
+};
 use gatherer::policy::{Time, WorkerId};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,19 +20,19 @@
     Duration::from_millis(span)
 }
 
-fn floors_fit(all: &Descriptors) -> bool {
-    let claimed = |side: &Side| all.firm(*side).max(all.plan().floors[*side as usize]);
-    SIDES.iter().map(claimed).sum::<usize>() <= all.plan().usable
+fn floors_fit(all: &DescriptorAllocator) -> bool {
+    let claimed = |side: &DescriptorClass| all.busy(*side).max(all.budget().floors[*side as usize]);
+    DESCRIPTOR_CLASSES.iter().map(claimed).sum::<usize>() <= all.budget().usable
 }
 
 /// Takes one for a side as the sockets do: whoever is asked lets a loose one go.
-fn take(all: &mut Descriptors, side: Side) -> bool {
-    match all.take(side) {
+fn take(all: &mut DescriptorAllocator, side: DescriptorClass) -> bool {
+    match all.acquire(side) {
         Ok(()) => true,
-        Err(Denied::Full) => false,
-        Err(Denied::Recall(lender)) => {
-            all.give_back(lender);
-            all.take(side).is_ok()
+        Err(DescriptorDenied::Exhausted) => false,
+        Err(DescriptorDenied::Reclaim(lender)) => {
+            all.release(lender);
+            all.acquire(side).is_ok()
         }
     }
 }
@@ -38,23 +43,23 @@
         limit in 64usize..600,
         steps in prop::collection::vec((0usize..4, 0u8..5), 0..600),
     ) {
-        let mut all = Descriptors::new(Plan::new(limit, 16, 0).expect("enough"));
+        let mut all = DescriptorAllocator::new(DescriptorBudget::new(limit, 16, 0).expect("enough"));
         for (at, what) in steps {
-            let side = SIDES[at];
+            let side = DESCRIPTOR_CLASSES[at];
             match what {
                 0 | 1 => { take(&mut all, side); }
-                2 => { all.pin(side); }
-                3 if all.firm(side) > 0 => all.unpin(side),
-                _ if all.held(side) > all.firm(side) => all.give_back(side),
+                2 => { all.mark_busy(side); }
+                3 if all.busy(side) > 0 => all.mark_evictable(side),
+                _ if all.held(side) > all.busy(side) => all.release(side),
                 _ => {}
             }
-            prop_assert!(SIDES.iter().map(|side| all.held(*side)).sum::<usize>() <= all.plan().usable);
+            prop_assert!(DESCRIPTOR_CLASSES.iter().map(|side| all.held(*side)).sum::<usize>() <= all.budget().usable);
             prop_assert!(floors_fit(&all));
         }
-        for side in SIDES {
-            while all.firm(side) < all.plan().floors[side as usize] {
-                let held = all.held(side) > all.firm(side) || take(&mut all, side);
-                prop_assert!(held && all.pin(side), "{side} has {} of its floor", all.firm(side));
+        for side in DESCRIPTOR_CLASSES {
+            while all.busy(side) < all.budget().floors[side as usize] {
+                let held = all.held(side) > all.busy(side) || take(&mut all, side);
+                prop_assert!(held && all.mark_busy(side), "{side} has {} of its floor", all.busy(side));
             }
         }
     }
@@ -64,14 +69,14 @@
         limit in 64usize..400,
         steps in prop::collection::vec((0usize..4, 0u8..4), 0..900),
     ) {
-        let mut all = Descriptors::new(Plan::new(limit, 16, 0).expect("enough"));
+        let mut all = DescriptorAllocator::new(DescriptorBudget::new(limit, 16, 0).expect("enough"));
         for (at, what) in steps {
-            let side = SIDES[at];
-            if what == 0 { all.pin(side); } else { take(&mut all, side); }
+            let side = DESCRIPTOR_CLASSES[at];
+            if what == 0 { all.mark_busy(side); } else { take(&mut all, side); }
             if let Some(lender) = all.lender(side) {
-                prop_assert!(all.held(lender) > all.firm(lender));
+                prop_assert!(all.held(lender) > all.busy(lender));
                 // No side is sent below its floor for another.
-                prop_assert!(lender == side || all.held(lender) > all.plan().floors[lender as usize]);
+                prop_assert!(lender == side || all.held(lender) > all.budget().floors[lender as usize]);
             }
         }
     }
@@ -87,16 +92,16 @@
         for (who, wanted) in steps {
             let who = who % holders;
             let after = wanted.min(bytes.allowance(held[who]));
-            bytes.change(held[who], after);
+            bytes.update(held[who], after);
             held[who] = after;
             prop_assert!(bytes.used() <= bytes.total());
             prop_assert_eq!(bytes.used(), held.iter().sum::<usize>());
         }
         for mine in &mut held {
-            prop_assert!(bytes.allowance(*mine) >= bytes.least());
-            if *mine < bytes.least() {
-                bytes.change(*mine, bytes.least());
-                *mine = bytes.least();
+            prop_assert!(bytes.allowance(*mine) >= bytes.min_per_holder());
+            if *mine < bytes.min_per_holder() {
+                bytes.update(*mine, bytes.min_per_holder());
+                *mine = bytes.min_per_holder();
             }
         }
     }
@@ -105,48 +110,48 @@
     fn one_with_a_query_open_never_leaves_and_whoever_is_told_was_loose(
         steps in prop::collection::vec((0u8..10, 0usize..40, 0u64..400), 1..500),
     ) {
-        let (mut crowd, mut now) = (Crowd::default(), Time(0));
+        let (mut crowd, mut now) = (ClientConnections::default(), Time(0));
         let mut ids: Vec<u64> = Vec::new();
         let (mut firm, mut told) = (BTreeSet::new(), BTreeSet::new());
         for (what, who, span) in steps {
             now = now.after(ms(span));
             let id = ids.get(who % ids.len().max(1)).copied();
             match (what, id) {
-                (0 | 1, _) | (_, None) => ids.push(crowd.enter(now, Source(who as u64 % 5))),
-                (2, Some(id)) if !firm.contains(&id) => { crowd.heard(now, id, 10); told.remove(&id); }
-                (3 | 4, Some(id)) => { crowd.opened(now, id); firm.insert(id); told.remove(&id); }
+                (0 | 1, _) | (_, None) => ids.push(crowd.accept(now, Source(who as u64 % 5))),
+                (2, Some(id)) if !firm.contains(&id) => { crowd.receive_bytes(now, id, 10); told.remove(&id); }
+                (3 | 4, Some(id)) => { crowd.start_query(now, id); firm.insert(id); told.remove(&id); }
                 (5, Some(id)) if firm.remove(&id) => {
-                    crowd.answered(now, id, if who == 0 { Record::Rubbish } else { Record::Sound });
+                    crowd.finish_query(now, id, if who == 0 { RequestValidity::Invalid } else { RequestValidity::Valid });
                 }
                 (6, Some(id)) => {
-                    crowd.left(id);
+                    crowd.close(id);
                     ids.retain(|other| *other != id);
                     firm.remove(&id);
                     told.remove(&id);
                 }
-                (7, Some(id)) => crowd.belongs(id, Source(who as u64 % 7)),
-                (8, _) => if let Some((id, _)) = crowd.give_way(now) {
+                (7, Some(id)) => crowd.set_source(id, Source(who as u64 % 7)),
+                (8, _) => if let Some((id, _)) = crowd.evict(now) {
                     prop_assert!(!firm.contains(&id) && told.insert(id) && ids.contains(&id));
                 },
-                (9, _) => for (id, _) in crowd.sweep(now, ResourcePressure::FULL) {
+                (9, _) => for (id, _) in crowd.evict_expired(now, ResourcePressure::FULL) {
                     prop_assert!(!firm.contains(&id) && told.insert(id) && ids.contains(&id));
                 },
                 _ => {}
             }
             prop_assert_eq!(crowd.len(), ids.len());
-            prop_assert_eq!((0..7).map(|source| crowd.held_by(Source(source))).sum::<usize>(), ids.len());
+            prop_assert_eq!((0..7).map(|source| crowd.open_from(Source(source))).sum::<usize>(), ids.len());
         }
         // Whoever is not firm can be made to leave, and leaves by itself in time.
         let loose = ids.iter().filter(|id| !firm.contains(id) && !told.contains(id)).count();
         let later = now.after(ms(14_001));
-        prop_assert_eq!(crowd.sweep(later, ResourcePressure::NONE).len(), loose);
-        prop_assert_eq!(crowd.next_due(ResourcePressure::NONE), None);
-        prop_assert_eq!(crowd.give_way(later), None);
+        prop_assert_eq!(crowd.evict_expired(later, ResourcePressure::NONE).len(), loose);
+        prop_assert_eq!(crowd.next_deadline(ResourcePressure::NONE), None);
+        prop_assert_eq!(crowd.evict(later), None);
     }
 
     #[test]
     fn time_limits_only_tighten_with_scarcity(held in 0usize..200, ease in 0usize..100, calm in 2u64..20_000) {
-        let pressure = |held| ResourcePressure::of(held, ease, ease + 50);
+        let pressure = |held| ResourcePressure::from_usage(held, ease, ease + 50);
         let limit = |held| pressure(held).limit(ms(calm), ms(calm / 2));
         prop_assert!(limit(held + 1) <= limit(held));
         prop_assert!(limit(held) <= ms(calm) && limit(held) >= ms(calm / 2) - Duration::from_micros(1));
@@ -158,18 +163,18 @@
         opening in 1usize..20,
         steps in prop::collection::vec((0u8..3, 0u32..6, 1u64..5000), 0..300),
     ) {
-        let mut openings = Openings::new(most, opening);
+        let mut openings = ConnectQueue::new(most, opening);
         let mut now = Time(0);
-        let mut waits: BTreeMap<Number, u32> = BTreeMap::new();
+        let mut waits: BTreeMap<ConnectTicket, u32> = BTreeMap::new();
         let mut up: Vec<u32> = Vec::new();
         let each = (opening / 4).max(2);
         for (what, leaf, left) in steps {
             now = now.after(ms(1));
             match what {
                 0 => {
-                    let (number, out) = openings.join(now, WorkerId(leaf), ms(left));
+                    let (number, out) = openings.enqueue(now, WorkerId(leaf), ms(left));
                     waits.insert(number, leaf);
-                    let count = |leaf: u32, waits: &BTreeMap<Number, u32>| waits.values().filter(|l| **l == leaf).count();
+                    let count = |leaf: u32, waits: &BTreeMap<ConnectTicket, u32>| waits.values().filter(|l| **l == leaf).count();
                     if let Some(out) = out {
                         let whose = waits[&out];
                         let largest = (0..6).map(|leaf| count(leaf, &waits)).max();
@@ -179,8 +184,8 @@
                     }
                 }
                 1 => {
-                    let would = openings.would_admit();
-                    let admitted = openings.admit();
+                    let would = openings.can_start_next();
+                    let admitted = openings.start_next();
                     prop_assert_eq!(admitted.is_some(), would);
                     if let Some((number, WorkerId(leaf))) = admitted {
                         prop_assert_eq!(waits.remove(&number), Some(leaf));
@@ -191,23 +196,23 @@
                         prop_assert!(up.len() >= opening || waits.values().all(|l| up.iter().filter(|u| *u == l).count() >= each));
                     }
                 }
-                _ => if let Some(leaf) = up.pop() { openings.settled(WorkerId(leaf)); },
+                _ => if let Some(leaf) = up.pop() { openings.finish_connect(WorkerId(leaf)); },
             }
             prop_assert!(openings.waiting() == waits.len() && waits.len() <= most);
-            prop_assert!(openings.opening() == up.len() && up.len() <= opening);
+            prop_assert!(openings.connecting() == up.len() && up.len() <= opening);
         }
     }
 }
 
 #[test]
 fn the_order_of_worth() {
-    let mut crowd = Crowd::default();
+    let mut crowd = ClientConnections::default();
     let at = |span: u64| Time(span * MS);
-    let enter = |crowd: &mut Crowd, when: u64| crowd.enter(at(when), Source(1));
-    let ask = |crowd: &mut Crowd, id: u64, when: u64, record: Record| {
-        crowd.heard(at(when), id, 50);
-        crowd.opened(at(when), id);
-        crowd.answered(at(when), id, record);
+    let enter = |crowd: &mut ClientConnections, when: u64| crowd.accept(at(when), Source(1));
+    let ask = |crowd: &mut ClientConnections, id: u64, when: u64, record: RequestValidity| {
+        crowd.receive_bytes(at(when), id, 50);
+        crowd.start_query(at(when), id);
+        crowd.finish_query(at(when), id, record);
     };
     let (idle, late, marked, once, slow, silent) = (
         enter(&mut crowd, 0),
@@ -218,20 +223,20 @@
         enter(&mut crowd, 0),
     );
     // One comes back every 10 ms and has long stopped, the other every 200 ms and was here before it.
-    (0..10).for_each(|turn| ask(&mut crowd, late, turn * 200, Record::Sound));
-    (0..10).for_each(|turn| ask(&mut crowd, idle, 1900 + turn * 10, Record::Sound));
-    ask(&mut crowd, marked, 1000, Record::Rubbish);
-    ask(&mut crowd, once, 1000, Record::Sound);
-    crowd.heard(at(1500), slow, 20);
+    (0..10).for_each(|turn| ask(&mut crowd, late, turn * 200, RequestValidity::Valid));
+    (0..10).for_each(|turn| ask(&mut crowd, idle, 1900 + turn * 10, RequestValidity::Valid));
+    ask(&mut crowd, marked, 1000, RequestValidity::Invalid);
+    ask(&mut crowd, once, 1000, RequestValidity::Valid);
+    crowd.receive_bytes(at(1500), slow, 20);
     let now = at(2300);
-    let mut leave = || crowd.give_way(now);
+    let mut leave = || crowd.evict(now);
     let order = [
-        (silent, Why::Silent),
-        (slow, Why::Slow),
-        (once, Why::AskedOnce),
-        (marked, Why::Marked),
-        (idle, Why::Idle),
-        (late, Why::Idle),
+        (silent, EvictionReason::Silent),
+        (slow, EvictionReason::Slow),
+        (once, EvictionReason::SingleRequest),
+        (marked, EvictionReason::Penalised),
+        (idle, EvictionReason::Idle),
+        (late, EvictionReason::Idle),
     ];
     assert_eq!(order.map(|_| leave().expect("one")), order);
     assert_eq!(leave(), None);
@@ -239,60 +244,64 @@
 
 #[test]
 fn a_source_over_its_share_gives_before_a_behaved_one_of_another() {
-    let (mut crowd, now) = (Crowd::default(), Time(0));
-    let other = crowd.enter(now, Source(1));
-    let many: Vec<u64> = (0..10).map(|_| crowd.enter(now, Source(2))).collect();
+    let (mut crowd, now) = (ClientConnections::default(), Time(0));
+    let other = crowd.accept(now, Source(1));
+    let many: Vec<u64> = (0..10).map(|_| crowd.accept(now, Source(2))).collect();
     // All are so new that none has done anything wrong, and the oldest is the other's.
     for _ in 0..9 {
-        let (id, why) = crowd.give_way(Time(MS)).expect("one");
-        assert!(many.contains(&id) && why == Why::OverShare);
-        crowd.left(id);
+        let (id, why) = crowd.evict(Time(MS)).expect("one");
+        assert!(many.contains(&id) && why == EvictionReason::OverQuota);
+        crowd.close(id);
     }
-    assert_eq!(crowd.give_way(Time(MS)).expect("one").0, other);
+    assert_eq!(crowd.evict(Time(MS)).expect("one").0, other);
 }
 
 #[test]
 fn bytes_buy_time_and_dribbling_does_not() {
-    let mut crowd = Crowd::default();
-    let (dribbles, uploads) = (crowd.enter(Time(0), Source(1)), crowd.enter(Time(0), Source(1)));
+    let mut crowd = ClientConnections::default();
+    let (dribbles, uploads) = (crowd.accept(Time(0), Source(1)), crowd.accept(Time(0), Source(1)));
     for turn in 1..=10 {
-        crowd.heard(Time(turn * 30 * MS), dribbles, 1);
-        crowd.heard(Time(turn * 30 * MS), uploads, 6_000);
+        crowd.receive_bytes(Time(turn * 30 * MS), dribbles, 1);
+        crowd.receive_bytes(Time(turn * 30 * MS), uploads, 6_000);
     }
-    let late = crowd.sweep(Time(310 * MS), ResourcePressure::FULL);
-    assert_eq!(late, [(dribbles, Why::Slow)]);
+    let late = crowd.evict_expired(Time(310 * MS), ResourcePressure::FULL);
+    assert_eq!(late, [(dribbles, EvictionReason::Slow)]);
     assert_eq!(
-        crowd.sweep(Time(2500 * MS), ResourcePressure::NONE),
-        [(uploads, Why::Slow)],
+        crowd.evict_expired(Time(2500 * MS), ResourcePressure::NONE),
+        [(uploads, EvictionReason::Slow)],
         "2.5 s is the end for all"
     );
 }
 
 #[test]
 fn who_is_back_after_rubbish_is_let_stay_as_briefly() {
-    let mut crowd = Crowd::default();
-    let usual = crowd.enter(Time(0), Source(1));
-    let first = crowd.enter(Time(0), Source(2));
-    crowd.spoke_rubbish(Time(0), first);
-    crowd.left(first);
-    let back = crowd.enter(Time(MS), Source(2));
-    assert_eq!(crowd.sweep(Time(60 * MS), ResourcePressure::FULL), [(back, Why::Silent)]);
-    assert!(crowd.is_loose(usual));
+    let mut crowd = ClientConnections::default();
+    let usual = crowd.accept(Time(0), Source(1));
+    let first = crowd.accept(Time(0), Source(2));
+    crowd.reject_malformed(Time(0), first);
+    crowd.close(first);
+    let back = crowd.accept(Time(MS), Source(2));
+    assert_eq!(crowd.evict_expired(Time(60 * MS), ResourcePressure::FULL), [(back, EvictionReason::Silent)]);
+    assert!(crowd.is_evictable(usual));
     // Where all share one address nobody can be told apart, and nobody is marked by it.
-    crowd.left(usual);
-    crowd.left(back);
-    let (one, two) = (crowd.enter(Time(0), Source(2)), crowd.enter(Time(0), Source(2)));
-    crowd.spoke_rubbish(Time(0), one);
-    assert!(crowd.sweep(Time(60 * MS), ResourcePressure::FULL).is_empty() && crowd.is_loose(two));
+    crowd.close(usual);
+    crowd.close(back);
+    let (one, two) = (crowd.accept(Time(0), Source(2)), crowd.accept(Time(0), Source(2)));
+    crowd.reject_malformed(Time(0), one);
+    assert!(crowd.evict_expired(Time(60 * MS), ResourcePressure::FULL).is_empty() && crowd.is_evictable(two));
 }
 
 #[test]
 fn what_runs_once_never_shares_a_line() {
-    let line = |calls, room, live| Line { calls, room, live };
+    let line =
+        |calls, room, live| PooledConnection { in_flight: calls, has_capacity: room, accepts_calls: live };
     let lines = [line(9, false, true), line(1, false, true), line(0, true, true)];
-    assert_eq!(lines::choose(true, &lines, 4), Choice::Open);
-    assert_eq!(lines::choose(false, &lines, 4), Choice::Use(2));
-    assert_eq!(lines::choose(false, &lines[..2], 4), Choice::Open);
-    assert_eq!(lines::choose(false, &lines[..2], 2), Choice::Use(1));
-    assert_eq!(lines::choose(false, &[line(1, false, false)], 0), Choice::Open);
+    assert_eq!(connection_pool::choose_connection(true, &lines, 4), ConnectionChoice::OpenNew);
+    assert_eq!(connection_pool::choose_connection(false, &lines, 4), ConnectionChoice::Reuse(2));
+    assert_eq!(connection_pool::choose_connection(false, &lines[..2], 4), ConnectionChoice::OpenNew);
+    assert_eq!(connection_pool::choose_connection(false, &lines[..2], 2), ConnectionChoice::Reuse(1));
+    assert_eq!(
+        connection_pool::choose_connection(false, &[line(1, false, false)], 0),
+        ConnectionChoice::OpenNew
+    );
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -5,11 +5,11 @@
 
 use bytes::BytesMut;
 use common::process::{self, Folder, Gatherer, Worker, free, member, operate};
-use gatherer::limits::{Backoff, Plan};
+use gatherer::limits::{Backoff, DescriptorBudget};
 use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Request, Response};
-use gatherer::records::line::{Body, WorkerState};
+use gatherer::records::record::{RecordBody, RecordedWorkerState};
 use gatherer::routing::{Broker, Clock, Core};
 use gatherer::transport::places::Places;
 use gatherer::transport::stream::{Dial, Dialling, Stream};
@@ -174,7 +174,7 @@
     broker.learn(&known, true);
     let (network, watching) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
-        let places = Places::new(Plan::new(256, 16, 0).expect("enough"), 1 << 20);
+        let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         // The sender stays: discovery does not move.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, ASK_IN);
@@ -254,7 +254,7 @@
             discovery.silent.set(true);
             sleep(Duration::from_secs(3)).await;
             discovery.silent.set(false);
-            let wait = Backoff::new(0, gatherers, ASK_IN).wait();
+            let wait = Backoff::new(0, gatherers, ASK_IN).long_poll_timeout();
             let begun = discovery.calls.borrow().iter().copied().min().expect("a call");
             let before = Instant::now() - begun;
             discovery.drains();
@@ -280,7 +280,7 @@
 #[test]
 fn no_call_waits_longer_than_the_protocol_page_allows() {
     for gatherers in [1, 3, 48, 1000, 100_000] {
-        let wait = Backoff::new(1, gatherers, ASK_IN).wait();
+        let wait = Backoff::new(1, gatherers, ASK_IN).long_poll_timeout();
         assert!(wait <= Duration::from_secs(60), "{gatherers} gatherers: {wait:?}");
     }
 }
@@ -358,18 +358,18 @@
         core.news
             .drain(..)
             .filter_map(|body| match body {
-                Body::Worker { state, .. } => Some(state),
+                RecordBody::Worker { state, .. } => Some(state),
                 _ => None,
             })
             .next_back()
     };
     core.learn(begun, &list, false);
-    assert_eq!(state(&mut core), Some(WorkerState::Cold));
+    assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
     let warm_up = core.contracts().settings.warm_up;
     core.learn(begun.after(warm_up), &list, false);
-    assert_eq!(state(&mut core), Some(WorkerState::Active));
+    assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
     // A further start is another one.
     list.members[0].since = Some(begun.after(Duration::from_secs(3700)));
     core.learn(begun.after(warm_up * 2), &list, false);
-    assert_eq!(state(&mut core), Some(WorkerState::Cold));
+    assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -46,8 +46,8 @@
     for seed in [1, 2] {
         let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), ROOTS, ms(10_000));
         let mut callers: Vec<Backoff> = (0..ROOTS).map(caller).collect();
-        let starts = callers.iter_mut().map(|caller| caller.start().as_millis() as u64).collect();
-        let (done, most) = served(starts, |id| callers[id].pause(true).as_millis() as u64);
+        let starts = callers.iter_mut().map(|caller| caller.initial_delay().as_millis() as u64).collect();
+        let (done, most) = served(starts, |id| callers[id].next_delay(true).as_millis() as u64);
         assert!(done == all && most < 20, "seed {seed}: {done} served, up to {most} calls in a second");
     }
 }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,7 +1,7 @@
 //! Connections to index servers: which address is dialled, and what goes out on a connection that was kept.
 
 use bytes::BytesMut;
-use gatherer::limits::Plan;
+use gatherer::limits::DescriptorBudget;
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Response};
@@ -56,7 +56,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = Places::new(Plan::new(64, 16, 0).expect("enough"), 1 << 20);
+        let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60)));
         let mut list = config.known.expect("a list");
         list.members.truncate(1);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, ms};
-use gatherer::limits::{Plan, Side};
+use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
@@ -113,9 +113,9 @@
 
 /// Serves one connection on which a request comes, until `leaves`: by the client, or by this side.
 async fn left(leaves: bool) -> Vec<Invariant> {
-    let places = Places::new(Plan::new(64, 16, 0).expect("enough"), 1 << 20);
+    let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
     let gate = Gate::new(places.clone());
-    let source = gatherer::limits::crowd::Source(1);
+    let source = gatherer::limits::client_connections::Source(1);
     let pass = gate.admit(source, Duration::ZERO).await.expect("room");
     let (near, mut far) = tokio::io::duplex(1 << 12);
     let front = Rc::new(Mute::default());
@@ -133,7 +133,7 @@
         () = serving => {}
         () = closing => {}
     }
-    assert_eq!(places.descriptors(|all| all.held(Side::Clients)), 0);
+    assert_eq!(places.descriptors(|all| all.held(DescriptorClass::Clients)), 0);
     front.0.borrow().clone()
 }
 
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -1,6 +1,6 @@
 //! The listener on loopback sockets, in a crowd of many times the descriptors: the usual clients lose nothing.
 
-use gatherer::limits::{Plan, Side};
+use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::Invariant;
 use gatherer::service::stage::Call;
@@ -85,7 +85,7 @@
     async fn failing(descriptors: usize, failures: u32, error: i32, bytes: usize) -> House {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let places = Places::new(Plan::new(descriptors, 16, 0).expect("enough"), bytes);
+        let places = Places::new(DescriptorBudget::new(descriptors, 16, 0).expect("enough"), bytes);
         let (gate, held) = (Gate::new(places), Rc::new(Semaphore::new(0)));
         let front = Rc::new(Echo(held.clone()));
         let accepting = if failures > 0 {
@@ -169,8 +169,9 @@
 
 /// Takes all places of the servers' side, firmly, as wide queries do.
 fn servers_at_their_floor(places: &Rc<Places>) -> Vec<Place> {
-    let floor = places.descriptors(|all| all.plan().floors[Side::Workers as usize]);
-    let held: Vec<Place> = (0..floor).map(|_| places.try_take(Side::Workers).expect("its floor")).collect();
+    let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
+    let held: Vec<Place> =
+        (0..floor).map(|_| places.try_take(DescriptorClass::Workers).expect("its floor")).collect();
     assert!(held.iter().all(Place::pin));
     held
 }
@@ -189,17 +190,17 @@
             assert!(usual(house.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
         rounds += 1;
-        assert!(house.free() <= house.gate.places().descriptors(|all| all.plan().usable));
+        assert!(house.free() <= house.gate.places().descriptors(|all| all.budget().usable));
         tokio::task::yield_now().await;
     }
     let tally = house.gate.places().tally.borrow().clone();
-    assert!(tally.most_in_all <= descriptors - 16, "{tally}");
-    assert!(tally.gave_way > 0 && tally.made_to_leave() > 0, "{tally}");
-    assert_eq!((tally.turned_away, tally.unpinned), (0, 0), "{tally}");
+    assert!(tally.peak_descriptors <= descriptors - 16, "{tally}");
+    assert!(tally.evicted_early > 0 && tally.total_evicted() > 0, "{tally}");
+    assert_eq!((tally.rejected, tally.rejected_no_descriptor), (0, 0), "{tally}");
     assert_eq!(tally.accept_failed > 0, failures > 0, "{tally}");
     let mut last = house.client().await;
     say(&mut last, "/held").await;
-    while house.gate.places().descriptors(|all| all.firm(Side::Clients)) == 0 {
+    while house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
         tokio::task::yield_now().await;
     }
     // At SIGTERM usual clients still have their answers, and the end comes in spite of the crowd.
@@ -241,8 +242,8 @@
             let mut client = house.client().await;
             say(&mut client, "/held").await;
             busy.push(client);
-            let firm = || house.gate.places().descriptors(|all| all.firm(Side::Clients));
-            let refused = || house.gate.places().tally.borrow().unpinned;
+            let firm = || house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients));
+            let refused = || house.gate.places().tally.borrow().rejected_no_descriptor;
             let before = firm() + refused() as usize;
             while firm() + refused() as usize == before && house.free() > 0 {
                 tokio::task::yield_now().await;
@@ -258,8 +259,8 @@
         assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: 1\r\n"), "{text}");
         // Floors of the other sides stay free to be had.
         let (places, mut others) = (house.gate.places(), Vec::new());
-        for side in [Side::Workers, Side::Discovery, Side::Files] {
-            let floor = places.descriptors(|all| all.plan().floors[side as usize]);
+        for side in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
+            let floor = places.descriptors(|all| all.budget().floors[side as usize]);
             for _ in 0..floor {
                 let place = places.take(side).await;
                 assert!(place.pin(), "{side}");
@@ -270,7 +271,7 @@
         let mut text = String::new();
         late.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
-        assert_eq!(places.tally.borrow().turned_away, 1);
+        assert_eq!(places.tally.borrow().rejected, 1);
         house.held.add_permits(busy.len());
         for client in &mut busy {
             assert!(hear(client, "/held").await.starts_with("HTTP/1.1 200 OK\r\n"));
@@ -306,7 +307,7 @@
                 told += usize::from(text.starts_with("HTTP/1.1 408 "));
             }
         }
-        let most = house.gate.places().tally.borrow().most_bytes;
+        let most = house.gate.places().tally.borrow().peak_buffered_bytes;
         assert!(told > 0 && most > 100 << 10 && most <= 400 << 10, "{told} told, {most} bytes");
     });
 }
@@ -321,7 +322,7 @@
         let mut text = String::new();
         let closed = half.read_to_string(&mut text);
         let more = async {
-            while house.gate.places().tally.borrow().left.iter().sum::<u64>() == 0 {
+            while house.gate.places().tally.borrow().evicted.iter().sum::<u64>() == 0 {
                 others.push(house.client().await);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -332,7 +333,7 @@
             () = more => {}
         }
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
-        assert!(house.gate.places().tally.borrow().left[1] > 0);
+        assert!(house.gate.places().tally.borrow().evicted[1] > 0);
     });
 }
 
@@ -343,13 +344,13 @@
         let mut client = house.client().await;
         ask(&mut client, "/a").await;
         // Both happen before the connection's task runs again.
-        house.gate.places().recall(Side::Clients);
+        house.gate.places().recall(DescriptorClass::Clients);
         say(&mut client, "/b").await;
-        let spared = || house.gate.places().tally.borrow().spared;
+        let spared = || house.gate.places().tally.borrow().eviction_cancelled;
         let text = hear(&mut client, "/b").await;
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"));
         assert!(spared() <= 1);
-        assert_eq!(house.gate.places().tally.borrow().crossed, 0);
+        assert_eq!(house.gate.places().tally.borrow().close_races, 0);
     });
 }
 
@@ -368,7 +369,7 @@
     // Guards a request that waits for its first attempt: its client sent more than is kept ahead, and left.
     run(async {
         let house = House::open(64, 0).await;
-        let firm = || house.gate.places().descriptors(|all| all.firm(Side::Clients));
+        let firm = || house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients));
         let mut leaving = Vec::new();
         for _ in 0..4 {
             let mut client = house.client().await;
@@ -404,16 +405,16 @@
         let house = House::open(64, 0).await;
         let mut client = house.client().await;
         ask(&mut client, "/a").await;
-        house.gate.places().recall(Side::Clients);
+        house.gate.places().recall(DescriptorClass::Clients);
         let mut text = String::new();
         client.read_to_string(&mut text).await.expect("it ends for writing first");
         say(&mut client, "/b").await;
-        event("it is read", || house.gate.places().tally.borrow().crossed == 1).await;
+        event("it is read", || house.gate.places().tally.borrow().close_races == 1).await;
         client.read_to_string(&mut text).await.expect("no reset");
         assert_eq!(text, "");
         drop(client);
         event("it is closed", || house.gate.open() == 0).await;
-        assert_eq!(house.gate.places().tally.borrow().spared, 0);
+        assert_eq!(house.gate.places().tally.borrow().eviction_cancelled, 0);
     });
 }
 
@@ -450,7 +451,7 @@
         assert!(ask(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
         let (took, tally) = (since.elapsed(), house.gate.places().tally.borrow().clone());
         // One more fails before the next connection.
-        assert_eq!((tally.accept_failed, tally.gave_way), (41, 0), "{tally}");
+        assert_eq!((tally.accept_failed, tally.evicted_early), (41, 0), "{tally}");
         assert!(took < Duration::from_millis(400), "40 failures took {took:?}");
     });
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -4,8 +4,8 @@
 use bytes::{BufMut, BytesMut};
 use gatherer::fronts::opensearch::OpenSearch;
 use gatherer::fronts::platform::Platform;
-use gatherer::limits::crowd::Source;
-use gatherer::limits::{Backoff, Plan};
+use gatherer::limits::client_connections::Source;
+use gatherer::limits::{Backoff, DescriptorBudget};
 use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
@@ -170,7 +170,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (first, rest) = script.split_once('\n').expect("a first line");
-        let places = Places::new(Plan::new(256, 16, 0).expect("enough"), 1 << 20);
+        let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         let (clock, gate, pipes) = (Clock::at(UNIX), Gate::new(places.clone()), Pipes::default());
         let agent = tokio::sync::watch::Sender::new("agent".to_owned());
         match first {
@@ -192,7 +192,7 @@
                     let (dial, watcher, address) = (pipes.clone(), broker.clone(), agent.subscribe());
                     let (held, backoff) = match first.contains("asking") {
                         true => (Some(known.revision), Backoff::new(1, 48, Duration::from_secs(10))),
-                        false => (None, Backoff::pushed(1, Duration::from_millis(250))),
+                        false => (None, Backoff::for_local_agent(1, Duration::from_millis(250))),
                     };
                     spawn_local(async move {
                         watch::follow(&dial, address, held, &watcher, &places, backoff).await
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -2,7 +2,7 @@
 //! with what the first has learned.
 
 use bytes::BytesMut;
-use gatherer::limits::{Descriptors, Plan, Side};
+use gatherer::limits::{DescriptorAllocator, DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::handover::{self, Message, State};
@@ -129,20 +129,20 @@
         taken in prop::collection::vec(0..5_usize, 0..200),
         limit in 128..600_usize,
     ) {
-        let sides = [Side::Clients, Side::Workers, Side::Discovery, Side::Files, Side::Operators];
-        let mut all = Descriptors::new(Plan::new(limit, 20, 8).expect("enough"));
+        let sides = [DescriptorClass::Clients, DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files, DescriptorClass::Operators];
+        let mut all = DescriptorAllocator::new(DescriptorBudget::new(limit, 20, 8).expect("enough"));
         for side in taken {
             // Where all are held, it gets none.
-            let _ = all.take(sides[side]);
+            let _ = all.acquire(sides[side]);
         }
-        all.replan(Plan::new(limit / 2, 20, 8).expect("enough"));
+        all.set_budget(DescriptorBudget::new(limit / 2, 20, 8).expect("enough"));
         // All is held loosely: each is called back in turn, until the half is kept.
         while all.excess() > 0 {
             let before = all.excess();
-            let side = all.yields().expect("someone holds more than its floor");
-            prop_assert!(all.held(side) > all.plan().floors[side as usize]);
-            prop_assert!(all.take(side).is_err(), "nobody gets more meanwhile");
-            all.give_back(side);
+            let side = all.class_to_reclaim_from().expect("someone holds more than its floor");
+            prop_assert!(all.held(side) > all.budget().floors[side as usize]);
+            prop_assert!(all.acquire(side).is_err(), "nobody gets more meanwhile");
+            all.release(side);
             prop_assert_eq!(all.excess(), before - 1);
         }
     }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,7 +1,7 @@
 //! The servers' side on a small budget of descriptors: wide queries, and idle connections that give way.
 
 use bytes::{Buf, BytesMut};
-use gatherer::limits::{Plan, Side};
+use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Order, Verdict};
@@ -80,7 +80,7 @@
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = Places::new(Plan::new(64, 16, 0).expect("enough"), 1 << 20);
+        let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60)));
         broker.learn(&config.known.expect("a list"), true);
         let workers = Workers::new(broker.clone(), dial, places.clone());
@@ -114,9 +114,9 @@
 fn a_query_wider_than_the_budget_waits_its_turn_and_is_served_whole() {
     // Every part runs once and wants a connection of its own: 64 of them, where 48 descriptors are to be had in all.
     run(20, |broker, places| async move {
-        let floor = places.descriptors(|all| all.plan().floors[Side::Clients as usize]);
+        let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
         let clients: Vec<Place> =
-            (0..floor).map(|_| places.try_take(Side::Clients).expect("its floor")).collect();
+            (0..floor).map(|_| places.try_take(DescriptorClass::Clients).expect("its floor")).collect();
         assert!(clients.iter().all(Place::pin));
         let verdict = broker.ask(ask("wide", "seal", SHARDS, &broker)).await;
         let Verdict::Answered { whole: true, values } = verdict else {
@@ -124,11 +124,18 @@
         };
         assert_eq!(values.len(), SHARDS as usize);
         let tally = places.tally.borrow().clone();
-        assert_eq!((tally.opened, tally.not_opened), (u64::from(SHARDS), 0), "{tally}");
+        assert_eq!(
+            (tally.worker_connects_started, tally.worker_connect_waits_failed),
+            (u64::from(SHARDS), 0),
+            "{tally}"
+        );
         assert_eq!(broker.core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
-        let (usable, floors) = places.descriptors(|all| (all.plan().usable, all.plan().floors));
-        let most = usable - floor - floors[Side::Discovery as usize] - floors[Side::Files as usize];
-        assert!(tally.most_held[Side::Workers as usize] <= most, "{tally}");
+        let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let most = usable
+            - floor
+            - floors[DescriptorClass::Discovery as usize]
+            - floors[DescriptorClass::Files as usize];
+        assert!(tally.peak_held[DescriptorClass::Workers as usize] <= most, "{tally}");
     });
 }
 
@@ -137,15 +144,15 @@
     // All that may be firm is: the query waits, is turned out, and is refused rather than failed.
     run(20, |broker, places| async move {
         let mut held = Vec::new();
-        while places.descriptors(|all| all.may_pin(Side::Workers)) {
-            held.push(places.try_take(Side::Workers).expect("free"));
+        while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
+            held.push(places.try_take(DescriptorClass::Workers).expect("free"));
             assert!(held.last().is_some_and(Place::pin));
         }
         let verdict = broker.ask(ask("none", "seal", 2, &broker)).await;
         assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
         let counted = broker.core(|core| core.counters.clone());
         assert!(counted.ended_skipped > 0 && counted.ended_refused == 0, "{counted}");
-        assert!(places.tally.borrow().not_opened > 0);
+        assert!(places.tally.borrow().worker_connect_waits_failed > 0);
     });
 }
 
@@ -155,19 +162,20 @@
         let served = |verdict| matches!(verdict, Verdict::Answered { whole: true, .. });
         assert!(served(broker.ask(ask("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let idle = places.descriptors(|all| (all.held(Side::Workers), all.firm(Side::Workers)));
+        let idle = places
+            .descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
         assert!(idle.0 > 0 && idle.1 == 0, "{idle:?}");
         // Guards against loans that are never given back: clients take everything that their side may have.
         let mut clients = Vec::new();
-        while places.descriptors(|all| all.may_pin(Side::Clients)) {
-            clients.push(places.take(Side::Clients).await);
+        while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
+            clients.push(places.take(DescriptorClass::Clients).await);
             assert!(clients.last().is_some_and(Place::pin));
         }
-        let (usable, floors) = places.descriptors(|all| (all.plan().usable, all.plan().floors));
+        let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
         assert_eq!(clients.len(), usable - floors[1] - floors[2] - floors[3]);
         // And the workers' floor is there for the next query.
         assert!(served(broker.ask(ask("b", "search", 8, &broker)).await));
-        assert!(places.tally.borrow().most_in_all <= usable);
+        assert!(places.tally.borrow().peak_descriptors <= usable);
     });
 }
 
