--- a/src/fronts/mod.rs
+++ b/src/fronts/mod.rs
@@ -12,7 +12,7 @@
 /// All counts since the start, a line each: of queries and attempts, and of connections.
 pub fn counts(broker: &Broker, gate: &Gate) -> String {
     let (queries, violations) =
-        broker.core(|core| (core.counters.to_string(), core.violations().to_string()));
+        broker.with_core(|core| (core.counters.to_string(), core.violations().to_string()));
     let connections = gate.places().tally.borrow();
     let calls = format!("calls_interrupted={} calls_repeated={}", socket::interrupted(), failure::repeated());
     format!("counters: {queries}\nconnections: {connections} {calls}\nviolations: {violations}")
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -4,9 +4,9 @@
 use crate::policy::*;
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::opensearch::{self, Fault, Merged, Search};
-use crate::routing::idempotency::{Bounds, Claim, IdempotencyStore};
+use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore, KeyClaim};
 use crate::routing::scroll_contexts::ScrollContexts;
-use crate::routing::{Ask, AskPart, Broker, Clock, Invariant, Refusal, Verdict};
+use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
 use crate::transport::gate::Gate;
 use crate::transport::listener::Front;
 use bytes::Bytes;
@@ -22,7 +22,8 @@
 /// Where keys are issued.
 const KEYS: &str = "/_clayshore/idempotency_keys";
 /// How many keys are held, for how long, and how many bytes of outcomes.
-const BOUNDS: Bounds = Bounds { keys: 4096, bytes: 16 << 20, retention: Duration::from_secs(600) };
+const BOUNDS: IdempotencyLimits =
+    IdempotencyLimits { max_keys: 4096, max_bytes: 16 << 20, retention: Duration::from_secs(600) };
 /// How many results are held for further pages, of how many bytes in all, and for how long at most.
 const MOST_HELD: usize = 256;
 const MOST_HELD_BYTES: usize = 32 << 20;
@@ -61,7 +62,7 @@
 /// A search that has been checked: what the broker is asked, and what becomes of the answer.
 struct Checked {
     search: Search,
-    ask: Ask,
+    ask: SearchRequest,
     owner: String,
     once: bool,
     digest: u64,
@@ -88,15 +89,15 @@
         if checked.once {
             return self.search_once(checked, request.headers.get("Idempotency-Key")).await;
         }
-        if self.gate.stage().stops() {
+        if self.gate.stage().is_stopping() {
             return Ok(self.stopping(&checked.ask));
         }
         Ok(self.run(checked).await.0)
     }
 
-    fn stopping(&self, ask: &Ask) -> Response {
-        self.broker.core(|core| core.refuse_stopping(ask.class, ask.tenant));
-        opensearch::refused(Refusal::Stopping, None)
+    fn stopping(&self, ask: &SearchRequest) -> Response {
+        self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
+        opensearch::refused(Rejection::ShuttingDown, None)
     }
 
     /// Guards against a client's own retry: one key runs one search, whoever asks how often.
@@ -110,13 +111,13 @@
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
         let mut told = match claim {
-            Claim::Run(_) if self.gate.stage().stops() => {
+            KeyClaim::Run(_) if self.gate.stage().is_stopping() => {
                 // Repeats still get their outcome; nothing new runs.
                 let refused = self.stopping(&checked.ask);
                 self.idempotency.borrow_mut().finish(self.clock.now(), key, refused.clone(), 0, false);
                 return Ok(refused);
             }
-            Claim::Run(told) => {
+            KeyClaim::Run(told) => {
                 // It runs on its own, so that a client that leaves and comes back still finds its outcome.
                 let (front, key) = (self.clone(), key.to_owned());
                 spawn_local(async move {
@@ -128,17 +129,17 @@
                 });
                 told
             }
-            Claim::Join(told) => told,
-            Claim::Recorded(response) => return Ok(response),
-            Claim::Mismatch => {
+            KeyClaim::Join(told) => told,
+            KeyClaim::Recorded(response) => return Ok(response),
+            KeyClaim::Mismatch => {
                 return Err(Fault::new(
                     422,
                     "illegal_argument_exception",
                     "the key belongs to another search",
                 ));
             }
-            Claim::Unknown => {
-                let start = self.idempotency.borrow().start().to_owned();
+            KeyClaim::Unknown => {
+                let start = self.idempotency.borrow().incarnation().to_owned();
                 let whose = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
                 let reason = format!(
                     "start [{start}] of this gatherer {whose} this key: whether its search ran is unknown, and it is not run now"
@@ -154,13 +155,15 @@
     async fn run(&self, checked: Checked) -> (Response, bool) {
         let Checked { search, ask, owner, .. } = checked;
         let (shards, from) = (ask.parts.len(), self.clock.now());
-        match self.broker.ask(ask).await {
-            Verdict::Refused { why, pause } => (opensearch::refused(why, pause), false),
-            Verdict::Failed => {
+        match self.broker.submit(ask).await {
+            QueryOutcome::Rejected { reason: why, retry_after: pause } => {
+                (opensearch::refused(why, pause), false)
+            }
+            QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
                 (Fault::new(500, "search_phase_execution_exception", reason).response(), true)
             }
-            Verdict::Answered { values, .. } => {
+            QueryOutcome::Answered { values, .. } => {
                 let merged =
                     opensearch::merge(&search, values.iter().map(|(shard, value)| (shard.0, &**value)));
                 let took = self.clock.now().since(from);
@@ -190,7 +193,7 @@
             }
             let bytes = merged.hits.iter().map(|hit| hit.to_string().len()).sum::<usize>() * 2;
             let scroll = Scroll { merged, size: search.size, shards };
-            let held = self.scrolls.borrow_mut().hold(
+            let held = self.scrolls.borrow_mut().create(
                 self.clock.now(),
                 owner,
                 keep.min(LONGEST_HELD),
@@ -246,7 +249,7 @@
         };
         let now = self.clock.now();
         let names = ids.iter().map(|id| id.rsplit_once('-').map_or(*id, |id| id.0));
-        let freed = names.filter(|name| self.scrolls.borrow_mut().release(now, name, &owner)).count();
+        let freed = names.filter(|name| self.scrolls.borrow_mut().clear(now, name, &owner)).count();
         let status = if freed > 0 { 200 } else { 404 };
         Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
     }
@@ -289,28 +292,28 @@
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
         );
         let subject = xxh3_64(&text);
-        let (shards, contract) = self.broker.core(|core| {
+        let (shards, contract) = self.broker.with_core(|core| {
             let settings = &core.contracts().settings;
             (settings.shards, settings.classes.get(class.0).cloned())
         });
         let contract =
             contract.ok_or_else(|| Fault::new(500, "illegal_state_exception", "the class is lost"))?;
-        let parts = (0..shards).map(|shard| AskPart {
+        let parts = (0..shards).map(|shard| QueryPart {
             shard: ShardId(shard),
             weight: 1.0 / f64::from(shards),
-            hint: None,
+            cost_hint: None,
             key: Some(Arc::from(format!("{subject:016x}.{shard}"))),
         });
-        let ask = Ask {
+        let ask = SearchRequest {
             label: Arc::from(index),
             class,
             tenant,
-            left: search
+            time_left: search
                 .timeout
                 .map_or(contract.deadline, |timeout| timeout.min(contract.deadline))
                 .saturating_sub(request.waited),
             retry: false,
-            text: Bytes::from(text),
+            payload: Bytes::from(text),
             parts: parts.collect(),
         };
         Ok(Checked { search, ask, owner, once: contract.idempotency != Idempotency::Idempotent, digest })
@@ -347,19 +350,19 @@
 impl Front for Rc<OpenSearch> {
     async fn respond(&self, request: Request) -> Response {
         self.route(&request).await.unwrap_or_else(|fault| {
-            self.broker.core(|core| core.counters.malformed += 1);
+            self.broker.with_core(|core| core.counters.malformed += 1);
             fault.response()
         })
     }
 
     fn malformed(&self, error: Malformed) -> Response {
-        self.broker.core(|core| core.counters.malformed += 1);
+        self.broker.with_core(|core| core.counters.malformed += 1);
         Fault::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
     fn crowded(&self, _: Option<&Request>) -> Response {
-        let pause = self.broker.core(|core| core.contracts().settings.max_retry_after);
-        opensearch::refused(Refusal::Full, pause)
+        let pause = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+        opensearch::refused(Rejection::AtCapacity, pause)
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
@@ -371,6 +374,6 @@
     }
 
     fn violated(&self, invariant: Invariant, concerns: &str) {
-        self.broker.violated(invariant, concerns);
+        self.broker.report_violation(invariant, concerns);
     }
 }
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -4,8 +4,8 @@
 use crate::protocol::statsd;
 use crate::routing::Broker;
 use crate::routing::invariants::INVARIANTS;
-use crate::service::Stage;
-use crate::service::stage::Call;
+use crate::service::LifecycleState;
+use crate::service::lifecycle::LifecycleRequest;
 use crate::transport::gate::Gate;
 use crate::transport::members::Members;
 use crate::transport::operator_api::OperatorApi;
@@ -55,28 +55,32 @@
         }
         match self.gate.stage() {
             // A drain that was passed on is no reason to leave the upgrade half done.
-            Stage::Draining | Stage::Drained if self.pair.succeeds() => Response::text(200, "ready, drained"),
-            Stage::Serving if self.broker.core(|core| core.ready()) => Response::text(200, "ready"),
-            Stage::Serving => Response::text(503, "no worker is known yet"),
+            LifecycleState::Draining | LifecycleState::Drained if self.pair.succeeds() => {
+                Response::text(200, "ready, drained")
+            }
+            LifecycleState::Serving if self.broker.with_core(|core| core.has_workers()) => {
+                Response::text(200, "ready")
+            }
+            LifecycleState::Serving => Response::text(503, "no worker is known yet"),
             stage => Response::text(503, stage.name()),
         }
     }
 
     fn figures(&self) -> Response {
         let mut lines = statsd::Lines::new("gatherer");
-        self.broker.core(|core| {
-            for (class, ends) in core.contracts().classes.iter().zip(core.ends()) {
+        self.broker.with_core(|core| {
+            for (class, ends) in core.contracts().classes.iter().zip(core.class_counts()) {
                 lines.count(&["succeeded", class], ends.succeeded);
-                lines.count(&["declined", class], ends.declined);
-                lines.count(&["aborted", class], ends.aborted);
+                lines.count(&["declined", class], ends.rejected);
+                lines.count(&["aborted", class], ends.failed);
             }
             lines.count(&["forwards"], core.counters.written);
             for invariant in INVARIANTS {
-                lines.count(&["violations", invariant.name()], core.violations().of(invariant));
+                lines.count(&["violations", invariant.name()], core.violations().count_of(invariant));
             }
-            lines.gauge(&["outstanding"], core.open() as u64);
-            lines.gauge(&["discovered"], core.listed() as u64);
-            lines.gauge(&["ejected"], core.avoided() as u64);
+            lines.gauge(&["outstanding"], core.open_queries() as u64);
+            lines.gauge(&["discovered"], core.listed_workers() as u64);
+            lines.gauge(&["ejected"], core.avoided_workers() as u64);
         });
         Response { body: Bytes::from(lines.text()), ..Response::text(200, "") }
     }
@@ -93,7 +97,7 @@
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
             return Response::text(400, "the worker's id is no text");
         };
-        let known = self.broker.by_hand(&id, out);
+        let known = self.broker.set_worker_disabled(&id, out);
         if known {
             self.pair.tell(if out { Change::Out(&id) } else { Change::Back(&id) });
         }
@@ -104,10 +108,14 @@
         }
     }
 
-    fn call(&self, call: Call) -> Response {
+    fn call(&self, call: LifecycleRequest) -> Response {
         match self.gate.call(call) {
             Ok(()) => {
-                self.pair.tell(if call == Call::Drain { Change::Drained } else { Change::Resumed });
+                self.pair.tell(if call == LifecycleRequest::Drain {
+                    Change::Drained
+                } else {
+                    Change::Resumed
+                });
                 Response::text(200, self.gate.stage().name())
             }
             Err(refused) => Response::text(409, refused.to_string()),
@@ -139,8 +147,8 @@
             ("GET", "/-/ready") => self.ready(),
             ("GET", "/-/metrics") => self.figures(),
             ("GET", "/-/members") => self.members(),
-            ("PUT", "/-/drain") => self.call(Call::Drain),
-            ("PUT", "/-/resume") => self.call(Call::Resume),
+            ("PUT", "/-/drain") => self.call(LifecycleRequest::Drain),
+            ("PUT", "/-/resume") => self.call(LifecycleRequest::Resume),
             (_, "/-/ready" | "/-/metrics" | "/-/members") => only("GET"),
             (_, "/-/drain" | "/-/resume") => only("PUT"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -4,7 +4,7 @@
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
-use crate::service::Stage;
+use crate::service::LifecycleState;
 use crate::transport::gate::Gate;
 use crate::transport::listener::Front;
 use std::rc::Rc;
@@ -23,29 +23,29 @@
 
 impl Platform {
     async fn query(&self, request: &Request) -> Response {
-        let ask = match self.broker.core(|core| platform::ask(request, core.contracts())) {
+        let ask = match self.broker.with_core(|core| platform::ask(request, core.contracts())) {
             Ok(ask) => ask,
             Err(invalid) => {
-                self.broker.core(|core| core.counters.malformed += 1);
+                self.broker.with_core(|core| core.counters.malformed += 1);
                 return Response::text(400, invalid.to_string());
             }
         };
-        if !self.gate.stage().takes() {
-            self.broker.core(|core| core.refuse_stopping(ask.class, ask.tenant));
-            let longest = self.broker.core(|core| core.contracts().settings.max_retry_after);
+        if !self.gate.stage().accepts_queries() {
+            self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
+            let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
             return platform::refusal(longest.map(|longest| longest.min(STOPPING_PAUSE)));
         }
-        if self.broker.core(|core| core.has(&ask.label)) {
+        if self.broker.with_core(|core| core.has_open_query(&ask.label)) {
             // Guards the parts of the query that has this id: the two could not be told apart at the workers.
-            self.broker.core(|core| core.counters.malformed += 1);
+            self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
-        platform::answer(&self.broker.ask(ask).await)
+        platform::answer(&self.broker.submit(ask).await)
     }
 
     fn health(&self) -> Response {
         match self.gate.stage() {
-            Stage::Serving if !self.broker.core(|core| core.ready()) => {
+            LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
             stage => Response::text(if stage.healthy() { 200 } else { 503 }, stage.name()),
@@ -66,20 +66,20 @@
     }
 
     fn malformed(&self, error: Malformed) -> Response {
-        self.broker.core(|core| core.counters.malformed += 1);
+        self.broker.with_core(|core| core.counters.malformed += 1);
         Response::text(error.status(), error.to_string())
     }
 
     fn crowded(&self, request: Option<&Request>) -> Response {
         let asked = request.filter(|request| request.path == "/api");
-        self.broker.core(|core| {
+        self.broker.with_core(|core| {
             let class =
                 asked.and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
             if let Some(class) = class.map(|(class, _)| class) {
-                core.refuse_crowded(class);
+                core.reject_unread(class);
             }
         });
-        platform::refusal(self.broker.core(|core| core.contracts().settings.max_retry_after))
+        platform::refusal(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
@@ -91,6 +91,6 @@
     }
 
     fn violated(&self, invariant: Invariant, concerns: &str) {
-        self.broker.violated(invariant, concerns);
+        self.broker.report_violation(invariant, concerns);
     }
 }
--- a/src/membership/claim.rs
+++ b/src/membership/claim.rs
@@ -95,7 +95,7 @@
         number: u32,
     },
     /// Asks the receiver to ask a third.
-    Ask {
+    SearchRequest {
         /// The number of the sender's question.
         number: u32,
         /// Whom.
@@ -130,7 +130,7 @@
     pub fn size(&self) -> usize {
         let relayed = match &self.kind {
             Kind::Relayed { claim, .. } => claim.size(),
-            Kind::Ask { target, .. } => target.len(),
+            Kind::SearchRequest { target, .. } => target.len(),
             _ => 0,
         };
         self.from.size() + relayed + self.claims.iter().map(Claim::size).sum::<usize>()
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -76,7 +76,7 @@
                 self.send(from.address, Kind::Ack { number }, Some(&from.name));
             }
             Kind::Ack { number } => self.answered(now, number, from),
-            Kind::Ask { number, target } => self.probe_for(now, from.address, number, &target),
+            Kind::SearchRequest { number, target } => self.probe_for(now, from.address, number, &target),
             Kind::Relayed { number, claim } => self.relayed(now, number, &claim),
             Kind::Gossip | Kind::Table => {}
         }
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -122,7 +122,7 @@
         self.send(address, Kind::Ping { number, hears }, Some(&name));
         self.orders.push(Order::Knock { name: name.clone(), start, address });
         for helper in self.pick_members(INDIRECT_PROBES, |claim| claim.name != name) {
-            self.send(helper.address, Kind::Ask { number, target: name.clone() }, None);
+            self.send(helper.address, Kind::SearchRequest { number, target: name.clone() }, None);
         }
     }
 
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -3,7 +3,7 @@
 use super::settings::{Faulty, Pairs};
 use crate::limits::descriptors;
 use crate::protocol::discovery;
-use crate::routing::{Contracts, Listing};
+use crate::routing::{Contracts, WorkerListUpdate};
 use crate::transport::failure::may_pass;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     /// Memory that it may use, in MB.
     pub memory_mb: u64,
     /// The list of workers as it was last held.
-    pub known: Option<Listing>,
+    pub known: Option<WorkerListUpdate>,
     /// Where discovery has to be asked: the time in which it must be.
     pub ask_in: Option<Duration>,
     /// The platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -33,7 +33,7 @@
     }
     fn gatherers(&self, count: u32) {
         log::info!("members: {count} gatherers share the fleet");
-        self.broker.core(|core| core.among(count));
+        self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
 
@@ -48,10 +48,10 @@
     recording: &Recording,
 ) -> Option<Rc<Members>> {
     let wanted = wanted?;
-    let (stated, zone, may_tell) = broker.core(|core| {
+    let (stated, zone, may_tell) = broker.with_core(|core| {
         let contracts = core.contracts();
         let zone = contracts.zones.get(contracts.settings.zone.0 as usize).cloned();
-        (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_tell)
+        (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_gossip)
     });
     if !may_tell {
         log::warn!("membership stays off: the settings do not allow gatherers to talk (allowed.may-tell)");
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -5,7 +5,7 @@
 use crate::fronts::opensearch::Names;
 use crate::limits::descriptors;
 use crate::policy::*;
-use crate::routing::{Contracts, Limits, Listing, Member};
+use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -138,7 +138,7 @@
     /// Indexes and callers.
     pub names: Names,
     /// The index servers.
-    pub servers: Listing,
+    pub servers: WorkerListUpdate,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Memory that it may use, in MB.
@@ -228,14 +228,14 @@
             if !zones.contains(&server.zone) {
                 zones.push(server.zone.clone());
             }
-            members.push(Member {
+            members.push(ListedWorker {
                 name: server.name,
                 address: server.address,
                 zone: server.zone,
                 cell: server.cell,
                 status: EndpointStatus::Active,
                 units: 1.0,
-                since: None,
+                started_at: None,
             });
         }
         let contracts = Contracts {
@@ -267,14 +267,14 @@
             classes: self.class.iter().map(|class| class.name.clone()).collect(),
             tenants: self.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
             zones,
-            limits: Limits {
-                max_open,
+            limits: BrokerLimits {
+                max_open_requests: max_open,
                 connect_timeout: Duration::from_millis(self.limits.connect_timeout_ms),
-                conn_idle: Duration::from_millis(self.limits.idle_ms),
-                multiplex: searches_per_server,
+                connection_idle_timeout: Duration::from_millis(self.limits.idle_ms),
+                max_parts_per_connection: searches_per_server,
                 // The file is its list: no grace is stated, and nothing waits for one.
                 drain_grace: Duration::ZERO,
-                may_tell: true,
+                may_gossip: true,
             },
         };
         let mut names = Names { window, ..Names::default() };
@@ -291,7 +291,7 @@
             callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
         }
         names.callers = callers;
-        let servers = Listing { revision: 0, complete: true, members };
+        let servers = WorkerListUpdate { revision: 0, complete: true, workers: members };
         Ok(FrontFile { listen, contracts, names, servers, sockets, memory_mb })
     }
 }
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -32,8 +32,8 @@
         let Some(records) = records else { return Ok(Recording::default()) };
         let recorder = Recorder::start(&records.folder, gatherer, start, records.bounds())?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
-        let (classes, tenants) = broker.core(|core| {
-            core.figures = Some(Default::default());
+        let (classes, tenants) = broker.with_core(|core| {
+            core.metrics = Some(Default::default());
             (core.contracts().classes.clone(), core.contracts().tenants.clone())
         });
         let configuration = format!("{:016x}", xxh3_64(configuration.as_bytes()));
@@ -62,9 +62,9 @@
 
     /// Records what has happened since the last time.
     fn take(&self, broker: &Broker, gate: &Gate, overload: Option<&mut OverloadDetector>) {
-        let taken = broker.core(|core| {
-            let second = core.figures.as_mut().map(|figures| figures.take_snapshot())?;
-            Some((std::mem::take(&mut core.news), second, core.open()))
+        let taken = broker.with_core(|core| {
+            let second = core.metrics.as_mut().map(|figures| figures.take_snapshot())?;
+            Some((std::mem::take(&mut core.record_events), second, core.open_queries()))
         });
         let Some((news, mut second, open)) = taken else { return };
         news.into_iter().for_each(|body| self.record(body));
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -16,8 +16,8 @@
 use crate::limits::{Backoff, DescriptorClass};
 use crate::policy::Settings;
 use crate::records::record::RecordBody;
-use crate::routing::{Broker, Carrier, Clock, Contracts, Core, Invariant};
-use crate::service::stage::Call;
+use crate::routing::{Broker, Clock, Contracts, Core, Invariant, WorkerTransport};
+use crate::service::lifecycle::LifecycleRequest;
 use crate::transport::failure::{self, Pauses};
 use crate::transport::gate::Gate;
 use crate::transport::index_servers::IndexServers;
@@ -103,7 +103,7 @@
         let start = format!("{:x}-{:x}", clock.now().0, std::process::id());
         let recording = Recording::begin(operator.records.as_ref(), &config.name, &start, &digest, &broker)?;
         if let Some(known) = &config.known {
-            broker.learn(known, true);
+            broker.apply_endpoint_update(known, true);
         }
         let dial: Rc<dyn Dial> = Rc::new(Tcp);
         let workers = Workers::new(broker.clone(), dial.clone(), places.clone());
@@ -180,13 +180,13 @@
         // Two starts have the same name only if they draw the same seed in the same nanosecond.
         let start = format!("{:x}-{seed:016x}", clock.now().0);
         let recording = Recording::begin(operator.records.as_ref(), "opensearch", &start, &digest, &broker)?;
-        broker.learn(&file.servers, true);
+        broker.apply_endpoint_update(&file.servers, true);
         let learner = broker.clone();
         spawn_local(reload(hangup, places.clone(), recording.clone(), move || {
             // Which index servers there are takes effect now, all else at the next start.
             let servers = read()?.servers;
-            learner.learn(&servers, false);
-            Ok(format!("{} index servers", servers.members.len()))
+            learner.apply_endpoint_update(&servers, false);
+            Ok(format!("{} index servers", servers.workers.len()))
         }));
         let servers = IndexServers::new(broker.clone(), Rc::new(Tcp), places.clone());
         spawn_local(servers.clone().give_way());
@@ -221,12 +221,12 @@
     listener: Rc<TcpListener>,
     name: &str,
     broker: Broker,
-    carrier: impl Carrier + 'static,
+    carrier: impl WorkerTransport + 'static,
     front: impl Front + 'static,
     gate: Rc<Gate>,
     Beside { mut stop, recording, upgrade, members }: Beside,
 ) -> io::Result<()> {
-    let longest = broker.core(|core| longest(core.contracts()));
+    let longest = broker.with_core(|core| longest(core.contracts()));
     let at = listener.local_addr()?;
     let driver = broker.clone();
     spawn_local(async move { driver.drive(&carrier).await });
@@ -245,10 +245,10 @@
         listener::accept(listener, Rc::new(front), door).await;
     });
     stop.told().await;
-    let call = upgrade.as_ref().map_or(Call::Stop, |upgrade| upgrade.stop());
+    let call = upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.stop());
     if let Some(members) = members {
         // The other process of an upgrade takes the address and the name over.
-        members.leave(call == Call::Succeed);
+        members.leave(call == LifecycleRequest::HandOver);
     }
     let answered = wind_up(&broker, &gate, call, longest, accepting).await;
     kept.abort();
@@ -345,7 +345,7 @@
 async fn wind_up(
     broker: &Broker,
     gate: &Gate,
-    stop: Call,
+    stop: LifecycleRequest,
     longest: Duration,
     accepting: JoinHandle<()>,
 ) -> bool {
@@ -360,16 +360,19 @@
             log::error!("accepting: {error}");
         }
         // A search that runs once goes on without its client, for the outcome is to be known.
-        while gate.open() > 0 || broker.core(|core| core.open()) > 0 {
+        while gate.open() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
             tokio::time::sleep(LOOK).await;
         }
     };
     let answered = tokio::time::timeout(longest + SLACK, all_answered).await.is_ok();
     if !answered {
         log::warn!("stopped with {} connections open", gate.open());
-        let open = broker.core(|core| core.open());
+        let open = broker.with_core(|core| core.open_queries());
         if open > 0 {
-            broker.violated(Invariant::ClosedAnswered, &format!("the process ends with {open} queries open"));
+            broker.report_violation(
+                Invariant::ClosedAfterResponse,
+                &format!("the process ends with {open} queries open"),
+            );
         }
     }
     answered
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::*;
 use crate::protocol::frame;
-use crate::routing::{Contracts, Limits};
+use crate::routing::{BrokerLimits, Contracts};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -133,19 +133,19 @@
             classes: (0..classes).map(|at| named("categories", at)).collect(),
             tenants: (0..tenants).map(|at| named("tenants", at)).collect(),
             zones: self.names("localities"),
-            limits: Limits {
-                max_open: match self.count("allowed.max-open")? {
+            limits: BrokerLimits {
+                max_open_requests: match self.count("allowed.max-open")? {
                     0 => MAX_OPEN as usize,
                     most => most as usize,
                 },
                 connect_timeout: self.span("allowed.connect-timeout")?.unwrap_or(CONNECT),
-                conn_idle: self.span("allowed.conn-idle")?.unwrap_or(IDLE),
-                multiplex: match self.count("allowed.multiplex")? {
+                connection_idle_timeout: self.span("allowed.conn-idle")?.unwrap_or(IDLE),
+                max_parts_per_connection: match self.count("allowed.multiplex")? {
                     0 => MULTIPLEX as usize,
                     most => most as usize,
                 },
                 drain_grace: self.span("rules.drain-grace")?.unwrap_or(DRAIN_GRACE),
-                may_tell: self.text("allowed.may-tell").is_none() || self.flag("allowed.may-tell")?,
+                may_gossip: self.text("allowed.may-tell").is_none() || self.flag("allowed.may-tell")?,
             },
         })
     }
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -1,13 +1,13 @@
 //! Upgrades: a second start takes over from the first, and a first lets itself be taken over from. What either may do is
-//! decided in [`crate::service::succession`]; the ways are weighed in docs/service.md.
+//! decided in [`crate::service::takeover`]; the ways are weighed in docs/service.md.
 
 use super::process::Allowed;
 use crate::fronts::operators::{Change, Pair};
 use crate::limits::DescriptorClass;
 use crate::protocol::handover::{Message, State};
 use crate::routing::{Broker, Clock, Invariant};
-use crate::service::stage::Call;
-use crate::service::{Stage, Succession};
+use crate::service::lifecycle::LifecycleRequest;
+use crate::service::{LifecycleState, Takeover};
 use crate::transport::failure;
 use crate::transport::gate::Gate;
 use crate::transport::relay::{Lost, Meeting, Relay};
@@ -87,7 +87,7 @@
     allowed: Allowed,
     listen: SocketAddr,
     meeting: Meeting,
-    succession: RefCell<Succession>,
+    succession: RefCell<Takeover>,
     /// Tells the other process, while there is one.
     other: RefCell<Option<mpsc::Sender<Message>>>,
     /// It is to serve as soon as it can.
@@ -162,7 +162,7 @@
                     log::error!(
                         "upgrade: nothing is taken over, and this process listens beside another: {why}"
                     );
-                    self.broker.violated(Invariant::StartedAlone, &why);
+                    self.broker.report_violation(Invariant::SingleListeningProcess, &why);
                     return None;
                 }
                 Asked::Unheard(why) => patience.say(&why),
@@ -204,10 +204,10 @@
     /// Takes over what a predecessor passed on, and follows it.
     async fn succeed(self: &Rc<Self>, state: State, relay: Relay) {
         let passed =
-            format!("{} workers, {} out by hand", state.list.members.len(), state.bans.all().count());
+            format!("{} workers, {} out by hand", state.list.workers.len(), state.bans.names().count());
         let (upgrade, tell) = (self.clone(), self.connect());
         self.apply(state);
-        self.succession.borrow_mut().inherits();
+        self.succession.borrow_mut().begin_as_successor();
         self.share().await;
         log::info!("upgrade: taking over: {passed}");
         spawn_local(async move { upgrade.follow(relay, tell).await });
@@ -226,10 +226,10 @@
 
     fn apply(&self, state: State) {
         let now = self.clock.now();
-        self.broker.core(|core| core.take_over(now, &state.list, state.bans, state.learned));
+        self.broker.with_core(|core| core.take_over(now, &state.list, state.bans, state.learned));
         if state.drained {
             // It serves, so it cannot be refused.
-            let _ = self.gate.call(Call::Drain);
+            let _ = self.gate.call(LifecycleRequest::Drain);
         }
     }
 
@@ -265,8 +265,8 @@
 
     /// Divides what may be used by the processes that there are.
     async fn share(&self) {
-        let processes = self.succession.borrow().processes();
-        self.broker.core(|core| core.share(processes));
+        let processes = self.succession.borrow().process_count();
+        self.broker.with_core(|core| core.set_process_count(processes));
         match self.allowed.plan(processes) {
             Ok(plan) => self.gate.places().replan(plan, self.allowed.buffered(processes)).await,
             Err(error) => log::warn!("upgrade: descriptors are not shared: {error}"),
@@ -276,9 +276,9 @@
     /// Returns once this process may serve: at once where it is alone; else once discovery has told it a list, or a
     /// moment has passed, or the other is told to stop.
     pub async fn ready(&self) {
-        if self.succession.borrow().processes() > 1 {
+        if self.succession.borrow().process_count() > 1 {
             let told = async {
-                while self.broker.core(|core| !core.told()) {
+                while self.broker.with_core(|core| !core.has_discovery_list()) {
                     tokio::time::sleep(AGAIN / 10).await;
                 }
             };
@@ -292,7 +292,7 @@
 
     /// This process takes clients from now on, and may be taken over from.
     pub fn serving(self: &Rc<Self>) {
-        self.succession.borrow_mut().serves();
+        self.succession.borrow_mut().start_serving();
         if let Some(other) = &*self.other.borrow() {
             // The first message of this channel: there is room.
             let _ = other.try_send(Message::Serving);
@@ -311,8 +311,8 @@
     }
 
     /// What SIGTERM means, said to a successor too.
-    pub fn stop(&self) -> Call {
-        let stop = self.succession.borrow().stop();
+    pub fn stop(&self) -> LifecycleRequest {
+        let stop = self.succession.borrow().on_stop_signal();
         if let Some(other) = &*self.other.borrow() {
             // One that does not hear it serves a moment later.
             let _ = other.try_send(Message::Stopping);
@@ -329,7 +329,7 @@
     async fn follow(self: Rc<Self>, relay: Relay, told: mpsc::Receiver<Message>) {
         let lost = self.relay(relay, told).await;
         log::info!("upgrade: the process before has ended: {lost}");
-        self.succession.borrow_mut().predecessor_gone();
+        self.succession.borrow_mut().on_predecessor_exited();
         self.other.take();
         self.hurry.notify_one();
         self.share().await;
@@ -392,7 +392,7 @@
             log::warn!("upgrade: no successor: {why}");
             return None;
         }
-        if !self.gate.stage().stops() && self.succession.borrow_mut().join().is_ok() {
+        if !self.gate.stage().is_stopping() && self.succession.borrow_mut().admit_successor().is_ok() {
             return Some(relay);
         }
         // Whether it hears it or not, it has to wait.
@@ -405,11 +405,11 @@
         log::info!("upgrade: a successor has started");
         self.share().await;
         let told = self.connect();
-        let state = self.broker.core(|core| State {
-            list: core.list_told(),
-            bans: core.bans().clone(),
-            drained: matches!(self.gate.stage(), Stage::Draining | Stage::Drained),
-            learned: core.learned(),
+        let state = self.broker.with_core(|core| State {
+            list: core.endpoint_list(),
+            bans: core.disabled_workers().clone(),
+            drained: matches!(self.gate.stage(), LifecycleState::Draining | LifecycleState::Drained),
+            learned: core.policy_snapshot(),
         });
         let message = Message::State(Box::new(state));
         let listener = self.listener.borrow().clone();
@@ -425,11 +425,11 @@
             Err(_) => io::Error::from(io::ErrorKind::TimedOut).into(),
         };
         log::warn!("upgrade: the successor has ended, this process goes on: {lost}");
-        self.succession.borrow_mut().successor_gone();
+        self.succession.borrow_mut().on_successor_exited();
         self.other.take();
         // Where one that did not wait for this process serves beside it, starts go on finding that one.
         let found = self.meeting.is_own() || matches!(self.meeting.find().await, Ok(Some(_)));
-        if !found && !self.gate.stage().stops() {
+        if !found && !self.gate.stage().is_stopping() {
             self.be_found();
         }
         self.share().await;
@@ -458,21 +458,21 @@
 
     fn obey(&self, message: Message) {
         match message {
-            Message::Out { worker } => self.broker.by_hand_too(&worker, true),
-            Message::Back { worker } => self.broker.by_hand_too(&worker, false),
+            Message::Out { worker } => self.broker.set_worker_disabled_by_peer(&worker, true),
+            Message::Back { worker } => self.broker.set_worker_disabled_by_peer(&worker, false),
             Message::Serving => {
                 log::info!("upgrade: the successor serves");
-                self.succession.borrow_mut().successor_serves();
-                if self.gate.stage() == Stage::Stopping {
+                self.succession.borrow_mut().on_successor_serving();
+                if self.gate.stage() == LifecycleState::Stopping {
                     // A process that stops may always be succeeded.
-                    let _ = self.gate.call(Call::Succeed);
+                    let _ = self.gate.call(LifecycleRequest::HandOver);
                 }
             }
             // One that stops says no to both, and they are the other's.
-            Message::Drain => drop(self.gate.call(Call::Drain).ok()),
-            Message::Resume => drop(self.gate.call(Call::Resume).ok()),
+            Message::Drain => drop(self.gate.call(LifecycleRequest::Drain).ok()),
+            Message::Resume => drop(self.gate.call(LifecycleRequest::Resume).ok()),
             Message::Stopping => {
-                self.succession.borrow_mut().other_stops();
+                self.succession.borrow_mut().on_peer_stopping();
                 self.hurry.notify_one();
             }
             Message::Join { .. } | Message::Busy | Message::State(_) => {
@@ -484,7 +484,7 @@
 
 impl Pair for Upgrade {
     fn unready(&self) -> Option<&'static str> {
-        match (self.waits.get(), self.succession.borrow().serving()) {
+        match (self.waits.get(), self.succession.borrow().is_serving()) {
             (true, _) => Some("another upgrade is under way"),
             (false, false) => Some("starting"),
             (false, true) => None,
@@ -492,7 +492,7 @@
     }
 
     fn succeeds(&self) -> bool {
-        self.succession.borrow().succeeds()
+        self.succession.borrow().has_predecessor()
     }
 
     fn tell(&self, change: Change<'_>) {
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's list of workers, whole or as changes.
 
 use crate::policy::{EndpointStatus, Time};
-use crate::routing::{Listing, Member};
+use crate::routing::{ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -48,9 +48,9 @@
 }
 
 /// Reads a list.
-pub fn listing(bytes: &[u8]) -> Result<Listing, serde_json::Error> {
+pub fn listing(bytes: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
     let list: List = serde_json::from_slice(bytes)?;
-    let member = |entry: Entry| Member {
+    let member = |entry: Entry| ListedWorker {
         name: entry.id,
         address: entry.host_port,
         zone: entry.locality,
@@ -61,11 +61,11 @@
             Phase::Deleted => EndpointStatus::Gone,
         },
         units: entry.size,
-        since: (entry.up_since_ms > 0).then(|| Time(entry.up_since_ms.saturating_mul(1_000_000))),
+        started_at: (entry.up_since_ms > 0).then(|| Time(entry.up_since_ms.saturating_mul(1_000_000))),
     };
-    Ok(Listing {
+    Ok(WorkerListUpdate {
         revision: list.revision,
         complete: list.complete,
-        members: list.members.into_iter().map(member).collect(),
+        workers: list.members.into_iter().map(member).collect(),
     })
 }
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -58,8 +58,8 @@
     let mut rest = BytesMut::new();
     for part in parts {
         let (id, wait) = (part_id(&part.label, part.shard.0), part.time_left(now).as_millis());
-        rest.put_slice(format!("{id} {} d={wait} {}\n", part.shard.0, part.text.len()).as_bytes());
-        rest.put_slice(&part.text);
+        rest.put_slice(format!("{id} {} d={wait} {}\n", part.shard.0, part.payload.len()).as_bytes());
+        rest.put_slice(&part.payload);
     }
     frame(b'm', &[&rest])
 }
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -2,8 +2,8 @@
 //! CHECKSUM`, the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
 
 use crate::policy::PolicySnapshot;
-use crate::routing::Listing;
-use crate::service::Bans;
+use crate::routing::WorkerListUpdate;
+use crate::service::DisabledWorkers;
 use bytes::{Buf, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
     /// The list as discovery last told it.
-    pub list: Listing,
+    pub list: WorkerListUpdate,
     /// Who is out by hand.
-    pub bans: Bans,
+    pub bans: DisabledWorkers,
     /// An operator has it drained.
     pub drained: bool,
     /// What the module has learned.
--- a/src/protocol/opensearch.rs
+++ b/src/protocol/opensearch.rs
@@ -2,7 +2,7 @@
 //! the asked one, and the document's id behind it.
 
 use super::http::{Request, Response};
-use crate::routing::Refusal;
+use crate::routing::Rejection;
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::cmp::Ordering;
@@ -61,11 +61,11 @@
 }
 
 /// The response to a query that was refused: nothing has run.
-pub fn refused(why: Refusal, pause: Option<Duration>) -> Response {
+pub fn refused(why: Rejection, pause: Option<Duration>) -> Response {
     let (status, reason) = match why {
-        Refusal::Declined => (429, "not served in time; trying again is harmless"),
-        Refusal::Full => (429, "as many searches as may be are open; try again"),
-        Refusal::Stopping => (503, "this gatherer is stopping; try again"),
+        Rejection::Declined => (429, "not served in time; trying again is harmless"),
+        Rejection::AtCapacity => (429, "as many searches as may be are open; try again"),
+        Rejection::ShuttingDown => (503, "this gatherer is stopping; try again"),
     };
     let seconds = pause.unwrap_or_default().as_secs_f64().ceil().max(1.0);
     let fault = Fault::new(status, "rejected_execution_exception", reason);
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's client protocol: `POST /api` to an [`Ask`], and a [`Verdict`] to its answer.
+//! The platform's client protocol: `POST /api` to an [`SearchRequest`], and a [`QueryOutcome`] to its answer.
 
 use super::http::{MOST_BODY, Request, Response};
 use crate::policy::ShardId;
-use crate::routing::{Ask, AskPart, Contracts, Verdict};
+use crate::routing::{Contracts, QueryOutcome, QueryPart, SearchRequest};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -57,7 +57,7 @@
 }
 
 /// The query that a request asks.
-pub fn ask(request: &Request, contracts: &Contracts) -> Result<Ask, Invalid> {
+pub fn ask(request: &Request, contracts: &Contracts) -> Result<SearchRequest, Invalid> {
     let field = |name: &'static str| request.headers.get(name).filter(|value| !value.is_empty());
     let must = |name| field(name).ok_or(Invalid::Missing(name));
     let invalid = |name, what: &str| Invalid::Field(name, what.to_owned());
@@ -89,7 +89,7 @@
     let body: Body =
         serde_json::from_slice(&request.body).map_err(|error| Invalid::Body(error.to_string()))?;
     let shards = contracts.settings.shards;
-    let mut parts: Vec<AskPart> = Vec::with_capacity(body.ranges.len());
+    let mut parts: Vec<QueryPart> = Vec::with_capacity(body.ranges.len());
     for range in body.ranges {
         let bad = |what: &str| Invalid::Body(format!("range {}: {what}", range.range));
         if range.range >= shards {
@@ -104,10 +104,10 @@
         if range.price.is_some_and(|price| !(0.0..=3.6e9).contains(&price)) {
             return Err(bad("price is no time in microseconds"));
         }
-        parts.push(AskPart {
+        parts.push(QueryPart {
             shard: ShardId(range.range),
             weight: range.portion,
-            hint: range.price.map(|price| Duration::from_secs_f64(price / 1e6)),
+            cost_hint: range.price.map(|price| Duration::from_secs_f64(price / 1e6)),
             key: range.hash.or_else(|| route.map(|key| format!("{key}.{}", range.range))).map(Arc::from),
         });
     }
@@ -115,21 +115,21 @@
     if parts.is_empty() || (sum - 1.0).abs() > 0.01 {
         return Err(Invalid::Body("the portions of the ranges do not sum to 1".to_owned()));
     }
-    Ok(Ask {
+    Ok(SearchRequest {
         label: Arc::from(id),
         class,
         tenant,
-        left: Duration::from_millis(left).saturating_sub(request.waited),
+        time_left: Duration::from_millis(left).saturating_sub(request.waited),
         retry: field("X-Again") == Some("1"),
-        text: Bytes::from(body.predicate),
+        payload: Bytes::from(body.predicate),
         parts,
     })
 }
 
 /// The answer that a verdict makes.
-pub fn answer(verdict: &Verdict) -> Response {
+pub fn answer(verdict: &QueryOutcome) -> Response {
     match verdict {
-        Verdict::Answered { whole, values } => {
+        QueryOutcome::Answered { complete: whole, values } => {
             let hit = |(shard, value): &(ShardId, Bytes)| {
                 std::str::from_utf8(value).ok().map(|_| (shard.0, value.clone()))
             };
@@ -146,8 +146,8 @@
                 Err(error) => Response::text(500, error.to_string()),
             }
         }
-        Verdict::Refused { pause, .. } => refusal(*pause),
-        Verdict::Failed => Response::text(504, "not served; it may have run"),
+        QueryOutcome::Rejected { retry_after: pause, .. } => refusal(*pause),
+        QueryOutcome::Failed => Response::text(504, "not served; it may have run"),
     }
 }
 
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -9,7 +9,7 @@
 
 /// Names one attempt of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The part.
     pub part: RequestId,
     /// The attempt.
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// Comes back with its end.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// The query's label.
     pub label: Arc<str>,
     /// The shard.
     pub shard: ShardId,
     /// What it carries.
-    pub text: Bytes,
+    pub payload: Bytes,
     /// It may not run a second time: what spoils the answers of others is not to spoil its own.
     pub at_most_once: bool,
     /// The right to send it, with the time for which it is waited for.
@@ -42,25 +42,25 @@
 
     /// For so long the last byte of its frame may be written; `None` where any time will do. It is a further attempt of
     /// a part whose repeats are dropped only for a while after the first that may have run.
-    pub fn window(&self) -> Option<Duration> {
-        self.permit.window()
+    pub fn write_window(&self) -> Option<Duration> {
+        self.permit.write_window()
     }
 }
 
 /// How an attempt ended, as a transport reports it.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct AttemptCompletion {
     /// The outcome.
     pub outcome: AttemptOutcome,
     /// The value, with [`Outcome::Done`].
     pub value: Bytes,
     /// The worker's load, in the order of the settings' fields.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
-impl End {
+impl AttemptCompletion {
     /// An end that brings nothing but its outcome.
-    pub fn bare(outcome: AttemptOutcome) -> End {
-        End { outcome, value: Bytes::new(), report: None }
+    pub fn without_value(outcome: AttemptOutcome) -> AttemptCompletion {
+        AttemptCompletion { outcome, value: Bytes::new(), load_report: None }
     }
 }
--- a/src/routing/order.rs
+++ b/src/routing/command.rs
@@ -1,14 +1,14 @@
 //! What the core asks of its host after a turn: the whole of its output.
 
-use super::attempt::{Dispatch, Ticket};
-use super::query::Verdict;
+use super::attempt::{AttemptId, Dispatch};
+use super::query::QueryOutcome;
 use crate::policy::*;
 
 /// What the core asks of its host.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum Command {
     /// A worker is listed at this address; `open` is whether it may be sent anything new.
-    Member {
+    UpsertWorker {
         /// The worker.
         worker: WorkerId,
         /// Its name.
@@ -16,10 +16,10 @@
         /// Its address.
         address: String,
         /// It takes work.
-        open: bool,
+        accepts_work: bool,
     },
     /// A worker is no longer listed.
-    Gone {
+    RemoveWorker {
         /// The worker.
         worker: WorkerId,
     },
@@ -31,29 +31,29 @@
         parts: Vec<Dispatch>,
     },
     /// Wait no longer for this attempt; its end is already booked.
-    Abandon {
+    Cancel {
         /// At this worker.
         worker: WorkerId,
         /// The attempt.
-        ticket: Ticket,
+        attempt_id: AttemptId,
     },
     /// Nobody waits for what this attempt brings, but it may not be called off: do not send it, if nothing of it is sent
     /// yet. Its end is told as ever.
-    Withdraw {
+    CancelIfUnsent {
         /// From this worker.
         worker: WorkerId,
         /// The attempt.
-        ticket: Ticket,
+        attempt_id: AttemptId,
     },
     /// Give a query its final answer.
-    Settle {
+    Respond {
         /// The query.
         query: RequestId,
         /// The answer.
-        verdict: Verdict,
+        outcome: QueryOutcome,
     },
     /// Write a line for the people on call.
-    Trace(String),
+    Log(String),
     /// A rule is broken: a line of the log that nobody may overlook.
-    Alarm(String),
+    LogViolation(String),
 }
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -6,19 +6,19 @@
 
 /// Limits of the broker itself and of the connections that carry its parts.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct BrokerLimits {
     /// Queries and parts that may be open at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// A connection that is not up by then counts as refused.
     pub connect_timeout: Duration,
     /// A server closes a connection that is idle for this long.
-    pub conn_idle: Duration,
+    pub connection_idle_timeout: Duration,
     /// Parts that one connection carries at once.
-    pub multiplex: usize,
+    pub max_parts_per_connection: usize,
     /// Nothing new goes to a server so long after it is told of as draining or gone.
     pub drain_grace: Duration,
     /// Gatherers may talk with each other.
-    pub may_tell: bool,
+    pub may_gossip: bool,
 }
 
 /// The names behind the module's numbers, and the settings that go with them.
@@ -33,7 +33,7 @@
     /// Zone names.
     pub zones: Vec<String>,
     /// Limits of the broker.
-    pub limits: Limits,
+    pub limits: BrokerLimits,
 }
 
 fn place(names: &[String], name: &str) -> Option<usize> {
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -7,14 +7,14 @@
 mod turn;
 mod workers;
 
-use super::attempt::{End, Ticket};
+use super::attempt::{AttemptCompletion, AttemptId};
+use super::command::Command;
 use super::contracts::Contracts;
-use super::counters::{ClassEnds, Counters, Ends, outcome_name};
+use super::counters::{ClassEnds, Counters, QueryCounts, outcome_name};
 use super::in_flight::{InFlight, SentAttempt};
 use super::invariants::{Invariant, Violations};
 use super::open_queries::{OpenPart, OpenQueries, OpenQuery};
-use super::order::Order;
-use super::query::{Ask, AskPart, Refusal, Verdict};
+use super::query::{QueryOutcome, QueryPart, Rejection, SearchRequest};
 use super::worker_list::WorkerList;
 use super::worker_states::WorkerStates;
 use crate::Aggregator;
@@ -31,7 +31,7 @@
     /// What has happened since the last turn, for the module.
     events: Vec<Event>,
     /// What is to be done beside what the module decides.
-    orders: Vec<Order>,
+    orders: Vec<Command>,
     timers: BTreeMap<(Time, u64), TimerId>,
     open: OpenQueries,
     in_flight: InFlight,
@@ -49,9 +49,9 @@
     /// How the queries of each class ended.
     ends: ClassEnds,
     /// The same by class, tenant and worker, for the records; `None` where there are none.
-    pub figures: Option<MetricsAccumulator>,
+    pub metrics: Option<MetricsAccumulator>,
     /// What has changed since it was last read, for the records; nothing where there are none.
-    pub news: Vec<RecordBody>,
+    pub record_events: Vec<RecordBody>,
     /// How each listed worker was last told of.
     states: WorkerStates,
 }
@@ -74,8 +74,8 @@
             heard_discovery: false,
             counters: Counters::default(),
             violations: Violations::default(),
-            figures: None,
-            news: Vec::new(),
+            metrics: None,
+            record_events: Vec::new(),
             states: WorkerStates::default(),
         }
     }
@@ -86,17 +86,17 @@
     }
 
     /// Queries that wait for their answer.
-    pub fn open(&self) -> usize {
+    pub fn open_queries(&self) -> usize {
         self.open.len()
     }
 
     /// Whether a query of this label is open.
-    pub fn has(&self, label: &str) -> bool {
+    pub fn has_open_query(&self, label: &str) -> bool {
         self.open.has_label(label)
     }
 
     /// How the queries of each class ended, in the order of the contracts.
-    pub fn ends(&self) -> &[Ends] {
+    pub fn class_counts(&self) -> &[QueryCounts] {
         self.ends.all()
     }
 
@@ -107,13 +107,14 @@
 
     /// A rule was broken, or would have been.
     pub fn count_violation(&mut self, invariant: Invariant) {
-        self.violations.count(invariant);
+        self.violations.record(invariant);
     }
 
     /// A rule was broken, or would have been: counts it, and has it told with what it concerns.
     pub(super) fn violated(&mut self, invariant: Invariant, concerns: &str) {
         self.count_violation(invariant);
-        self.orders.push(Order::Alarm(format!("invariant {} is broken: {concerns}", invariant.name())));
+        self.orders
+            .push(Command::LogViolation(format!("invariant {} is broken: {concerns}", invariant.name())));
     }
 
     fn number(&mut self) -> u64 {
@@ -121,33 +122,33 @@
         self.last_number
     }
 
-    /// Takes a query in. Its answer comes as [`Order::Settle`].
-    pub fn offer(&mut self, now: Time, ask: Ask) -> Result<RequestId, Verdict> {
+    /// Takes a query in. Its answer comes as [`Command::Settle`].
+    pub fn submit(&mut self, now: Time, ask: SearchRequest) -> Result<RequestId, QueryOutcome> {
         self.counters.taken += 1;
         let seen = QueryLabels { class: ask.class.0, tenant: ask.tenant.map(|tenant| tenant.0) };
         self.ends.came(seen.class);
-        if let Some(figures) = &mut self.figures {
+        if let Some(figures) = &mut self.metrics {
             figures.record_accepted(seen);
         }
         if self.is_full() {
             self.counters.refused_full += 1;
             self.count_end(seen, metrics::QueryEnd::RejectedAtCapacity, Duration::ZERO);
             let pause = self.contracts.settings.max_retry_after;
-            return Err(Verdict::Refused { why: Refusal::Full, pause });
+            return Err(QueryOutcome::Rejected { reason: Rejection::AtCapacity, retry_after: pause });
         }
         Ok(self.open_query(now, seen, ask))
     }
 
     /// Whether as many queries and parts are open as this process may hold.
     fn is_full(&self) -> bool {
-        self.open.size() >= self.contracts.limits.max_open / self.processes as usize
+        self.open.size() >= self.contracts.limits.max_open_requests / self.processes as usize
     }
 
     /// Opens a query and its parts, and tells the module of them.
-    fn open_query(&mut self, now: Time, seen: QueryLabels, ask: Ask) -> RequestId {
+    fn open_query(&mut self, now: Time, seen: QueryLabels, ask: SearchRequest) -> RequestId {
         let number = self.number();
         let (id, job) = (RequestId(number), JobId(number));
-        let valid_until = now.after(ask.left);
+        let valid_until = now.after(ask.time_left);
         let (class, tenant, retry) = (ask.class, ask.tenant, ask.retry);
         self.events.push(Event::QueryReceived(NewQuery {
             id,
@@ -163,14 +164,14 @@
         }
         let class = self.contracts.settings.classes.get(seen.class);
         let at_most_once = class.is_none_or(|class| class.idempotency != Idempotency::Idempotent);
-        let (label, text) = (ask.label, ask.text);
+        let (label, text) = (ask.label, ask.payload);
         self.open.insert(id, OpenQuery { label, text, at_most_once, valid_until, parts, seen, taken: now });
         id
     }
 
-    fn open_part(&mut self, query: RequestId, job: JobId, part: AskPart) -> RequestId {
+    fn open_part(&mut self, query: RequestId, job: JobId, part: QueryPart) -> RequestId {
         let id = RequestId(self.number());
-        let AskPart { shard, weight, hint, key } = part;
+        let QueryPart { shard, weight, cost_hint: hint, key } = part;
         self.events.push(Event::PartReceived(NewPart { id, key, cost_hint: hint, job, shard, weight }));
         self.open.insert_part(id, OpenPart::new(query, shard, weight));
         id
@@ -186,7 +187,7 @@
     }
 
     /// A query came too late to be taken: the process is stopping.
-    pub fn refuse_stopping(&mut self, class: ClassId, tenant: Option<TenantId>) {
+    pub fn reject_stopping(&mut self, class: ClassId, tenant: Option<TenantId>) {
         self.counters.refused_stopping += 1;
         let seen = QueryLabels { class: class.0, tenant: tenant.map(|tenant| tenant.0) };
         self.ends.came(seen.class);
@@ -194,28 +195,28 @@
     }
 
     /// A query came for which there was no firm place; it was turned away unread.
-    pub fn refuse_crowded(&mut self, class: ClassId) {
+    pub fn reject_unread(&mut self, class: ClassId) {
         self.ends.came(class.0);
         self.ends.ended(class.0, metrics::QueryEnd::RejectedAtCapacity);
     }
 
     /// So many attempts have been written to their worker, to the last byte.
-    pub fn written(&mut self, attempts: usize) {
+    pub fn count_written(&mut self, attempts: usize) {
         self.counters.written += attempts as u64;
     }
 
     /// An attempt has ended. One that was timed out or called off before is not heard again.
-    pub fn ended(&mut self, now: Time, ticket: Ticket, end: End) {
+    pub fn on_attempt_finished(&mut self, now: Time, ticket: AttemptId, end: AttemptCompletion) {
         let Some(sent) = self.in_flight.remove(ticket) else { return };
         self.attempt_ended(now, ticket, &sent, end);
     }
 
     /// Books the end of an attempt that is no longer in flight, and tells the module of it.
-    fn attempt_ended(&mut self, now: Time, ticket: Ticket, sent: &SentAttempt, end: End) {
-        let End { outcome, value, report } = end;
+    fn attempt_ended(&mut self, now: Time, ticket: AttemptId, sent: &SentAttempt, end: AttemptCompletion) {
+        let AttemptCompletion { outcome, value, load_report: report } = end;
         let elapsed = now.since(sent.at);
         self.counters.ended(outcome);
-        if let Some(figures) = &mut self.figures {
+        if let Some(figures) = &mut self.metrics {
             let name = self.workers.registry.name(sent.worker).unwrap_or_default();
             figures.record_attempt(name, outcome_name(outcome), elapsed);
         }
@@ -245,7 +246,7 @@
     /// Counts the end of a query.
     fn count_end(&mut self, seen: QueryLabels, end: metrics::QueryEnd, took: Duration) {
         self.ends.ended(seen.class, end);
-        if let Some(figures) = &mut self.figures {
+        if let Some(figures) = &mut self.metrics {
             figures.record_end(seen, end, took);
         }
     }
@@ -256,7 +257,8 @@
         if !self.contracts.settings.may_cancel {
             // Guards against sending on for a client that has gone, where the module may not call an attempt off.
             let out = query.parts.iter().flat_map(|part| self.in_flight.of_part(*part));
-            let withdraw = out.map(|(ticket, sent)| Order::Withdraw { worker: sent.worker, ticket: *ticket });
+            let withdraw = out
+                .map(|(ticket, sent)| Command::CancelIfUnsent { worker: sent.worker, attempt_id: *ticket });
             self.orders.extend(withdraw);
         }
         Some((query, parts))
--- a/src/routing/core/turn.rs
+++ b/src/routing/core/turn.rs
@@ -3,12 +3,12 @@
 use super::Core;
 use crate::policy::*;
 use crate::records::metrics;
-use crate::routing::attempt::{Dispatch, End, Ticket};
+use crate::routing::attempt::{AttemptCompletion, AttemptId, Dispatch};
+use crate::routing::command::Command;
 use crate::routing::in_flight::SentAttempt;
-use crate::routing::invariants::{Invariant, SendPermit, Sending, check_answer, check_refusal, share_in};
+use crate::routing::invariants::{Invariant, SendCheck, SendPermit, check_answer, check_rejection, share_in};
 use crate::routing::open_queries::{OpenPart, OpenQuery};
-use crate::routing::order::Order;
-use crate::routing::query::{Refusal, Verdict};
+use crate::routing::query::{QueryOutcome, Rejection};
 use std::time::Duration;
 
 /// An answer may be so much later than the rules' grace: time in which a process may be held up.
@@ -29,14 +29,16 @@
 }
 
 impl Ending {
-    fn verdict(self, parts: Vec<OpenPart>) -> Verdict {
+    fn verdict(self, parts: Vec<OpenPart>) -> QueryOutcome {
         match self {
             Ending::Answer { whole } => {
                 let values = parts.into_iter().filter_map(|part| Some((part.shard, part.value?))).collect();
-                Verdict::Answered { whole, values }
+                QueryOutcome::Answered { complete: whole, values }
             }
-            Ending::Refuse { pause } => Verdict::Refused { why: Refusal::Declined, pause },
-            Ending::Fail | Ending::FailOverdue => Verdict::Failed,
+            Ending::Refuse { pause } => {
+                QueryOutcome::Rejected { reason: Rejection::Declined, retry_after: pause }
+            }
+            Ending::Fail | Ending::FailOverdue => QueryOutcome::Failed,
         }
     }
 }
@@ -54,15 +56,15 @@
     }
 
     /// Takes an attempt back that was called off in the turn that sent it: it never leaves.
-    fn remove(&mut self, ticket: Ticket) {
-        self.0.iter_mut().for_each(|(_, parts)| parts.retain(|part| part.ticket != ticket));
+    fn remove(&mut self, ticket: AttemptId) {
+        self.0.iter_mut().for_each(|(_, parts)| parts.retain(|part| part.attempt_id != ticket));
     }
 
     /// Calls of at most `most` parts each.
-    fn into_orders(self, most: usize) -> Vec<Order> {
+    fn into_orders(self, most: usize) -> Vec<Command> {
         let mut orders = Vec::new();
         for (worker, parts) in self.0 {
-            let calls = parts.chunks(most).map(|parts| Order::Call { worker, parts: parts.to_vec() });
+            let calls = parts.chunks(most).map(|parts| Command::Call { worker, parts: parts.to_vec() });
             orders.extend(calls);
         }
         orders
@@ -87,7 +89,7 @@
     }
 
     /// Hands everything that has happened to the module in one turn, and returns what is to be done.
-    pub fn turn(&mut self, now: Time) -> Vec<Order> {
+    pub fn step(&mut self, now: Time) -> Vec<Command> {
         self.fire_timers(now);
         self.time_out_attempts(now);
         let mut actions = Vec::new();
@@ -113,8 +115,13 @@
 
     fn time_out_attempts(&mut self, now: Time) {
         for (ticket, sent) in self.in_flight.take_expired(now) {
-            self.orders.push(Order::Abandon { worker: sent.worker, ticket });
-            self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::TimedOut));
+            self.orders.push(Command::Cancel { worker: sent.worker, attempt_id: ticket });
+            self.attempt_ended(
+                now,
+                ticket,
+                &sent,
+                AttemptCompletion::without_value(AttemptOutcome::TimedOut),
+            );
         }
     }
 
@@ -122,7 +129,7 @@
     fn fail_overdue(&mut self, now: Time) {
         for query in self.open.overdue(now, self.overdue_grace()) {
             self.events.push(Event::ClientDisconnected { id: query });
-            self.orders.push(Order::Trace(format!("query {} ran past its time", query.0)));
+            self.orders.push(Command::Log(format!("query {} ran past its time", query.0)));
             self.settle(now, query, Ending::FailOverdue);
         }
     }
@@ -130,7 +137,7 @@
     fn carry_out(&mut self, now: Time, action: Action, calls: &mut Calls) {
         match action {
             Action::Send { id, worker: leaf, timeout } => self.send(now, id, leaf, timeout, calls),
-            Action::Cancel { id, attempt } => self.cancel(now, Ticket { part: id, attempt }, calls),
+            Action::Cancel { id, attempt } => self.cancel(now, AttemptId { part: id, attempt }, calls),
             Action::Respond { id, complete: whole } => self.settle(now, id, Ending::Answer { whole }),
             Action::Reject { id, retry_after: pause } => self.settle(now, id, Ending::Refuse { pause }),
             Action::Fail { id } => self.settle(now, id, Ending::Fail),
@@ -140,7 +147,7 @@
             }
             // Membership comes unasked here, and probes are not allowed: the module does not ask for either.
             Action::SubscribeToEndpoints | Action::SendHealthCheck { .. } => {}
-            Action::Log { text } => self.orders.push(Order::Trace(text)),
+            Action::Log { text } => self.orders.push(Command::Log(text)),
         }
     }
 
@@ -148,7 +155,7 @@
     fn send(&mut self, now: Time, id: RequestId, worker: WorkerId, timeout: Duration, calls: &mut Calls) {
         let permit = self.permit(now, id, worker, timeout);
         let Some((part, query)) = self.open.part_with_query(id) else { return };
-        let ticket = Ticket { part: id, attempt: AttemptNo(part.attempts) };
+        let ticket = AttemptId { part: id, attempt: AttemptNo(part.attempts) };
         part.attempts += 1;
         self.counters.sent += 1;
         self.counters.resent += u64::from(ticket.attempt.0 > 0);
@@ -163,7 +170,7 @@
         let (text, at_most_once) = (query.text.clone(), query.at_most_once);
         self.count_repeat(ticket);
         self.in_flight.insert(ticket, SentAttempt { worker, at: now, deadline: permit.deadline() });
-        calls.add(worker, Dispatch { ticket, label, shard, text, at_most_once, permit });
+        calls.add(worker, Dispatch { attempt_id: ticket, label, shard, payload: text, at_most_once, permit });
     }
 
     /// The right to send an attempt, or the rule that it would break.
@@ -177,33 +184,33 @@
         let worker_serves = self.workers.serves(worker);
         let is_out = self.in_flight.of_part(id).next().is_some();
         let settings = &self.contracts.settings;
-        let (part, query) = self.open.part_with_query(id).ok_or(Invariant::SentInTime)?;
-        let class = settings.classes.get(query.seen.class).ok_or(Invariant::SentInTime)?;
-        let sending = Sending {
+        let (part, query) = self.open.part_with_query(id).ok_or(Invariant::SentBeforeDeadline)?;
+        let class = settings.classes.get(query.seen.class).ok_or(Invariant::SentBeforeDeadline)?;
+        let sending = SendCheck {
             now,
             class,
             valid_until: query.valid_until,
             worker_serves,
-            attempts: part.attempts,
+            previous_attempts: part.attempts,
             first_possible_run: part.possible_runs.values().min().copied(),
-            is_out,
-            second_copies: settings.hedging_allowed,
-            most_attempts: settings.max_attempts,
+            has_attempt_in_flight: is_out,
+            may_hedge: settings.hedging_allowed,
+            max_attempts: settings.max_attempts,
         };
         sending.permit(timeout)
     }
 
     /// Ends an attempt that would break a rule as one that was never sent.
-    fn withhold(&mut self, now: Time, ticket: Ticket, worker: WorkerId, broken: Invariant, part: &str) {
+    fn withhold(&mut self, now: Time, ticket: AttemptId, worker: WorkerId, broken: Invariant, part: &str) {
         let name = self.workers.registry.name(worker).unwrap_or("of no name");
         let concerns = format!("attempt {} of part {part} to worker {name}", ticket.attempt.0);
         self.violated(broken, &concerns);
         let sent = SentAttempt { worker, at: now, deadline: now };
-        self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::NotSent));
+        self.attempt_ended(now, ticket, &sent, AttemptCompletion::without_value(AttemptOutcome::NotSent));
     }
 
     /// Counts why an attempt follows another.
-    fn count_repeat(&mut self, ticket: Ticket) {
+    fn count_repeat(&mut self, ticket: AttemptId) {
         if ticket.attempt.0 == 0 {
             return;
         }
@@ -216,11 +223,11 @@
         } += 1;
     }
 
-    fn cancel(&mut self, now: Time, ticket: Ticket, calls: &mut Calls) {
+    fn cancel(&mut self, now: Time, ticket: AttemptId, calls: &mut Calls) {
         let Some(sent) = self.in_flight.remove(ticket) else { return };
         calls.remove(ticket);
-        self.orders.push(Order::Abandon { worker: sent.worker, ticket });
-        self.attempt_ended(now, ticket, &sent, End::bare(AttemptOutcome::Cancelled));
+        self.orders.push(Command::Cancel { worker: sent.worker, attempt_id: ticket });
+        self.attempt_ended(now, ticket, &sent, AttemptCompletion::without_value(AttemptOutcome::Cancelled));
     }
 
     /// Gives a query its one final answer; none if it has ended before.
@@ -235,7 +242,7 @@
             Ending::Refuse { .. } => &mut self.counters.refused,
             Ending::Fail | Ending::FailOverdue => &mut self.counters.failed,
         } += 1;
-        self.orders.push(Order::Settle { query, verdict: ending.verdict(parts) });
+        self.orders.push(Command::Respond { query, outcome: ending.verdict(parts) });
     }
 
     /// The one guard on ending a query: what would break a rule ends as the nearest that does not.
@@ -249,14 +256,14 @@
         let checked = match ending {
             Ending::Answer { whole } => check_answer(class, share_in(parts), whole),
             Ending::Refuse { .. } => {
-                check_refusal(class, parts.iter().any(|part| !part.possible_runs.is_empty()))
+                check_rejection(class, parts.iter().any(|part| !part.possible_runs.is_empty()))
             }
             Ending::Fail | Ending::FailOverdue => Ok(()),
         };
         let Err(broken) = checked else { return ending };
         self.violated(broken, &format!("query {}", query.label));
         match broken {
-            Invariant::MarkedWholeTruly => Ending::Answer { whole: false },
+            Invariant::CompleteMarkedTruly => Ending::Answer { whole: false },
             _ => Ending::Fail,
         }
     }
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -5,52 +5,52 @@
 use crate::policy::PolicySnapshot;
 use crate::policy::*;
 use crate::records::record::{RecordBody, RecordedWorkerState};
-use crate::routing::order::Order;
+use crate::routing::command::Command;
 use crate::routing::worker_list::{MOST_NAMES, WorkerList};
-use crate::routing::worker_registry::Listing;
+use crate::routing::worker_registry::WorkerListUpdate;
 use crate::routing::worker_states::WorkerStates;
-use crate::service::Bans;
+use crate::service::DisabledWorkers;
 use std::time::Duration;
 
 impl Core {
     /// Whether it knows of any worker.
-    pub fn ready(&self) -> bool {
+    pub fn has_workers(&self) -> bool {
         self.workers.len() > 0
     }
 
     /// Workers in the list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_workers(&self) -> usize {
         self.workers.len()
     }
 
     /// Listed workers that are out by hand, or get nothing but trials.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_workers(&self) -> usize {
         let suspects = self.module.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_out() + suspects.count()
     }
 
     /// The name of a worker that was ever listed.
-    pub fn name(&self, worker: WorkerId) -> Option<&str> {
+    pub fn worker_name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.registry.name(worker)
     }
 
     /// The list as discovery last told it.
-    pub fn list_told(&self) -> Listing {
+    pub fn endpoint_list(&self) -> WorkerListUpdate {
         self.workers.listing()
     }
 
     /// Whether discovery itself has told a list.
-    pub fn told(&self) -> bool {
+    pub fn has_discovery_list(&self) -> bool {
         self.heard_discovery
     }
 
     /// Who is out by hand.
-    pub fn bans(&self) -> &Bans {
+    pub fn disabled_workers(&self) -> &DisabledWorkers {
         &self.workers.bans
     }
 
     /// News from discovery; `cached` for the list as last held.
-    pub fn learn(&mut self, now: Time, listing: &Listing, cached: bool) {
+    pub fn apply_endpoint_update(&mut self, now: Time, listing: &WorkerListUpdate, cached: bool) {
         self.counters.listings += 1;
         self.heard_discovery |= !cached;
         let (entries, orders) = self.workers.take(now, &self.contracts, listing);
@@ -65,7 +65,7 @@
     }
 
     /// A load report that came by itself, not with an answer.
-    pub fn load_report(&mut self, worker: &str, report: LoadReport) -> bool {
+    pub fn on_load_report(&mut self, worker: &str, report: LoadReport) -> bool {
         let Some(leaf) = self.workers.registry.known(worker) else { return false };
         let (outcome, elapsed) = (AttemptOutcome::Succeeded, Duration::ZERO);
         self.events.push(Event::HealthCheckFinished {
@@ -79,22 +79,22 @@
 
     /// Takes a worker out by hand until [`Core::enable`], whatever the list says meanwhile; false if no list ever named
     /// it, and then nothing changes.
-    pub fn disable(&mut self, now: Time, name: &str) -> bool {
+    pub fn disable_worker(&mut self, now: Time, name: &str) -> bool {
         self.by_hand(now, name, |bans| bans.disable(name))
     }
 
     /// Takes a worker back that was taken out by hand; false if no list ever named it.
-    pub fn enable(&mut self, now: Time, name: &str) -> bool {
+    pub fn enable_worker(&mut self, now: Time, name: &str) -> bool {
         self.by_hand(now, name, |bans| bans.enable(now, name))
     }
 
-    fn by_hand(&mut self, now: Time, name: &str, change: impl FnOnce(&mut Bans) -> bool) -> bool {
+    fn by_hand(&mut self, now: Time, name: &str, change: impl FnOnce(&mut DisabledWorkers) -> bool) -> bool {
         let Some(worker) = self.workers.registry.known(name) else { return false };
         if !change(&mut self.workers.bans) {
             return true;
         }
-        let place = if self.workers.bans.is_out(name) { "out" } else { "back" };
-        self.orders.push(Order::Trace(format!("worker {name} is {place} by hand")));
+        let place = if self.workers.bans.is_disabled(name) { "out" } else { "back" };
+        self.orders.push(Command::Log(format!("worker {name} is {place} by hand")));
         if let Some(member) = self.workers.get(worker) {
             let entry = self.workers.entry(&self.contracts, worker, member);
             self.orders.push(WorkerList::order(&entry, member));
@@ -105,7 +105,7 @@
     }
 
     /// So many processes are this one gatherer, and share what it may hold and push.
-    pub fn share(&mut self, processes: u32) {
+    pub fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
         let whole = self.contracts.settings.slow_start_budget_factor;
         self.module.set_slow_start_budget_factor(whole / f64::from(self.processes));
@@ -113,51 +113,61 @@
 
     /// So many gatherers share the fleet: in place of the settings' number, for cold workers, trials of suspects, tenants'
     /// quotas and calls to discovery.
-    pub fn among(&mut self, gatherers: u32) {
+    pub fn set_fleet_size(&mut self, gatherers: u32) {
         self.contracts.settings.fleet_size = gatherers.max(1);
         self.module.set_fleet_size(gatherers);
     }
 
     /// How many share it.
-    pub fn gatherers(&self) -> u32 {
+    pub fn fleet_size(&self) -> u32 {
         self.contracts.settings.fleet_size
     }
 
     /// What the module has learned.
-    pub fn learned(&self) -> PolicySnapshot {
+    pub fn policy_snapshot(&self) -> PolicySnapshot {
         self.module.snapshot(|worker| self.workers.registry.name(worker))
     }
 
     /// A worker that a list named to another process of this gatherer.
-    pub fn know(&mut self, name: &str) {
+    pub fn register_worker(&mut self, name: &str) {
         self.workers.registry.id(name);
     }
 
     /// Takes over what another process of this gatherer knew: its list, who is out by hand, what its module learned.
-    pub fn take_over(&mut self, now: Time, list: &Listing, bans: Bans, learned: PolicySnapshot) {
-        learned.worker_names().chain(bans.all()).take(MOST_NAMES).for_each(|name| self.know(name));
+    pub fn take_over(
+        &mut self,
+        now: Time,
+        list: &WorkerListUpdate,
+        bans: DisabledWorkers,
+        learned: PolicySnapshot,
+    ) {
+        learned
+            .worker_names()
+            .chain(bans.names())
+            .take(MOST_NAMES)
+            .for_each(|name| self.register_worker(name));
         self.workers.bans = bans;
-        self.learn(now, list, true);
+        self.apply_endpoint_update(now, list, true);
         // The module has to know the leaves before it is told of them.
-        let orders = self.turn(now);
+        let orders = self.step(now);
         self.module.restore(learned, |name| self.workers.registry.known(name));
         self.orders.extend(orders);
     }
 
     /// Tells the records what a list has changed.
-    fn record_list(&mut self, now: Time, listing: &Listing, entries: &[Endpoint]) {
-        if self.figures.is_none() {
+    fn record_list(&mut self, now: Time, listing: &WorkerListUpdate, entries: &[Endpoint]) {
+        if self.metrics.is_none() {
             return;
         }
         let (revision, complete, workers) = (listing.revision, listing.complete, self.workers.len());
-        self.news.push(RecordBody::EndpointList { revision, complete, workers });
+        self.record_events.push(RecordBody::EndpointList { revision, complete, workers });
         let gone = self.states.missing(|worker| self.workers.contains(worker));
         self.record_states(now, entries, gone);
     }
 
     /// Tells the records how these workers are seen now, where that has changed, and which are gone.
     fn record_states(&mut self, now: Time, entries: &[Endpoint], gone: Vec<WorkerId>) {
-        if self.figures.is_none() {
+        if self.metrics.is_none() {
             return;
         }
         for entry in entries {
@@ -174,7 +184,7 @@
         if self.states.update(worker, state)
             && let Some(name) = self.workers.registry.name(worker)
         {
-            self.news.push(RecordBody::Worker { worker: name.to_owned(), state });
+            self.record_events.push(RecordBody::Worker { worker: name.to_owned(), state });
         }
     }
 }
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -75,44 +75,44 @@
 
 /// The queries of one class: all that came, and how they ended. What is in none of the ends is open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct QueryCounts {
     /// Queries offered, and those refused before they could be.
-    pub came: u64,
+    pub received: u64,
     /// Answered, whole or in part.
     pub succeeded: u64,
     /// Refused.
-    pub declined: u64,
+    pub rejected: u64,
     /// Failed.
-    pub aborted: u64,
+    pub failed: u64,
     /// Left by their clients.
-    pub left: u64,
+    pub client_left: u64,
 }
 
-impl Ends {
+impl QueryCounts {
     /// Those that have not ended.
     pub fn open(&self) -> u64 {
-        self.came - self.succeeded - self.declined - self.aborted - self.left
+        self.received - self.succeeded - self.rejected - self.failed - self.client_left
     }
 }
 
 /// The queries of all classes, in the order of the contracts. A class that is in none of them counts nowhere.
-pub(super) struct ClassEnds(Vec<Ends>);
+pub(super) struct ClassEnds(Vec<QueryCounts>);
 
 impl ClassEnds {
     /// Nothing yet, for so many classes.
     pub fn new(classes: usize) -> ClassEnds {
-        ClassEnds(vec![Ends::default(); classes])
+        ClassEnds(vec![QueryCounts::default(); classes])
     }
 
     /// All classes.
-    pub fn all(&self) -> &[Ends] {
+    pub fn all(&self) -> &[QueryCounts] {
         &self.0
     }
 
     /// A query of this class came.
     pub fn came(&mut self, class: usize) {
         if let Some(ends) = self.0.get_mut(class) {
-            ends.came += 1;
+            ends.received += 1;
         }
     }
 
@@ -123,10 +123,10 @@
         *match end {
             QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial => &mut ends.succeeded,
             QueryEnd::RejectedByPolicy | QueryEnd::RejectedAtCapacity | QueryEnd::RejectedShuttingDown => {
-                &mut ends.declined
+                &mut ends.rejected
             }
-            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.aborted,
-            QueryEnd::ClientDisconnected => &mut ends.left,
+            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.failed,
+            QueryEnd::ClientDisconnected => &mut ends.client_left,
         } += 1;
     }
 }
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -10,11 +10,11 @@
 
 /// How many keys are held, how many bytes of outcomes, and for how long.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct IdempotencyLimits {
     /// Keys.
-    pub keys: usize,
+    pub max_keys: usize,
     /// Bytes of recorded outcomes.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Time from issue, or from the outcome, until a key is forgotten.
     pub retention: Duration,
 }
@@ -33,7 +33,7 @@
 
 /// What a request with a key is to do.
 #[derive(Debug)]
-pub enum Claim<T> {
+pub enum KeyClaim<T> {
     /// Run, and [`IdempotencyStore::finish`]; wait for the outcome like those who join.
     Run(watch::Receiver<Option<T>>),
     /// Wait for the outcome of the one that runs.
@@ -49,33 +49,33 @@
 /// No further key can be held now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many idempotency keys as may be are held")]
-pub struct Full;
+pub struct KeyLimitReached;
 
 /// The keys of one gatherer's start.
 pub struct IdempotencyStore<T> {
     start: String,
     random: fastrand::Rng,
-    bounds: Bounds,
+    bounds: IdempotencyLimits,
     entries: HashMap<String, Entry<T>>,
     bytes: usize,
 }
 
 impl<T: Clone> IdempotencyStore<T> {
     /// No keys yet. `start` names this gatherer's start, and no other one ever.
-    pub fn new(start: String, random: fastrand::Rng, bounds: Bounds) -> IdempotencyStore<T> {
+    pub fn new(start: String, random: fastrand::Rng, bounds: IdempotencyLimits) -> IdempotencyStore<T> {
         IdempotencyStore { start, random, bounds, entries: HashMap::new(), bytes: 0 }
     }
 
     /// The start that its keys name.
-    pub fn start(&self) -> &str {
+    pub fn incarnation(&self) -> &str {
         &self.start
     }
 
     /// Issues a key to its owner.
-    pub fn issue(&mut self, now: Time, owner: &str) -> Result<String, Full> {
+    pub fn issue(&mut self, now: Time, owner: &str) -> Result<String, KeyLimitReached> {
         self.expire(now);
-        if self.entries.len() >= self.bounds.keys {
-            return Err(Full);
+        if self.entries.len() >= self.bounds.max_keys {
+            return Err(KeyLimitReached);
         }
         let key = format!("{}-{:032x}", self.start, self.random.u128(..));
         self.entries.insert(key.clone(), Entry { owner: owner.to_owned(), state: State::Issued, at: now });
@@ -83,24 +83,24 @@
     }
 
     /// Claims a key for a request with this digest.
-    pub fn claim(&mut self, now: Time, key: &str, owner: &str, digest: u64) -> Claim<T> {
+    pub fn claim(&mut self, now: Time, key: &str, owner: &str, digest: u64) -> KeyClaim<T> {
         self.expire(now);
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.owner == owner) else {
-            return Claim::Unknown;
+            return KeyClaim::Unknown;
         };
         match &entry.state {
             State::Issued => {
                 let (tell, told) = watch::channel(None);
                 entry.state = State::Running { digest, tell };
-                Claim::Run(told)
+                KeyClaim::Run(told)
             }
             State::Running { digest: first, .. } | State::Recorded { digest: first, .. }
                 if *first != digest =>
             {
-                Claim::Mismatch
+                KeyClaim::Mismatch
             }
-            State::Running { tell, .. } => Claim::Join(tell.subscribe()),
-            State::Recorded { outcome, .. } => Claim::Recorded(outcome.clone()),
+            State::Running { tell, .. } => KeyClaim::Join(tell.subscribe()),
+            State::Recorded { outcome, .. } => KeyClaim::Recorded(outcome.clone()),
         }
     }
 
@@ -118,7 +118,7 @@
         } else {
             State::Issued
         };
-        while self.bytes > self.bounds.bytes {
+        while self.bytes > self.bounds.max_bytes {
             let recorded =
                 self.entries.iter().filter(|(_, entry)| matches!(entry.state, State::Recorded { .. }));
             let Some(oldest) = recorded.min_by_key(|(_, entry)| entry.at).map(|(key, _)| key.clone()) else {
@@ -149,7 +149,7 @@
     use super::*;
 
     fn store(start: &str) -> IdempotencyStore<&'static str> {
-        let bounds = Bounds { keys: 2, bytes: 10, retention: Duration::from_secs(60) };
+        let bounds = IdempotencyLimits { max_keys: 2, max_bytes: 10, retention: Duration::from_secs(60) };
         IdempotencyStore::new(start.to_owned(), fastrand::Rng::with_seed(7), bounds)
     }
 
@@ -157,13 +157,13 @@
     fn a_key_runs_once_and_then_gives_what_is_on_record() {
         let mut store = store("a");
         let key = store.issue(Time(0), "bank").expect("there is room");
-        assert!(matches!(store.claim(Time(0), &key, "notary", 1), Claim::Unknown));
-        assert!(matches!(store.claim(Time(0), &key, "bank", 1), Claim::Run(_)));
-        assert!(matches!(store.claim(Time(0), &key, "bank", 2), Claim::Mismatch));
-        let Claim::Join(told) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
+        assert!(matches!(store.claim(Time(0), &key, "notary", 1), KeyClaim::Unknown));
+        assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
+        assert!(matches!(store.claim(Time(0), &key, "bank", 2), KeyClaim::Mismatch));
+        let KeyClaim::Join(told) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
         store.finish(Time(0), &key, "sealed", 6, true);
         assert_eq!(*told.borrow(), Some("sealed"));
-        assert!(matches!(store.claim(Time(0), &key, "bank", 1), Claim::Recorded("sealed")));
+        assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Recorded("sealed")));
     }
 
     #[test]
@@ -171,26 +171,26 @@
         // Guards against a second run after a restart, at another gatherer, past retention or for want of room.
         let (mut before, mut after) = (store("a"), store("b"));
         let key = before.issue(Time(0), "bank").expect("there is room");
-        assert!(matches!(after.claim(Time(0), &key, "bank", 1), Claim::Unknown));
-        assert!(matches!(before.claim(Time(60_000_000_000), &key, "bank", 1), Claim::Unknown));
+        assert!(matches!(after.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
+        assert!(matches!(before.claim(Time(60_000_000_000), &key, "bank", 1), KeyClaim::Unknown));
         let now = Time(70_000_000_000);
         let keys =
             [before.issue(now, "bank"), before.issue(now, "bank")].map(|key| key.expect("there is room"));
-        assert_eq!(before.issue(now, "bank"), Err(Full));
+        assert_eq!(before.issue(now, "bank"), Err(KeyLimitReached));
         for (at, key) in keys.iter().enumerate() {
-            assert!(matches!(before.claim(now, key, "bank", 1), Claim::Run(_)));
+            assert!(matches!(before.claim(now, key, "bank", 1), KeyClaim::Run(_)));
             before.finish(Time(now.0 + at as u64), key, "sealed", 6, true);
         }
-        assert!(matches!(before.claim(now, &keys[0], "bank", 1), Claim::Unknown));
-        assert!(matches!(before.claim(now, &keys[1], "bank", 1), Claim::Recorded("sealed")));
+        assert!(matches!(before.claim(now, &keys[0], "bank", 1), KeyClaim::Unknown));
+        assert!(matches!(before.claim(now, &keys[1], "bank", 1), KeyClaim::Recorded("sealed")));
     }
 
     #[test]
     fn a_refused_run_leaves_its_key_for_another_try() {
         let mut store = store("a");
         let key = store.issue(Time(0), "bank").expect("there is room");
-        assert!(matches!(store.claim(Time(0), &key, "bank", 1), Claim::Run(_)));
+        assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
         store.finish(Time(0), &key, "refused", 7, false);
-        assert!(matches!(store.claim(Time(0), &key, "bank", 1), Claim::Run(_)));
+        assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
     }
 }
--- a/src/routing/in_flight.rs
+++ b/src/routing/in_flight.rs
@@ -1,6 +1,6 @@
 //! The attempts that were sent and have not ended: where each went, when, and until when it is waited for.
 
-use super::attempt::Ticket;
+use super::attempt::AttemptId;
 use crate::policy::*;
 use std::collections::{BTreeMap, HashSet};
 
@@ -16,21 +16,21 @@
 
 /// All attempts that have not ended, by part and number.
 #[derive(Default)]
-pub(super) struct InFlight(BTreeMap<Ticket, SentAttempt>);
+pub(super) struct InFlight(BTreeMap<AttemptId, SentAttempt>);
 
 impl InFlight {
     /// An attempt was sent.
-    pub fn insert(&mut self, ticket: Ticket, sent: SentAttempt) {
+    pub fn insert(&mut self, ticket: AttemptId, sent: SentAttempt) {
         self.0.insert(ticket, sent);
     }
 
     /// An attempt ends; `None` if it has ended before.
-    pub fn remove(&mut self, ticket: Ticket) -> Option<SentAttempt> {
+    pub fn remove(&mut self, ticket: AttemptId) -> Option<SentAttempt> {
         self.0.remove(&ticket)
     }
 
     /// Ends all attempts that are waited for no longer.
-    pub fn take_expired(&mut self, now: Time) -> Vec<(Ticket, SentAttempt)> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<(AttemptId, SentAttempt)> {
         self.0.extract_if(.., |_, sent| sent.deadline <= now).collect()
     }
 
@@ -40,9 +40,9 @@
     }
 
     /// The attempts of one part, by number.
-    pub fn of_part(&self, part: RequestId) -> impl Iterator<Item = (&Ticket, &SentAttempt)> {
-        let first = Ticket { part, attempt: AttemptNo(0) };
-        let last = Ticket { part, attempt: AttemptNo(u32::MAX) };
+    pub fn of_part(&self, part: RequestId) -> impl Iterator<Item = (&AttemptId, &SentAttempt)> {
+        let first = AttemptId { part, attempt: AttemptNo(0) };
+        let last = AttemptId { part, attempt: AttemptNo(u32::MAX) };
         self.0.range(first..=last)
     }
 
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -17,63 +17,63 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// An attempt goes only to a worker that is listed, serves, and is not out by hand.
-    SentToServing,
+    SentToActiveWorker,
     /// An attempt begins only while its client waits.
-    SentInTime,
+    SentBeforeDeadline,
     /// What is not idempotent is sent again only if no attempt before can have run.
-    RepeatedSafely,
+    RetriedSafely,
     /// What is idempotent by key is sent again only inside its window.
-    RepeatedInWindow,
+    RetriedInWindow,
     /// Two attempts of a part are out at once only where that is allowed.
     HedgedWhereAllowed,
     /// A part has no more attempts than the limit.
     AttemptsBounded,
     /// An answer has the least share of its class.
-    AnsweredAboveFloor,
+    MinCoverageMet,
     /// An answer that is marked whole is.
-    MarkedWholeTruly,
+    CompleteMarkedTruly,
     /// A refusal promises that a retry is harmless: nothing can have run that must not run twice.
-    RefusedUnrun,
+    RejectedUnexecuted,
     /// A query ends before its client's time and the grace are over.
     EndedInTime,
     /// A request that was read is answered before its connection is closed, unless its client has gone.
-    ClosedAnswered,
+    ClosedAfterResponse,
     /// One process listens for a gatherer's clients, or two that know of each other.
-    StartedAlone,
+    SingleListeningProcess,
 }
 
 /// All of them, in the order in which they are counted.
 pub const INVARIANTS: [Invariant; 12] = [
-    Invariant::SentToServing,
-    Invariant::SentInTime,
-    Invariant::RepeatedSafely,
-    Invariant::RepeatedInWindow,
+    Invariant::SentToActiveWorker,
+    Invariant::SentBeforeDeadline,
+    Invariant::RetriedSafely,
+    Invariant::RetriedInWindow,
     Invariant::HedgedWhereAllowed,
     Invariant::AttemptsBounded,
-    Invariant::AnsweredAboveFloor,
-    Invariant::MarkedWholeTruly,
-    Invariant::RefusedUnrun,
+    Invariant::MinCoverageMet,
+    Invariant::CompleteMarkedTruly,
+    Invariant::RejectedUnexecuted,
     Invariant::EndedInTime,
-    Invariant::ClosedAnswered,
-    Invariant::StartedAlone,
+    Invariant::ClosedAfterResponse,
+    Invariant::SingleListeningProcess,
 ];
 
 impl Invariant {
     /// Its name in the metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::SentToServing => "sent_to_serving",
-            Invariant::SentInTime => "sent_in_time",
-            Invariant::RepeatedSafely => "repeated_safely",
-            Invariant::RepeatedInWindow => "repeated_in_window",
+            Invariant::SentToActiveWorker => "sent_to_serving",
+            Invariant::SentBeforeDeadline => "sent_in_time",
+            Invariant::RetriedSafely => "repeated_safely",
+            Invariant::RetriedInWindow => "repeated_in_window",
             Invariant::HedgedWhereAllowed => "hedged_where_allowed",
             Invariant::AttemptsBounded => "attempts_bounded",
-            Invariant::AnsweredAboveFloor => "answered_above_floor",
-            Invariant::MarkedWholeTruly => "marked_whole_truly",
-            Invariant::RefusedUnrun => "refused_unrun",
+            Invariant::MinCoverageMet => "answered_above_floor",
+            Invariant::CompleteMarkedTruly => "marked_whole_truly",
+            Invariant::RejectedUnexecuted => "refused_unrun",
             Invariant::EndedInTime => "ended_in_time",
-            Invariant::ClosedAnswered => "closed_answered",
-            Invariant::StartedAlone => "started_alone",
+            Invariant::ClosedAfterResponse => "closed_answered",
+            Invariant::SingleListeningProcess => "started_alone",
         }
     }
 }
@@ -84,12 +84,12 @@
 
 impl Violations {
     /// Counts a break.
-    pub fn count(&mut self, broken: Invariant) {
+    pub fn record(&mut self, broken: Invariant) {
         self.0[broken as usize] += 1;
     }
 
     /// How often this one was broken.
-    pub fn of(&self, invariant: Invariant) -> u64 {
+    pub fn count_of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize]
     }
 
@@ -103,7 +103,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "total={}", self.total())?;
         for invariant in INVARIANTS {
-            write!(out, " {}={}", invariant.name(), self.of(invariant))?;
+            write!(out, " {}={}", invariant.name(), self.count_of(invariant))?;
         }
         Ok(())
     }
@@ -111,7 +111,7 @@
 
 /// What is known of an attempt before it is sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct SendCheck<'a> {
     /// The time.
     pub now: Time,
     /// The contract of its class.
@@ -121,18 +121,18 @@
     /// The worker is listed, serves, and is not out by hand.
     pub worker_serves: bool,
     /// Attempts of its part before.
-    pub attempts: u32,
+    pub previous_attempts: u32,
     /// When the first of them was sent that may have run, or may yet.
     pub first_possible_run: Option<Time>,
     /// Any of them is out.
-    pub is_out: bool,
+    pub has_attempt_in_flight: bool,
     /// Two may be out at once.
-    pub second_copies: bool,
+    pub may_hedge: bool,
     /// The most attempts of a part.
-    pub most_attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
-/// The right to send one attempt. Only [`Sending::permit`] gives it, and an attempt cannot be made without.
+/// The right to send one attempt. Only [`SendCheck::permit`] gives it, and an attempt cannot be made without.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
     deadline: Time,
@@ -146,25 +146,25 @@
     }
 
     /// For so long the last byte of its frame may be written, where its class bounds that.
-    pub fn window(&self) -> Option<Duration> {
+    pub fn write_window(&self) -> Option<Duration> {
         self.window
     }
 }
 
-impl Sending<'_> {
+impl SendCheck<'_> {
     /// The one guard on sending and repeating: a permit to wait for the attempt this long, or the rule that it would
     /// break.
     pub fn permit(&self, timeout: Duration) -> Result<SendPermit, Invariant> {
         if !self.worker_serves {
-            return Err(Invariant::SentToServing);
+            return Err(Invariant::SentToActiveWorker);
         }
         if self.valid_until <= self.now {
-            return Err(Invariant::SentInTime);
+            return Err(Invariant::SentBeforeDeadline);
         }
-        if self.is_out && !self.second_copies {
+        if self.has_attempt_in_flight && !self.may_hedge {
             return Err(Invariant::HedgedWhereAllowed);
         }
-        if self.most_attempts.is_some_and(|most| self.attempts >= most) {
+        if self.max_attempts.is_some_and(|most| self.previous_attempts >= most) {
             return Err(Invariant::AttemptsBounded);
         }
         let window = self.window()?;
@@ -176,10 +176,10 @@
     fn window(&self) -> Result<Option<Duration>, Invariant> {
         match (self.class.idempotency, self.first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => Ok(None),
-            (Idempotency::NonIdempotent, Some(_)) => Err(Invariant::RepeatedSafely),
+            (Idempotency::NonIdempotent, Some(_)) => Err(Invariant::RetriedSafely),
             (Idempotency::Keyed, Some(first)) => {
                 let left = self.class.repeat_window.saturating_sub(self.now.since(first));
-                if left.is_zero() { Err(Invariant::RepeatedInWindow) } else { Ok(Some(left)) }
+                if left.is_zero() { Err(Invariant::RetriedInWindow) } else { Ok(Some(left)) }
             }
         }
     }
@@ -188,18 +188,18 @@
 /// Whether an answer may be given, and marked whole, with parts of this weight in.
 pub fn check_answer(class: &Class, share: f64, whole: bool) -> Result<(), Invariant> {
     if share < class.min_coverage.min(class.complete_coverage) - EPSILON {
-        return Err(Invariant::AnsweredAboveFloor);
+        return Err(Invariant::MinCoverageMet);
     }
     if whole && share < class.complete_coverage - EPSILON {
-        return Err(Invariant::MarkedWholeTruly);
+        return Err(Invariant::CompleteMarkedTruly);
     }
     Ok(())
 }
 
 /// Whether a refusal may be given: it promises that a retry is harmless.
-pub fn check_refusal(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
+pub fn check_rejection(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
     let harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
-    if harmless { Ok(()) } else { Err(Invariant::RefusedUnrun) }
+    if harmless { Ok(()) } else { Err(Invariant::RejectedUnexecuted) }
 }
 
 /// The share of a query's weight that is in.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod attempt;
 pub mod broker;
+pub mod command;
 pub mod contracts;
 pub mod core;
 pub mod counters;
@@ -10,7 +11,6 @@
 mod in_flight;
 pub mod invariants;
 mod open_queries;
-pub mod order;
 pub mod query;
 pub mod scroll_contexts;
 mod start_times;
@@ -18,12 +18,12 @@
 pub mod worker_registry;
 mod worker_states;
 
-pub use attempt::{Dispatch, End, Ticket};
-pub use broker::{Broker, Carrier, Clock};
-pub use contracts::{Contracts, Limits};
+pub use attempt::{AttemptCompletion, AttemptId, Dispatch};
+pub use broker::{Broker, Clock, WorkerTransport};
+pub use command::Command;
+pub use contracts::{BrokerLimits, Contracts};
 pub use core::Core;
 pub use counters::Counters;
 pub use invariants::{Invariant, SendPermit, Violations};
-pub use order::Order;
-pub use query::{Ask, AskPart, Refusal, Verdict};
-pub use worker_registry::{Listing, Member};
+pub use query::{QueryOutcome, QueryPart, Rejection, SearchRequest};
+pub use worker_registry::{ListedWorker, WorkerListUpdate};
--- a/src/routing/query.rs
+++ b/src/routing/query.rs
@@ -7,7 +7,7 @@
 
 /// A query as a front offers it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SearchRequest {
     /// Names the query to the workers.
     pub label: Arc<str>,
     /// Its class.
@@ -15,55 +15,55 @@
     /// Who asks.
     pub tenant: Option<TenantId>,
     /// How long its client will wait.
-    pub left: Duration,
+    pub time_left: Duration,
     /// A client's repeat, where it says so.
     pub retry: bool,
     /// What each part carries.
-    pub text: Bytes,
+    pub payload: Bytes,
     /// Its parts, one a shard.
-    pub parts: Vec<AskPart>,
+    pub parts: Vec<QueryPart>,
 }
 
-/// A part of an [`Ask`].
+/// A part of an [`SearchRequest`].
 #[derive(Clone, Debug)]
-pub struct AskPart {
+pub struct QueryPart {
     /// The shard that it needs.
     pub shard: ShardId,
     /// Its share of the whole answer.
     pub weight: f64,
     /// Rough expected work.
-    pub hint: Option<Duration>,
+    pub cost_hint: Option<Duration>,
     /// What it is about.
     pub key: Option<Arc<str>>,
 }
 
 /// Why a query is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// The module does not expect it to be served in time.
     Declined,
     /// The broker holds as many queries and parts as it may.
-    Full,
+    AtCapacity,
     /// The broker is stopping.
-    Stopping,
+    ShuttingDown,
 }
 
 /// The one final answer of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum QueryOutcome {
     /// Served.
     Answered {
         /// It is marked whole.
-        whole: bool,
+        complete: bool,
         /// The value of each part that is in.
         values: Vec<(ShardId, Bytes)>,
     },
     /// Refused: a retry is harmless.
-    Refused {
+    Rejected {
         /// Why.
-        why: Refusal,
+        reason: Rejection,
         /// When to come back.
-        pause: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Failed, with no promise.
     Failed,
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -24,7 +24,7 @@
 /// No further result can be held now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many results as may be are held")]
-pub struct Full;
+pub struct ScrollLimitReached;
 
 impl<T> ScrollContexts<T> {
     /// Room for so many results and bytes.
@@ -33,17 +33,17 @@
     }
 
     /// Holds a result for its owner; gives its name. A result that is held already is never dropped for a new one.
-    pub fn hold(
+    pub fn create(
         &mut self,
         now: Time,
         owner: &str,
         keep: Duration,
         value: T,
         size: usize,
-    ) -> Result<String, Full> {
+    ) -> Result<String, ScrollLimitReached> {
         self.expire(now);
         if self.entries.len() >= self.most || self.bytes + size > self.most_bytes {
-            return Err(Full);
+            return Err(ScrollLimitReached);
         }
         let name = format!("{:032x}", self.random.u128(..));
         let entry = Entry { owner: owner.to_owned(), value: Rc::new(value), size, until: now.after(keep) };
@@ -63,7 +63,7 @@
     }
 
     /// Lets go of a result; false if it was not held.
-    pub fn release(&mut self, now: Time, name: &str, owner: &str) -> bool {
+    pub fn clear(&mut self, now: Time, name: &str, owner: &str) -> bool {
         self.expire(now);
         let ours = self.entries.get(name).is_some_and(|entry| entry.owner == owner);
         if ours && let Some(entry) = self.entries.remove(name) {
@@ -89,15 +89,15 @@
     fn results_are_bounded_and_expire() {
         let mut scrolls = ScrollContexts::new(fastrand::Rng::with_seed(7), 2, 10);
         let keep = Duration::from_secs(1);
-        let name = scrolls.hold(Time(0), "bank", keep, "page", 6).expect("there is room");
-        assert_eq!(scrolls.hold(Time(0), "bank", keep, "page", 6), Err(Full));
+        let name = scrolls.create(Time(0), "bank", keep, "page", 6).expect("there is room");
+        assert_eq!(scrolls.create(Time(0), "bank", keep, "page", 6), Err(ScrollLimitReached));
         assert!(scrolls.get(Time(0), &name, "notary", None).is_none());
         assert!(scrolls.get(Time(999_999_999), &name, "bank", Some(keep)).is_some());
         assert!(scrolls.get(Time(1_999_999_998), &name, "bank", None).is_some());
         assert!(scrolls.get(Time(1_999_999_999), &name, "bank", None).is_none());
         let name =
-            scrolls.hold(Time(2_000_000_000), "bank", keep, "page", 10).expect("the room is free again");
-        assert!(scrolls.release(Time(2_000_000_000), &name, "bank"));
-        assert!(!scrolls.release(Time(2_000_000_000), &name, "bank"));
+            scrolls.create(Time(2_000_000_000), "bank", keep, "page", 10).expect("the room is free again");
+        assert!(scrolls.clear(Time(2_000_000_000), &name, "bank"));
+        assert!(!scrolls.clear(Time(2_000_000_000), &name, "bank"));
     }
 }
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -1,13 +1,13 @@
 //! The workers that discovery lists, and which of them operators have disabled, whatever it says. It turns news of either
 //! into orders for the transport and entries for the module.
 
+use super::command::Command;
 use super::contracts::Contracts;
 use super::in_flight::InFlight;
-use super::order::Order;
 use super::start_times::StartTimes;
-use super::worker_registry::{Listing, Member, WorkerRegistry};
+use super::worker_registry::{ListedWorker, WorkerListUpdate, WorkerRegistry};
 use crate::policy::*;
-use crate::service::Bans;
+use crate::service::DisabledWorkers;
 use std::collections::{HashMap, HashSet};
 
 /// Workers that may be remembered after they have gone: far more than a day replaces.
@@ -19,8 +19,8 @@
     /// The ids of all that were ever listed.
     pub registry: WorkerRegistry,
     /// Who is out by hand.
-    pub bans: Bans,
-    listed: HashMap<WorkerId, Member>,
+    pub bans: DisabledWorkers,
+    listed: HashMap<WorkerId, ListedWorker>,
     /// Starts that lie in the future.
     starts: StartTimes,
 }
@@ -37,31 +37,33 @@
     }
 
     /// A listed worker.
-    pub fn get(&self, worker: WorkerId) -> Option<&Member> {
+    pub fn get(&self, worker: WorkerId) -> Option<&ListedWorker> {
         self.listed.get(&worker)
     }
 
     /// Whether new work may go to a worker: it is listed, serves, and is not out by hand.
     pub fn serves(&self, worker: WorkerId) -> bool {
         let listed = self.listed.get(&worker);
-        listed.is_some_and(|member| self.bans.status(&member.name, member.status) == EndpointStatus::Active)
+        listed.is_some_and(|member| {
+            self.bans.effective_status(&member.name, member.status) == EndpointStatus::Active
+        })
     }
 
     /// Whether a listed worker is out by hand.
     pub fn is_out(&self, worker: WorkerId) -> bool {
-        self.listed.get(&worker).is_some_and(|member| self.bans.is_out(&member.name))
+        self.listed.get(&worker).is_some_and(|member| self.bans.is_disabled(&member.name))
     }
 
     /// Listed workers that are out by hand.
     pub fn count_out(&self) -> usize {
-        self.listed.values().filter(|member| self.bans.is_out(&member.name)).count()
+        self.listed.values().filter(|member| self.bans.is_disabled(&member.name)).count()
     }
 
     /// The whole list, by name.
-    pub fn listing(&self) -> Listing {
-        let mut members: Vec<Member> = self.listed.values().cloned().collect();
+    pub fn listing(&self) -> WorkerListUpdate {
+        let mut members: Vec<ListedWorker> = self.listed.values().cloned().collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
-        Listing { revision: 0, complete: true, members }
+        WorkerListUpdate { revision: 0, complete: true, workers: members }
     }
 
     /// Takes news of discovery: an entry for each member that it names, and what the transport is to do.
@@ -69,19 +71,19 @@
         &mut self,
         now: Time,
         contracts: &Contracts,
-        listing: &Listing,
-    ) -> (Vec<Endpoint>, Vec<Order>) {
+        listing: &WorkerListUpdate,
+    ) -> (Vec<Endpoint>, Vec<Command>) {
         let mut entries = Vec::new();
         let mut orders = Vec::new();
         let mut named = HashSet::new();
-        for member in &listing.members {
+        for member in &listing.workers {
             let worker = self.registry.id(&member.name);
             named.insert(worker);
-            self.starts.learn(now, worker, member.since);
+            self.starts.learn(now, worker, member.started_at);
             let entry = self.entry(contracts, worker, member);
             if member.status == EndpointStatus::Gone {
                 self.listed.remove(&worker);
-                orders.push(Order::Gone { worker });
+                orders.push(Command::RemoveWorker { worker });
             } else {
                 self.listed.insert(worker, member.clone());
                 orders.push(WorkerList::order(&entry, member));
@@ -90,31 +92,31 @@
         }
         if listing.complete {
             let gone = self.listed.extract_if(|worker, _| !named.contains(worker));
-            orders.extend(gone.map(|(worker, _)| Order::Gone { worker }));
+            orders.extend(gone.map(|(worker, _)| Command::RemoveWorker { worker }));
         }
         self.starts.retain(|worker| self.listed.contains_key(&worker));
         (entries, orders)
     }
 
     /// An entry as the module is told of it.
-    pub fn entry(&self, contracts: &Contracts, worker: WorkerId, member: &Member) -> Endpoint {
+    pub fn entry(&self, contracts: &Contracts, worker: WorkerId, member: &ListedWorker) -> Endpoint {
         Endpoint {
             worker: worker,
             zone: contracts.zone(&member.zone),
             cell: CellId(member.cell),
-            status: self.bans.status(&member.name, member.status),
+            status: self.bans.effective_status(&member.name, member.status),
             units: member.units,
-            started_at: self.bans.since(&member.name, self.starts.held(worker, member.since)),
+            started_at: self.bans.effective_start(&member.name, self.starts.held(worker, member.started_at)),
         }
     }
 
     /// What the transport is told of a listed worker.
-    pub fn order(entry: &Endpoint, member: &Member) -> Order {
-        Order::Member {
+    pub fn order(entry: &Endpoint, member: &ListedWorker) -> Command {
+        Command::UpsertWorker {
             worker: entry.worker,
             name: member.name.clone(),
             address: member.address.clone(),
-            open: entry.status == EndpointStatus::Active,
+            accepts_work: entry.status == EndpointStatus::Active,
         }
     }
 
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -7,7 +7,7 @@
 
 /// A worker as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct ListedWorker {
     /// Its name, the same at every gatherer.
     pub name: String,
     /// Where it listens.
@@ -21,18 +21,22 @@
     /// Its listed size.
     pub units: f64,
     /// Its last start in Unix time; `None` for long ago.
-    pub since: Option<Time>,
+    // The hand-over's JSON keeps the first name of this field.
+    #[serde(rename = "since")]
+    pub started_at: Option<Time>,
 }
 
 /// News from discovery: the complete list, or the entries that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct WorkerListUpdate {
     /// The list's version.
     pub revision: u64,
     /// Whether `members` is the whole list.
     pub complete: bool,
     /// The entries.
-    pub members: Vec<Member>,
+    // The hand-over's JSON keeps the first name of this field.
+    #[serde(rename = "members")]
+    pub workers: Vec<ListedWorker>,
 }
 
 /// Names to ids. An id is a hash of the name, so that all gatherers prefer the same worker for a key.
--- a/src/service/bans.rs
+++ b/src/service/disabled_workers.rs
@@ -6,12 +6,12 @@
 
 /// Names of workers that are out by hand, and when others were last taken back.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Bans {
+pub struct DisabledWorkers {
     out: BTreeSet<String>,
     back: BTreeMap<String, Time>,
 }
 
-impl Bans {
+impl DisabledWorkers {
     /// Takes a worker out; false if it is out already.
     pub fn disable(&mut self, name: &str) -> bool {
         self.back.remove(name);
@@ -26,23 +26,23 @@
         was
     }
     /// Whether a worker is out.
-    pub fn is_out(&self, name: &str) -> bool {
+    pub fn is_disabled(&self, name: &str) -> bool {
         self.out.contains(name)
     }
     /// All that are out.
-    pub fn all(&self) -> impl Iterator<Item = &str> {
+    pub fn names(&self) -> impl Iterator<Item = &str> {
         self.out.iter().map(String::as_str)
     }
     /// What holds for a worker of which the list says this.
-    pub fn status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
+    pub fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
-            EndpointStatus::Active if self.is_out(name) => EndpointStatus::Draining,
+            EndpointStatus::Active if self.is_disabled(name) => EndpointStatus::Draining,
             listed => listed,
         }
     }
     /// When a worker is held to have started, of which the list says this. Guards against a worker that was restarted
     /// while it was out: the list says so seconds late, and until then it would be taken for warm.
-    pub fn since(&self, name: &str, listed: Option<Time>) -> Option<Time> {
+    pub fn effective_start(&self, name: &str, listed: Option<Time>) -> Option<Time> {
         listed.max(self.back.get(name).copied())
     }
     /// Forgets when workers were taken back that no list names any longer.
--- a/src/transport/gate.rs
+++ b/src/transport/gate.rs
@@ -6,8 +6,8 @@
 use crate::limits::{
     ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
 };
-use crate::service::stage::{Call, Refused};
-use crate::service::{Stage, Stages};
+use crate::service::lifecycle::{LifecycleError, LifecycleRequest};
+use crate::service::{Lifecycle, LifecycleState};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -26,8 +26,8 @@
     signals: RefCell<HashMap<u64, Rc<Signal>>>,
     /// A connection has become one that may be made to leave.
     loosened: Notify,
-    stages: RefCell<Stages>,
-    stage: watch::Sender<Stage>,
+    stages: RefCell<Lifecycle>,
+    stage: watch::Sender<LifecycleState>,
 }
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
 impl Gate {
     /// A gate to these places.
     pub fn new(places: Rc<Places>) -> Rc<Gate> {
-        let stages = Stages::new(places.now());
+        let stages = Lifecycle::new(places.now());
         Rc::new(Gate {
             places,
             crowd: RefCell::default(),
@@ -51,17 +51,17 @@
     }
     /// Where the process is now. Guards a process that stood still: what lies there at its wake is read before its timers
     /// have run, and would be taken as if no time had passed.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> LifecycleState {
         self.pass();
         *self.stage.borrow()
     }
     fn pass(&self) {
-        self.stages.borrow_mut().pass(self.places.now());
+        self.stages.borrow_mut().advance(self.places.now());
         self.tell_stage();
     }
     /// Moves the process on, or tells why not.
-    pub fn call(&self, call: Call) -> Result<(), Refused> {
-        let done = self.stages.borrow_mut().call(self.places.now(), call);
+    pub fn call(&self, call: LifecycleRequest) -> Result<(), LifecycleError> {
+        let done = self.stages.borrow_mut().apply(self.places.now(), call);
         self.tell_stage();
         done
     }
@@ -79,7 +79,7 @@
     pub async fn age(&self) {
         let mut stage = self.stage.subscribe();
         loop {
-            let due = self.stages.borrow().due();
+            let due = self.stages.borrow().next_deadline();
             tokio::select! {
                 // The sender lives as long as the gate, so waiting cannot fail.
                 _ = stage.changed() => {}
@@ -99,17 +99,17 @@
     }
     /// Waits for the stage in which nothing new is taken.
     pub async fn closing(&self) {
-        self.reaches(|stage| !stage.takes()).await;
+        self.reaches(|stage| !stage.accepts_queries()).await;
     }
     /// Waits until connections are to end as soon as nothing is open on them.
     pub async fn parting(&self) {
-        self.reaches(Stage::parts_idle).await;
+        self.reaches(LifecycleState::closes_idle_connections).await;
     }
     /// Waits until connections are no longer let in.
     pub async fn shut(&self) {
-        self.reaches(|stage| !stage.accepts()).await;
+        self.reaches(|stage| !stage.accepts_connections()).await;
     }
-    async fn reaches(&self, there: impl Fn(Stage) -> bool) {
+    async fn reaches(&self, there: impl Fn(LifecycleState) -> bool) {
         let mut stage = self.stage.subscribe();
         // The sender lives as long as the gate, so waiting cannot fail.
         let _ = stage.wait_for(|stage| there(*stage)).await;
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -7,7 +7,7 @@
 use crate::limits::DescriptorClass;
 use crate::policy::*;
 use crate::protocol::{http, opensearch};
-use crate::routing::{Broker, Carrier, Dispatch, End, Limits, Ticket};
+use crate::routing::{AttemptCompletion, AttemptId, Broker, BrokerLimits, Dispatch, WorkerTransport};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,10 +29,10 @@
 struct Shared {
     broker: Broker,
     dial: Rc<dyn Dial>,
-    limits: Limits,
+    limits: BrokerLimits,
     places: Rc<Places>,
     links: RefCell<HashMap<WorkerId, Rc<Link>>>,
-    running: RefCell<HashMap<Ticket, AbortHandle>>,
+    running: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
 
 struct Link {
@@ -53,7 +53,7 @@
 impl IndexServers {
     /// No connections yet; they are opened as searches need them and places allow.
     pub fn new(broker: Broker, dial: Rc<dyn Dial>, places: Rc<Places>) -> IndexServers {
-        let limits = broker.core(|core| core.contracts().limits.clone());
+        let limits = broker.with_core(|core| core.contracts().limits.clone());
         let (links, running) = (RefCell::default(), RefCell::default());
         IndexServers(Rc::new(Shared { broker, dial, limits, places, links, running }))
     }
@@ -61,14 +61,14 @@
     /// The life of one attempt.
     async fn search(self, leaf: WorkerId, link: Rc<Link>, part: Dispatch) {
         let end = self.exchange(leaf, &link, &part).await;
-        self.0.running.borrow_mut().remove(&part.ticket);
-        self.0.broker.ended(part.ticket, end);
+        self.0.running.borrow_mut().remove(&part.attempt_id);
+        self.0.broker.on_attempt_finished(part.attempt_id, end);
     }
 
     /// Keeps a connection for the next search, and closes it before the server would.
     fn keep(&self, link: &Rc<Link>, stream: Box<dyn Stream>, place: Place) {
         link.idle.borrow_mut().push(Idle { stream, place, since: Instant::now() });
-        let (link, longest) = (link.clone(), self.0.limits.conn_idle.mul_f64(IDLE_SHARE));
+        let (link, longest) = (link.clone(), self.0.limits.connection_idle_timeout.mul_f64(IDLE_SHARE));
         spawn_local(async move {
             tokio::time::sleep(longest).await;
             let old = link.idle.borrow_mut().extract_if(.., |idle| idle.since.elapsed() >= longest).collect();
@@ -93,10 +93,12 @@
         }
     }
 
-    async fn exchange(&self, leaf: WorkerId, link: &Rc<Link>, part: &Dispatch) -> End {
-        let Ok(_place) = link.places.acquire().await else { return End::bare(AttemptOutcome::NotSent) };
+    async fn exchange(&self, leaf: WorkerId, link: &Rc<Link>, part: &Dispatch) -> AttemptCompletion {
+        let Ok(_place) = link.places.acquire().await else {
+            return AttemptCompletion::without_value(AttemptOutcome::NotSent);
+        };
         if !link.open.get() {
-            return End::bare(AttemptOutcome::NotSent);
+            return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         }
         // Guards what runs once against a kept connection that the server closes just then: it may have run, and is lost.
         let kept = if part.at_most_once { None } else { self.kept(link).await };
@@ -105,14 +107,14 @@
             None => {
                 // Nothing has run where there was no place for it.
                 let Ok(opening) = self.0.places.open(leaf, part.time_left(self.0.broker.now())).await else {
-                    return End::bare(AttemptOutcome::NotSent);
+                    return AttemptCompletion::without_value(AttemptOutcome::NotSent);
                 };
                 match dial_within(&*self.0.dial, &link.address, self.0.limits.connect_timeout).await {
                     Ok(stream) => (stream, opening.up()),
                     Err(error) => {
                         log::warn!("index server at {}: cannot connect: {error}", link.address);
                         let local = failure::is_local(&error);
-                        return End::bare(if local {
+                        return AttemptCompletion::without_value(if local {
                             AttemptOutcome::NotSent
                         } else {
                             AttemptOutcome::ConnectFailed
@@ -123,13 +125,13 @@
         };
         let left = part.time_left(self.0.broker.now()).as_millis().max(1);
         let target = format!("/{}/_search?preference=_shards:{}&timeout={left}ms", part.label, part.shard.0);
-        let request = http::request("POST", &target, &link.address, Some(&part.text));
+        let request = http::request("POST", &target, &link.address, Some(&part.payload));
         let mut buffer = BytesMut::new();
         let bytes = Buffered::new(&self.0.places);
         bytes.set(request.len());
         let exchanged = client::exchange(&mut *stream, &mut buffer, &request, MOST_RESULT).await;
         if !matches!(exchanged, Err(Broken::Unsent(_))) {
-            self.0.broker.core(|core| core.written(1));
+            self.0.broker.with_core(|core| core.count_written(1));
         }
         match exchanged {
             Ok(response) => {
@@ -138,20 +140,22 @@
                     self.keep(link, stream, place);
                 }
                 match response.status {
-                    200 if opensearch::is_result(&response.body) => {
-                        End { outcome: AttemptOutcome::Succeeded, value: response.body, report: None }
-                    }
+                    200 if opensearch::is_result(&response.body) => AttemptCompletion {
+                        outcome: AttemptOutcome::Succeeded,
+                        value: response.body,
+                        load_report: None,
+                    },
                     // The one status by which a server says that it turned the search away unseen.
-                    429 => End::bare(AttemptOutcome::Rejected),
+                    429 => AttemptCompletion::without_value(AttemptOutcome::Rejected),
                     status => {
                         log::warn!("index server at {}: status {status}, no whole result", link.address);
-                        End::bare(AttemptOutcome::Failed)
+                        AttemptCompletion::without_value(AttemptOutcome::Failed)
                     }
                 }
             }
             Err(error) => {
                 log::warn!("index server at {}: {error}", link.address);
-                End::bare(match error {
+                AttemptCompletion::without_value(match error {
                     Broken::Unsent(_) => AttemptOutcome::ConnectFailed,
                     Broken::Unanswered(_) => AttemptOutcome::ConnectionReset,
                     Broken::Malformed(_) => AttemptOutcome::Failed,
@@ -184,8 +188,8 @@
     drop(idle);
 }
 
-impl Carrier for IndexServers {
-    fn member(&self, leaf: WorkerId, _name: &str, address: &str, open: bool) {
+impl WorkerTransport for IndexServers {
+    fn upsert_worker(&self, leaf: WorkerId, _name: &str, address: &str, open: bool) {
         let mut links = self.0.links.borrow_mut();
         // One that moves is another server: what waits for the old one is not sent, what is out there goes on.
         let moved = links.get(&leaf).is_some_and(|link| link.address != address);
@@ -197,7 +201,7 @@
             Rc::new(Link {
                 address: address.to_owned(),
                 open: Cell::new(open),
-                places: Semaphore::new(self.0.limits.multiplex),
+                places: Semaphore::new(self.0.limits.max_parts_per_connection),
                 idle: RefCell::default(),
             })
         });
@@ -207,7 +211,7 @@
         drop(before);
     }
 
-    fn gone(&self, leaf: WorkerId) {
+    fn remove_worker(&self, leaf: WorkerId) {
         if let Some(link) = self.0.links.borrow_mut().remove(&leaf) {
             link.open.set(false);
         }
@@ -216,19 +220,22 @@
     fn call(&self, leaf: WorkerId, parts: Vec<Dispatch>) {
         let link = self.0.links.borrow().get(&leaf).cloned();
         for part in parts {
-            let ticket = part.ticket;
+            let ticket = part.attempt_id;
             match &link {
                 Some(link) => {
                     let task = spawn_local(self.clone().search(leaf, link.clone(), part));
                     self.0.running.borrow_mut().insert(ticket, task.abort_handle());
                 }
-                None => self.0.broker.ended(ticket, End::bare(AttemptOutcome::NotSent)),
+                None => self
+                    .0
+                    .broker
+                    .on_attempt_finished(ticket, AttemptCompletion::without_value(AttemptOutcome::NotSent)),
             }
         }
     }
 
     /// Closing the connection is how the form gives a search up.
-    fn abandon(&self, _leaf: WorkerId, ticket: Ticket) {
+    fn cancel(&self, _leaf: WorkerId, ticket: AttemptId) {
         if let Some(task) = self.0.running.borrow_mut().remove(&ticket) {
             task.abort();
         }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -9,7 +9,7 @@
 use crate::limits::{AcceptPacer, DescriptorClass};
 use crate::protocol::http::{self, Request, Response};
 use crate::routing::Invariant;
-use crate::service::Stage;
+use crate::service::LifecycleState;
 use bytes::{Bytes, BytesMut};
 use std::future::Future;
 use std::io;
@@ -95,7 +95,7 @@
     let mut failing_since = None;
     loop {
         // What waits in the queue then is the successor's.
-        if matches!(gate.stage(), Stage::Succeeded { .. }) {
+        if matches!(gate.stage(), LifecycleState::HandedOver { .. }) {
             return;
         }
         let mut begun = gate.places().now();
@@ -117,7 +117,7 @@
                         // looked at its sockets, and knows of all that have come by now.
                         tokio::task::yield_now().await;
                         match at_once(listener.accept()).await {
-                            Some(accepted) if !matches!(gate.stage(), Stage::Succeeded { .. }) => accepted,
+                            Some(accepted) if !matches!(gate.stage(), LifecycleState::HandedOver { .. }) => accepted,
                             _ => return,
                         }
                     }
@@ -220,7 +220,7 @@
                 return owed.client_gone();
             }
         };
-        let close = !keep_alive || lost || pass.gate().stage().parts();
+        let close = !keep_alive || lost || pass.gate().stage().closes_after_response();
         let mut bytes = response.encode(close);
         if bodiless {
             bytes.truncate(bytes.len() - response.body.len());
@@ -308,7 +308,7 @@
             }
             // Guards a newcomer who reaches a drained process: it still gets the answer to its first request.
             () = parting(pass, answers),
-                if buffer.is_empty() && (answers > 0 || !pass.gate().stage().takes()) =>
+                if buffer.is_empty() && (answers > 0 || !pass.gate().stage().accepts_queries()) =>
             {
                 if let Some(end) = part(read, write, buffer, front, pass, answers).await {
                     return end;
--- a/src/transport/owed_answer.rs
+++ b/src/transport/owed_answer.rs
@@ -35,7 +35,7 @@
     fn drop(&mut self) {
         if !self.settled {
             let concerns = format!("request {} is closed without its answer", self.label);
-            self.front.violated(Invariant::ClosedAnswered, &concerns);
+            self.front.violated(Invariant::ClosedAfterResponse, &concerns);
         }
     }
 }
--- a/src/transport/watch.rs
+++ b/src/transport/watch.rs
@@ -31,7 +31,8 @@
     let (mut at, mut said) = (address.borrow_and_update().clone(), String::new());
     let mut revision = held;
     // Where there is a list, it serves meanwhile.
-    let mut pause = if broker.core(|core| core.ready()) { backoff.initial_delay() } else { Duration::ZERO };
+    let mut pause =
+        if broker.with_core(|core| core.has_workers()) { backoff.initial_delay() } else { Duration::ZERO };
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -56,7 +57,7 @@
             log::warn!("discovery at {at}: {error}; serving goes on with the last list");
             said = error;
         }
-        backoff.set_callers(broker.core(|core| core.gatherers()));
+        backoff.set_callers(broker.with_core(|core| core.fleet_size()));
         // Guards against keeping an overbooked discovery so: a constant pause of all gatherers never let it recover.
         pause = backoff.next_delay(overbooked);
     }
@@ -91,12 +92,12 @@
         };
         match discovery::listing(&response.body) {
             Ok(listing) => {
-                if revision.is_none() || !broker.core(|core| core.told()) {
+                if revision.is_none() || !broker.with_core(|core| core.has_discovery_list()) {
                     let what = if listing.complete { "workers" } else { "changes" };
                     log::info!(
                         "discovery at {address}: list {} with {} {what}",
                         listing.revision,
-                        listing.members.len()
+                        listing.workers.len()
                     );
                 }
                 // Guards against a discovery that counts anew: its changes are not changes of the list held here.
@@ -107,8 +108,8 @@
                 *revision = Some(listing.revision);
                 backoff.record_success();
                 // A list without entries says only that the wait is over, unless it is the whole list.
-                if listing.complete || !listing.members.is_empty() {
-                    broker.learn(&listing, false);
+                if listing.complete || !listing.workers.is_empty() {
+                    broker.apply_endpoint_update(&listing, false);
                 }
             }
             Err(error) => return (format!("unreadable list: {error}"), false),
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -10,7 +10,7 @@
 use crate::limits::DescriptorClass;
 use crate::limits::connection_pool::{self, ConnectionChoice};
 use crate::policy::*;
-use crate::routing::{Broker, Carrier, Dispatch, End, Ticket};
+use crate::routing::{AttemptCompletion, AttemptId, Broker, Dispatch, WorkerTransport};
 use connection::Connection;
 use session::{Disconnect, Shared};
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
     }
 
     /// Sends nothing new to this worker: takes back what waits to be sent.
-    fn stop(&mut self) -> Vec<Ticket> {
+    fn stop(&mut self) -> Vec<AttemptId> {
         self.open = false;
         self.connections.iter().flat_map(|connection| connection.take_unsent()).collect()
     }
@@ -73,7 +73,7 @@
 impl Workers {
     /// No connections yet; they are opened as calls need them and places allow.
     pub fn new(broker: Broker, dial: Rc<dyn Dial>, places: Rc<Places>) -> Workers {
-        let contracts = broker.core(|core| core.contracts().clone());
+        let contracts = broker.with_core(|core| core.contracts().clone());
         let (limits, settings) = (contracts.limits, contracts.settings);
         // Guards against writing on into a machine that vanished: silence is judged by what answers may take here.
         let aims = settings.classes.iter().map(|class| class.latency_objective);
@@ -83,8 +83,10 @@
         Workers(Rc::new(Pool { shared, silence, may_cancel, workers }))
     }
 
-    fn end_all(&self, tickets: Vec<Ticket>, outcome: AttemptOutcome) {
-        tickets.into_iter().for_each(|ticket| self.0.shared.broker.ended(ticket, End::bare(outcome)));
+    fn end_all(&self, tickets: Vec<AttemptId>, outcome: AttemptOutcome) {
+        tickets.into_iter().for_each(|ticket| {
+            self.0.shared.broker.on_attempt_finished(ticket, AttemptCompletion::without_value(outcome))
+        });
     }
 
     /// The connection for a call, where the worker takes any.
@@ -97,7 +99,7 @@
         let may_pin = places.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers));
         let seen = worker.connections.iter().map(|connection| connection_pool::PooledConnection {
             in_flight: connection.open_calls(),
-            has_capacity: connection.accepts(parts, limits.multiplex, self.0.silence)
+            has_capacity: connection.accepts(parts, limits.max_parts_per_connection, self.0.silence)
                 && (may_pin || !connection.is_idle()),
             accepts_calls: !connection.is_retired(),
         });
@@ -129,7 +131,7 @@
         // After a frame's last byte its parts may have run; before that none can have.
         for call in connection.take_calls() {
             let outcome = if call.written.is_some() { written } else { unwritten };
-            self.0.shared.broker.ended(call.ticket, End::bare(outcome));
+            self.0.shared.broker.on_attempt_finished(call.ticket, AttemptCompletion::without_value(outcome));
         }
     }
 
@@ -171,8 +173,8 @@
     }
 }
 
-impl Carrier for Workers {
-    fn member(&self, id: WorkerId, name: &str, address: &str, open: bool) {
+impl WorkerTransport for Workers {
+    fn upsert_worker(&self, id: WorkerId, name: &str, address: &str, open: bool) {
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.entry(id).or_insert_with(|| Worker::new(name, address));
         worker.listed = true;
@@ -186,7 +188,7 @@
         self.end_all(back, AttemptOutcome::NotSent);
     }
 
-    fn gone(&self, id: WorkerId) {
+    fn remove_worker(&self, id: WorkerId) {
         let mut workers = self.0.workers.borrow_mut();
         let Some(worker) = workers.get_mut(&id) else { return };
         let back = worker.stop();
@@ -200,7 +202,7 @@
 
     fn call(&self, id: WorkerId, parts: Vec<Dispatch>) {
         let Some(connection) = self.connection(id, &parts) else {
-            let tickets = parts.iter().map(|part| part.ticket).collect();
+            let tickets = parts.iter().map(|part| part.attempt_id).collect();
             return self.end_all(tickets, AttemptOutcome::NotSent);
         };
         let at_most_once = parts.iter().any(|part| part.at_most_once);
@@ -211,7 +213,7 @@
         }
     }
 
-    fn withdraw(&self, id: WorkerId, ticket: Ticket) {
+    fn cancel_if_unsent(&self, id: WorkerId, ticket: AttemptId) {
         let workers = self.0.workers.borrow();
         let connections = workers.get(&id).into_iter().flat_map(|worker| &worker.connections);
         let back = connections.flat_map(|connection| connection.withdraw(ticket)).collect();
@@ -219,7 +221,7 @@
         self.end_all(back, AttemptOutcome::NotSent);
     }
 
-    fn abandon(&self, id: WorkerId, ticket: Ticket) {
+    fn cancel(&self, id: WorkerId, ticket: AttemptId) {
         let workers = self.0.workers.borrow();
         if let Some(worker) = workers.get(&id) {
             let (silence, tell) = (self.0.silence, self.0.may_cancel);
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::Time;
 use crate::protocol::frame;
-use crate::routing::{Dispatch, Ticket};
+use crate::routing::{AttemptId, Dispatch};
 use crate::transport::places::Place;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -98,7 +98,7 @@
 /// A part that is out.
 pub(super) struct Call {
     /// Its attempt.
-    pub ticket: Ticket,
+    pub ticket: AttemptId,
     /// When the last byte of its frame was written.
     pub written: Option<Instant>,
     /// Nobody waits for what it brings.
@@ -188,10 +188,10 @@
     pub fn send(&self, parts: Vec<Dispatch>) {
         let mut calls = self.calls.borrow_mut();
         let mut ids = Vec::with_capacity(parts.len());
-        let window = parts.iter().filter_map(Dispatch::window).min();
+        let window = parts.iter().filter_map(Dispatch::write_window).min();
         for part in &parts {
             let id = frame::part_id(&part.label, part.shard.0);
-            calls.insert(id.clone(), Call { ticket: part.ticket, written: None, withdrawn: false });
+            calls.insert(id.clone(), Call { ticket: part.attempt_id, written: None, withdrawn: false });
             ids.push(id);
         }
         drop(calls);
@@ -264,7 +264,7 @@
 
     /// Lets go of an attempt; false if it is not on this connection. A call of which no byte is written stays here,
     /// of another the worker is told, where that is allowed.
-    pub fn abandon(&self, ticket: Ticket, silence: Duration, tell: bool) -> bool {
+    pub fn abandon(&self, ticket: AttemptId, silence: Duration, tell: bool) -> bool {
         let Some((id, call)) = self.remove(ticket) else { return false };
         if !self.drop_unsent(&id) {
             self.remember(id.clone());
@@ -280,7 +280,7 @@
         true
     }
 
-    fn remove(&self, ticket: Ticket) -> Option<(String, Call)> {
+    fn remove(&self, ticket: AttemptId) -> Option<(String, Call)> {
         let mut calls = self.calls.borrow_mut();
         let id = calls.iter().find(|(_, call)| call.ticket == ticket).map(|(id, _)| id.clone())?;
         calls.remove_entry(&id)
@@ -295,12 +295,12 @@
     }
 
     /// Takes back the calls of which no byte has been written.
-    pub fn take_unsent(&self) -> Vec<Ticket> {
+    pub fn take_unsent(&self) -> Vec<AttemptId> {
         self.take_back(|_| true)
     }
 
     /// Takes back what no byte of has been written and nobody waits for: all calls of a frame, or none of them.
-    pub fn withdraw(&self, ticket: Ticket) -> Vec<Ticket> {
+    pub fn withdraw(&self, ticket: AttemptId) -> Vec<AttemptId> {
         let mut calls = self.calls.borrow_mut();
         let Some(call) = calls.values_mut().find(|call| call.ticket == ticket) else { return Vec::new() };
         call.withdrawn = true;
@@ -308,7 +308,7 @@
         self.take_back(|call| call.withdrawn)
     }
 
-    fn take_back(&self, may: impl Fn(&Call) -> bool) -> Vec<Ticket> {
+    fn take_back(&self, may: impl Fn(&Call) -> bool) -> Vec<AttemptId> {
         let mut calls = self.calls.borrow_mut();
         let mut tickets = Vec::new();
         self.frames.borrow_mut().retain(|frame| {
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use crate::policy::{ReportField, WorkerId};
 use crate::protocol::frame::{self, Incoming};
-use crate::routing::{Broker, End, Limits};
+use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
 use crate::transport::failure;
 use crate::transport::places::{Buffered, Places};
 use crate::transport::stream::{Dial, Stream, dial_within};
@@ -31,7 +31,7 @@
     /// Opens connections.
     pub dial: Rc<dyn Dial>,
     /// Limits of a connection.
-    pub limits: Limits,
+    pub limits: BrokerLimits,
     /// The process's descriptors and bytes.
     pub places: Rc<Places>,
     /// The fields of a load report.
@@ -198,7 +198,7 @@
     ) -> Event {
         let (has_frame, deadline) = (self.connection.has_frame(), self.connection.write_deadline());
         let limits = &self.shared.limits;
-        let idle = self.last_used + limits.conn_idle.mul_f64(IDLE_SHARE);
+        let idle = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_SHARE);
         // Guards against answers that never end: the rest of a frame may take as long as a connection may.
         let answer_deadline = self.answer_started.unwrap_or(self.last_used) + limits.connect_timeout;
         tokio::select! {
@@ -218,7 +218,7 @@
             Event::Read(Ok(_)) => self.read(),
             Event::Written(Ok(rest)) => {
                 let parts = self.connection.mark_written(rest);
-                self.shared.broker.core(|core| core.written(parts));
+                self.shared.broker.with_core(|core| core.count_written(parts));
                 Ok(())
             }
             Event::Read(Err(error)) | Event::Written(Err(error)) => {
@@ -249,7 +249,7 @@
         loop {
             match frame::take(&mut self.buffer, &self.shared.fields) {
                 Ok(Some(Incoming::Answer { id, outcome, value, report })) => {
-                    self.answer(&id, End { outcome, value, report })?;
+                    self.answer(&id, AttemptCompletion { outcome, value, load_report: report })?;
                 }
                 Ok(Some(Incoming::Rejected(words))) => {
                     return Err(Disconnect::Closed(format!("a frame was refused: {words:?}")));
@@ -263,9 +263,9 @@
         }
     }
 
-    fn answer(&self, id: &str, end: End) -> Result<(), Disconnect> {
+    fn answer(&self, id: &str, end: AttemptCompletion) -> Result<(), Disconnect> {
         match self.connection.answered(id) {
-            Some(call) => self.shared.broker.ended(call.ticket, end),
+            Some(call) => self.shared.broker.on_attempt_finished(call.ticket, end),
             None if self.connection.is_finished(id) => {}
             // Guards against waiting for a part whose answer came under another id.
             None => return Err(self.noise("an answer to nothing that was asked".to_owned())),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -169,9 +169,9 @@
         serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     json["settings"]["balancers"] = gatherers.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
-    let broker = Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60)));
+    let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
     let known = config.known.expect("a list");
-    broker.learn(&known, true);
+    broker.apply_endpoint_update(&known, true);
     let (network, watching) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
         let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
@@ -185,8 +185,8 @@
 
 /// Whether it has heard that `w1` drains.
 fn knows(broker: &Broker) -> bool {
-    let list = broker.core(|core| core.list_told());
-    list.members.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
+    let list = broker.with_core(|core| core.endpoint_list());
+    list.workers.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
 /// Waits until all gatherers know; how long that took.
@@ -350,12 +350,12 @@
     let json: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let (mut core, begun) = (Core::new(config.contracts), Time(1 << 60));
-    core.figures = Some(Default::default());
+    core.metrics = Some(Default::default());
     let mut list = config.known.expect("a list");
-    list.members.truncate(1);
-    list.members[0].since = Some(begun.after(Duration::from_secs(3600)));
+    list.workers.truncate(1);
+    list.workers[0].started_at = Some(begun.after(Duration::from_secs(3600)));
     let state = |core: &mut Core| {
-        core.news
+        core.record_events
             .drain(..)
             .filter_map(|body| match body {
                 RecordBody::Worker { state, .. } => Some(state),
@@ -363,13 +363,13 @@
             })
             .next_back()
     };
-    core.learn(begun, &list, false);
+    core.apply_endpoint_update(begun, &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
     let warm_up = core.contracts().settings.warm_up;
-    core.learn(begun.after(warm_up), &list, false);
+    core.apply_endpoint_update(begun.after(warm_up), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
     // A further start is another one.
-    list.members[0].since = Some(begun.after(Duration::from_secs(3700)));
-    core.learn(begun.after(warm_up * 2), &list, false);
+    list.workers[0].started_at = Some(begun.after(Duration::from_secs(3700)));
+    core.apply_endpoint_update(begun.after(warm_up * 2), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
 }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -2,7 +2,7 @@
 
 use gatherer::policy::*;
 use gatherer::program::config::Config;
-use gatherer::routing::{Ask, AskPart, Core, End, Order, Ticket};
+use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, QueryPart, SearchRequest};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -35,35 +35,35 @@
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let mut core = Core::new(config.contracts);
         let mut now = Time(1_700_000_000_000_000_000);
-        core.learn(now, &config.known.expect("a list"), true);
-        let (mut open, mut out): (Vec<RequestId>, Vec<Ticket>) = Default::default();
+        core.apply_endpoint_update(now, &config.known.expect("a list"), true);
+        let (mut open, mut out): (Vec<RequestId>, Vec<AttemptId>) = Default::default();
         let (mut came, mut settled) = ([0_u64; 2], 0_u64);
         for event in events {
             match event {
                 Happens::Asked(class) => {
                     came[class] += 1;
-                    let part = AskPart { shard: ShardId(0), weight: 1.0, hint: None, key: None };
-                    let ask = Ask {
+                    let part = QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: None };
+                    let ask = SearchRequest {
                         label: "a".into(),
                         class: ClassId(class),
                         tenant: Some(TenantId(0)),
-                        left: Duration::from_secs(5),
+                        time_left: Duration::from_secs(5),
                         retry: false,
-                        text: Default::default(),
+                        payload: Default::default(),
                         parts: vec![part],
                     };
-                    match core.offer(now, ask) {
+                    match core.submit(now, ask) {
                         Ok(query) => open.push(query),
                         Err(_) => settled += 1,
                     }
                 }
                 Happens::Crowded(class) => {
                     (came[class], settled) = (came[class] + 1, settled + 1);
-                    core.refuse_crowded(ClassId(class));
+                    core.reject_unread(ClassId(class));
                 }
                 Happens::Stopping(class) => {
                     (came[class], settled) = (came[class] + 1, settled + 1);
-                    core.refuse_stopping(ClassId(class), None);
+                    core.reject_stopping(ClassId(class), None);
                 }
                 Happens::Left(at) if !open.is_empty() => {
                     let query = open.remove(at % open.len());
@@ -72,26 +72,26 @@
                 Happens::Ended(at, how) if !out.is_empty() => {
                     let ticket = out.remove(at % out.len());
                     let outcome = [AttemptOutcome::Succeeded, AttemptOutcome::ConnectionReset, AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed];
-                    core.ended(now, ticket, End::bare(outcome[usize::from(how)]));
+                    core.on_attempt_finished(now, ticket, AttemptCompletion::without_value(outcome[usize::from(how)]));
                 }
                 Happens::Passes(span) => now = now.after(Duration::from_millis(span)),
                 _ => {}
             }
-            for order in core.turn(now) {
+            for order in core.step(now) {
                 match order {
-                    Order::Call { parts, .. } => out.extend(parts.iter().map(|part| part.ticket)),
-                    Order::Abandon { ticket, .. } => out.retain(|other| *other != ticket),
-                    Order::Settle { query, .. } => {
+                    Command::Call { parts, .. } => out.extend(parts.iter().map(|part| part.attempt_id)),
+                    Command::Cancel { attempt_id: ticket, .. } => out.retain(|other| *other != ticket),
+                    Command::Respond { query, .. } => {
                         open.retain(|other| *other != query);
                         settled += 1;
                     }
                     _ => {}
                 }
             }
-            let ends = core.ends();
-            prop_assert_eq!([ends[0].came, ends[1].came], came);
-            prop_assert_eq!(ends.iter().map(|ends| ends.open()).sum::<u64>(), core.open() as u64);
-            let told: u64 = ends.iter().map(|ends| ends.succeeded + ends.declined + ends.aborted).sum();
+            let ends = core.class_counts();
+            prop_assert_eq!([ends[0].received, ends[1].received], came);
+            prop_assert_eq!(ends.iter().map(|ends| ends.open()).sum::<u64>(), core.open_queries() as u64);
+            let told: u64 = ends.iter().map(|ends| ends.succeeded + ends.rejected + ends.failed).sum();
             prop_assert_eq!(told, settled, "each answer is counted once");
         }
     }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -5,7 +5,7 @@
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Response};
-use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Verdict};
+use gatherer::routing::{Broker, Clock, Core, QueryOutcome, QueryPart, SearchRequest};
 use gatherer::transport::index_servers::IndexServers;
 use gatherer::transport::places::Places;
 use gatherer::transport::stream::{Dial, Dialling, Stream};
@@ -43,12 +43,22 @@
 }
 
 /// Asks one part of shard 0.
-async fn ask(broker: &Broker, label: &str, class: &str) -> Verdict {
-    let class = broker.core(|core| core.contracts().class(class).expect("a class").0);
+async fn ask(broker: &Broker, label: &str, class: &str) -> QueryOutcome {
+    let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
     let hint = Some(Duration::from_millis(1));
-    let parts = vec![AskPart { shard: ShardId(0), weight: 1.0, hint, key: None }];
+    let parts = vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: hint, key: None }];
     let (left, text) = (Duration::from_secs(5), "{}".into());
-    broker.ask(Ask { label: label.into(), class, tenant: None, left, retry: false, text, parts }).await
+    broker
+        .submit(SearchRequest {
+            label: label.into(),
+            class,
+            tenant: None,
+            time_left: left,
+            retry: false,
+            payload: text,
+            parts,
+        })
+        .await
 }
 
 fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<Servers>) -> F) {
@@ -57,10 +67,10 @@
         let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
-        let broker = Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60)));
+        let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         let mut list = config.known.expect("a list");
-        list.members.truncate(1);
-        broker.learn(&list, true);
+        list.workers.truncate(1);
+        broker.apply_endpoint_update(&list, true);
         let dial = Rc::new(Servers::default());
         let servers = IndexServers::new(broker.clone(), dial.clone(), places);
         let driver = broker.clone();
@@ -69,17 +79,17 @@
     });
 }
 
-fn is_served(verdict: &Verdict) -> bool {
-    matches!(verdict, Verdict::Answered { whole: true, .. })
+fn is_served(verdict: &QueryOutcome) -> bool {
+    matches!(verdict, QueryOutcome::Answered { complete: true, .. })
 }
 
 #[test]
 fn a_server_that_moves_is_asked_at_its_new_address() {
     run(|broker, dial| async move {
         assert!(is_served(&ask(&broker, "a", "search").await));
-        let mut moved = broker.core(|core| core.list_told());
-        moved.members[0].address = "elsewhere".to_owned();
-        broker.learn(&moved, false);
+        let mut moved = broker.with_core(|core| core.endpoint_list());
+        moved.workers[0].address = "elsewhere".to_owned();
+        broker.apply_endpoint_update(&moved, false);
         assert!(is_served(&ask(&broker, "b", "search").await));
         assert_eq!(*dial.0.borrow(), ["w1", "elsewhere"]);
     });
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -6,7 +6,7 @@
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::protocol::http::{Malformed, Request, Response};
-use gatherer::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
+use gatherer::routing::invariants::{INVARIANTS, SendCheck, check_answer, check_rejection};
 use gatherer::routing::{Invariant, Violations};
 use gatherer::transport::gate::Gate;
 use gatherer::transport::listener::{Front, serve};
@@ -19,17 +19,17 @@
 const NOW: Time = Time(1 << 40);
 
 /// An attempt that breaks nothing.
-fn sound(class: &Class) -> Sending<'_> {
-    Sending {
+fn sound(class: &Class) -> SendCheck<'_> {
+    SendCheck {
         now: NOW,
         class,
         valid_until: NOW.after(ms(500)),
         worker_serves: true,
-        attempts: 0,
+        previous_attempts: 0,
         first_possible_run: None,
-        is_out: false,
-        second_copies: true,
-        most_attempts: Some(3),
+        has_attempt_in_flight: false,
+        may_hedge: true,
+        max_attempts: Some(3),
     }
 }
 
@@ -40,42 +40,42 @@
     let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
     let permit = sound(&search).permit(ms(900)).expect("sound");
     assert_eq!(permit.deadline(), NOW.after(ms(500)), "never longer than the client waits");
-    let broken = |sending: Sending<'_>| sending.permit(ms(100)).expect_err("it breaks a rule");
-    let serves = Sending { worker_serves: false, ..sound(&search) };
-    assert_eq!(broken(serves), Invariant::SentToServing);
-    let over = Sending { valid_until: NOW, ..sound(&search) };
-    assert_eq!(broken(over), Invariant::SentInTime);
-    let hedged = Sending { is_out: true, second_copies: false, ..sound(&search) };
+    let broken = |sending: SendCheck<'_>| sending.permit(ms(100)).expect_err("it breaks a rule");
+    let serves = SendCheck { worker_serves: false, ..sound(&search) };
+    assert_eq!(broken(serves), Invariant::SentToActiveWorker);
+    let over = SendCheck { valid_until: NOW, ..sound(&search) };
+    assert_eq!(broken(over), Invariant::SentBeforeDeadline);
+    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..sound(&search) };
     assert_eq!(broken(hedged), Invariant::HedgedWhereAllowed);
-    let many = Sending { attempts: 3, ..sound(&search) };
+    let many = SendCheck { previous_attempts: 3, ..sound(&search) };
     assert_eq!(broken(many), Invariant::AttemptsBounded);
-    let twice = Sending { attempts: 1, first_possible_run: after(10), ..sound(&seal) };
-    assert_eq!(broken(twice), Invariant::RepeatedSafely);
-    let late = Sending { attempts: 1, first_possible_run: after(1000), ..sound(&stamp) };
-    assert_eq!(broken(late), Invariant::RepeatedInWindow);
-    let inside = Sending { attempts: 1, first_possible_run: after(400), ..sound(&stamp) };
-    assert_eq!(inside.permit(ms(100)).map(|permit| permit.window()), Ok(Some(ms(600))));
-    let unrun = Sending { attempts: 1, ..sound(&seal) };
+    let twice = SendCheck { previous_attempts: 1, first_possible_run: after(10), ..sound(&seal) };
+    assert_eq!(broken(twice), Invariant::RetriedSafely);
+    let late = SendCheck { previous_attempts: 1, first_possible_run: after(1000), ..sound(&stamp) };
+    assert_eq!(broken(late), Invariant::RetriedInWindow);
+    let inside = SendCheck { previous_attempts: 1, first_possible_run: after(400), ..sound(&stamp) };
+    assert_eq!(inside.permit(ms(100)).map(|permit| permit.write_window()), Ok(Some(ms(600))));
+    let unrun = SendCheck { previous_attempts: 1, ..sound(&seal) };
     assert!(unrun.permit(ms(100)).is_ok(), "no attempt before can have run");
 }
 
 #[test]
 fn each_rule_of_ending_holds_back_what_breaks_it() {
     let half = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
-    assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::AnsweredAboveFloor));
-    assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::MarkedWholeTruly));
+    assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::MinCoverageMet));
+    assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::CompleteMarkedTruly));
     assert_eq!((check_answer(&half, 0.5, false), check_answer(&half, 0.99995, true)), (Ok(()), Ok(())));
     let seal = class(Idempotency::NonIdempotent);
-    assert_eq!(check_refusal(&seal, true), Err(Invariant::RefusedUnrun));
-    assert_eq!((check_refusal(&seal, false), check_refusal(&half, true)), (Ok(()), Ok(())));
+    assert_eq!(check_rejection(&seal, true), Err(Invariant::RejectedUnexecuted));
+    assert_eq!((check_rejection(&seal, false), check_rejection(&half, true)), (Ok(()), Ok(())));
 }
 
 #[test]
 fn every_invariant_is_counted_under_a_name_of_its_own() {
     let mut violations = Violations::default();
     for invariant in INVARIANTS {
-        violations.count(invariant);
-        assert_eq!(violations.of(invariant), 1);
+        violations.record(invariant);
+        assert_eq!(violations.count_of(invariant), 1);
     }
     let text = violations.to_string();
     assert_eq!(
@@ -141,7 +141,7 @@
 fn a_connection_closed_over_a_request_that_was_read_is_counted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
-        assert_eq!(left(false).await, [Invariant::ClosedAnswered]);
+        assert_eq!(left(false).await, [Invariant::ClosedAfterResponse]);
         assert_eq!(left(true).await, [], "its client has gone");
     });
 }
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -3,7 +3,7 @@
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::Invariant;
-use gatherer::service::stage::Call;
+use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::gate::Gate;
 use gatherer::transport::listener::{Accept, Accepting, Front, accept};
 use gatherer::transport::places::{Place, Places};
@@ -204,7 +204,7 @@
         tokio::task::yield_now().await;
     }
     // At SIGTERM usual clients still have their answers, and the end comes in spite of the crowd.
-    house.gate.call(Call::Stop).expect("taken");
+    house.gate.call(LifecycleRequest::Stop).expect("taken");
     assert!(usual(house.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
     house.gate.closing().await;
     house.held.add_permits(1);
@@ -423,7 +423,7 @@
     // Guards those in the queue of a process that stood still: their connections are there, and so is the end.
     run(async {
         let house = House::open(256, 0).await;
-        house.gate.call(Call::Stop).expect("taken");
+        house.gate.call(LifecycleRequest::Stop).expect("taken");
         let come = |_| {
             let mut client = std::net::TcpStream::connect(house.address).expect("connected");
             std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n").expect("written");
@@ -431,7 +431,7 @@
         };
         let clients: Vec<_> = (0..60).map(come).collect();
         // The one thread stands still past the moment at which the door closes: both lie there at the same wake.
-        std::thread::sleep(gatherer::service::stage::LINGER + Duration::from_millis(50));
+        std::thread::sleep(gatherer::service::lifecycle::GRACE_PERIOD + Duration::from_millis(50));
         for client in clients {
             client.set_nonblocking(true).expect("set");
             let mut client = TcpStream::from_std(client).expect("a stream");
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -10,8 +10,8 @@
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::protocol::http;
-use gatherer::routing::{Broker, Carrier, Clock, Contracts, Core, Listing, Member};
-use gatherer::service::stage::Call;
+use gatherer::routing::{Broker, Clock, Contracts, Core, ListedWorker, WorkerListUpdate, WorkerTransport};
+use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::gate::Gate;
 use gatherer::transport::index_servers::IndexServers;
 use gatherer::transport::listener::{self, Front};
@@ -171,7 +171,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (first, rest) = script.split_once('\n').expect("a first line");
         let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
-        let (clock, gate, pipes) = (Clock::at(UNIX), Gate::new(places.clone()), Pipes::default());
+        let (clock, gate, pipes) = (Clock::starting_at(UNIX), Gate::new(places.clone()), Pipes::default());
         let agent = tokio::sync::watch::Sender::new("agent".to_owned());
         match first {
             "front platform"
@@ -214,10 +214,10 @@
     })
 }
 
-fn broker(contracts: Contracts, list: &Listing, clock: Clock, pipes: &Pipes, form: Form) -> Broker {
+fn broker(contracts: Contracts, list: &WorkerListUpdate, clock: Clock, pipes: &Pipes, form: Form) -> Broker {
     let broker = Broker::new(Core::new(contracts), clock);
-    broker.learn(list, true);
-    for member in &list.members {
+    broker.apply_endpoint_update(list, true);
+    for member in &list.workers {
         pipes.0.borrow_mut().insert(member.address.clone(), Party::new(form));
     }
     broker
@@ -226,7 +226,7 @@
 async fn run<F: Front + 'static>(
     script: &str,
     broker: Broker,
-    carrier: impl Carrier + 'static,
+    carrier: impl WorkerTransport + 'static,
     front: F,
     gate: Rc<Gate>,
     pipes: Pipes,
@@ -322,20 +322,21 @@
                 _ => (EndpointStatus::Gone, None),
             };
             let (name, address, zone) = (name.to_owned(), name.to_owned(), String::new());
-            let member = Member { name, address, zone, cell: 0, status, units: 1.0, since };
-            return self
-                .broker
-                .learn(&Listing { revision: 2, complete: false, members: vec![member] }, false);
+            let member = ListedWorker { name, address, zone, cell: 0, status, units: 1.0, started_at: since };
+            return self.broker.apply_endpoint_update(
+                &WorkerListUpdate { revision: 2, complete: false, workers: vec![member] },
+                false,
+            );
         }
         if who == "SIGHUP" {
             self.agent.send_replace(what.to_owned());
             return;
         }
         if who == "SIGTERM" {
-            return self.gate.call(Call::Stop).expect("taken");
+            return self.gate.call(LifecycleRequest::Stop).expect("taken");
         }
         if who == "operator" {
-            let call = if what == "drain" { Call::Drain } else { Call::Resume };
+            let call = if what == "drain" { LifecycleRequest::Drain } else { LifecycleRequest::Resume };
             return self.gate.call(call).expect("taken");
         }
         // `NAME.N` speaks on the party's Nth connection, `NAME` on the one that is next.
@@ -400,9 +401,9 @@
                 }
             }
         }
-        let counters = self.broker.core(|core| core.counters.to_string());
+        let counters = self.broker.with_core(|core| core.counters.to_string());
         let counted = counters.split(' ').filter(|pair| !pair.ends_with("=0")).collect::<Vec<_>>().join(" ");
-        let open = self.broker.core(|core| core.open());
+        let open = self.broker.with_core(|core| core.open_queries());
         format!("{}counted: {counted}\nopen: {open}\n", self.transcript)
     }
 }
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -6,7 +6,9 @@
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::handover::{self, Message, State};
-use gatherer::routing::{Ask, AskPart, Core, End, Listing, Member, Order};
+use gatherer::routing::{
+    AttemptCompletion, Command, Core, ListedWorker, QueryPart, SearchRequest, WorkerListUpdate,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -16,48 +18,59 @@
     START.after(Duration::from_millis(ms))
 }
 
-fn list(since: [Option<Time>; 2]) -> Listing {
-    let member = |(name, since): (&str, Option<Time>)| Member {
+fn list(since: [Option<Time>; 2]) -> WorkerListUpdate {
+    let member = |(name, since): (&str, Option<Time>)| ListedWorker {
         name: name.to_owned(),
         address: name.to_owned(),
         zone: String::new(),
         cell: 0,
         status: EndpointStatus::Active,
         units: 1.0,
-        since,
+        started_at: since,
     };
-    Listing {
+    WorkerListUpdate {
         revision: 1,
         complete: true,
-        members: ["w1", "w2"].into_iter().zip(since).map(member).collect(),
+        workers: ["w1", "w2"].into_iter().zip(since).map(member).collect(),
     }
 }
 
 fn core(processes: u32, since: [Option<Time>; 2]) -> Core {
     let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
-    core.share(processes);
-    core.learn(START, &list(since), false);
-    core.turn(START);
+    core.set_process_count(processes);
+    core.apply_endpoint_update(START, &list(since), false);
+    core.step(START);
     core
 }
 
 /// Asks for a part of 0.2 s and ends its attempts at once: at a server that is down they are refused. The servers that
 /// were tried.
 fn ask(core: &mut Core, now: Time, down: &str) -> Vec<String> {
-    let part = AskPart { shard: ShardId(0), weight: 1.0, hint: Some(Duration::from_millis(200)), key: None };
+    let part =
+        QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: Some(Duration::from_millis(200)), key: None };
     let (class, left) = (ClassId(0), Duration::from_secs(5));
     let (text, parts) = (Default::default(), vec![part]);
-    let ask = Ask { label: "a".into(), class, tenant: None, left, retry: false, text, parts };
-    core.offer(now, ask).expect("there is room");
+    let ask = SearchRequest {
+        label: "a".into(),
+        class,
+        tenant: None,
+        time_left: left,
+        retry: false,
+        payload: text,
+        parts,
+    };
+    core.submit(now, ask).expect("there is room");
     let mut tried = Vec::new();
     for _ in 0..4 {
-        for order in core.turn(now) {
-            let Order::Call { worker: leaf, parts } = order else { continue };
-            let name = core.name(leaf).expect("a name").to_owned();
+        for order in core.step(now) {
+            let Command::Call { worker: leaf, parts } = order else { continue };
+            let name = core.worker_name(leaf).expect("a name").to_owned();
             let outcome =
                 if name == down { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded };
-            parts.iter().for_each(|part| core.ended(now, part.ticket, End::bare(outcome)));
+            parts.iter().for_each(|part| {
+                core.on_attempt_finished(now, part.attempt_id, AttemptCompletion::without_value(outcome))
+            });
             tried.push(name);
         }
     }
@@ -66,7 +79,8 @@
 
 /// What the first passes on, as the second reads it.
 fn passed(core: &Core) -> State {
-    let (list, bans, learned) = (core.list_told(), core.bans().clone(), core.learned());
+    let (list, bans, learned) =
+        (core.endpoint_list(), core.disabled_workers().clone(), core.policy_snapshot());
     let message = Message::State(Box::new(State { list, bans, drained: false, learned }));
     let mut bytes = BytesMut::from(&handover::encode(&message).expect("encoded")[..]);
     match handover::take(&mut bytes) {
@@ -79,7 +93,7 @@
     let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
     core.take_over(now, &state.list, state.bans, state.learned);
-    core.turn(now);
+    core.step(now);
     core
 }
 
@@ -104,9 +118,9 @@
     // A worker that refuses is found out, and left alone.
     let tried: Vec<String> = (0..20).flat_map(|at| ask(&mut first, after(at * 20), "w1")).collect();
     assert!(tried.iter().any(|name| name == "w1"));
-    assert_eq!(first.avoided(), 1);
+    assert_eq!(first.avoided_workers(), 1);
     let mut second = successor(passed(&first), after(400));
-    assert_eq!(second.avoided(), 1);
+    assert_eq!(second.avoided_workers(), 1);
     assert!((0..20).all(|at| ask(&mut second, after(400 + at * 5), "w1") == ["w2"]));
     // A fresh start, which is what a hand-over that cannot be used costs, finds it out anew.
     let mut fresh = core(1, [None, None]);
@@ -120,7 +134,7 @@
     (0..20).for_each(|at| drop(ask(&mut first, after(at * 20), "w1")));
     let mut state = passed(&first);
     state.list = list([Some(after(300)), None]);
-    assert_eq!((first.avoided(), successor(state, after(400)).avoided()), (1, 0));
+    assert_eq!((first.avoided_workers(), successor(state, after(400)).avoided_workers()), (1, 0));
 }
 
 proptest! {
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,7 +4,7 @@
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::protocol::trace::{self, Error};
-use gatherer::routing::{Ask, AskPart, Core, End, Order};
+use gatherer::routing::{AttemptCompletion, Command, Core, QueryPart, SearchRequest};
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,35 +28,43 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let start = Time(1_700_000_000_000_000_000);
     let mut core = Core::new(config.contracts);
-    core.learn(Time(0), &config.known.expect("a list"), true);
+    core.apply_endpoint_update(Time(0), &config.known.expect("a list"), true);
     let mut names = Vec::new();
     let mut now = start;
-    let mut orders = core.turn(now);
+    let mut orders = core.step(now);
     for usage in trace::read(table.as_bytes()) {
         let usage = usage.expect("a row");
         now = start.after(usage.at);
         let report = usage.report(&core.contracts().settings.report_fields);
-        assert!(core.load_report(&usage.machine, report), "{} is known", usage.machine);
-        orders.extend(core.turn(now));
+        assert!(core.on_load_report(&usage.machine, report), "{} is known", usage.machine);
+        orders.extend(core.step(now));
     }
-    let parts = vec![AskPart { shard: ShardId(0), weight: 1.0, hint: None, key: Some(Arc::from(key)) }];
+    let parts =
+        vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: Some(Arc::from(key)) }];
     let (class, left) = (ClassId(0), Duration::from_secs(4));
     let (label, text) = (Arc::from("a1"), Bytes::new());
-    core.offer(now, Ask { label, class, tenant: None, left, retry: false, text, parts })
-        .expect("there is room");
-    orders.extend(core.turn(now));
+    core.submit(
+        now,
+        SearchRequest { label, class, tenant: None, time_left: left, retry: false, payload: text, parts },
+    )
+    .expect("there is room");
+    orders.extend(core.step(now));
     let mut sent = None;
     for order in orders {
         match order {
-            Order::Member { worker: leaf, name, .. } => names.push((leaf, name)),
-            Order::Call { worker: leaf, parts } => {
-                core.ended(now, parts[0].ticket, End::bare(AttemptOutcome::Succeeded));
+            Command::UpsertWorker { worker: leaf, name, .. } => names.push((leaf, name)),
+            Command::Call { worker: leaf, parts } => {
+                core.on_attempt_finished(
+                    now,
+                    parts[0].attempt_id,
+                    AttemptCompletion::without_value(AttemptOutcome::Succeeded),
+                );
                 sent = Some(leaf);
             }
             _ => {}
         }
     }
-    let settled = core.turn(now).into_iter().filter(|order| matches!(order, Order::Settle { .. })).count();
+    let settled = core.step(now).into_iter().filter(|order| matches!(order, Command::Respond { .. })).count();
     assert_eq!(settled, 1);
     names.into_iter().find(|(leaf, _)| Some(*leaf) == sent).expect("the part was sent").1
 }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -4,7 +4,7 @@
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::program::config::Config;
-use gatherer::routing::{Ask, AskPart, Broker, Clock, Core, Order, Verdict};
+use gatherer::routing::{Broker, Clock, Command, Core, QueryOutcome, QueryPart, SearchRequest};
 use gatherer::transport::places::{Place, Places};
 use gatherer::transport::stream::{Dial, Dialling, Stream};
 use gatherer::transport::workers::Workers;
@@ -81,8 +81,8 @@
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
-        let broker = Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60)));
-        broker.learn(&config.known.expect("a list"), true);
+        let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
+        broker.apply_endpoint_update(&config.known.expect("a list"), true);
         let workers = Workers::new(broker.clone(), dial, places.clone());
         spawn_local(workers.clone().give_way());
         let driver = broker.clone();
@@ -91,21 +91,21 @@
     });
 }
 
-fn ask(label: &str, class: &str, shards: u32, broker: &Broker) -> Ask {
-    let class = broker.core(|core| core.contracts().class(class).expect("a class").0);
-    let part = |shard| AskPart {
+fn ask(label: &str, class: &str, shards: u32, broker: &Broker) -> SearchRequest {
+    let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
+    let part = |shard| QueryPart {
         shard: ShardId(shard),
         weight: 1.0 / f64::from(shards),
-        hint: Some(Duration::from_millis(1)),
+        cost_hint: Some(Duration::from_millis(1)),
         key: None,
     };
-    Ask {
+    SearchRequest {
         label: label.into(),
         class,
         tenant: None,
-        left: Duration::from_secs(5),
+        time_left: Duration::from_secs(5),
         retry: false,
-        text: "c41e".into(),
+        payload: "c41e".into(),
         parts: (0..shards).map(part).collect(),
     }
 }
@@ -118,9 +118,9 @@
         let clients: Vec<Place> =
             (0..floor).map(|_| places.try_take(DescriptorClass::Clients).expect("its floor")).collect();
         assert!(clients.iter().all(Place::pin));
-        let verdict = broker.ask(ask("wide", "seal", SHARDS, &broker)).await;
-        let Verdict::Answered { whole: true, values } = verdict else {
-            panic!("{verdict:?} {} {}", broker.core(|core| core.counters.clone()), places.tally.borrow())
+        let verdict = broker.submit(ask("wide", "seal", SHARDS, &broker)).await;
+        let QueryOutcome::Answered { complete: true, values } = verdict else {
+            panic!("{verdict:?} {} {}", broker.with_core(|core| core.counters.clone()), places.tally.borrow())
         };
         assert_eq!(values.len(), SHARDS as usize);
         let tally = places.tally.borrow().clone();
@@ -129,7 +129,7 @@
             (u64::from(SHARDS), 0),
             "{tally}"
         );
-        assert_eq!(broker.core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
+        assert_eq!(broker.with_core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
         let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
         let most = usable
             - floor
@@ -148,9 +148,9 @@
             held.push(places.try_take(DescriptorClass::Workers).expect("free"));
             assert!(held.last().is_some_and(Place::pin));
         }
-        let verdict = broker.ask(ask("none", "seal", 2, &broker)).await;
-        assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
-        let counted = broker.core(|core| core.counters.clone());
+        let verdict = broker.submit(ask("none", "seal", 2, &broker)).await;
+        assert!(matches!(verdict, QueryOutcome::Rejected { .. }), "{verdict:?}");
+        let counted = broker.with_core(|core| core.counters.clone());
         assert!(counted.ended_skipped > 0 && counted.ended_refused == 0, "{counted}");
         assert!(places.tally.borrow().worker_connect_waits_failed > 0);
     });
@@ -159,8 +159,8 @@
 #[test]
 fn idle_connections_to_workers_give_way_to_clients_and_come_back() {
     run(1, |broker, places| async move {
-        let served = |verdict| matches!(verdict, Verdict::Answered { whole: true, .. });
-        assert!(served(broker.ask(ask("a", "search", 8, &broker)).await));
+        let served = |verdict| matches!(verdict, QueryOutcome::Answered { complete: true, .. });
+        assert!(served(broker.submit(ask("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
         let idle = places
             .descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
@@ -174,7 +174,7 @@
         let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
         assert_eq!(clients.len(), usable - floors[1] - floors[2] - floors[3]);
         // And the workers' floor is there for the next query.
-        assert!(served(broker.ask(ask("b", "search", 8, &broker)).await));
+        assert!(served(broker.submit(ask("b", "search", 8, &broker)).await));
         assert!(places.tally.borrow().peak_descriptors <= usable);
     });
 }
@@ -193,7 +193,7 @@
     run_on(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
             let asked = broker.clone();
-            let client = spawn_local(async move { asked.ask(ask(class, class, 1, &asked)).await });
+            let client = spawn_local(async move { asked.submit(ask(class, class, 1, &asked)).await });
             while stuck.0.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
@@ -204,7 +204,7 @@
             let bytes = rest(far).await;
             let length = u32::from_le_bytes(*bytes.first_chunk::<4>().expect("a length")) as usize;
             assert!(bytes.len() < 4 + length, "{class}: the frame of {length} bytes came whole");
-            assert_eq!(broker.core(|core| core.counters.written), 0);
+            assert_eq!(broker.with_core(|core| core.counters.written), 0);
         }
     });
 }
@@ -216,17 +216,18 @@
     json["settings"]["domain"]["per-call"] = 2.into();
     json["settings"]["domain"]["slices"] = 5.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
-    let (broker, now) = (Broker::new(Core::new(config.contracts), Clock::at(Time(1 << 60))), Time(1 << 60));
+    let (broker, now) =
+        (Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60))), Time(1 << 60));
     let mut list = config.known.expect("a list");
-    list.members.truncate(1);
-    broker.learn(&list, true);
+    list.workers.truncate(1);
+    broker.apply_endpoint_update(&list, true);
     let ask = ask("frames", "search", 5, &broker);
-    let orders = broker.core(|core| {
-        core.offer(now, ask).expect("taken");
-        core.turn(now)
+    let orders = broker.with_core(|core| {
+        core.submit(now, ask).expect("taken");
+        core.step(now)
     });
     let calls = orders.iter().filter_map(|order| match order {
-        Order::Call { parts, .. } => Some(parts.len()),
+        Command::Call { parts, .. } => Some(parts.len()),
         _ => None,
     });
     assert_eq!(calls.collect::<Vec<_>>(), [2, 2, 1]);
@@ -253,8 +254,8 @@
     run_on(late.clone(), |broker, _| async move {
         let asked = broker.clone();
         let mut ask = ask("late", "search", 1, &broker);
-        ask.left = Duration::from_millis(1000);
-        let client = spawn_local(async move { asked.ask(ask).await });
+        ask.time_left = Duration::from_millis(1000);
+        let client = spawn_local(async move { asked.submit(ask).await });
         while late.1.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -287,9 +288,13 @@
 fn a_connection_that_fails_for_want_of_descriptors_is_no_fault_of_its_worker() {
     // Guards against suspicion of workers, and then of their zone, for what fails in this process.
     run_on(Rc::new(Starved(Cell::new(6))), |broker, _| async move {
-        let verdict = broker.ask(ask("starved", "seal", 2, &broker)).await;
-        assert!(matches!(verdict, Verdict::Answered { whole: true, .. }), "{verdict:?}");
-        let counted = broker.core(|core| core.counters.clone());
-        assert_eq!((counted.ended_refused, broker.core(|core| core.avoided())), (0, 0), "{counted}");
+        let verdict = broker.submit(ask("starved", "seal", 2, &broker)).await;
+        assert!(matches!(verdict, QueryOutcome::Answered { complete: true, .. }), "{verdict:?}");
+        let counted = broker.with_core(|core| core.counters.clone());
+        assert_eq!(
+            (counted.ended_refused, broker.with_core(|core| core.avoided_workers())),
+            (0, 0),
+            "{counted}"
+        );
     });
 }
