--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -4,10 +4,10 @@
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
-use gatherer::lab::world::{Act, Peer, World, address, name};
-use gatherer::lab::{Experiment, Outcome, play};
-use gatherer::membership::{Change, Knock, Node, State, Timing};
+use gatherer::membership::{ConnectionProbeResult, MemberChange, Node, ObservedState, Timing};
 use gatherer::policy::Time;
+use gatherer::simulation::engine::{Act, Peer, Simulation, address, name};
+use gatherer::simulation::{Experiment, Outcome, play};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde::{Deserialize, Serialize};
@@ -86,8 +86,8 @@
         }
         while let Some(told) = self.runtime.to_notify() {
             let (id, state) = match told {
-                OwnedNotification::MemberUp(id) => (id, State::Alive),
-                OwnedNotification::MemberDown(id) => (id, State::Silent),
+                OwnedNotification::MemberUp(id) => (id, ObservedState::Alive),
+                OwnedNotification::MemberDown(id) => (id, ObservedState::Silent),
                 OwnedNotification::Rejoin(id) => {
                     self.own = id;
                     continue;
@@ -95,11 +95,11 @@
                 _ => continue,
             };
             match state {
-                State::Alive => self.down.remove(&id.member),
+                ObservedState::Alive => self.down.remove(&id.member),
                 _ => self.down.insert(id.member),
             };
             let name = name(usize::from(id.member));
-            self.acts.push(Act::Tell(Change { name, start: id.start, state }));
+            self.acts.push(Act::Tell(MemberChange { name, start: id.start, state }));
         }
     }
 }
@@ -133,7 +133,7 @@
         let _ = self.foca.handle_data(&message, &mut self.runtime);
         self.settle(now);
     }
-    fn knocked(&mut self, _: Time, _: &str, _: u64, _: Knock) {}
+    fn knocked(&mut self, _: Time, _: &str, _: u64, _: ConnectionProbeResult) {}
     fn table(&self) -> Vec<u8> {
         Vec::new()
     }
@@ -149,12 +149,15 @@
     fn start(&self) -> u64 {
         self.own.start
     }
-    fn sees(&self, other: &str) -> Option<State> {
+    fn sees(&self, other: &str) -> Option<ObservedState> {
         let member: u16 = other.rsplit('-').next()?.parse().ok()?;
-        self.foca.iter_members().any(|seen| seen.id().member == member).then_some(State::Alive)
+        self.foca.iter_members().any(|seen| seen.id().member == member).then_some(ObservedState::Alive)
     }
-    fn all(&self) -> Vec<(String, State)> {
-        self.foca.iter_members().map(|member| (name(usize::from(member.id().member)), State::Alive)).collect()
+    fn all(&self) -> Vec<(String, ObservedState)> {
+        self.foca
+            .iter_members()
+            .map(|member| (name(usize::from(member.id().member)), ObservedState::Alive))
+            .collect()
     }
     fn gatherers(&self, _: Time) -> u32 {
         (self.foca.num_members() as u32 + 1).clamp(self.stated.div_ceil(4), self.stated * 4)
@@ -179,17 +182,17 @@
     config
 }
 
-fn of_crate(experiment: &Experiment, quick: bool) -> World<Crate> {
+fn of_crate(experiment: &Experiment, quick: bool) -> Simulation<Crate> {
     let begin = move |now: Time, id: usize, _: &[SocketAddr], stated: u32, seed: u64| {
         Crate::new(now, id, stated, seed, &config(stated, quick))
     };
-    World::new(experiment.members, experiment.seed, Box::new(begin))
+    Simulation::new(experiment.members, experiment.seed, Box::new(begin))
 }
 
 const WAYS: [&str; 3] = ["this program", "foca, its times for a local network", "foca, 0.5 s and 1.5 s"];
 
 fn each(experiment: &Experiment) -> [Outcome; 3] {
-    let ours = World::<Node>::of_nodes(experiment.members, experiment.seed, Timing::default());
+    let ours = Simulation::<Node>::of_nodes(experiment.members, experiment.seed, Timing::default());
     [
         play(experiment, ours, |_| {}),
         play(experiment, of_crate(experiment, false), |_| {}),
--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -1,9 +1,9 @@
 //! The laboratory's command line: plays experiments on members in virtual time, checks their rules, keeps results.
 
 use clap::{Parser, Subcommand};
-use gatherer::lab::experiment::{Error, Experiment};
-use gatherer::lab::world::World;
-use gatherer::lab::{Outcome, chart, play};
+use gatherer::simulation::engine::Simulation;
+use gatherer::simulation::experiment::{Error, Experiment};
+use gatherer::simulation::{Outcome, chart, play};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -120,7 +120,7 @@
 }
 
 fn one(experiment: &Experiment) -> Outcome {
-    let world = World::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let world = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
     let watched = std::io::stderr().is_terminal();
     let outcome = play(experiment, world, |at| {
         if watched {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,7 +67,6 @@
 //! ```
 
 pub mod fronts;
-pub mod lab;
 pub mod limits;
 pub mod membership;
 pub mod policy;
@@ -76,6 +75,7 @@
 pub mod records;
 pub mod routing;
 pub mod service;
+pub mod simulation;
 pub mod soak;
 pub mod transport;
 
--- a/src/membership/order.rs
+++ b/src/membership/command.rs
@@ -1,23 +1,23 @@
 //! What a member asks of its host: the whole of its output, and what comes back of an attempt to connect.
 
-use super::claim::Message;
-use super::table::Change;
+use super::table::MemberChange;
+use super::update::Message;
 use std::net::SocketAddr;
 
 /// How an attempt to connect to a member ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knock {
+pub enum ConnectionProbeResult {
     /// Its machine refuses: nobody listens there.
     Refused,
     /// It came up: the process is there, whether it moves or not.
-    Open,
+    Connected,
     /// Nothing came back.
-    Silent,
+    NoResponse,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// Send this as a datagram.
     Send {
         /// To whom.
@@ -26,7 +26,7 @@
         message: Message,
     },
     /// Try to connect, and tell [`super::Node::knocked`].
-    Knock {
+    ProbeConnection {
         /// Whom.
         name: String,
         /// Which process.
@@ -35,12 +35,12 @@
         address: SocketAddr,
     },
     /// Exchange tables over a connection: send [`super::Node::table_message`], take what comes back to [`super::Node::hear`].
-    Exchange {
+    ExchangeTables {
         /// With whom.
         with: SocketAddr,
     },
     /// Tell people and records.
-    Tell(Change),
+    Notify(MemberChange),
     /// Somebody else uses this member's name; it was taken back by a later start.
-    Taken,
+    NameReclaimed,
 }
--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -1,7 +1,7 @@
 //! How many gatherers share the fleet: one number, which errs to the side that is safe for workers.
 
-use super::claim::Standing;
 use super::table::Table;
+use super::update::MemberState;
 use crate::policy::Time;
 use std::time::Duration;
 
@@ -28,11 +28,11 @@
     pub fn gatherers(&self, now: Time, table: &Table) -> u32 {
         let (mut present, mut silent, mut fresh) = (1, 0, 0);
         for seen in table.iter() {
-            match seen.claim.standing {
+            match seen.update.state {
                 standing if standing.present() => present += 1,
-                Standing::Silent => {
+                MemberState::Failed => {
                     silent += 1;
-                    fresh += u32::from(now.since(seen.since) < HOLD);
+                    fresh += u32::from(now.since(seen.state_since) < HOLD);
                 }
                 _ => {}
             }
@@ -50,7 +50,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::membership::claim::Claim;
+    use crate::membership::update::MemberUpdate;
     use proptest::prelude::*;
 
     const S: u64 = 1_000_000_000;
@@ -60,14 +60,15 @@
         let mut table = Table::new(1000);
         for id in 0..others {
             let (name, zone, address) = (format!("g{id}"), String::new(), ([127, 0, 0, 1], 9).into());
-            let claim = Claim { name, start: 1, incarnation: 0, address, zone, standing: Standing::Alive };
+            let claim =
+                MemberUpdate { name, start: 1, incarnation: 0, address, zone, state: MemberState::Alive };
             assert!(table.take(Time(0), &claim));
             let standing = match id {
-                id if id < silent => Standing::Silent,
-                id if id < silent + dead => Standing::Dead,
+                id if id < silent => MemberState::Failed,
+                id if id < silent + dead => MemberState::Dead,
                 _ => continue,
             };
-            assert!(table.take(at, &claim.as_is(standing)));
+            assert!(table.take(at, &claim.with_state(standing)));
         }
         table
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -2,17 +2,17 @@
 //! Messages, times and lots go in, messages and decisions come out: no socket, no task, no clock. What it is for and why
 //! it is built so: docs/membership.md.
 
-pub mod claim;
+pub mod command;
 pub mod fleet_size;
 pub mod gossip_queue;
 pub mod node;
-pub mod order;
 pub mod table;
 pub mod timing;
+pub mod update;
 
-pub use claim::{Claim, Kind, Message, Standing};
+pub use command::{Command, ConnectionProbeResult};
 pub use fleet_size::FleetSizeEstimate;
 pub use node::Node;
-pub use order::{Knock, Order};
-pub use table::{Change, Link, Seen, State, Table};
+pub use table::{KnownMember, Link, MemberChange, ObservedState, Table};
 pub use timing::Timing;
+pub use update::{MemberState, MemberUpdate, Message, MessageKind};
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -7,12 +7,12 @@
 mod messages;
 mod probing;
 
-use super::claim::{Claim, Kind, Standing};
+use super::command::Command;
 use super::fleet_size::FleetSizeEstimate;
 use super::gossip_queue::GossipQueue;
-use super::order::Order;
 use super::table::Table;
 use super::timing::Timing;
+use super::update::{MemberState, MemberUpdate, MessageKind};
 use crate::policy::Time;
 use probing::Probe;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 
 /// The state of one member.
 pub struct Node {
-    own: Claim,
+    own: MemberUpdate,
     timing: Timing,
     seeds: Vec<SocketAddr>,
     table: Table,
@@ -56,7 +56,7 @@
     gossip_at: Time,
     exchange_at: Time,
     rejoin_at: Time,
-    orders: Vec<Order>,
+    orders: Vec<Command>,
 }
 
 impl Node {
@@ -64,7 +64,7 @@
     /// gatherers, `most` the most others that it remembers.
     pub fn new(
         now: Time,
-        own: Claim,
+        own: MemberUpdate,
         seeds: Vec<SocketAddr>,
         timing: Timing,
         stated: u32,
@@ -95,7 +95,7 @@
     }
 
     /// What it says of itself.
-    pub fn own(&self) -> &Claim {
+    pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
@@ -110,19 +110,19 @@
     }
 
     /// Nobody has been heard for so long that it is itself the one that is cut off.
-    pub fn alone(&self, now: Time) -> bool {
-        now.since(self.last_heard) >= self.timing.alone && self.table.present().next().is_some()
+    pub fn is_isolated(&self, now: Time) -> bool {
+        now.since(self.last_heard) >= self.timing.isolation_timeout && self.table.present().next().is_some()
     }
 
     /// What is to be done.
-    pub fn orders(&mut self) -> Vec<Order> {
+    pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.orders)
     }
 
     /// When [`Node::tick`] is next to be called.
     pub fn next_due(&self) -> Time {
         let news = (!self.gossip_queue.is_empty()).then_some(self.gossip_at);
-        let probes = self.probes.values().map(|probe| probe.due(self.timing.period));
+        let probes = self.probes.values().map(|probe| probe.due(self.timing.probe_interval));
         let suspects = self.suspect_deadlines.values().copied();
         let all = probes.chain(suspects).chain(news);
         all.chain([self.period_at, self.exchange_at, self.rejoin_at]).min().unwrap_or(self.period_at)
@@ -132,7 +132,7 @@
     pub fn tick(&mut self, now: Time) {
         let jump = now.since(self.last_tick);
         self.last_tick = self.last_tick.max(now);
-        if jump > self.timing.stall {
+        if jump > self.timing.pause_threshold {
             self.resume_after_pause(now, jump);
         }
         self.follow_up_due(now);
@@ -141,23 +141,23 @@
         }
         self.declare_dead(now);
         if self.gossip_at <= now {
-            self.gossip_at = now.after(self.timing.gossip);
+            self.gossip_at = now.after(self.timing.gossip_interval);
             self.gossip();
         }
         if self.exchange_at <= now {
             self.exchange(now);
         }
         if self.rejoin_at <= now {
-            self.rejoin_at = now.after(self.timing.again);
+            self.rejoin_at = now.after(self.timing.rejoin_interval);
             self.rejoin_lost();
         }
     }
 
     /// Begins a period.
     fn begin_period(&mut self, now: Time) {
-        self.period_at = now.after(self.timing.period);
+        self.period_at = now.after(self.timing.probe_interval);
         self.table.forget(now, self.timing.remember.0, self.timing.remember.1);
-        self.indirect_probes.retain(|_, (_, _, at)| now.since(*at) < self.timing.period);
+        self.indirect_probes.retain(|_, (_, _, at)| now.since(*at) < self.timing.probe_interval);
         for _ in 0..PROBES_PER_PERIOD {
             self.probe_next(now);
         }
@@ -166,9 +166,9 @@
     /// Has tables exchanged with one of those who are there.
     fn exchange(&mut self, now: Time) {
         let times = (self.table.iter().count() / FULL_EXCHANGE_RATE_MEMBERS).max(1) as u32;
-        self.exchange_at = now.after(self.timing.exchange * times);
+        self.exchange_at = now.after(self.timing.exchange_interval * times);
         if let Some(with) = self.pick_members(1, |_| true).first() {
-            self.orders.push(Order::Exchange { with: with.address });
+            self.orders.push(Command::ExchangeTables { with: with.address });
         }
     }
 
@@ -183,9 +183,9 @@
     }
 
     /// Picks some members at random that are there, other than those left out.
-    fn pick_members(&mut self, count: usize, which: impl Fn(&Claim) -> bool) -> Vec<Claim> {
-        let there: Vec<&Claim> =
-            self.table.present().map(|seen| &seen.claim).filter(|claim| which(claim)).collect();
+    fn pick_members(&mut self, count: usize, which: impl Fn(&MemberUpdate) -> bool) -> Vec<MemberUpdate> {
+        let there: Vec<&MemberUpdate> =
+            self.table.present().map(|seen| &seen.update).filter(|claim| which(claim)).collect();
         let picks = self.random.choose_multiple(there, count);
         picks.into_iter().cloned().collect()
     }
@@ -195,7 +195,7 @@
             return;
         }
         for to in self.pick_members(GOSSIP_FANOUT, |_| true) {
-            self.send(to.address, Kind::Gossip, None);
+            self.send(to.address, MessageKind::Gossip, None);
         }
     }
 
@@ -204,28 +204,28 @@
         let silent: Vec<(String, SocketAddr)> = self
             .table
             .iter()
-            .filter(|seen| seen.claim.standing == Standing::Silent)
-            .map(|seen| (seen.claim.name.clone(), seen.claim.address))
+            .filter(|seen| seen.update.state == MemberState::Failed)
+            .map(|seen| (seen.update.name.clone(), seen.update.address))
             .collect();
         if let Some((name, to)) = self.random.choice(silent) {
             let number = self.next_probe_number();
-            self.send(to, Kind::Ping { number, hears: false }, Some(&name));
+            self.send(to, MessageKind::Ping { number, hears: false }, Some(&name));
         }
-        let there = |seed: &&SocketAddr| self.table.present().any(|seen| seen.claim.address == **seed);
+        let there = |seed: &&SocketAddr| self.table.present().any(|seen| seen.update.address == **seed);
         let missing: Vec<SocketAddr> = self.seeds.iter().filter(|seed| !there(seed)).copied().collect();
         if let Some(with) = self.random.choice(missing) {
-            self.orders.push(Order::Exchange { with });
+            self.orders.push(Command::ExchangeTables { with });
         }
     }
 
     /// Leaves, for good or for another process of the same name; nothing more is to be done after these orders.
-    pub fn leave(&mut self, moving: bool) -> Vec<Order> {
-        self.own.standing = if moving { Standing::Moving } else { Standing::Left };
+    pub fn leave(&mut self, moving: bool) -> Vec<Command> {
+        self.own.state = if moving { MemberState::HandingOver } else { MemberState::Left };
         self.own.incarnation += 1;
         self.orders.clear();
         for to in self.pick_members(LEAVE_FANOUT, |_| true) {
-            self.send(to.address, Kind::Gossip, None);
+            self.send(to.address, MessageKind::Gossip, None);
         }
-        self.orders()
+        self.take_commands()
     }
 }
--- a/src/membership/node/beliefs.rs
+++ b/src/membership/node/beliefs.rs
@@ -2,9 +2,9 @@
 //! is said of itself.
 
 use super::{GOSSIP_FANOUT, Node};
-use crate::membership::claim::{Claim, Kind, Standing};
-use crate::membership::order::Order;
-use crate::membership::table::{Change, Link, State};
+use crate::membership::command::Command;
+use crate::membership::table::{Link, MemberChange, ObservedState};
+use crate::membership::update::{MemberState, MemberUpdate, MessageKind};
 use crate::policy::Time;
 use std::time::Duration;
 
@@ -19,18 +19,20 @@
 
 impl Node {
     /// The one place where what is known of a member changes.
-    pub(super) fn apply(&mut self, now: Time, claim: &Claim) {
-        let before = self.table.get(&claim.name).map(|seen| (seen.state(), seen.claim.start));
+    pub(super) fn apply(&mut self, now: Time, claim: &MemberUpdate) {
+        let before = self.table.get(&claim.name).map(|seen| (seen.state(), seen.update.start));
         if !self.table.take(now, claim) {
             return;
         }
         let Some(seen) = self.table.get(&claim.name) else { return };
-        let (state, start) = (seen.state(), seen.claim.start);
+        let (state, start) = (seen.state(), seen.update.start);
         let doublings = u32::BITS - (self.table.iter().count() as u32 + 1).leading_zeros();
         let tie_break = self.random.u64(..);
         self.gossip_queue.add(&claim.name, GOSSIP_REPEATS * doublings, tie_break);
-        if claim.standing == Standing::Suspect {
-            self.suspect_deadlines.entry(claim.name.clone()).or_insert(now.after(self.timing.bury));
+        if claim.state == MemberState::Suspect {
+            self.suspect_deadlines
+                .entry(claim.name.clone())
+                .or_insert(now.after(self.timing.suspicion_timeout));
             let chance = URGENT_PROBES / self.table.present().count().max(1) as f64;
             if !self.is_probed(&claim.name) && self.random.f64() < chance {
                 self.probe(now, &claim.name);
@@ -48,16 +50,16 @@
         let Some(seen) = self.table.get_mut(name) else { return };
         let before = seen.state();
         seen.link = change(seen.link);
-        let (state, start) = (seen.state(), seen.claim.start);
-        if state != before && state != State::Joining {
+        let (state, start) = (seen.state(), seen.update.start);
+        if state != before && state != ObservedState::Joining {
             self.report(name, start, state);
         }
     }
 
     /// Has people and records told of a member's state.
-    pub(super) fn report(&mut self, name: &str, start: u64, state: State) {
+    pub(super) fn report(&mut self, name: &str, start: u64, state: ObservedState) {
         let name = name.to_owned();
-        self.orders.push(Order::Tell(Change { name, start, state }));
+        self.orders.push(Command::Notify(MemberChange { name, start, state }));
     }
 
     /// Takes suspects that have not answered in time for dead.
@@ -68,46 +70,46 @@
             .filter(|(_, at)| **at <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        let alone = self.alone(now);
+        let alone = self.is_isolated(now);
         for name in due {
             // Guards against declaring the fleet dead from behind one's own partition.
             if alone {
-                self.suspect_deadlines.insert(name, now.after(self.timing.bury));
+                self.suspect_deadlines.insert(name, now.after(self.timing.suspicion_timeout));
                 continue;
             }
             self.suspect_deadlines.remove(&name);
-            let suspect = self.table.get(&name).filter(|seen| seen.claim.standing == Standing::Suspect);
-            if let Some(claim) = suspect.map(|seen| seen.claim.as_is(Standing::Silent)) {
+            let suspect = self.table.get(&name).filter(|seen| seen.update.state == MemberState::Suspect);
+            if let Some(claim) = suspect.map(|seen| seen.update.with_state(MemberState::Failed)) {
                 self.apply(now, &claim);
             }
         }
     }
 
     /// What is said of this one: it is there, whatever that says.
-    pub(super) fn refute(&mut self, claim: &Claim) {
-        let ends = !self.own.standing.present() || self.own.standing == Standing::Moving;
+    pub(super) fn refute(&mut self, claim: &MemberUpdate) {
+        let ends = !self.own.state.present() || self.own.state == MemberState::HandingOver;
         if ends || claim.start < self.own.start {
             return;
         }
         // What no incarnation answers is answered by a later start: another's use of the name, a farewell that this one
         // never said, an incarnation that nobody comes to.
-        let beyond = claim.standing == Standing::Left || claim.incarnation >= MAX_INCARNATION;
+        let beyond = claim.state == MemberState::Left || claim.incarnation >= MAX_INCARNATION;
         if claim.start > self.own.start || beyond {
             (self.own.start, self.own.incarnation) = (claim.start + 1, 0);
-            self.orders.push(Order::Taken);
-        } else if claim.standing != Standing::Alive && claim.incarnation >= self.own.incarnation {
+            self.orders.push(Command::NameReclaimed);
+        } else if claim.state != MemberState::Alive && claim.incarnation >= self.own.incarnation {
             self.own.incarnation = claim.incarnation + 1;
         } else {
             return;
         }
         // It spreads with each message that it sends; these go out now.
         for to in self.pick_members(GOSSIP_FANOUT, |_| true) {
-            self.send(to.address, Kind::Gossip, None);
+            self.send(to.address, MessageKind::Gossip, None);
         }
     }
 
     /// Whether a claim is one that its member could answer; others come from nobody who means well.
-    pub(super) fn answerable(now: Time, claim: &Claim) -> bool {
+    pub(super) fn answerable(now: Time, claim: &MemberUpdate) -> bool {
         claim.start <= now.after(MAX_START_AHEAD).0 && claim.incarnation <= MAX_INCARNATION
     }
 }
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -1,61 +1,61 @@
 //! Messages: what goes out with each, and what is taken from those that come in.
 
 use super::Node;
-use crate::membership::claim::{Claim, Kind, Message, ROOM, Standing};
-use crate::membership::order::Order;
+use crate::membership::command::Command;
 use crate::membership::table::Link;
+use crate::membership::update::{MAX_UPDATES_BYTES, MemberState, MemberUpdate, Message, MessageKind};
 use crate::policy::Time;
 use std::net::SocketAddr;
 
 impl Node {
     /// Sends with as much news as fits; `about` is whom it goes to, who is to hear what is said of itself.
-    pub(super) fn send(&mut self, to: SocketAddr, kind: Kind, about: Option<&str>) {
-        let mut message = Message { from: self.own.clone(), kind, claims: Vec::new() };
+    pub(super) fn send(&mut self, to: SocketAddr, kind: MessageKind, about: Option<&str>) {
+        let mut message = Message { from: self.own.clone(), kind, updates: Vec::new() };
         let own = about.and_then(|name| self.table.get(name));
-        if let Some(seen) = own.filter(|seen| seen.claim.standing != Standing::Alive) {
-            message.claims.push(seen.claim.clone());
+        if let Some(seen) = own.filter(|seen| seen.update.state != MemberState::Alive) {
+            message.updates.push(seen.update.clone());
         }
-        let mut room = ROOM.saturating_sub(message.size());
+        let mut room = MAX_UPDATES_BYTES.saturating_sub(message.max_encoded_bytes());
         let table = &self.table;
         self.gossip_queue.pass_on(|name| {
             // Who is forgotten is no news any more, and takes no room.
             let Some(seen) = table.get(name) else { return true };
-            let Some(rest) = room.checked_sub(seen.claim.size()) else { return false };
+            let Some(rest) = room.checked_sub(seen.update.max_encoded_bytes()) else { return false };
             room = rest;
             if about != Some(name) {
-                message.claims.push(seen.claim.clone());
+                message.updates.push(seen.update.clone());
             }
             true
         });
-        self.orders.push(Order::Send { to, message });
+        self.orders.push(Command::Send { to, message });
     }
 
     /// The whole table, for an exchange.
     pub fn table_message(&self) -> Message {
-        let claims = self.table.iter().map(|seen| seen.claim.clone()).collect();
-        Message { from: self.own.clone(), kind: Kind::Table, claims }
+        let claims = self.table.iter().map(|seen| seen.update.clone()).collect();
+        Message { from: self.own.clone(), kind: MessageKind::Table, updates: claims }
     }
 
     /// Takes a message of another member.
-    pub fn hear(&mut self, now: Time, message: Message) {
-        let Message { from, kind, claims } = message;
+    pub fn receive(&mut self, now: Time, message: Message) {
+        let Message { from, kind, updates: claims } = message;
         if !Node::answerable(now, &from) {
             return;
         }
         if from.name == self.own.name {
             return self.refute(&from);
         }
-        if let Some(seen) = self.table.get(&from.name).filter(|seen| seen.claim.start > from.start) {
+        if let Some(seen) = self.table.get(&from.name).filter(|seen| seen.update.start > from.start) {
             // An older process, or a datagram of it that was kept; or one whose clock was set back, which then hears of
             // its later start and goes beyond it.
-            let claim = seen.claim.clone();
-            let message = Message { from: self.own.clone(), kind: Kind::Gossip, claims: vec![claim] };
-            self.orders.push(Order::Send { to: from.address, message });
+            let claim = seen.update.clone();
+            let message = Message { from: self.own.clone(), kind: MessageKind::Gossip, updates: vec![claim] };
+            self.orders.push(Command::Send { to: from.address, message });
             return;
         }
         self.last_heard = self.last_heard.max(now);
         // One who was lost here until now tells what another half believed.
-        let lost = self.table.get(&from.name).is_some_and(|seen| !seen.claim.standing.present());
+        let lost = self.table.get(&from.name).is_some_and(|seen| !seen.update.state.present());
         self.apply(now, &from);
         self.mark_heard(now, &from);
         for claim in &claims {
@@ -65,25 +65,27 @@
     }
 
     /// Answers a message of a member, or takes it as an answer.
-    fn respond(&mut self, now: Time, kind: Kind, from: &Claim) {
+    fn respond(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
         match kind {
-            Kind::Ping { number, hears } => {
+            MessageKind::Ping { number, hears } => {
                 self.update_link(&from.name, |link| match (link, hears) {
                     (Link::Relayed, _) => Link::Relayed,
                     (_, false) => Link::Deaf,
                     (_, true) => Link::Direct,
                 });
-                self.send(from.address, Kind::Ack { number }, Some(&from.name));
+                self.send(from.address, MessageKind::Ack { number }, Some(&from.name));
             }
-            Kind::Ack { number } => self.answered(now, number, from),
-            Kind::SearchRequest { number, target } => self.probe_for(now, from.address, number, &target),
-            Kind::Relayed { number, claim } => self.relayed(now, number, &claim),
-            Kind::Gossip | Kind::Table => {}
+            MessageKind::Ack { number } => self.answered(now, number, from),
+            MessageKind::SearchRequest { number, target } => {
+                self.probe_for(now, from.address, number, &target)
+            }
+            MessageKind::IndirectAck { number, update: claim } => self.relayed(now, number, &claim),
+            MessageKind::Gossip | MessageKind::Table => {}
         }
     }
 
     /// A member that this one does not hear has answered another one.
-    fn relayed(&mut self, now: Time, number: u32, claim: &Claim) {
+    fn relayed(&mut self, now: Time, number: u32, claim: &MemberUpdate) {
         let asked = self.probes.get(&number).is_some_and(|probe| probe.name == claim.name);
         if asked && claim.name != self.own.name {
             self.probes.remove(&number);
@@ -93,37 +95,37 @@
     }
 
     /// A member was heard itself.
-    fn mark_heard(&mut self, now: Time, from: &Claim) {
+    fn mark_heard(&mut self, now: Time, from: &MemberUpdate) {
         let Some(seen) = self.table.get_mut(&from.name) else { return };
         let before = seen.state();
-        seen.heard = Some(now);
-        let (start, state) = (seen.claim.start, seen.state());
+        seen.last_message_at = Some(now);
+        let (start, state) = (seen.update.start, seen.state());
         if state != before {
             self.report(&from.name, start, state);
         }
     }
 
     /// Takes the table of another member, as it came over a connection.
-    pub fn exchanged(&mut self, now: Time, message: Message) {
-        let Message { from, claims, .. } = message;
-        self.hear(now, Message { from, kind: Kind::Table, claims: Vec::new() });
+    pub fn receive_table(&mut self, now: Time, message: Message) {
+        let Message { from, updates: claims, .. } = message;
+        self.receive(now, Message { from, kind: MessageKind::Table, updates: Vec::new() });
         for claim in &claims {
             self.learn(now, claim, true);
         }
     }
 
     /// Takes a claim; one of a whole table only says what another half believed.
-    fn learn(&mut self, now: Time, claim: &Claim, whole: bool) {
+    fn learn(&mut self, now: Time, claim: &MemberUpdate, whole: bool) {
         if !Node::answerable(now, claim) {
             return;
         }
         if claim.name == self.own.name {
             return self.refute(claim);
         }
-        let believed = matches!(claim.standing, Standing::Silent | Standing::Dead);
+        let believed = matches!(claim.state, MemberState::Failed | MemberState::Dead);
         let unknown = self.table.get(&claim.name).is_none();
         match whole && believed {
-            true => self.apply(now, &claim.as_is(Standing::Suspect)),
+            true => self.apply(now, &claim.with_state(MemberState::Suspect)),
             false => self.apply(now, claim),
         }
         // Whoever told a whole table has told others of it too: guards against a fleet that starts at once, each member
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -1,9 +1,9 @@
 //! Probes: which member is probed next, which again and through others, and what an answer or its absence says.
 
 use super::{INDIRECT_PROBES, Node};
-use crate::membership::claim::{Claim, Kind, Standing};
-use crate::membership::order::{Knock, Order};
-use crate::membership::table::{Link, Seen};
+use crate::membership::command::{Command, ConnectionProbeResult};
+use crate::membership::table::{KnownMember, Link};
+use crate::membership::update::{MemberState, MemberUpdate, MessageKind};
 use crate::policy::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,15 +58,14 @@
     pub(super) fn probe_next(&mut self, now: Time) {
         loop {
             if self.round.is_empty() {
-                self.round = self.table.present().map(|seen| seen.claim.name.clone()).collect();
+                self.round = self.table.present().map(|seen| seen.update.name.clone()).collect();
                 self.random.shuffle(&mut self.round);
                 if self.round.is_empty() {
                     return;
                 }
             }
             let Some(name) = self.round.pop() else { return };
-            if !self.is_probed(&name)
-                && self.table.get(&name).is_some_and(|seen| seen.claim.standing.present())
+            if !self.is_probed(&name) && self.table.get(&name).is_some_and(|seen| seen.update.state.present())
             {
                 return self.probe(now, &name);
             }
@@ -79,11 +78,11 @@
     /// Probes a member.
     pub(super) fn probe(&mut self, now: Time, name: &str) {
         let Some(seen) = self.table.get(name) else { return };
-        let (start, to, hears) = (seen.claim.start, seen.claim.address, seen.link != Link::Relayed);
+        let (start, to, hears) = (seen.update.start, seen.update.address, seen.link != Link::Relayed);
         let number = self.next_probe_number();
         let probe = Probe { name: name.to_owned(), start, sent: now, again: false, refused: None };
         self.probes.insert(number, probe);
-        self.send(to, Kind::Ping { number, hears }, Some(name));
+        self.send(to, MessageKind::Ping { number, hears }, Some(name));
     }
 
     /// The number of the next probe.
@@ -94,7 +93,7 @@
 
     /// Probes again whom it did not hear, and concludes where that was in vain.
     pub(super) fn follow_up_due(&mut self, now: Time) {
-        let period = self.timing.period;
+        let period = self.timing.probe_interval;
         let due = self.probes.iter().filter(|(_, probe)| probe.due(period) <= now);
         for number in due.map(|(number, _)| *number).collect::<Vec<_>>() {
             self.follow_up(now, number);
@@ -104,14 +103,14 @@
     fn follow_up(&mut self, now: Time, number: u32) {
         let Some(probe) = self.probes.get_mut(&number) else { return };
         let (name, start) = (probe.name.clone(), probe.start);
-        let Some(seen) = self.table.get(&name).filter(|seen| seen.claim.start == start) else {
+        let Some(seen) = self.table.get(&name).filter(|seen| seen.update.start == start) else {
             self.probes.remove(&number);
             return;
         };
-        let (address, hears) = (seen.claim.address, seen.link != Link::Relayed);
+        let (address, hears) = (seen.update.address, seen.link != Link::Relayed);
         if probe.retries_connection(now) {
-            self.orders.push(Order::Knock { name: name.clone(), start, address });
-            if probe.due(self.timing.period) > now {
+            self.orders.push(Command::ProbeConnection { name: name.clone(), start, address });
+            if probe.due(self.timing.probe_interval) > now {
                 return;
             }
         }
@@ -119,37 +118,37 @@
             self.probes.remove(&number);
             return self.suspect(now, &name);
         }
-        self.send(address, Kind::Ping { number, hears }, Some(&name));
-        self.orders.push(Order::Knock { name: name.clone(), start, address });
+        self.send(address, MessageKind::Ping { number, hears }, Some(&name));
+        self.orders.push(Command::ProbeConnection { name: name.clone(), start, address });
         for helper in self.pick_members(INDIRECT_PROBES, |claim| claim.name != name) {
-            self.send(helper.address, Kind::SearchRequest { number, target: name.clone() }, None);
+            self.send(helper.address, MessageKind::SearchRequest { number, target: name.clone() }, None);
         }
     }
 
     /// A member answered neither this one nor a helper.
     fn suspect(&mut self, now: Time, name: &str) {
         let Some(seen) = self.table.get(name) else { return };
-        if is_handing_over(now, seen) || self.alone(now) {
+        if is_handing_over(now, seen) || self.is_isolated(now) {
             return;
         }
-        if matches!(seen.claim.standing, Standing::Alive | Standing::Moving) {
-            let claim = seen.claim.as_is(Standing::Suspect);
+        if matches!(seen.update.state, MemberState::Alive | MemberState::HandingOver) {
+            let claim = seen.update.with_state(MemberState::Suspect);
             self.apply(now, &claim);
         }
     }
 
     /// A member has answered a probe, one of this member or one sent for another.
-    pub(super) fn answered(&mut self, now: Time, number: u32, from: &Claim) {
+    pub(super) fn answered(&mut self, now: Time, number: u32, from: &MemberUpdate) {
         if let Some((to, number, _)) = self.indirect_probes.remove(&number) {
-            return self.send(to, Kind::Relayed { number, claim: from.clone() }, None);
+            return self.send(to, MessageKind::IndirectAck { number, update: from.clone() }, None);
         }
         if self.probes.get(&number).is_some_and(|probe| probe.name == from.name) {
             self.probes.remove(&number);
         }
         self.update_link(&from.name, |link| if link == Link::Relayed { Link::Direct } else { link });
-        let known = self.table.get(&from.name).map(|seen| seen.claim.standing);
+        let known = self.table.get(&from.name).map(|seen| seen.update.state);
         // It answers, and does not know yet that it is suspected: it is to hear of it at once.
-        if known == Some(Standing::Suspect) && !self.is_probed(&from.name) {
+        if known == Some(MemberState::Suspect) && !self.is_probed(&from.name) {
             self.probe(now, &from.name);
         }
     }
@@ -161,31 +160,32 @@
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return;
         }
-        let (to, hears) = (seen.claim.address, seen.link != Link::Relayed);
+        let (to, hears) = (seen.update.address, seen.link != Link::Relayed);
         let own = self.next_probe_number();
         self.indirect_probes.insert(own, (asker, number, now));
-        self.send(to, Kind::Ping { number: own, hears }, Some(target));
+        self.send(to, MessageKind::Ping { number: own, hears }, Some(target));
     }
 
     /// How an attempt to connect ended. Two refusals within one question that stays open prove an end.
-    pub fn knocked(&mut self, now: Time, name: &str, start: u64, end: Knock) {
-        let Some(seen) = self.table.get(name).filter(|seen| seen.claim.start == start) else { return };
-        if end != Knock::Refused || is_handing_over(now, seen) || !seen.claim.standing.present() {
+    pub fn on_probe_result(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult) {
+        let Some(seen) = self.table.get(name).filter(|seen| seen.update.start == start) else { return };
+        if end != ConnectionProbeResult::Refused || is_handing_over(now, seen) || !seen.update.state.present()
+        {
             return;
         }
-        let dead = seen.claim.as_is(Standing::Dead);
+        let dead = seen.update.with_state(MemberState::Dead);
         // Guards against a firewall that refuses in its place: it has not answered meanwhile, itself or by a helper.
         let open = self.probes.values_mut().find(|probe| probe.name == name && probe.start == start);
         let Some(probe) = open else { return };
         match probe.refused {
             // Guards against one that was about to listen again: twice, a moment apart.
-            None => probe.refused = Some((now.after(self.timing.period / CONNECT_AGAIN), false)),
+            None => probe.refused = Some((now.after(self.timing.probe_interval / CONNECT_AGAIN), false)),
             Some(_) => self.apply(now, &dead),
         }
     }
 }
 
 /// Whether a member moves to another process, and is waited for.
-fn is_handing_over(now: Time, seen: &Seen) -> bool {
-    seen.claim.standing == Standing::Moving && now.since(seen.since) < HANDOVER_TIMEOUT
+fn is_handing_over(now: Time, seen: &KnownMember) -> bool {
+    seen.update.state == MemberState::HandingOver && now.since(seen.state_since) < HANDOVER_TIMEOUT
 }
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -3,7 +3,7 @@
 
 use super::operator::Membership;
 use super::recording::Recording;
-use crate::membership::{Change, Claim, Node, Standing};
+use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
 use crate::protocol::gossip::Seal;
 use crate::protocol::http;
 use crate::records::record::RecordBody;
@@ -26,7 +26,7 @@
 }
 
 impl Listener for Told {
-    fn changed(&self, change: &Change) {
+    fn changed(&self, change: &MemberChange) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
@@ -64,13 +64,13 @@
         );
         return None;
     }
-    let own = Claim {
+    let own = MemberUpdate {
         name: name.to_owned(),
         start: clock.now().0,
         incarnation: 0,
         address: wanted.advertise.unwrap_or(wanted.listen),
         zone,
-        standing: Standing::Alive,
+        state: MemberState::Alive,
     };
     let (seeds, most) = (wanted.seeds.clone(), wanted.most);
     let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -68,7 +68,13 @@
     /// The protocol's times that it sets.
     pub fn timing(&self) -> Timing {
         let (period, bury) = (Duration::from_millis(self.period_ms), Duration::from_millis(self.bury_ms));
-        Timing { period, gossip: period / 5, bury, stall: period * 3, ..Timing::default() }
+        Timing {
+            probe_interval: period,
+            gossip_interval: period / 5,
+            suspicion_timeout: bury,
+            pause_threshold: period * 3,
+            ..Timing::default()
+        }
     }
 
     fn check(&self) -> Result<(), Faulty> {
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -2,7 +2,7 @@
 //! form. A whole table goes over a connection, with its length (four bytes, least significant first) before it.
 
 use crate::membership::Message;
-use crate::membership::claim::{LONGEST_NAME, ROOM};
+use crate::membership::update::{MAX_NAME_BYTES, MAX_UPDATES_BYTES};
 use std::fmt;
 
 /// The version that this program speaks; it takes no other.
@@ -13,7 +13,7 @@
 /// The longest datagram: it passes every network whole.
 pub const DATAGRAM: usize = 1200;
 /// The most that one claim takes.
-const CLAIM: usize = 2 * LONGEST_NAME + 48;
+const CLAIM: usize = 2 * MAX_NAME_BYTES + 48;
 /// What the key is for; a key of another use opens nothing here.
 const USE: &str = "clayshore membership, version 1";
 
@@ -84,7 +84,7 @@
             return Err(Unusable::Seal);
         }
         match postcard::take_from_bytes::<Message>(body) {
-            Ok((message, [])) if message.sound() => Ok(message),
+            Ok((message, [])) if message.is_valid() => Ok(message),
             _ => Err(Unusable::Form),
         }
     }
@@ -97,26 +97,26 @@
 
 /// The most bytes that a table of so many others takes.
 pub fn table(most: usize) -> usize {
-    HEAD + ROOM + most.saturating_add(2).saturating_mul(CLAIM)
+    HEAD + MAX_UPDATES_BYTES + most.saturating_add(2).saturating_mul(CLAIM)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::membership::claim::{Claim, Kind, Standing};
+    use crate::membership::update::{MemberState, MemberUpdate, MessageKind};
     use proptest::prelude::*;
 
     fn message(claims: usize, name: usize) -> Message {
-        let claim = |id: usize| Claim {
+        let claim = |id: usize| MemberUpdate {
             name: format!("{id:0name$}"),
             start: u64::MAX,
             incarnation: u32::MAX,
             address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().expect("an address"),
             zone: "z".repeat(name),
-            standing: Standing::Left,
+            state: MemberState::Left,
         };
-        let kind = Kind::Relayed { number: u32::MAX, claim: claim(0) };
-        Message { from: claim(1), kind, claims: (0..claims).map(claim).collect() }
+        let kind = MessageKind::IndirectAck { number: u32::MAX, update: claim(0) };
+        Message { from: claim(1), kind, updates: (0..claims).map(claim).collect() }
     }
 
     #[test]
@@ -136,12 +136,14 @@
 
     #[test]
     fn a_message_of_the_longest_names_fits_into_a_datagram() {
-        for name in [1, 20, LONGEST_NAME] {
-            let full = (0..).map(|claims| message(claims, name)).take_while(|message| message.size() <= ROOM);
+        for name in [1, 20, MAX_NAME_BYTES] {
+            let full = (0..)
+                .map(|claims| message(claims, name))
+                .take_while(|message| message.max_encoded_bytes() <= MAX_UPDATES_BYTES);
             let length = Seal::new("", "").close(&full.last().expect("one")).expect("sealed").len();
             assert!(length <= DATAGRAM && length > DATAGRAM / 2, "names of {name}: {length} bytes");
         }
-        let table_bytes = Seal::new("", "").close(&message(1000, LONGEST_NAME)).expect("sealed").len();
+        let table_bytes = Seal::new("", "").close(&message(1000, MAX_NAME_BYTES)).expect("sealed").len();
         assert!(table_bytes <= table(1000));
     }
 
@@ -165,7 +167,7 @@
             let bytes = [&MAGIC[..], &[VERSION], &seal.tag(&noise), &noise].concat();
             match seal.datagram(&bytes) {
                 Err(error) => prop_assert_eq!(error, Unusable::Form),
-                Ok(message) => prop_assert!(message.sound()),
+                Ok(message) => prop_assert!(message.is_valid()),
             }
         }
     }
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -1,7 +1,7 @@
 //! One record: a line of JSON with a version, a place in its start's sequence, and a checksum.
 
 use super::metrics::MetricsSnapshot;
-use crate::membership::State;
+use crate::membership::ObservedState;
 use crc::{CRC_32_ISCSI, Crc};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,7 @@
         /// Its process, by the time of its start in Unix nanoseconds.
         process: u64,
         /// How it stands.
-        state: State,
+        state: ObservedState,
     },
     /// Clients ask for more than is served, or no longer do.
     Overload {
--- a/src/lab/world.rs
+++ b/src/simulation/engine.rs
@@ -1,7 +1,10 @@
 //! Members in virtual time, with a network that loses, doubles, delays and cuts, and processes that stand still, die and
 //! start again. The same seed plays the same way.
 
-use crate::membership::{Change, Claim, Knock, Message, Node, Order, Standing, State, Timing};
+use crate::membership::{
+    Command, ConnectionProbeResult, MemberChange, MemberState, MemberUpdate, Message, Node, ObservedState,
+    Timing,
+};
 use crate::policy::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -50,7 +53,7 @@
         with: SocketAddr,
     },
     /// A member stands otherwise than before.
-    Tell(Change),
+    Tell(MemberChange),
 }
 
 /// A member in some way of keeping membership, so that ways can be played side by side.
@@ -64,7 +67,7 @@
     /// Takes a datagram.
     fn hear(&mut self, now: Time, message: Self::Message);
     /// How an attempt to connect ended.
-    fn knocked(&mut self, now: Time, name: &str, start: u64, end: Knock);
+    fn knocked(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult);
     /// Its whole table, for an exchange.
     fn table(&self) -> Self::Message;
     /// Takes another's table.
@@ -76,9 +79,9 @@
     /// Its process.
     fn start(&self) -> u64;
     /// How it sees another.
-    fn sees(&self, name: &str) -> Option<State>;
+    fn sees(&self, name: &str) -> Option<ObservedState>;
     /// How it sees all others.
-    fn all(&self) -> Vec<(String, State)>;
+    fn all(&self) -> Vec<(String, ObservedState)>;
     /// The number of gatherers that it goes by.
     fn gatherers(&self, now: Time) -> u32;
     /// Bytes of a datagram, and claims in it.
@@ -88,13 +91,13 @@
 /// How a start begins: at a time, its number, seeds, a number of the settings, lots.
 pub type Begin<P> = Box<dyn Fn(Time, usize, &[SocketAddr], u32, u64) -> P>;
 
-fn act(order: Order) -> Option<Act<Message>> {
+fn act(order: Command) -> Option<Act<Message>> {
     Some(match order {
-        Order::Send { to, message } => Act::Send { to, message },
-        Order::Knock { name, start, address } => Act::Knock { name, start, address },
-        Order::Exchange { with } => Act::Exchange { with },
-        Order::Tell(change) => Act::Tell(change),
-        Order::Taken => return None,
+        Command::Send { to, message } => Act::Send { to, message },
+        Command::ProbeConnection { name, start, address } => Act::Knock { name, start, address },
+        Command::ExchangeTables { with } => Act::Exchange { with },
+        Command::Notify(change) => Act::Tell(change),
+        Command::NameReclaimed => return None,
     })
 }
 
@@ -109,7 +112,7 @@
     fn hear(&mut self, now: Time, message: Message) {
         Node::hear(self, now, message);
     }
-    fn knocked(&mut self, now: Time, name: &str, start: u64, end: Knock) {
+    fn knocked(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult) {
         Node::knocked(self, now, name, start, end);
     }
     fn table(&self) -> Message {
@@ -119,7 +122,7 @@
         Node::exchanged(self, now, message);
     }
     fn acts(&mut self) -> Vec<Act<Message>> {
-        self.orders().into_iter().filter_map(act).collect()
+        self.take_commands().into_iter().filter_map(act).collect()
     }
     fn leave(&mut self, moving: bool) -> Vec<Act<Message>> {
         Node::leave(self, moving).into_iter().filter_map(act).collect()
@@ -127,30 +130,30 @@
     fn start(&self) -> u64 {
         self.own().start
     }
-    fn sees(&self, name: &str) -> Option<State> {
+    fn sees(&self, name: &str) -> Option<ObservedState> {
         Some(Node::table(self).get(name)?.state())
     }
-    fn all(&self) -> Vec<(String, State)> {
-        Node::table(self).iter().map(|seen| (seen.claim.name.clone(), seen.state())).collect()
+    fn all(&self) -> Vec<(String, ObservedState)> {
+        Node::table(self).iter().map(|seen| (seen.update.name.clone(), seen.state())).collect()
     }
     fn gatherers(&self, now: Time) -> u32 {
         Node::gatherers(self, now)
     }
     fn weight(message: &Message) -> (usize, usize) {
-        (message.size() + 21, message.claims.len())
+        (message.max_encoded_bytes() + 21, message.updates.len())
     }
 }
 
 /// Whether one that is seen so is taken to be there.
-pub fn there(state: State) -> bool {
-    !matches!(state, State::Silent | State::Dead | State::Left)
+pub fn there(state: ObservedState) -> bool {
+    !matches!(state, ObservedState::Silent | ObservedState::Dead | ObservedState::Left)
 }
 
 #[derive(Clone)]
 enum Happening<M> {
     Tick(usize, u64),
     Datagram(usize, M),
-    Knocked { by: usize, name: String, start: u64, end: Knock },
+    Knocked { by: usize, name: String, start: u64, end: ConnectionProbeResult },
     Table { to: usize, message: M, answer: bool, from: usize },
 }
 
@@ -170,13 +173,13 @@
     /// Which member.
     pub by: usize,
     /// Of whom it tells what.
-    pub change: Change,
+    pub change: MemberChange,
     /// The process that it tells of was there then.
     pub lives: bool,
 }
 
 /// Members of one way, their network, and what they told.
-pub struct World<P: Peer> {
+pub struct Simulation<P: Peer> {
     /// The time.
     pub now: Time,
     /// What becomes of datagrams.
@@ -218,28 +221,28 @@
     Some(usize::from(high) << 8 | usize::from(low))
 }
 
-impl World<Node> {
+impl Simulation<Node> {
     /// So many members of this program's way, who know the first two, and have found each other.
-    pub fn of_nodes(count: usize, seed: u64, timing: Timing) -> World<Node> {
+    pub fn of_nodes(count: usize, seed: u64, timing: Timing) -> Simulation<Node> {
         let begin = move |now: Time, id: usize, seeds: &[SocketAddr], stated: u32, seed: u64| {
-            let own = Claim {
+            let own = MemberUpdate {
                 name: name(id),
                 start: now.0,
                 incarnation: 0,
                 address: address(id),
                 zone: format!("zone-{}", id % 3),
-                standing: Standing::Alive,
+                state: MemberState::Alive,
             };
             Node::new(now, own, seeds.to_vec(), timing, stated, 2000, seed)
         };
-        World::new(count, seed, Box::new(begin))
+        Simulation::new(count, seed, Box::new(begin))
     }
 }
 
-impl<P: Peer> World<P> {
+impl<P: Peer> Simulation<P> {
     /// So many members who know the first two, and have had 20 s to find each other.
-    pub fn new(count: usize, seed: u64, begin: Begin<P>) -> World<P> {
-        let mut world = World {
+    pub fn new(count: usize, seed: u64, begin: Begin<P>) -> Simulation<P> {
+        let mut world = Simulation {
             now: START,
             net: Net::default(),
             processes: Vec::new(),
@@ -260,7 +263,7 @@
             world.processes.push(Process { node: None, still: None, kept: Vec::new(), starts: 0 });
         }
         (0..count).for_each(|id| world.start(id));
-        world.pass(Duration::from_secs(20));
+        world.advance(Duration::from_secs(20));
         world
     }
 
@@ -309,7 +312,7 @@
         (0..self.processes.len()).filter(|id| self.processes[*id].node.is_some())
     }
     /// How one member sees another.
-    pub fn sees(&self, id: usize, other: usize) -> Option<State> {
+    pub fn sees(&self, id: usize, other: usize) -> Option<ObservedState> {
         self.node(id)?.sees(&name(other))
     }
     /// The number that a member goes by; none for one that is not there.
@@ -321,7 +324,7 @@
         let living: BTreeSet<String> = self.living().map(name).collect();
         let agrees = |id: &usize| {
             self.node(*id).is_some_and(|node| {
-                let seen: Vec<(String, State)> = node.all();
+                let seen: Vec<(String, ObservedState)> = node.all();
                 let mut present = seen.iter().filter(|(_, state)| there(*state));
                 let count = present.clone().count();
                 count + 1 == living.len() && present.all(|(name, _)| living.contains(name))
@@ -335,17 +338,17 @@
     }
     /// Deaths told of processes that were there.
     pub fn buried_alive(&self) -> Vec<&Told> {
-        let dead = |told: &&Told| matches!(told.change.state, State::Silent | State::Dead);
+        let dead = |told: &&Told| matches!(told.change.state, ObservedState::Silent | ObservedState::Dead);
         self.told.iter().filter(dead).filter(|told| told.lives).collect()
     }
     /// Lets time pass until this is so, in steps of 50 ms; how long that took, if it came to be.
-    pub fn until(&mut self, most: Duration, so: impl Fn(&World<P>) -> bool) -> Option<Duration> {
+    pub fn until(&mut self, most: Duration, so: impl Fn(&Simulation<P>) -> bool) -> Option<Duration> {
         let since = self.now;
         while !so(self) {
             if self.now.since(since) >= most {
                 return None;
             }
-            self.pass(Duration::from_millis(50));
+            self.advance(Duration::from_millis(50));
         }
         Some(self.now.since(since))
     }
@@ -357,7 +360,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now.after(span);
         while let Some(Reverse((at, serial))) = self.queue.peek().copied().filter(|next| next.0.0 <= end) {
             self.queue.pop();
@@ -443,10 +446,10 @@
                     let there = self.processes.get(to).is_some_and(|process| process.node.is_some());
                     let cut = self.cuts.contains(&(by, to)) || self.cuts.contains(&(to, by));
                     let (end, ms) = match (cut, there) {
-                        (true, _) if self.refusing => (Knock::Refused, 2),
-                        (true, _) => (Knock::Silent, 300),
-                        (_, true) => (Knock::Open, 2),
-                        (_, false) => (Knock::Refused, 2),
+                        (true, _) if self.refusing => (ConnectionProbeResult::Refused, 2),
+                        (true, _) => (ConnectionProbeResult::NoResponse, 300),
+                        (_, true) => (ConnectionProbeResult::Connected, 2),
+                        (_, false) => (ConnectionProbeResult::Refused, 2),
                     };
                     let at = self.now.after(Duration::from_millis(ms));
                     self.at(at, Happening::Knocked { by, name, start, end });
@@ -498,7 +501,7 @@
     all
 }
 
-impl World<Node> {
+impl Simulation<Node> {
     /// A message comes to a member from somebody who is none, and yet holds the secret.
     pub fn forge(&mut self, to: usize, message: Message) {
         let at = self.now;
--- a/src/lab/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments: what happens to members, when, and what is to hold, as a TOML file.
 
-use super::world::Net;
+use super::engine::Net;
 use crate::membership::Timing;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -170,7 +170,12 @@
     /// The protocol's times.
     pub fn timing(&self) -> Timing {
         let (period, bury) = (Duration::from_millis(self.period_ms), Duration::from_millis(self.bury_ms));
-        Timing { period, gossip: period / 5, bury, ..Timing::default() }
+        Timing {
+            probe_interval: period,
+            gossip_interval: period / 5,
+            suspicion_timeout: bury,
+            ..Timing::default()
+        }
     }
 
     /// Whether it can be played; what is wrong, by key or step.
--- a/src/lab/mod.rs
+++ b/src/simulation/mod.rs
@@ -2,9 +2,9 @@
 //! and for tests; nothing of it runs in a gatherer.
 
 pub mod chart;
+pub mod engine;
 pub mod experiment;
 pub mod play;
-pub mod world;
 
 pub use experiment::Experiment;
 pub use play::{Moment, Outcome, play};
--- a/src/lab/play.rs
+++ b/src/simulation/play.rs
@@ -1,7 +1,7 @@
 //! Plays an experiment in virtual time, and checks its rules as it goes.
 
+use super::engine::{Peer, Simulation, there};
 use super::experiment::{Doing, Experiment, Step, Who};
-use super::world::{Peer, World, there};
 use crate::policy::Time;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,11 @@
 }
 
 /// Plays it with these members; `progress` is told each second that has been played.
-pub fn play<P: Peer>(experiment: &Experiment, mut world: World<P>, mut progress: impl FnMut(f64)) -> Outcome {
+pub fn play<P: Peer>(
+    experiment: &Experiment,
+    mut world: Simulation<P>,
+    mut progress: impl FnMut(f64),
+) -> Outcome {
     world.told.clear();
     world.sent = (0, 0, 0);
     world.net = experiment.net;
@@ -109,7 +113,7 @@
             }
         }
         let span = LOOK.min(end.since(now));
-        world.pass(span);
+        world.advance(span);
         now = now.after(span);
         lived += world.living().count() as f64 * span.as_secs_f64();
         open.retain(|id, (start, since)| {
@@ -153,7 +157,7 @@
 }
 
 /// Has a step happen; the members whose process was killed by it.
-fn take<P: Peer>(world: &mut World<P>, step: &Step) -> Vec<(usize, u64)> {
+fn take<P: Peer>(world: &mut Simulation<P>, step: &Step) -> Vec<(usize, u64)> {
     let ids = step.who.as_ref().map(Who::ids).unwrap_or_default();
     let mut killed = Vec::new();
     match step.what {
@@ -191,7 +195,7 @@
     killed
 }
 
-fn look<P: Peer>(world: &World<P>, now: Time) -> Moment {
+fn look<P: Peer>(world: &Simulation<P>, now: Time) -> Moment {
     let numbers: Vec<u32> = world.living().filter_map(|id| world.gatherers(id)).collect();
     Moment {
         at: now.since(Time(0)).as_secs_f64(),
--- a/src/transport/members.rs
+++ b/src/transport/members.rs
@@ -3,7 +3,9 @@
 
 use super::failure;
 use super::socket::Socket;
-use crate::membership::{Change, Knock, Message, Node, Order, Seen, State};
+use crate::membership::{
+    Command, ConnectionProbeResult, KnownMember, MemberChange, Message, Node, ObservedState,
+};
 use crate::protocol::gossip::{self, DATAGRAM, Seal, Unusable};
 use crate::routing::Clock;
 use serde::Serialize;
@@ -42,7 +44,7 @@
 /// Who is told of what membership finds.
 pub trait Listener {
     /// A member stands otherwise than before.
-    fn changed(&self, change: &Change);
+    fn changed(&self, change: &MemberChange);
     /// So many gatherers share the fleet from now on.
     fn gatherers(&self, count: u32);
 }
@@ -74,7 +76,7 @@
     address: SocketAddr,
     start: u64,
     incarnation: u32,
-    state: State,
+    state: ObservedState,
     since_s: f64,
     heard_s: Option<f64>,
 }
@@ -159,7 +161,7 @@
         let orders = self.node.borrow_mut().leave(moving);
         if let Some(socket) = &*self.socket.borrow() {
             for order in orders {
-                if let Order::Send { to, message } = order {
+                if let Command::Send { to, message } = order {
                     self.send(socket, to, &message);
                 }
             }
@@ -197,7 +199,7 @@
     }
 
     fn hear(self: &Rc<Members>, message: Message) {
-        self.node.borrow_mut().hear(self.clock.now(), message);
+        self.node.borrow_mut().receive(self.clock.now(), message);
         self.came();
     }
 
@@ -207,25 +209,25 @@
 
     /// Does what the node asks for, and tells of what has changed.
     fn carry_out(self: &Rc<Members>) {
-        let orders = self.node.borrow_mut().orders();
+        let orders = self.node.borrow_mut().take_commands();
         let socket = self.socket.borrow().clone();
         for order in orders {
             match order {
-                Order::Send { to, message } => {
+                Command::Send { to, message } => {
                     if let Some(socket) = &socket {
                         self.send(socket, to, &message);
                     }
                 }
-                Order::Knock { name, start, address } => {
+                Command::ProbeConnection { name, start, address } => {
                     let members = self.clone();
                     spawn_local(async move { members.knock(name, start, address).await });
                 }
-                Order::Exchange { with } => {
+                Command::ExchangeTables { with } => {
                     let members = self.clone();
                     spawn_local(async move { members.exchange(with).await });
                 }
-                Order::Tell(change) => self.listener.changed(&change),
-                Order::Taken => {
+                Command::Notify(change) => self.listener.changed(&change),
+                Command::NameReclaimed => {
                     log::warn!(
                         "members: another process uses this one's name; it was taken back by a later start"
                     );
@@ -265,15 +267,17 @@
     /// Finds out whether a process is there; silent where there is no place for one more connection.
     async fn knock(self: Rc<Members>, name: String, start: u64, address: SocketAddr) {
         let end = match self.own.try_acquire() {
-            Err(_) => Knock::Silent,
+            Err(_) => ConnectionProbeResult::NoResponse,
             // What fails here says nothing of the other: it is tried again.
             Ok(_place) => match timeout(CONNECT, connect(address, CONNECT)).await {
-                Ok(Ok(_)) => Knock::Open,
-                Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Knock::Refused,
-                Ok(Err(_)) | Err(_) => Knock::Silent,
+                Ok(Ok(_)) => ConnectionProbeResult::Connected,
+                Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                    ConnectionProbeResult::Refused
+                }
+                Ok(Err(_)) | Err(_) => ConnectionProbeResult::NoResponse,
             },
         };
-        self.node.borrow_mut().knocked(self.clock.now(), &name, start, end);
+        self.node.borrow_mut().on_probe_result(self.clock.now(), &name, start, end);
         self.came();
     }
 
@@ -285,7 +289,7 @@
             self.read(&mut stream).await
         };
         if let Ok(Some(message)) = timeout(EXCHANGE, both).await {
-            self.node.borrow_mut().exchanged(self.clock.now(), message);
+            self.node.borrow_mut().receive_table(self.clock.now(), message);
             self.came();
         }
     }
@@ -307,7 +311,7 @@
                     Some(message)
                 };
                 if let Ok(Some(message)) = timeout(EXCHANGE, both).await {
-                    members.node.borrow_mut().exchanged(members.clock.now(), message);
+                    members.node.borrow_mut().receive_table(members.clock.now(), message);
                     members.came();
                 }
                 members.callers.add_permits(1);
@@ -338,26 +342,26 @@
     pub fn view(&self) -> String {
         let (node, now) = (self.node.borrow(), self.clock.now());
         let own = node.own();
-        let row = |seen: &Seen| Row {
-            name: seen.claim.name.clone(),
-            zone: seen.claim.zone.clone(),
-            address: seen.claim.address,
-            start: seen.claim.start,
-            incarnation: seen.claim.incarnation,
+        let row = |seen: &KnownMember| Row {
+            name: seen.update.name.clone(),
+            zone: seen.update.zone.clone(),
+            address: seen.update.address,
+            start: seen.update.start,
+            incarnation: seen.update.incarnation,
             state: seen.state(),
-            since_s: now.since(seen.since).as_secs_f64(),
-            heard_s: seen.heard.map(|at| now.since(at).as_secs_f64()),
+            since_s: now.since(seen.state_since).as_secs_f64(),
+            heard_s: seen.last_message_at.map(|at| now.since(at).as_secs_f64()),
         };
         let view = View {
             gatherers: node.gatherers(now),
-            alone: node.alone(now),
+            alone: node.is_isolated(now),
             own: Row {
                 name: own.name.clone(),
                 zone: own.zone.clone(),
                 address: own.address,
                 start: own.start,
                 incarnation: own.incarnation,
-                state: State::Alive,
+                state: ObservedState::Alive,
                 since_s: now.0.saturating_sub(own.start) as f64 / 1e9,
                 heard_s: None,
             },
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,11 +1,11 @@
 //! The laboratory: its experiments hold, the same seed plays the same, and its rules can be broken.
 
-use gatherer::lab::world::World;
-use gatherer::lab::{Experiment, Outcome, chart, play};
+use gatherer::simulation::engine::Simulation;
+use gatherer::simulation::{Experiment, Outcome, chart, play};
 use std::path::Path;
 
 fn outcome(experiment: &Experiment) -> Outcome {
-    let world = World::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let world = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
     let outcome = play(experiment, world, |_| {});
     // Not of the play: how long it took here.
     Outcome { cpu_us: 0.0, ..outcome }
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -1,13 +1,13 @@
 //! Faults drawn by lot, with shrinking, inside the bounds that docs/membership.md states: nobody who lives is buried, and
 //! all agree again afterwards. And proof that the guards are needed: without each, somebody who lives is buried.
 
-use gatherer::lab::world::{self, Net};
-use gatherer::membership::{Claim, Kind, Message, Node, Standing, State, Timing};
+use gatherer::membership::{MemberState, MemberUpdate, Message, MessageKind, Node, ObservedState, Timing};
+use gatherer::simulation::engine::{self, Net};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-type World = world::World<Node>;
+type World = engine::Simulation<Node>;
 
 const MEMBERS: usize = 6;
 
@@ -66,18 +66,18 @@
             }
             Fault::Restart { who, down } => {
                 world.kill(*who);
-                world.pass(ms(*down));
+                world.advance(ms(*down));
                 world.start(*who);
             }
             Fault::Upgrade { who, between } => {
                 world.leave(*who, true);
-                world.pass(ms(*between));
+                world.advance(ms(*between));
                 world.start(*who);
             }
             Fault::Loss { share } => world.net = Net { loss: *share, twice: 0.1, late: 0.05 },
             Fault::Heal => world.cuts.clear(),
         }
-        world.pass(ms(*then));
+        world.advance(ms(*then));
     }
     world
 }
@@ -108,12 +108,12 @@
         let mut world = World::of_nodes(MEMBERS, 5, timing);
         world.cut(|id| id == 0, |_| true);
         world.cut(|_| true, |id| id == 0);
-        world.pass(Duration::from_secs(40));
+        world.advance(Duration::from_secs(40));
         told_by(&world, 0)
     };
     let never = Duration::from_secs(86_400);
     assert_eq!(cut_off(Timing::default()), 0);
-    assert_eq!(cut_off(Timing { alone: never, ..Timing::default() }), MEMBERS - 1);
+    assert_eq!(cut_off(Timing { isolation_timeout: never, ..Timing::default() }), MEMBERS - 1);
 }
 
 #[test]
@@ -124,21 +124,21 @@
         let buried = (0..8).map(|seed| {
             let mut world = World::of_nodes(MEMBERS, seed, timing);
             world.stop(1, ms(5000));
-            let suspected = world.until(ms(5000), |world| world.sees(0, 1) == Some(State::Suspect));
+            let suspected = world.until(ms(5000), |world| world.sees(0, 1) == Some(ObservedState::Suspect));
             assert!(suspected.is_some());
             world.stop(0, ms(12_000));
-            world.pass(ms(14_000));
+            world.advance(ms(14_000));
             told_by(&world, 0)
         });
         buried.sum()
     };
     let never = Duration::from_secs(86_400);
     assert_eq!(stalls(Timing::default()), 0);
-    assert!(stalls(Timing { stall: never, ..Timing::default() }) > 0);
+    assert!(stalls(Timing { pause_threshold: never, ..Timing::default() }) > 0);
 }
 
 /// Claims about a member that no member made.
-fn forged() -> impl Strategy<Value = Claim> {
+fn forged() -> impl Strategy<Value = MemberUpdate> {
     let start = prop_oneof![
         2 => Just(None),
         1 => (0..200_u64).prop_map(Some),
@@ -146,21 +146,23 @@
     ];
     let incarnation = prop_oneof![0..4_u32, Just(u32::MAX / 2), Just(u32::MAX / 2 - 1), Just(u32::MAX)];
     let standing = prop_oneof![
-        Just(Standing::Alive),
-        Just(Standing::Moving),
-        Just(Standing::Suspect),
-        Just(Standing::Silent),
-        Just(Standing::Dead),
-        Just(Standing::Left),
+        Just(MemberState::Alive),
+        Just(MemberState::HandingOver),
+        Just(MemberState::Suspect),
+        Just(MemberState::Failed),
+        Just(MemberState::Dead),
+        Just(MemberState::Left),
     ];
-    (0..MEMBERS + 2, start, incarnation, standing).prop_map(|(id, start, incarnation, standing)| Claim {
-        name: world::name(id),
-        // None stands for the start that the member has; the others for later ones, by milliseconds, and for the last.
-        start: start.map_or(0, |later| later.saturating_mul(1_000_000).max(1)),
-        incarnation,
-        address: world::address(id),
-        zone: String::new(),
-        standing,
+    (0..MEMBERS + 2, start, incarnation, standing).prop_map(|(id, start, incarnation, standing)| {
+        MemberUpdate {
+            name: engine::name(id),
+            // None stands for the start that the member has; the others for later ones, by milliseconds, and for the last.
+            start: start.map_or(0, |later| later.saturating_mul(1_000_000).max(1)),
+            incarnation,
+            address: engine::address(id),
+            zone: String::new(),
+            state: standing,
+        }
     })
 }
 
@@ -172,24 +174,24 @@
     ) {
         let mut world = World::of_nodes(MEMBERS, 1, Timing::default());
         let starts: Vec<u64> = (0..MEMBERS).filter_map(|id| Some(world.node(id)?.own().start)).collect();
-        let real = |claim: Claim| {
+        let real = |claim: MemberUpdate| {
             let id: usize = claim.name[9..].parse().expect("a number");
             let base = starts.get(id).copied().unwrap_or(starts[0]);
             let start = if claim.start == u64::MAX { u64::MAX } else { base.saturating_add(claim.start) };
-            Claim { start, ..claim }
+            MemberUpdate { start, ..claim }
         };
         for (to, from, claim, then) in forgeries {
             let (from, claims) = (real(from), vec![real(claim)]);
-            world.forge(to, Message { from, kind: Kind::Gossip, claims });
-            world.pass(ms(then));
+            world.forge(to, Message { from, kind: MessageKind::Gossip, updates: claims });
+            world.advance(ms(then));
         }
         // Members that were made up fall silent or are found dead; nobody else stays buried.
         let there = |world: &World| {
             world.living().all(|by| (0..MEMBERS).filter(|id| *id != by).all(|id| {
-                world.sees(by, id).is_some_and(world::there)
+                world.sees(by, id).is_some_and(engine::there)
             }))
         };
-        world.pass(Duration::from_secs(15));
+        world.advance(Duration::from_secs(15));
         prop_assert!(world.until(Duration::from_secs(30), there).is_some());
         prop_assert!((0..MEMBERS).all(|id| world.gatherers(id).is_some_and(|number| number <= MEMBERS as u32 + 2)));
     }
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,12 +1,12 @@
 //! Every way in which the first messages after a fault may be lost, played on the program's own state machine: three or
 //! four members, one crash, one cut, both, or one that stands still.
 
-use gatherer::lab::world;
-use gatherer::membership::{Node, State, Timing};
+use gatherer::membership::{Node, ObservedState, Timing};
+use gatherer::simulation::engine;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-type World = world::World<Node>;
+type World = engine::Simulation<Node>;
 
 /// Messages of which each is lost or not: all patterns are played.
 const MESSAGES: u32 = 7;
@@ -14,7 +14,7 @@
 struct Seen {
     worlds: usize,
     /// Different histories: who told what of whom, in which order.
-    histories: BTreeSet<Vec<(usize, String, State)>>,
+    histories: BTreeSet<Vec<(usize, String, ObservedState)>>,
 }
 
 /// Plays a fault under all patterns of loss; what is to hold in each is checked in it.
@@ -34,7 +34,7 @@
 }
 
 fn dead_to_all(world: &World, id: usize) -> bool {
-    world.living().all(|by| matches!(world.sees(by, id), Some(State::Dead | State::Silent)))
+    world.living().all(|by| matches!(world.sees(by, id), Some(ObservedState::Dead | ObservedState::Silent)))
 }
 
 #[test]
@@ -59,9 +59,9 @@
         world.cut(|id| id == 1, |id| id == 0);
     };
     let nobody = |world: &mut World, what: &str| {
-        world.pass(Duration::from_secs(15));
+        world.advance(Duration::from_secs(15));
         assert!(world.buried_alive().is_empty(), "{what}: {:?}", world.told);
-        assert_eq!(world.sees(0, 1), Some(State::Cut), "{what}");
+        assert_eq!(world.sees(0, 1), Some(ObservedState::Cut), "{what}");
     };
     explore(4, cut, nobody);
     // The one that crashes is one of those who can tell the two apart.
@@ -79,7 +79,7 @@
 #[test]
 fn one_that_stands_still_for_less_than_a_burial_is_there_afterwards_whatever_is_lost() {
     let holds = |world: &mut World, what: &str| {
-        world.pass(Duration::from_secs(9));
+        world.advance(Duration::from_secs(9));
         let agreed = world.until(Duration::from_secs(6), World::agree);
         assert!(agreed.is_some() && world.buried_alive().is_empty(), "{what}: {:?}", world.told);
     };
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{Root, Sent, class, entry, ms, settings};
-use gatherer::lab::world::World;
 use gatherer::membership::{Node, Timing};
 use gatherer::policy::*;
+use gatherer::simulation::engine::Simulation;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 }
 
 struct Fleet {
-    world: World<Node>,
+    world: Simulation<Node>,
     /// Each with what is due to come back to it, and whose its queries are.
     roots: Vec<(Root, Due, Asks)>,
     workers: Vec<Worker>,
@@ -75,7 +75,7 @@
         };
         let worker = |_| Worker { since: None, free_at: Time(0), came: VecDeque::new() };
         Fleet {
-            world: World::of_nodes(GATHERERS, seed, Timing::default()),
+            world: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
             roots: (0..GATHERERS).map(root).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
@@ -103,7 +103,7 @@
     fn pass(&mut self, span: u64) -> Played {
         let mut played = Played { answered: [0; 2], refused: [0; 2], pushed: 0.0 };
         for _ in 0..span / STEP {
-            self.world.pass(Duration::from_millis(STEP));
+            self.world.advance(Duration::from_millis(STEP));
             let living: Vec<usize> = self.world.living().collect();
             let asked = QUERIES.map(|rate| {
                 // More than one a step is not needed: a tenth of a second's queries come in ten steps.
@@ -171,7 +171,7 @@
 }
 
 /// Half of the gatherers meet this; then most workers start cold if that is wanted, and ten seconds pass.
-fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut World<Node>)) -> Played {
+fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
     let mut fleet = Fleet::new(seed, told);
     fleet.pass(3000);
     fault(&mut fleet.world);
@@ -182,14 +182,14 @@
     fleet.pass(10_000)
 }
 
-fn half_die(world: &mut World<Node>) {
+fn half_die(world: &mut Simulation<Node>) {
     (0..GATHERERS / 2).for_each(|id| world.kill(id));
 }
 
 #[test]
 fn when_half_die_a_tenant_inside_its_share_keeps_all_of_it() {
     // Single plays vary; the sum over eight does not hang on one.
-    let served = |told: bool, fault: &dyn Fn(&mut World<Node>)| {
+    let served = |told: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
         let plays = (1..9).map(|seed| play(seed, told, false, fault));
         let (answered, refused) =
             plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.refused[0]));
@@ -203,11 +203,11 @@
 #[test]
 fn no_cold_worker_is_pushed_over_whoever_dies_and_whatever_is_cut() {
     for seed in [1, 2, 3] {
-        let cut = |world: &mut World<Node>| {
+        let cut = |world: &mut Simulation<Node>| {
             world.cut(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
             world.cut(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
             // Longer than any wait.
-            world.pass(Duration::from_secs(120));
+            world.advance(Duration::from_secs(120));
         };
         let (whole, halves) = (play(seed, true, true, |_| {}), play(seed, true, true, cut));
         assert!(halves.pushed <= 1.0, "seed {seed}: {halves:?}");
