--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -4,7 +4,7 @@
 use crate::worker;
 use bytes::BytesMut;
 use fastrand::Rng;
-use gatherer::protocol::http::{self, Incoming};
+use gatherer::protocol::http::{self, ReceivedResponse};
 use gatherer::soak::judge::{Observations, Request, RequestEnd, Stopped};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -149,10 +149,10 @@
     kept
 }
 
-async fn response(open: &mut Connection) -> std::io::Result<Incoming> {
+async fn response(open: &mut Connection) -> std::io::Result<ReceivedResponse> {
     loop {
         if let Some(answer) =
-            http::take_response(&mut open.buffer, http::MOST_BODY).map_err(std::io::Error::other)?
+            http::take_response(&mut open.buffer, http::MAX_BODY_BYTES).map_err(std::io::Error::other)?
         {
             return Ok(answer);
         }
@@ -162,7 +162,7 @@
     }
 }
 
-fn judged(shared: &Shared, answer: &Incoming, id: &str, parts: &[u32]) -> RequestEnd {
+fn judged(shared: &Shared, answer: &ReceivedResponse, id: &str, parts: &[u32]) -> RequestEnd {
     let kind = match answer.status {
         200 => 0,
         429 | 503 => 1,
--- a/src/bin/soak-test/stage.rs
+++ b/src/bin/soak-test/stage.rs
@@ -474,7 +474,7 @@
 async fn is_ready(operators: &str) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(operators).await.ok()?;
-        stream.write_all(&http::request("GET", "/-/ready", "soak", None)).await.ok()?;
+        stream.write_all(&http::encode_request("GET", "/-/ready", "soak", None)).await.ok()?;
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).await.ok()?;
         Some(answer.starts_with(b"HTTP/1.1 200"))
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -3,7 +3,7 @@
 use super::counts;
 use crate::policy::*;
 use crate::protocol::http::{Malformed, Request, Response};
-use crate::protocol::opensearch::{self, Fault, Merged, Search};
+use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
 use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore, KeyClaim};
 use crate::routing::scroll_contexts::ScrollContexts;
 use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
@@ -44,7 +44,7 @@
 
 /// A result that is held for its further pages.
 struct Scroll {
-    merged: Merged,
+    merged: MergedResult,
     size: usize,
     shards: usize,
 }
@@ -84,7 +84,7 @@
         Rc::new(OpenSearch { broker, clock, gate, names, idempotency, scrolls })
     }
 
-    async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, Fault> {
+    async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
         let checked = self.check(index, request)?;
         if checked.once {
             return self.search_once(checked, request.headers.get("Idempotency-Key")).await;
@@ -97,17 +97,21 @@
 
     fn stopping(&self, ask: &SearchRequest) -> Response {
         self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
-        opensearch::refused(Rejection::ShuttingDown, None)
+        opensearch::rejection_response(Rejection::ShuttingDown, None)
     }
 
     /// Guards against a client's own retry: one key runs one search, whoever asks how often.
-    async fn search_once(self: &Rc<Self>, checked: Checked, key: Option<&str>) -> Result<Response, Fault> {
+    async fn search_once(
+        self: &Rc<Self>,
+        checked: Checked,
+        key: Option<&str>,
+    ) -> Result<Response, SearchError> {
         let key = key.ok_or_else(|| {
-            Fault::illegal(format!(
+            SearchError::illegal_argument(format!(
                 "[Idempotency-Key] is missing: this index runs a search once; POST {KEYS} for a key"
             ))
         })?;
-        let lost = || Fault::new(500, "illegal_state_exception", "the search ended without an outcome");
+        let lost = || SearchError::new(500, "illegal_state_exception", "the search ended without an outcome");
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
         let mut told = match claim {
@@ -132,7 +136,7 @@
             KeyClaim::Join(told) => told,
             KeyClaim::Recorded(response) => return Ok(response),
             KeyClaim::Mismatch => {
-                return Err(Fault::new(
+                return Err(SearchError::new(
                     422,
                     "illegal_argument_exception",
                     "the key belongs to another search",
@@ -144,7 +148,7 @@
                 let reason = format!(
                     "start [{start}] of this gatherer {whose} this key: whether its search ran is unknown, and it is not run now"
                 );
-                return Err(Fault::new(409, "unknown_outcome_exception", reason));
+                return Err(SearchError::new(409, "unknown_outcome_exception", reason));
             }
         };
         let outcome = told.wait_for(Option::is_some).await.map_err(|_| lost())?;
@@ -157,15 +161,17 @@
         let (shards, from) = (ask.parts.len(), self.clock.now());
         match self.broker.submit(ask).await {
             QueryOutcome::Rejected { reason: why, retry_after: pause } => {
-                (opensearch::refused(why, pause), false)
+                (opensearch::rejection_response(why, pause), false)
             }
             QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
-                (Fault::new(500, "search_phase_execution_exception", reason).response(), true)
+                (SearchError::new(500, "search_phase_execution_exception", reason).response(), true)
             }
             QueryOutcome::Answered { values, .. } => {
-                let merged =
-                    opensearch::merge(&search, values.iter().map(|(shard, value)| (shard.0, &**value)));
+                let merged = opensearch::merge_results(
+                    &search,
+                    values.iter().map(|(shard, value)| (shard.0, &**value)),
+                );
                 let took = self.clock.now().since(from);
                 let page = self.first_page(search, merged, &owner, took, shards, values.len());
                 (page.unwrap_or_else(|fault| fault.response()), true)
@@ -176,17 +182,17 @@
     fn first_page(
         &self,
         search: Search,
-        merged: Merged,
+        merged: MergedResult,
         owner: &str,
         took: Duration,
         shards: usize,
         served: usize,
-    ) -> Result<Response, Fault> {
+    ) -> Result<Response, SearchError> {
         let end = merged.hits.len().min(search.from + search.size);
         let mut page = merged.page(&merged.hits[search.from.min(end)..end], took, shards, served);
         if let Some(keep) = search.scroll {
             if !merged.complete || served < shards {
-                return Err(Fault::illegal(format!(
+                return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
                     self.names.window
                 )));
@@ -201,27 +207,27 @@
                 bytes,
             );
             let name =
-                held.map_err(|full| Fault::new(429, "rejected_execution_exception", full.to_string()))?;
+                held.map_err(|full| SearchError::new(429, "rejected_execution_exception", full.to_string()))?;
             page["_scroll_id"] = json!(format!("{name}-{end}"));
         }
         Ok(Response::json(200, page.to_string()))
     }
 
     /// A further page. Its id names the place where it begins, so that asking again brings the same page.
-    fn scroll(&self, request: &Request) -> Result<Response, Fault> {
+    fn scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         let body = json_body(request)?;
         let id = body
             .get("scroll_id")
             .and_then(Value::as_str)
-            .ok_or_else(|| Fault::illegal("scroll_id is missing"))?;
-        let keep = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::time)) {
-            Some(None) => return Err(Fault::illegal("failed to parse [scroll]")),
+            .ok_or_else(|| SearchError::illegal_argument("scroll_id is missing"))?;
+        let keep = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::parse_duration)) {
+            Some(None) => return Err(SearchError::illegal_argument("failed to parse [scroll]")),
             Some(Some(keep)) => Some(keep.min(LONGEST_HELD)),
             None => None,
         };
         let missing = || {
-            Fault::new(
+            SearchError::new(
                 404,
                 "search_context_missing_exception",
                 format!("no search context found for id [{id}]"),
@@ -239,13 +245,13 @@
         Ok(Response::json(200, page.to_string()))
     }
 
-    fn clear_scroll(&self, request: &Request) -> Result<Response, Fault> {
+    fn clear_scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         let body = json_body(request)?;
         let ids = match body.get("scroll_id") {
             Some(Value::String(id)) => vec![id.as_str()],
             Some(Value::Array(ids)) => ids.iter().filter_map(Value::as_str).collect(),
-            _ => return Err(Fault::illegal("scroll_id is missing")),
+            _ => return Err(SearchError::illegal_argument("scroll_id is missing")),
         };
         let now = self.clock.now();
         let names = ids.iter().map(|id| id.rsplit_once('-').map_or(*id, |id| id.0));
@@ -254,7 +260,7 @@
         Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
     }
 
-    fn issue_key(&self, request: &Request) -> Result<Response, Fault> {
+    fn issue_key(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         match self.idempotency.borrow_mut().issue(self.clock.now(), &owner) {
             Ok(key) => {
@@ -262,14 +268,14 @@
                 Ok(Response::json(200, json!({"key": key, "expires_in_ms": ms}).to_string()))
             }
             Err(full) => {
-                let fault = Fault::new(429, "rejected_execution_exception", full.to_string());
-                Ok(fault.response().with("Retry-After", FULL_PAUSE.as_secs().to_string()))
+                let fault = SearchError::new(429, "rejected_execution_exception", full.to_string());
+                Ok(fault.response().with_header("Retry-After", FULL_PAUSE.as_secs().to_string()))
             }
         }
     }
 
-    fn caller(&self, request: &Request) -> Result<(String, Option<TenantId>), Fault> {
-        let forbidden = |reason: &str| Fault::new(403, "security_exception", reason);
+    fn caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
+        let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
             caller if self.names.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
             None => Err(forbidden("X-Opaque-Id is missing: it names the caller")),
@@ -280,14 +286,14 @@
         }
     }
 
-    fn check(&self, index: &str, request: &Request) -> Result<Checked, Fault> {
+    fn check(&self, index: &str, request: &Request) -> Result<Checked, SearchError> {
         let class = self.names.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
-            Fault::new(404, "index_not_found_exception", format!("no such index [{index}]"))
+            SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
         })?;
         let (owner, tenant) = self.caller(request)?;
-        let search = Search::read(request, self.names.window)?;
-        let text = search.forwarded();
+        let search = Search::parse(request, self.names.window)?;
+        let text = search.shard_request_body();
         let digest = xxh3_64(
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
         );
@@ -297,7 +303,7 @@
             (settings.shards, settings.classes.get(class.0).cloned())
         });
         let contract =
-            contract.ok_or_else(|| Fault::new(500, "illegal_state_exception", "the class is lost"))?;
+            contract.ok_or_else(|| SearchError::new(500, "illegal_state_exception", "the class is lost"))?;
         let parts = (0..shards).map(|shard| QueryPart {
             shard: ShardId(shard),
             weight: 1.0 / f64::from(shards),
@@ -319,7 +325,7 @@
         Ok(Checked { search, ask, owner, once: contract.idempotency != Idempotency::Idempotent, digest })
     }
 
-    async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, Fault> {
+    async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, SearchError> {
         let path = request.path.trim_start_matches('/');
         match (request.method.as_str(), path.split_once('/').unwrap_or((path, ""))) {
             ("GET", ("_health", "")) => Ok(self.health()),
@@ -328,12 +334,12 @@
             ("POST" | "GET", ("_search", "scroll")) => self.scroll(request),
             ("DELETE", ("_search", "scroll")) => self.clear_scroll(request),
             ("POST" | "GET", (index, "_search")) => self.search(index, request).await,
-            (method, (_, "_search" | "scroll" | "idempotency_keys")) => Err(Fault::new(
+            (method, (_, "_search" | "scroll" | "idempotency_keys")) => Err(SearchError::new(
                 405,
                 "method_not_allowed_exception",
                 format!("incorrect HTTP method for uri [{}]: [{method}]", request.path),
             )),
-            _ => Err(Fault::illegal(format!("no handler found for uri [{}]", request.path))),
+            _ => Err(SearchError::illegal_argument(format!("no handler found for uri [{}]", request.path))),
         }
     }
 
@@ -343,8 +349,8 @@
     }
 }
 
-fn json_body(request: &Request) -> Result<Value, Fault> {
-    serde_json::from_slice(&request.body).map_err(|error| Fault::parsing(error.to_string()))
+fn json_body(request: &Request) -> Result<Value, SearchError> {
+    serde_json::from_slice(&request.body).map_err(|error| SearchError::parsing(error.to_string()))
 }
 
 impl Front for Rc<OpenSearch> {
@@ -357,12 +363,12 @@
 
     fn malformed(&self, error: Malformed) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
-        Fault::new(error.status(), "parsing_exception", error.to_string()).response()
+        SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
     fn crowded(&self, _: Option<&Request>) -> Response {
         let pause = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
-        opensearch::refused(Rejection::AtCapacity, pause)
+        opensearch::rejection_response(Rejection::AtCapacity, pause)
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -67,7 +67,7 @@
     }
 
     fn figures(&self) -> Response {
-        let mut lines = statsd::Lines::new("gatherer");
+        let mut lines = statsd::MetricLines::new("gatherer");
         self.broker.with_core(|core| {
             for (class, ends) in core.contracts().classes.iter().zip(core.class_counts()) {
                 lines.count(&["succeeded", class], ends.succeeded);
@@ -124,7 +124,7 @@
 }
 
 fn only(method: &'static str) -> Response {
-    Response::text(405, format!("only {method}")).with("Allow", method)
+    Response::text(405, format!("only {method}")).with_header("Allow", method)
 }
 
 impl OperatorApi for Operators {
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -23,7 +23,7 @@
 
 impl Platform {
     async fn query(&self, request: &Request) -> Response {
-        let ask = match self.broker.with_core(|core| platform::ask(request, core.contracts())) {
+        let ask = match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
             Ok(ask) => ask,
             Err(invalid) => {
                 self.broker.with_core(|core| core.counters.malformed += 1);
@@ -33,14 +33,14 @@
         if !self.gate.stage().accepts_queries() {
             self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
             let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
-            return platform::refusal(longest.map(|longest| longest.min(STOPPING_PAUSE)));
+            return platform::rejection_response(longest.map(|longest| longest.min(STOPPING_PAUSE)));
         }
         if self.broker.with_core(|core| core.has_open_query(&ask.label)) {
             // Guards the parts of the query that has this id: the two could not be told apart at the workers.
             self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
-        platform::answer(&self.broker.submit(ask).await)
+        platform::outcome_response(&self.broker.submit(ask).await)
     }
 
     fn health(&self) -> Response {
@@ -59,8 +59,8 @@
             ("POST", "/api") => self.query(&request).await,
             ("GET", "/_health") => self.health(),
             ("GET", "/_counters") => Response::text(200, counts(&self.broker, &self.gate)),
-            (_, "/api") => Response::text(405, "only POST").with("Allow", "POST"),
-            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with("Allow", "GET"),
+            (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
+            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with_header("Allow", "GET"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
         }
     }
@@ -79,7 +79,7 @@
                 core.reject_unread(class);
             }
         });
-        platform::refusal(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
+        platform::rejection_response(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -121,7 +121,7 @@
         let known = match json.get("known") {
             None | Some(Value::Null) => None,
             Some(list) => Some(
-                discovery::listing(list.to_string().as_bytes())
+                discovery::decode_endpoint_list(list.to_string().as_bytes())
                     .map_err(|error| Faulty::new("known", error.to_string()))?,
             ),
         };
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -4,7 +4,7 @@
 use super::operator::Membership;
 use super::recording::Recording;
 use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
-use crate::protocol::gossip::Seal;
+use crate::protocol::gossip::ClusterKey;
 use crate::protocol::http;
 use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock};
@@ -74,7 +74,7 @@
     };
     let (seeds, most) = (wanted.seeds.clone(), wanted.most);
     let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
-    let seal = Seal::new(&wanted.cluster, &wanted.secret);
+    let seal = ClusterKey::new(&wanted.cluster, &wanted.secret);
     let told = Told { broker: broker.clone(), recording: recording.clone() };
     Some(Members::new(node, seal, clock, wanted.listen, most, Box::new(told)))
 }
@@ -83,10 +83,10 @@
 pub fn ask(operator: SocketAddr, json: bool) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&operator, CALL)?;
     stream.set_read_timeout(Some(CALL))?;
-    stream.write_all(&http::request("GET", "/-/members", &operator.to_string(), None))?;
+    stream.write_all(&http::encode_request("GET", "/-/members", &operator.to_string(), None))?;
     let (mut buffer, mut bytes) = (BytesMut::new(), [0; 4096]);
     let response = loop {
-        let taken = http::take_response(&mut buffer, 64 * http::MOST_BODY)
+        let taken = http::take_response(&mut buffer, 64 * http::MAX_BODY_BYTES)
             .map_err(|error| io::Error::other(error.to_string()))?;
         if let Some(response) = taken {
             break response;
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -223,7 +223,7 @@
                 Some("pull") => ReportSource::HealthChecks,
                 _ => ReportSource::None,
             },
-            report_fields: self.names("report.fields").iter().map(|name| frame::field(name)).collect(),
+            report_fields: self.names("report.fields").iter().map(|name| frame::report_field(name)).collect(),
             sizes_comparable: self.text("weights").is_some_and(|weights| weights != "silent"),
             cold_capacity_fraction: self.number("rules.cold-share")?.unwrap_or(1.0),
             warm_up: self.span("rules.warm-up")?.unwrap_or_default(),
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -4,7 +4,7 @@
 use super::process::Allowed;
 use crate::fronts::operators::{Change, Pair};
 use crate::limits::DescriptorClass;
-use crate::protocol::handover::{Message, State};
+use crate::protocol::handover::{Message, TakeoverState};
 use crate::routing::{Broker, Clock, Invariant};
 use crate::service::lifecycle::LifecycleRequest;
 use crate::service::{LifecycleState, Takeover};
@@ -48,7 +48,7 @@
     /// Another upgrade is under way.
     Waits,
     /// It passes this on, with its listening socket.
-    HandsOver(Box<State>, TcpListener, Relay),
+    HandsOver(Box<TakeoverState>, TcpListener, Relay),
     /// Its listening socket came, and nothing else that can be used: it is of another version.
     SocketAlone(TcpListener, String),
     /// It is there, as far as can be told, and cannot be heard.
@@ -179,7 +179,7 @@
             Ok(Err(error)) => return Asked::Unheard(error.to_string()),
             Err(_) => return Asked::Unheard("it takes no connection".to_owned()),
         };
-        let join = Message::Join { listen: self.listen.to_string() };
+        let join = Message::TakeoverRequest { listen: self.listen.to_string() };
         let asked = async {
             match relay.send(&join).await {
                 Ok(()) => relay.receive_with().await,
@@ -191,9 +191,9 @@
         };
         let listener = socket.and_then(|socket| self.inherit(socket));
         match (said, listener) {
-            (Ok(Message::State(state)), Some(listener)) => Asked::HandsOver(state, listener, relay),
-            (Ok(Message::State(_)), None) => Asked::Unheard("its socket did not come".to_owned()),
-            (Ok(Message::Busy), _) => Asked::Waits,
+            (Ok(Message::TakeoverState(state)), Some(listener)) => Asked::HandsOver(state, listener, relay),
+            (Ok(Message::TakeoverState(_)), None) => Asked::Unheard("its socket did not come".to_owned()),
+            (Ok(Message::TakeoverInProgress), _) => Asked::Waits,
             (Ok(other), Some(listener)) => Asked::SocketAlone(listener, format!("unexpected {other:?}")),
             (Ok(other), None) => Asked::Unheard(format!("unexpected {other:?}")),
             (Err(lost), Some(listener)) => Asked::SocketAlone(listener, lost.to_string()),
@@ -202,9 +202,12 @@
     }
 
     /// Takes over what a predecessor passed on, and follows it.
-    async fn succeed(self: &Rc<Self>, state: State, relay: Relay) {
-        let passed =
-            format!("{} workers, {} out by hand", state.list.workers.len(), state.bans.names().count());
+    async fn succeed(self: &Rc<Self>, state: TakeoverState, relay: Relay) {
+        let passed = format!(
+            "{} workers, {} out by hand",
+            state.list.workers.len(),
+            state.disabled_workers.names().count()
+        );
         let (upgrade, tell) = (self.clone(), self.connect());
         self.apply(state);
         self.succession.borrow_mut().begin_as_successor();
@@ -224,9 +227,9 @@
         TcpListener::from_std(listener).ok()
     }
 
-    fn apply(&self, state: State) {
+    fn apply(&self, state: TakeoverState) {
         let now = self.clock.now();
-        self.broker.with_core(|core| core.take_over(now, &state.list, state.bans, state.learned));
+        self.broker.with_core(|core| core.take_over(now, &state.list, state.disabled_workers, state.learned));
         if state.drained {
             // It serves, so it cannot be refused.
             let _ = self.gate.call(LifecycleRequest::Drain);
@@ -383,7 +386,7 @@
     /// Hears what one that connected wants; its connection, if it is the successor from now on.
     async fn admit(&self, mut relay: Relay) -> Option<Relay> {
         let asked = match timeout(ANSWER, relay.receive()).await {
-            Ok(Ok(Message::Join { listen })) if listen == self.listen.to_string() => Ok(()),
+            Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
             Ok(Ok(other)) => Err(format!("{other:?}")),
             Ok(Err(lost)) => Err(lost.to_string()),
             Err(_) => Err("it says nothing".to_owned()),
@@ -396,7 +399,7 @@
             return Some(relay);
         }
         // Whether it hears it or not, it has to wait.
-        let _ = timeout(ANSWER, relay.send(&Message::Busy)).await;
+        let _ = timeout(ANSWER, relay.send(&Message::TakeoverInProgress)).await;
         None
     }
 
@@ -405,13 +408,13 @@
         log::info!("upgrade: a successor has started");
         self.share().await;
         let told = self.connect();
-        let state = self.broker.with_core(|core| State {
+        let state = self.broker.with_core(|core| TakeoverState {
             list: core.endpoint_list(),
-            bans: core.disabled_workers().clone(),
+            disabled_workers: core.disabled_workers().clone(),
             drained: matches!(self.gate.stage(), LifecycleState::Draining | LifecycleState::Drained),
             learned: core.policy_snapshot(),
         });
-        let message = Message::State(Box::new(state));
+        let message = Message::TakeoverState(Box::new(state));
         let listener = self.listener.borrow().clone();
         let sent = async {
             match &listener {
@@ -458,8 +461,8 @@
 
     fn obey(&self, message: Message) {
         match message {
-            Message::Out { worker } => self.broker.set_worker_disabled_by_peer(&worker, true),
-            Message::Back { worker } => self.broker.set_worker_disabled_by_peer(&worker, false),
+            Message::WorkerDisabled { worker } => self.broker.set_worker_disabled_by_peer(&worker, true),
+            Message::WorkerEnabled { worker } => self.broker.set_worker_disabled_by_peer(&worker, false),
             Message::Serving => {
                 log::info!("upgrade: the successor serves");
                 self.succession.borrow_mut().on_successor_serving();
@@ -475,7 +478,7 @@
                 self.succession.borrow_mut().on_peer_stopping();
                 self.hurry.notify_one();
             }
-            Message::Join { .. } | Message::Busy | Message::State(_) => {
+            Message::TakeoverRequest { .. } | Message::TakeoverInProgress | Message::TakeoverState(_) => {
                 log::warn!("upgrade: unexpected {message:?}");
             }
         }
@@ -497,8 +500,8 @@
 
     fn tell(&self, change: Change<'_>) {
         let change = match change {
-            Change::Out(worker) => Message::Out { worker: worker.to_owned() },
-            Change::Back(worker) => Message::Back { worker: worker.to_owned() },
+            Change::Out(worker) => Message::WorkerDisabled { worker: worker.to_owned() },
+            Change::Back(worker) => Message::WorkerEnabled { worker: worker.to_owned() },
             Change::Drained => Message::Drain,
             Change::Resumed => Message::Resume,
         };
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -40,7 +40,7 @@
 }
 
 /// The path of the whole list, or of a watch for what is newer than `after`.
-pub fn path(watch: Option<(u64, u64)>) -> String {
+pub fn endpoint_list_target(watch: Option<(u64, u64)>) -> String {
     match watch {
         None => "/catalog/members".to_owned(),
         Some((after, wait_ms)) => format!("/catalog/members?index={after}&wait={wait_ms}"),
@@ -48,7 +48,7 @@
 }
 
 /// Reads a list.
-pub fn listing(bytes: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
+pub fn decode_endpoint_list(bytes: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
     let list: List = serde_json::from_slice(bytes)?;
     let member = |entry: Entry| ListedWorker {
         name: entry.id,
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -23,9 +23,9 @@
 
 /// What a worker says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Incoming {
+pub enum WorkerMessage {
     /// A part has ended.
-    Answer {
+    PartFinished {
         /// The part's id.
         id: String,
         /// How.
@@ -36,7 +36,7 @@
         report: Option<LoadReport>,
     },
     /// The frame before could not be used; the worker closes the connection.
-    Rejected(String),
+    CallRejected(String),
 }
 
 /// The id of a part on the wire.
@@ -54,7 +54,7 @@
 }
 
 /// One call for these parts, as it is told to a worker at this time.
-pub fn call(parts: &[Dispatch], now: Time) -> Bytes {
+pub fn encode_call(parts: &[Dispatch], now: Time) -> Bytes {
     let mut rest = BytesMut::new();
     for part in parts {
         let (id, wait) = (part_id(&part.label, part.shard.0), part.time_left(now).as_millis());
@@ -65,12 +65,15 @@
 }
 
 /// Gives a part up.
-pub fn give_up(id: &str) -> Bytes {
+pub fn encode_cancel(id: &str) -> Bytes {
     frame(b'n', &[id.as_bytes()])
 }
 
 /// Takes one whole frame off the front of the buffer; `None` while it is not all there.
-pub fn take(buffer: &mut BytesMut, fields: &[ReportField]) -> Result<Option<Incoming>, Malformed> {
+pub fn take_message(
+    buffer: &mut BytesMut,
+    fields: &[ReportField],
+) -> Result<Option<WorkerMessage>, Malformed> {
     let Some(length) = buffer.first_chunk::<4>().map(|bytes| u32::from_le_bytes(*bytes) as usize) else {
         return Ok(None);
     };
@@ -89,12 +92,12 @@
     let rest = buffer.split_to(length - 1);
     match letter {
         b'q' => answer(&rest, fields).map(Some),
-        b'r' => Ok(Some(Incoming::Rejected(String::from_utf8_lossy(&rest).into_owned()))),
+        b'r' => Ok(Some(WorkerMessage::CallRejected(String::from_utf8_lossy(&rest).into_owned()))),
         other => Err(Malformed::Kind(char::from(other))),
     }
 }
 
-fn answer(rest: &[u8], fields: &[ReportField]) -> Result<Incoming, Malformed> {
+fn answer(rest: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, Malformed> {
     let line = rest.iter().position(|byte| *byte == b'\n').ok_or(Malformed::Line("no end of line"))?;
     let text = std::str::from_utf8(&rest[..line]).map_err(|_| Malformed::Line("not UTF-8"))?;
     let mut words = text.split(' ');
@@ -115,7 +118,12 @@
     }
     // Guards against losing a good answer for a load report that cannot be read.
     let report = report(load, fields);
-    Ok(Incoming::Answer { id: id.to_owned(), outcome, value: Bytes::copy_from_slice(value), report })
+    Ok(WorkerMessage::PartFinished {
+        id: id.to_owned(),
+        outcome,
+        value: Bytes::copy_from_slice(value),
+        report,
+    })
 }
 
 /// A load report by name, put in the order of the settings; `None` where there is none, or none that can be read.
@@ -124,7 +132,7 @@
     for item in text.split(',') {
         let (name, value) = item.split_once('=')?;
         let value = value.parse::<f64>().ok().filter(|value| value.is_finite())?;
-        let known = field(name);
+        let known = report_field(name);
         if let Some(at) = fields.iter().position(|field| *field == known && known != ReportField::Unknown) {
             row[at] = Some(value);
         }
@@ -133,7 +141,7 @@
 }
 
 /// The value that a report calls by this name, in the words of sockets or of the simulator.
-pub fn field(name: &str) -> ReportField {
+pub fn report_field(name: &str) -> ReportField {
     match name {
         "util" | "busy" => ReportField::Busy,
         "inflight" | "rif" => ReportField::InFlight,
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -9,7 +9,7 @@
 /// Header fields of one message.
 const MOST_FIELDS: usize = 64;
 /// The longest body of the platform's protocol.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -109,7 +109,7 @@
     /// Further header fields.
     pub headers: Vec<(&'static str, String)>,
     /// What the body is.
-    pub content: &'static str,
+    pub content_type: &'static str,
     /// Its body.
     pub body: Bytes,
 }
@@ -118,14 +118,14 @@
     /// A line of text for people.
     pub fn text(status: u16, text: impl Into<String>) -> Response {
         let body = Bytes::from(text.into() + "\n");
-        Response { status, headers: Vec::new(), content: "text/plain; charset=utf-8", body }
+        Response { status, headers: Vec::new(), content_type: "text/plain; charset=utf-8", body }
     }
     /// A JSON body.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Response {
-        Response { status, headers: Vec::new(), content: "application/json", body: body.into() }
+        Response { status, headers: Vec::new(), content_type: "application/json", body: body.into() }
     }
     /// Adds a header field.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Response {
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Response {
         self.headers.push((name, value.into()));
         self
     }
@@ -135,7 +135,7 @@
         for (name, value) in &self.headers {
             line(&mut head, name, value);
         }
-        line(&mut head, "Content-Type", self.content);
+        line(&mut head, "Content-Type", self.content_type);
         line(&mut head, "Content-Length", &self.body.len().to_string());
         if close {
             line(&mut head, "Connection", "close");
@@ -176,7 +176,7 @@
 }
 
 /// A request of our own.
-pub fn request(method: &str, target: &str, host: &str, body: Option<&[u8]>) -> Bytes {
+pub fn encode_request(method: &str, target: &str, host: &str, body: Option<&[u8]>) -> Bytes {
     let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     if let Some(body) = body {
         line(&mut head, "Content-Type", "application/json");
@@ -217,7 +217,7 @@
         (length, Request { method, path, query, headers, body, keep_alive, waited })
     })?;
     let Some((length, mut request)) = read else { return Ok(None) };
-    let Some((body, end)) = body(&request.headers, &buffer[length..], MOST_BODY, Some(0))? else {
+    let Some((body, end)) = body(&request.headers, &buffer[length..], MAX_BODY_BYTES, Some(0))? else {
         return Ok(None);
     };
     request.body = body;
@@ -236,7 +236,7 @@
 
 /// A response as it came in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Incoming {
+pub struct ReceivedResponse {
     /// Its status.
     pub status: u16,
     /// Its header.
@@ -248,16 +248,19 @@
 }
 
 /// Takes one whole response off the front of the buffer; `None` while it is not all there.
-pub fn take_response(buffer: &mut BytesMut, most: usize) -> Result<Option<Incoming>, Malformed> {
+pub fn take_response(buffer: &mut BytesMut, most: usize) -> Result<Option<ReceivedResponse>, Malformed> {
     response(buffer, most, false)
 }
 
 /// The same once the other side has ended the connection: a body without a length lasts until then. A reset is no end.
-pub fn take_last_response(buffer: &mut BytesMut, most: usize) -> Result<Option<Incoming>, Malformed> {
+pub fn take_response_at_eof(
+    buffer: &mut BytesMut,
+    most: usize,
+) -> Result<Option<ReceivedResponse>, Malformed> {
     response(buffer, most, true)
 }
 
-fn response(buffer: &mut BytesMut, most: usize, ended: bool) -> Result<Option<Incoming>, Malformed> {
+fn response(buffer: &mut BytesMut, most: usize, ended: bool) -> Result<Option<ReceivedResponse>, Malformed> {
     let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
     let status = parsed.parse(buffer);
@@ -277,7 +280,7 @@
     let Some((body, end)) = read else { return Ok(None) };
     buffer.advance(length + end);
     let keep_alive = (framed || empty.is_some()) && modern && !headers.lists("Connection", "close");
-    Ok(Some(Incoming { status, headers, body, keep_alive }))
+    Ok(Some(ReceivedResponse { status, headers, body, keep_alive }))
 }
 
 /// The body at the front of `rest` and how many bytes it takes up; `None` while it is not all there.
--- a/src/protocol/opensearch.rs
+++ b/src/protocol/opensearch.rs
@@ -29,7 +29,7 @@
 /// A request that is answered with an error of this shape.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{kind}: {reason}")]
-pub struct Fault {
+pub struct SearchError {
     /// Its status.
     pub status: u16,
     /// The type of the error.
@@ -38,18 +38,18 @@
     pub reason: String,
 }
 
-impl Fault {
+impl SearchError {
     /// A fault of the request's own.
-    pub fn illegal(reason: impl Into<String>) -> Fault {
-        Fault { status: 400, kind: "illegal_argument_exception", reason: reason.into() }
+    pub fn illegal_argument(reason: impl Into<String>) -> SearchError {
+        SearchError { status: 400, kind: "illegal_argument_exception", reason: reason.into() }
     }
     /// A body that cannot be read.
-    pub fn parsing(reason: impl Into<String>) -> Fault {
-        Fault { status: 400, kind: "parsing_exception", reason: reason.into() }
+    pub fn parsing(reason: impl Into<String>) -> SearchError {
+        SearchError { status: 400, kind: "parsing_exception", reason: reason.into() }
     }
     /// Any other.
-    pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> Fault {
-        Fault { status, kind, reason: reason.into() }
+    pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> SearchError {
+        SearchError { status, kind, reason: reason.into() }
     }
     /// Its response.
     pub fn response(&self) -> Response {
@@ -61,19 +61,19 @@
 }
 
 /// The response to a query that was refused: nothing has run.
-pub fn refused(why: Rejection, pause: Option<Duration>) -> Response {
+pub fn rejection_response(why: Rejection, pause: Option<Duration>) -> Response {
     let (status, reason) = match why {
         Rejection::Declined => (429, "not served in time; trying again is harmless"),
         Rejection::AtCapacity => (429, "as many searches as may be are open; try again"),
         Rejection::ShuttingDown => (503, "this gatherer is stopping; try again"),
     };
     let seconds = pause.unwrap_or_default().as_secs_f64().ceil().max(1.0);
-    let fault = Fault::new(status, "rejected_execution_exception", reason);
-    fault.response().with("Retry-After", format!("{seconds:.0}"))
+    let fault = SearchError::new(status, "rejected_execution_exception", reason);
+    fault.response().with_header("Retry-After", format!("{seconds:.0}"))
 }
 
 /// A time such as `500ms`, `30s` or `1m`.
-pub fn time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let unit = text.find(|letter: char| !letter.is_ascii_digit())?;
     let count: u64 = text[..unit].parse().ok()?;
     let ms = match &text[unit..] {
@@ -112,21 +112,23 @@
 
 impl Search {
     /// Reads a search. A shard sends at most `window` hits.
-    pub fn read(request: &Request, window: usize) -> Result<Search, Fault> {
+    pub fn parse(request: &Request, window: usize) -> Result<Search, SearchError> {
         let named = request.query.split('&').filter(|pair| !pair.is_empty());
         for name in named.map(|pair| pair.split_once('=').map_or(pair, |pair| pair.0)) {
             if !PARAMETERS.contains(&name) {
-                return Err(Fault::illegal(format!("request contains unrecognized parameter: [{name}]")));
+                return Err(SearchError::illegal_argument(format!(
+                    "request contains unrecognized parameter: [{name}]"
+                )));
             }
         }
         let mut body = match serde_json::from_slice(&request.body) {
             _ if request.body.is_empty() => Map::new(),
             Ok(Value::Object(body)) => body,
-            Ok(_) => return Err(Fault::parsing("the body is no object")),
-            Err(error) => return Err(Fault::parsing(error.to_string())),
+            Ok(_) => return Err(SearchError::parsing("the body is no object")),
+            Err(error) => return Err(SearchError::parsing(error.to_string())),
         };
         if let Some(key) = UNSUPPORTED.iter().find(|key| body.contains_key(**key)) {
-            return Err(Fault::illegal(format!("[{key}] is not served here")));
+            return Err(SearchError::illegal_argument(format!("[{key}] is not served here")));
         }
         let count = |body: &mut Map<String, Value>, name: &str, usual: usize| {
             let given = request.parameter(name).map(|text| text.parse().ok());
@@ -135,28 +137,29 @@
             given
                 .or(inside)
                 .unwrap_or(Some(usual))
-                .ok_or_else(|| Fault::illegal(format!("[{name}] is no count")))
+                .ok_or_else(|| SearchError::illegal_argument(format!("[{name}] is no count")))
         };
         let from = count(&mut body, "from", 0)?;
         let size = count(&mut body, "size", SIZE)?;
         if from.saturating_add(size) > window {
-            return Err(Fault::illegal(format!(
+            return Err(SearchError::illegal_argument(format!(
                 "result window is too large: from + size must be <= [{window}]"
             )));
         }
         let span = |name: &str, text: Option<&str>| match text {
             None => Ok(None),
-            Some(text) => time(text)
-                .filter(|span| !span.is_zero())
-                .map(Some)
-                .ok_or_else(|| Fault::illegal(format!("failed to parse [{name}] with value [{text}]"))),
+            Some(text) => parse_duration(text).filter(|span| !span.is_zero()).map(Some).ok_or_else(|| {
+                SearchError::illegal_argument(format!("failed to parse [{name}] with value [{text}]"))
+            }),
         };
         let inside = body.remove("timeout");
         let timeout =
             span("timeout", request.parameter("timeout").or(inside.as_ref().and_then(Value::as_str)))?;
         let scroll = span("scroll", request.parameter("scroll"))?;
         if scroll.is_some() && (from > 0 || size == 0) {
-            return Err(Fault::illegal("a scroll starts at the first hit and has pages of one hit at least"));
+            return Err(SearchError::illegal_argument(
+                "a scroll starts at the first hit and has pages of one hit at least",
+            ));
         }
         let (order, sort, shown) = order(body.remove("sort"))?;
         body.insert("sort".to_owned(), Value::Array(sort));
@@ -166,13 +169,13 @@
     }
 
     /// What each shard is sent.
-    pub fn forwarded(&self) -> Vec<u8> {
+    pub fn shard_request_body(&self) -> Vec<u8> {
         Value::Object(self.body.clone()).to_string().into_bytes()
     }
 }
 
 /// Reads `sort`: how to compare, what to send, and how many of its values the client is shown.
-fn order(asked: Option<Value>) -> Result<(Vec<SortKey>, Vec<Value>, usize), Fault> {
+fn order(asked: Option<Value>) -> Result<(Vec<SortKey>, Vec<Value>, usize), SearchError> {
     let items = match asked {
         None | Some(Value::Null) => Vec::new(),
         Some(Value::Array(items)) => items,
@@ -189,14 +192,16 @@
                 let (name, how) = fields.iter().next().unzip();
                 (name.cloned().unwrap_or_default(), how)
             }
-            _ => return Err(Fault::parsing("[sort] is a list of fields, each with its order")),
+            _ => return Err(SearchError::parsing("[sort] is a list of fields, each with its order")),
         };
         let word = how.and_then(|how| how.as_str().or_else(|| how.get("order")?.as_str()));
         let descending = match word {
             Some("desc") => true,
             Some("asc") => false,
             None => name == "_score",
-            Some(other) => return Err(Fault::illegal(format!("[sort] has no order [{other}]"))),
+            Some(other) => {
+                return Err(SearchError::illegal_argument(format!("[sort] has no order [{other}]")));
+            }
         };
         let missing = how.and_then(|how| how.get("missing")?.as_str());
         keys.push(SortKey { descending, missing_first: missing == Some("_first") });
@@ -261,13 +266,13 @@
 }
 
 /// Whether a server's response is the whole and sorted result of its shard.
-pub fn is_result(bytes: &[u8]) -> bool {
+pub fn is_complete_result(bytes: &[u8]) -> bool {
     result(bytes).is_some()
 }
 
 /// Results of several shards in one order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Merged {
+pub struct MergedResult {
     /// The hits, as clients see them.
     pub hits: Vec<Value>,
     /// Every shard sent all the hits that it has.
@@ -278,8 +283,8 @@
 }
 
 /// Merges the results of shards, each given with its number.
-pub fn merge<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> Merged {
-    let mut merged = Merged { complete: true, exact: true, ..Merged::default() };
+pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
+    let mut merged = MergedResult { complete: true, exact: true, ..MergedResult::default() };
     let mut rows: Vec<(Vec<Value>, u32, Value)> = Vec::new();
     for (shard, bytes) in results {
         let Some(result) = result(bytes) else { continue };
@@ -313,7 +318,7 @@
     merged
 }
 
-impl Merged {
+impl MergedResult {
     /// One page of the result. `of` and `served` count shards.
     pub fn page(&self, hits: &[Value], took: Duration, of: usize, served: usize) -> Value {
         json!({
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's client protocol: `POST /api` to an [`SearchRequest`], and a [`QueryOutcome`] to its answer.
 
-use super::http::{MOST_BODY, Request, Response};
+use super::http::{MAX_BODY_BYTES, Request, Response};
 use crate::policy::ShardId;
 use crate::routing::{Contracts, QueryOutcome, QueryPart, SearchRequest};
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 
 /// Why a request is no query; the text goes to the client.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Invalid {
+pub enum InvalidQuery {
     /// A header field that must be there.
     #[error("{0} is missing")]
     Missing(&'static str),
@@ -57,10 +57,10 @@
 }
 
 /// The query that a request asks.
-pub fn ask(request: &Request, contracts: &Contracts) -> Result<SearchRequest, Invalid> {
+pub fn parse_query(request: &Request, contracts: &Contracts) -> Result<SearchRequest, InvalidQuery> {
     let field = |name: &'static str| request.headers.get(name).filter(|value| !value.is_empty());
-    let must = |name| field(name).ok_or(Invalid::Missing(name));
-    let invalid = |name, what: &str| Invalid::Field(name, what.to_owned());
+    let must = |name| field(name).ok_or(InvalidQuery::Missing(name));
+    let invalid = |name, what: &str| InvalidQuery::Field(name, what.to_owned());
 
     // Guards against fields that say two things: one party could read the first, another the last.
     if let Some(name) = FIELDS.into_iter().find(|name| request.headers.repeats(name)) {
@@ -71,15 +71,16 @@
         return Err(invalid("X-Call-Id", "not a short word"));
     }
     let name = must("X-Call-Class")?;
-    let (class, _) =
-        contracts.class(name).ok_or_else(|| Invalid::Field("X-Call-Class", format!("no class {name:?}")))?;
+    let (class, _) = contracts
+        .class(name)
+        .ok_or_else(|| InvalidQuery::Field("X-Call-Class", format!("no class {name:?}")))?;
     let tenant = match field("X-Caller") {
         _ if contracts.tenants.is_empty() => None,
-        None => return Err(Invalid::Missing("X-Caller")),
+        None => return Err(InvalidQuery::Missing("X-Caller")),
         Some(name) => Some(
             contracts
                 .tenant(name)
-                .ok_or_else(|| Invalid::Field("X-Caller", format!("no tenant {name:?}")))?,
+                .ok_or_else(|| InvalidQuery::Field("X-Caller", format!("no tenant {name:?}")))?,
         ),
     };
     let budget = must("X-Budget-Ms")?.parse::<u64>().ok().filter(|ms| (1..=LONGEST_BUDGET_MS).contains(ms));
@@ -87,11 +88,11 @@
     let route = field("X-Route-Hash");
 
     let body: Body =
-        serde_json::from_slice(&request.body).map_err(|error| Invalid::Body(error.to_string()))?;
+        serde_json::from_slice(&request.body).map_err(|error| InvalidQuery::Body(error.to_string()))?;
     let shards = contracts.settings.shards;
     let mut parts: Vec<QueryPart> = Vec::with_capacity(body.ranges.len());
     for range in body.ranges {
-        let bad = |what: &str| Invalid::Body(format!("range {}: {what}", range.range));
+        let bad = |what: &str| InvalidQuery::Body(format!("range {}: {what}", range.range));
         if range.range >= shards {
             return Err(bad(&format!("there are {shards}")));
         }
@@ -113,7 +114,7 @@
     }
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
     if parts.is_empty() || (sum - 1.0).abs() > 0.01 {
-        return Err(Invalid::Body("the portions of the ranges do not sum to 1".to_owned()));
+        return Err(InvalidQuery::Body("the portions of the ranges do not sum to 1".to_owned()));
     }
     Ok(SearchRequest {
         label: Arc::from(id),
@@ -127,7 +128,7 @@
 }
 
 /// The answer that a verdict makes.
-pub fn answer(verdict: &QueryOutcome) -> Response {
+pub fn outcome_response(verdict: &QueryOutcome) -> Response {
     match verdict {
         QueryOutcome::Answered { complete: whole, values } => {
             let hit = |(shard, value): &(ShardId, Bytes)| {
@@ -141,21 +142,21 @@
             });
             let answer = Answer { total: *whole, answers: hits.collect() };
             match serde_json::to_vec(&answer) {
-                Ok(body) if body.len() <= MOST_BODY => Response::json(200, body),
+                Ok(body) if body.len() <= MAX_BODY_BYTES => Response::json(200, body),
                 Ok(_) => Response::text(502, "the answer is longer than a body may be"),
                 Err(error) => Response::text(500, error.to_string()),
             }
         }
-        QueryOutcome::Rejected { retry_after: pause, .. } => refusal(*pause),
+        QueryOutcome::Rejected { retry_after: pause, .. } => rejection_response(*pause),
         QueryOutcome::Failed => Response::text(504, "not served; it may have run"),
     }
 }
 
 /// A refusal, with the time after which to come back.
-pub fn refusal(pause: Option<Duration>) -> Response {
+pub fn rejection_response(pause: Option<Duration>) -> Response {
     let response = Response::text(503, "refused; trying again is harmless");
     match pause.filter(|pause| !pause.is_zero()) {
-        Some(pause) => response.with("Retry-After", format!("{:.3}", pause.as_secs_f64())),
+        Some(pause) => response.with_header("Retry-After", format!("{:.3}", pause.as_secs_f64())),
         None => response,
     }
 }
--- a/src/protocol/statsd.rs
+++ b/src/protocol/statsd.rs
@@ -2,17 +2,17 @@
 
 use std::fmt::Write;
 
-/// Lines of figures, each under one first name.
+/// MetricLines of figures, each under one first name.
 #[derive(Debug)]
-pub struct Lines {
+pub struct MetricLines {
     first: &'static str,
     text: String,
 }
 
-impl Lines {
+impl MetricLines {
     /// No lines yet.
-    pub fn new(first: &'static str) -> Lines {
-        Lines { first, text: String::new() }
+    pub fn new(first: &'static str) -> MetricLines {
+        MetricLines { first, text: String::new() }
     }
     /// A count since the start.
     pub fn count(&mut self, names: &[&str], value: u64) {
@@ -44,7 +44,7 @@
 
     #[test]
     fn lines_have_statsd_s_form() {
-        let mut lines = Lines::new("gatherer");
+        let mut lines = MetricLines::new("gatherer");
         lines.count(&["succeeded", "seal:rec|ord"], 812);
         lines.gauge(&["outstanding"], 14);
         assert_eq!(lines.text(), "gatherer.succeeded.seal_rec_ord:812|c\ngatherer.outstanding:14|g\n");
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange on a connection of our own.
 
 use super::stream::Stream;
-use crate::protocol::http::{self, Incoming, Malformed};
+use crate::protocol::http::{self, Malformed, ReceivedResponse};
 use bytes::BytesMut;
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -26,7 +26,7 @@
     buffer: &mut BytesMut,
     request: &[u8],
     most: usize,
-) -> Result<Incoming, Broken> {
+) -> Result<ReceivedResponse, Broken> {
     stream.write_all(request).await.map_err(Broken::Unsent)?;
     loop {
         if let Some(response) = http::take_response(buffer, most)? {
@@ -36,7 +36,7 @@
             continue;
         }
         if stream.read_buf(buffer).await.map_err(Broken::Unanswered)? == 0 {
-            if let Some(response) = http::take_last_response(buffer, most)?
+            if let Some(response) = http::take_response_at_eof(buffer, most)?
                 && response.status >= 200
             {
                 return Ok(response);
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -125,7 +125,7 @@
         };
         let left = part.time_left(self.0.broker.now()).as_millis().max(1);
         let target = format!("/{}/_search?preference=_shards:{}&timeout={left}ms", part.label, part.shard.0);
-        let request = http::request("POST", &target, &link.address, Some(&part.payload));
+        let request = http::encode_request("POST", &target, &link.address, Some(&part.payload));
         let mut buffer = BytesMut::new();
         let bytes = Buffered::new(&self.0.places);
         bytes.set(request.len());
@@ -140,7 +140,7 @@
                     self.keep(link, stream, place);
                 }
                 match response.status {
-                    200 if opensearch::is_result(&response.body) => AttemptCompletion {
+                    200 if opensearch::is_complete_result(&response.body) => AttemptCompletion {
                         outcome: AttemptOutcome::Succeeded,
                         value: response.body,
                         load_report: None,
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -30,7 +30,7 @@
 /// How long a newcomer waits at most for one that is leaving, and for its refusal at the door.
 const DOOR: Duration = Duration::from_millis(50);
 /// What a client may have sent ahead of the response that it waits for.
-const MOST_AHEAD: usize = 2 * http::MOST_BODY;
+const MOST_AHEAD: usize = 2 * http::MAX_BODY_BYTES;
 /// Reading takes at most so much at once.
 const READ: usize = 4096;
 
--- a/src/transport/members.rs
+++ b/src/transport/members.rs
@@ -6,7 +6,7 @@
 use crate::membership::{
     Command, ConnectionProbeResult, KnownMember, MemberChange, Message, Node, ObservedState,
 };
-use crate::protocol::gossip::{self, DATAGRAM, Seal, Unusable};
+use crate::protocol::gossip::{self, ClusterKey, GossipError, MAX_DATAGRAM_BYTES};
 use crate::routing::Clock;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -52,7 +52,7 @@
 /// One member's sockets.
 pub struct Members {
     node: RefCell<Node>,
-    seal: Seal,
+    seal: ClusterKey,
     clock: Clock,
     listen: SocketAddr,
     /// The most bytes of a table.
@@ -95,7 +95,7 @@
     /// A member that remembers so many others at most.
     pub fn new(
         node: Node,
-        seal: Seal,
+        seal: ClusterKey,
         clock: Clock,
         listen: SocketAddr,
         most: usize,
@@ -106,7 +106,7 @@
             seal,
             clock,
             listen,
-            most: gossip::table(most),
+            most: gossip::max_table_bytes(most),
             listener,
             told: Cell::new(0),
             refused: RefCell::default(),
@@ -184,10 +184,10 @@
     }
 
     async fn receive(self: Rc<Members>, socket: Rc<UdpSocket>) {
-        let mut bytes = [0; DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv(&mut bytes).await {
-                Ok(length) => match self.seal.datagram(&bytes[..length]) {
+                Ok(length) => match self.seal.decode_datagram(&bytes[..length]) {
                     Ok(message) => self.hear(message),
                     Err(why) => self.refuse(why),
                 },
@@ -203,7 +203,7 @@
         self.came();
     }
 
-    fn refuse(&self, why: Unusable) {
+    fn refuse(&self, why: GossipError) {
         *self.refused.borrow_mut().entry(why.to_string()).or_default() += 1;
     }
 
@@ -257,7 +257,7 @@
             }
             sent
         };
-        let sent = self.seal.close(message).map(send);
+        let sent = self.seal.encode(message).map(send);
         // A datagram that is not sent is one that is lost: the protocol bears it.
         if !matches!(sent, Ok(Ok(_))) {
             *self.refused.borrow_mut().entry("unsent".to_owned()).or_default() += 1;
@@ -320,7 +320,7 @@
     }
 
     async fn tell(&self, stream: &mut Socket<TcpStream>) -> Option<()> {
-        let bytes = self.seal.close(&self.node.borrow().table_message()).ok()?;
+        let bytes = self.seal.encode(&self.node.borrow().table_message()).ok()?;
         let length = u32::try_from(bytes.len()).ok()?;
         stream.write_all(&[&length.to_le_bytes()[..], &bytes].concat()).await.ok()
     }
@@ -329,13 +329,13 @@
         // Who only knocks ends it here.
         let length = stream.read_u32_le().await.ok()? as usize;
         if length > self.most {
-            self.refuse(Unusable::Length);
+            self.refuse(GossipError::Length);
             return None;
         }
         // Grows as bytes come: guards against a length that promises more than is sent.
         let mut bytes = Vec::new();
         stream.take(length as u64).read_to_end(&mut bytes).await.ok()?;
-        self.seal.open(&bytes).map_err(|why| self.refuse(why)).ok()
+        self.seal.decode(&bytes).map_err(|why| self.refuse(why)).ok()
     }
 
     /// What is known, as JSON.
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -1,7 +1,7 @@
 //! Between the two processes of an upgrade: a Unix socket, messages, and the listening socket beside one of them.
 
 use super::socket::Socket;
-use crate::protocol::handover::{self, Message, Unusable};
+use crate::protocol::handover::{self, HandoverError, Message};
 use bytes::BytesMut;
 use rustix::io::retry_on_intr;
 use rustix::net::{
@@ -30,7 +30,7 @@
     Ended(#[from] io::Error),
     /// What it said.
     #[error("{0}")]
-    Unusable(#[from] Unusable),
+    Unusable(#[from] HandoverError),
 }
 
 /// Where the processes of one gatherer find each other: by a file of a private folder, or where that cannot be written
@@ -160,7 +160,7 @@
     /// The next message.
     pub async fn receive(&mut self) -> Result<Message, Lost> {
         loop {
-            if let Some(message) = handover::take(&mut self.buffer)? {
+            if let Some(message) = handover::take_message(&mut self.buffer)? {
                 return Ok(message);
             }
             self.buffer.reserve(READ);
@@ -174,7 +174,7 @@
     pub async fn receive_with(&mut self) -> (Result<Message, Lost>, Option<OwnedFd>) {
         let mut socket = None;
         loop {
-            match handover::take(&mut self.buffer) {
+            match handover::take_message(&mut self.buffer) {
                 Ok(Some(message)) => return (Ok(message), socket),
                 Ok(None) => {}
                 Err(error) => return (Err(error.into()), socket),
--- a/src/transport/watch.rs
+++ b/src/transport/watch.rs
@@ -79,8 +79,8 @@
     let mut buffer = BytesMut::new();
     loop {
         let watch = revision.map(|revision| (revision, wait.as_millis() as u64));
-        let request = http::request("GET", &discovery::path(watch), address, None);
-        let exchange = client::exchange(&mut *stream, &mut buffer, &request, 4 * http::MOST_BODY);
+        let request = http::encode_request("GET", &discovery::endpoint_list_target(watch), address, None);
+        let exchange = client::exchange(&mut *stream, &mut buffer, &request, 4 * http::MAX_BODY_BYTES);
         // Guards against a watch that has fallen silent: what it misses counts as told 2 s after its wait is over, and 6 s
         // after a call that does not wait.
         let longest = if watch.is_some() { wait + SLACK } else { ANSWER };
@@ -90,7 +90,7 @@
             Ok(Err(error)) => return (error.to_string(), false),
             Err(_) => return ("silent".to_owned(), false),
         };
-        match discovery::listing(&response.body) {
+        match discovery::decode_endpoint_list(&response.body) {
             Ok(listing) => {
                 if revision.is_none() || !broker.with_core(|core| core.has_discovery_list()) {
                     let what = if listing.complete { "workers" } else { "changes" };
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -65,8 +65,8 @@
     /// What is to be written of it at this time.
     fn bytes(&self, now: Time) -> Bytes {
         match &self.content {
-            Content::Call(parts) => frame::call(parts, now),
-            Content::GiveUp(id) => frame::give_up(id),
+            Content::Call(parts) => frame::encode_call(parts, now),
+            Content::GiveUp(id) => frame::encode_cancel(id),
             Content::Rest(rest) => rest.clone(),
         }
     }
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -3,7 +3,7 @@
 
 use super::connection::Connection;
 use crate::policy::{ReportField, WorkerId};
-use crate::protocol::frame::{self, Incoming};
+use crate::protocol::frame::{self, WorkerMessage};
 use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
 use crate::transport::failure;
 use crate::transport::places::{Buffered, Places};
@@ -247,11 +247,11 @@
     /// Books every answer that is whole in the buffer.
     fn answers(&mut self) -> Result<(), Disconnect> {
         loop {
-            match frame::take(&mut self.buffer, &self.shared.fields) {
-                Ok(Some(Incoming::Answer { id, outcome, value, report })) => {
+            match frame::take_message(&mut self.buffer, &self.shared.fields) {
+                Ok(Some(WorkerMessage::PartFinished { id, outcome, value, report })) => {
                     self.answer(&id, AttemptCompletion { outcome, value, load_report: report })?;
                 }
-                Ok(Some(Incoming::Rejected(words))) => {
+                Ok(Some(WorkerMessage::CallRejected(words))) => {
                     return Err(Disconnect::Closed(format!("a frame was refused: {words:?}")));
                 }
                 Ok(None) if !self.buffer.is_empty() && self.connection.open_calls() == 0 => {
--- a/tests/common/links.rs
+++ b/tests/common/links.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test file uses its own share of this
 
 use super::process::*;
-use gatherer::protocol::gossip::Seal;
+use gatherer::protocol::gossip::ClusterKey;
 use serde_json::Value;
 use std::collections::HashSet;
 use std::io::{Read, Write};
@@ -182,12 +182,12 @@
 }
 
 fn relay_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<Faults>>) {
-    let seal = Seal::new(CLUSTER, SECRET);
+    let seal = ClusterKey::new(CLUSTER, SECRET);
     thread::spawn(move || {
         let mut bytes = [0; 2048];
         loop {
             let Ok(length) = socket.recv(&mut bytes) else { continue };
-            let sender = seal.datagram(&bytes[..length]).map(|message| number(&message.from.name));
+            let sender = seal.decode_datagram(&bytes[..length]).map(|message| number(&message.from.name));
             let copies = {
                 let faults = faults.lock().expect("sound");
                 let cut = sender.is_ok_and(|from| faults.cuts.contains(&(from, id)));
@@ -237,7 +237,7 @@
         Some([&length[..], &bytes].concat())
     };
     let asked = frame(&mut near)?;
-    let from = number(&Seal::new(CLUSTER, SECRET).open(&asked[4..]).expect("a member's").from.name);
+    let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&asked[4..]).expect("a member's").from.name);
     let cut = |cuts: &HashSet<_>| cuts.contains(&(from, id)) || cuts.contains(&(id, from));
     if cut(&faults.lock().expect("sound").cuts) {
         return None;
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -2,7 +2,7 @@
 //! for events: a line of the log, an answer, a count.
 
 use bytes::BytesMut;
-use gatherer::protocol::http::{self, Incoming};
+use gatherer::protocol::http::{self, ReceivedResponse};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -160,10 +160,10 @@
 }
 
 /// The response to what was asked on this connection; an error where it ended without one.
-pub fn response(stream: &mut TcpStream) -> std::io::Result<Incoming> {
+pub fn response(stream: &mut TcpStream) -> std::io::Result<ReceivedResponse> {
     let mut buffer = BytesMut::new();
     loop {
-        if let Some(response) = http::take_response(&mut buffer, http::MOST_BODY).expect("a response") {
+        if let Some(response) = http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response") {
             return Ok(response);
         }
         fill(stream, &mut buffer)?;
@@ -182,7 +182,7 @@
 /// An operator's call: its status and text.
 pub fn operate(address: &str, method: &str, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("connected");
-    stream.write_all(&http::request(method, path, "x", None)).expect("written");
+    stream.write_all(&http::encode_request(method, path, "x", None)).expect("written");
     let answer = response(&mut stream).expect("an answer");
     (answer.status, String::from_utf8(answer.body.to_vec()).expect("text"))
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -36,7 +36,7 @@
 
 /// A figure of the process, asked for on this connection.
 fn count(watch: &mut TcpStream, name: &str) -> u64 {
-    watch.write_all(&http::request("GET", "/_counters", "x", None)).expect("written");
+    watch.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     let text = response(watch).expect("an answer").body;
     let text = String::from_utf8(text.to_vec()).expect("text");
     let found = text.split_whitespace().find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -27,7 +27,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let end = runtime.block_on(async {
         let mut stream = tokio::net::TcpStream::connect(address).await.expect("connected");
-        let request = http::request("GET", "/list", "x", None);
+        let request = http::encode_request("GET", "/list", "x", None);
         exchange(&mut stream, &mut BytesMut::new(), &request, 100).await
     });
     server.join().expect("it ends");
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -99,7 +99,9 @@
     for number in 0..count {
         stream.write_all(&request(&format!("{name}-{number}"))).expect("written");
         let response = loop {
-            if let Some(response) = http::take_response(&mut buffer, http::MOST_BODY).expect("a response") {
+            if let Some(response) =
+                http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response")
+            {
                 break response;
             }
             let mut bytes = [0; 4096];
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -33,7 +33,7 @@
         Response::text(error.status(), error.to_string())
     }
     fn crowded(&self, _: Option<&Request>) -> Response {
-        Response::text(503, "crowded").with("Retry-After", "1")
+        Response::text(503, "crowded").with_header("Retry-After", "1")
     }
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
         request.headers.get("X-Caller")
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,7 +1,7 @@
 //! The program itself, on loopback sockets: start, one query, SIGTERM, exit.
 
 use bytes::BytesMut;
-use gatherer::protocol::http::{self, Incoming};
+use gatherer::protocol::http::{self, ReceivedResponse};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -53,10 +53,10 @@
     buffer.extend_from_slice(&bytes[..count]);
 }
 
-fn response(stream: &mut TcpStream) -> Incoming {
+fn response(stream: &mut TcpStream) -> ReceivedResponse {
     let mut buffer = BytesMut::new();
     loop {
-        if let Some(response) = http::take_response(&mut buffer, http::MOST_BODY).expect("a response") {
+        if let Some(response) = http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response") {
             return response;
         }
         read(stream, &mut buffer);
@@ -108,7 +108,7 @@
     let (child, address, log) = start(command.env_clear().env("LB_CONFIG", &path).env("LB_DISCOVERY", first));
 
     let mut client = TcpStream::connect(&address).expect("connected");
-    client.write_all(&http::request("GET", "/_health", "x", None)).expect("written");
+    client.write_all(&http::encode_request("GET", "/_health", "x", None)).expect("written");
     assert_eq!(response(&mut client).status, 200);
     let body = r#"{"ranges":[{"range":3,"portion":1.0}],"predicate":"c41e"}"#;
     let head = "POST /api HTTP/1.1\r\nX-Call-Id: a1\r\nX-Call-Class: seal\r\nX-Caller: bank\r\nX-Budget-Ms: 5000\r\n";
@@ -118,7 +118,7 @@
         (answer.status, &*answer.body),
         (200, &br#"{"total":true,"answers":[{"range":3,"blob":"5be2"}]}"#[..])
     );
-    client.write_all(&http::request("GET", "/_counters", "x", None)).expect("written");
+    client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     assert!(response(&mut client).body.starts_with(b"counters: taken=1 "));
 
     // Guards against ending on SIGHUP, and against a faulty file that replaces a good configuration.
@@ -146,7 +146,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
     let (child, address, log) = start(command.env_clear().arg(&path));
     let mut client = TcpStream::connect(&address).expect("connected");
-    client.write_all(&http::request("POST", "/none/_search", "x", Some(b"{}"))).expect("written");
+    client.write_all(&http::encode_request("POST", "/none/_search", "x", Some(b"{}"))).expect("written");
     assert_eq!(response(&mut client).status, 404);
     assert!(stop(child, log).contains("counters: "));
     std::fs::remove_file(path).expect("removed");
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -5,7 +5,7 @@
 use gatherer::limits::{DescriptorAllocator, DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::program::config::Config;
-use gatherer::protocol::handover::{self, Message, State};
+use gatherer::protocol::handover::{self, Message, TakeoverState};
 use gatherer::routing::{
     AttemptCompletion, Command, Core, ListedWorker, QueryPart, SearchRequest, WorkerListUpdate,
 };
@@ -78,21 +78,26 @@
 }
 
 /// What the first passes on, as the second reads it.
-fn passed(core: &Core) -> State {
+fn passed(core: &Core) -> TakeoverState {
     let (list, bans, learned) =
         (core.endpoint_list(), core.disabled_workers().clone(), core.policy_snapshot());
-    let message = Message::State(Box::new(State { list, bans, drained: false, learned }));
+    let message = Message::TakeoverState(Box::new(TakeoverState {
+        list,
+        disabled_workers: bans,
+        drained: false,
+        learned,
+    }));
     let mut bytes = BytesMut::from(&handover::encode(&message).expect("encoded")[..]);
-    match handover::take(&mut bytes) {
-        Ok(Some(Message::State(state))) => *state,
+    match handover::take_message(&mut bytes) {
+        Ok(Some(Message::TakeoverState(state))) => *state,
         other => panic!("{other:?}"),
     }
 }
 
-fn successor(state: State, now: Time) -> Core {
+fn successor(state: TakeoverState, now: Time) -> Core {
     let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
-    core.take_over(now, &state.list, state.bans, state.learned);
+    core.take_over(now, &state.list, state.disabled_workers, state.learned);
     core.step(now);
     core
 }
