--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -4,9 +4,9 @@
 use gatherer::limits::DescriptorBudget;
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::Invariant;
-use gatherer::transport::gate::Gate;
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::listener::{Front, accept};
-use gatherer::transport::places::Places;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -28,8 +28,8 @@
     fn malformed(&self, error: Malformed) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn crowded(&self, _: Option<&Request>) -> Response {
-        Response::text(503, "crowded")
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        Response::text(503, "overloaded")
     }
     fn caller<'a>(&self, _request: &'a Request) -> Option<&'a str> {
         None
@@ -109,9 +109,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
         let plan = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
-        let gate = Gate::new(Places::new(plan, 12 << 20));
+        let gate = ConnectionManager::new(DescriptorPool::new(plan, 12 << 20));
         let tended = gate.clone();
-        tokio::task::spawn_local(async move { tended.tend().await });
+        tokio::task::spawn_local(async move { tended.run_evictions().await });
         tokio::task::spawn_local(accept(listener, Rc::new(Echo), gate.clone()));
         let until = Instant::now() + Duration::from_secs(seconds);
         let flooders: Vec<_> = (0..FLOODERS)
@@ -127,7 +127,7 @@
         let (mut latencies, lost) = client.join().expect("joined");
         latencies.sort();
         let share = |part: f64| latencies[((latencies.len() - 1) as f64 * part) as usize];
-        let admitted = gate.places().tally.borrow().admitted;
+        let admitted = gate.descriptor_pool().counters.borrow().admitted;
         println!("tried {} a second, admitted {} a second", opened / seconds, admitted / seconds);
         println!(
             "serving thread: {:.1}% of a core, {:.1} us a connection",
@@ -140,6 +140,6 @@
             share(0.5),
             share(0.99)
         );
-        println!("{}", gate.places().tally.borrow());
+        println!("{}", gate.descriptor_pool().counters.borrow());
     });
 }
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -7,7 +7,7 @@
 use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore, KeyClaim};
 use crate::routing::scroll_contexts::ScrollContexts;
 use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
-use crate::transport::gate::Gate;
+use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::listener::Front;
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
 pub struct OpenSearch {
     broker: Broker,
     clock: Clock,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     names: Names,
     idempotency: RefCell<IdempotencyStore<Response>>,
     scrolls: RefCell<ScrollContexts<Scroll>>,
@@ -73,7 +73,7 @@
     pub fn new(
         broker: Broker,
         clock: Clock,
-        gate: Rc<Gate>,
+        gate: Rc<ConnectionManager>,
         names: Names,
         start: String,
         seed: u64,
@@ -89,7 +89,7 @@
         if checked.once {
             return self.search_once(checked, request.headers.get("Idempotency-Key")).await;
         }
-        if self.gate.stage().is_stopping() {
+        if self.gate.lifecycle_state().is_stopping() {
             return Ok(self.stopping(&checked.ask));
         }
         Ok(self.run(checked).await.0)
@@ -115,7 +115,7 @@
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
         let mut told = match claim {
-            KeyClaim::Run(_) if self.gate.stage().is_stopping() => {
+            KeyClaim::Run(_) if self.gate.lifecycle_state().is_stopping() => {
                 // Repeats still get their outcome; nothing new runs.
                 let refused = self.stopping(&checked.ask);
                 self.idempotency.borrow_mut().finish(self.clock.now(), key, refused.clone(), 0, false);
@@ -344,7 +344,7 @@
     }
 
     fn health(&self) -> Response {
-        let stage = self.gate.stage();
+        let stage = self.gate.lifecycle_state();
         Response::text(if stage.healthy() { 200 } else { 503 }, stage.name())
     }
 }
@@ -366,7 +366,7 @@
         SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
-    fn crowded(&self, _: Option<&Request>) -> Response {
+    fn overloaded(&self, _: Option<&Request>) -> Response {
         let pause = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
         opensearch::rejection_response(Rejection::AtCapacity, pause)
     }
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -6,8 +6,8 @@
 use crate::routing::invariants::INVARIANTS;
 use crate::service::LifecycleState;
 use crate::service::lifecycle::LifecycleRequest;
-use crate::transport::gate::Gate;
-use crate::transport::members::Members;
+use crate::transport::connection_manager::ConnectionManager;
+use crate::transport::membership::MembershipTransport;
 use crate::transport::operator_api::OperatorApi;
 use bytes::Bytes;
 use percent_encoding::percent_decode_str;
@@ -41,11 +41,11 @@
     /// Whose figures are told.
     pub broker: Broker,
     /// What is drained.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<ConnectionManager>,
     /// What another process of this gatherer has to do with it.
     pub pair: Rc<dyn Pair>,
     /// The other gatherers, where they talk.
-    pub members: Option<Rc<Members>>,
+    pub members: Option<Rc<MembershipTransport>>,
 }
 
 impl Operators {
@@ -53,7 +53,7 @@
         if let Some(why) = self.pair.unready() {
             return Response::text(503, why);
         }
-        match self.gate.stage() {
+        match self.gate.lifecycle_state() {
             // A drain that was passed on is no reason to leave the upgrade half done.
             LifecycleState::Draining | LifecycleState::Drained if self.pair.succeeds() => {
                 Response::text(200, "ready, drained")
@@ -87,7 +87,7 @@
 
     fn members(&self) -> Response {
         match &self.members {
-            Some(members) => Response::json(200, members.view()),
+            Some(members) => Response::json(200, members.status_json()),
             None => Response::text(404, "membership is off"),
         }
     }
@@ -109,14 +109,14 @@
     }
 
     fn call(&self, call: LifecycleRequest) -> Response {
-        match self.gate.call(call) {
+        match self.gate.apply_lifecycle(call) {
             Ok(()) => {
                 self.pair.tell(if call == LifecycleRequest::Drain {
                     Change::Drained
                 } else {
                     Change::Resumed
                 });
-                Response::text(200, self.gate.stage().name())
+                Response::text(200, self.gate.lifecycle_state().name())
             }
             Err(refused) => Response::text(409, refused.to_string()),
         }
@@ -128,7 +128,7 @@
 }
 
 impl OperatorApi for Operators {
-    fn answer(&self, request: &Request) -> Response {
+    fn respond(&self, request: &Request) -> Response {
         // Guards against a yes to what the state that is passed on would undo.
         if request.method == "PUT"
             && let Some(why) = self.pair.unready()
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -5,7 +5,7 @@
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
 use crate::service::LifecycleState;
-use crate::transport::gate::Gate;
+use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::listener::Front;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// Whom it asks.
     pub broker: Broker,
     /// Tells whether the process still takes queries.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<ConnectionManager>,
 }
 
 impl Platform {
@@ -30,7 +30,7 @@
                 return Response::text(400, invalid.to_string());
             }
         };
-        if !self.gate.stage().accepts_queries() {
+        if !self.gate.lifecycle_state().accepts_queries() {
             self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
             let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
             return platform::rejection_response(longest.map(|longest| longest.min(STOPPING_PAUSE)));
@@ -44,7 +44,7 @@
     }
 
     fn health(&self) -> Response {
-        match self.gate.stage() {
+        match self.gate.lifecycle_state() {
             LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
@@ -70,7 +70,7 @@
         Response::text(error.status(), error.to_string())
     }
 
-    fn crowded(&self, request: Option<&Request>) -> Response {
+    fn overloaded(&self, request: Option<&Request>) -> Response {
         let asked = request.filter(|request| request.path == "/api");
         self.broker.with_core(|core| {
             let class =
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use gatherer::program::operator::Operator;
 use gatherer::program::run::START;
 use gatherer::program::{inspect, log, members, run};
-use gatherer::transport::failure::retry_blocking;
+use gatherer::transport::errors::retry_blocking;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -4,7 +4,7 @@
 use crate::limits::descriptors;
 use crate::protocol::discovery;
 use crate::routing::{Contracts, WorkerListUpdate};
-use crate::transport::failure::may_pass;
+use crate::transport::errors::is_transient;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 impl Error {
     /// Whether reading again in a moment may do better.
     pub fn may_pass(&self) -> bool {
-        matches!(self, Error::File { error, .. } if may_pass(error))
+        matches!(self, Error::File { error, .. } if is_transient(error))
     }
 }
 
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -8,7 +8,7 @@
 use crate::protocol::http;
 use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock};
-use crate::transport::members::{Listener, Members};
+use crate::transport::membership::{MembershipObserver, MembershipTransport};
 use bytes::BytesMut;
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -25,14 +25,14 @@
     recording: Recording,
 }
 
-impl Listener for Told {
-    fn changed(&self, change: &MemberChange) {
+impl MembershipObserver for Told {
+    fn on_member_change(&self, change: &MemberChange) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
-    fn gatherers(&self, count: u32) {
-        log::info!("members: {count} gatherers share the fleet");
+    fn on_fleet_size(&self, count: u32) {
+        log::info!("members: {count} on_fleet_size share the fleet");
         self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
@@ -46,7 +46,7 @@
     broker: &Broker,
     clock: Clock,
     recording: &Recording,
-) -> Option<Rc<Members>> {
+) -> Option<Rc<MembershipTransport>> {
     let wanted = wanted?;
     let (stated, zone, may_tell) = broker.with_core(|core| {
         let contracts = core.contracts();
@@ -76,7 +76,7 @@
     let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
     let seal = ClusterKey::new(&wanted.cluster, &wanted.secret);
     let told = Told { broker: broker.clone(), recording: recording.clone() };
-    Some(Members::new(node, seal, clock, wanted.listen, most, Box::new(told)))
+    Some(MembershipTransport::new(node, seal, clock, wanted.listen, most, Box::new(told)))
 }
 
 /// Asks a gatherer's operators' address who is there; the answer as it came, or as a table.
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -6,7 +6,7 @@
 use crate::records::overload::OverloadDetector;
 use crate::records::record::RecordBody;
 use crate::routing::Broker;
-use crate::transport::gate::Gate;
+use crate::transport::connection_manager::ConnectionManager;
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
@@ -49,7 +49,7 @@
     }
 
     /// Records figures each second, for as long as the process lives.
-    pub async fn keep(self, broker: Broker, gate: Rc<Gate>) {
+    pub async fn keep(self, broker: Broker, gate: Rc<ConnectionManager>) {
         if self.0.borrow().is_none() {
             return;
         }
@@ -61,7 +61,7 @@
     }
 
     /// Records what has happened since the last time.
-    fn take(&self, broker: &Broker, gate: &Gate, overload: Option<&mut OverloadDetector>) {
+    fn take(&self, broker: &Broker, gate: &ConnectionManager, overload: Option<&mut OverloadDetector>) {
         let taken = broker.with_core(|core| {
             let second = core.metrics.as_mut().map(|figures| figures.take_snapshot())?;
             Some((std::mem::take(&mut core.record_events), second, core.open_queries()))
@@ -70,9 +70,9 @@
         news.into_iter().for_each(|body| self.record(body));
         second.open = open;
         (second.descriptors, second.clients) = gate
-            .places()
+            .descriptor_pool()
             .descriptors(|all| (all.budget().usable - all.free(), all.held(DescriptorClass::Clients)));
-        second.buffered = gate.places().buffered();
+        second.buffered = gate.descriptor_pool().buffered_bytes();
         if let Some(begins) = overload.and_then(|overload| overload.observe(&second)) {
             self.record(RecordBody::Overload { begins });
         }
@@ -80,7 +80,7 @@
     }
 
     /// Records the rest, and the stop. `answered` is whether all that was taken has been.
-    pub fn end(self, broker: &Broker, gate: &Gate, answered: bool) {
+    pub fn end(self, broker: &Broker, gate: &ConnectionManager, answered: bool) {
         // What is left of a second is too short to tell a period by.
         self.take(broker, gate, None);
         // Guards against a stop that hides what the process took down: without the line, the rest shows as unknown.
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -18,15 +18,15 @@
 use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock, Contracts, Core, Invariant, WorkerTransport};
 use crate::service::lifecycle::LifecycleRequest;
-use crate::transport::failure::{self, Pauses};
-use crate::transport::gate::Gate;
+use crate::transport::connection_manager::ConnectionManager;
+use crate::transport::connector::{Connector, TcpConnector};
+use crate::transport::descriptor_pool::DescriptorPool;
+use crate::transport::discovery;
+use crate::transport::errors::{self, RetryDelays};
 use crate::transport::index_servers::IndexServers;
 use crate::transport::listener::{self, Front};
-use crate::transport::members::{CONNECTIONS, Members};
+use crate::transport::membership::{MEMBERSHIP_CONNECTIONS, MembershipTransport};
 use crate::transport::operator_api;
-use crate::transport::places::Places;
-use crate::transport::stream::{Dial, Tcp};
-use crate::transport::watch;
 use crate::transport::workers::Workers;
 use std::io;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
 /// successor finds it, and the connection to it.
 const UPGRADE: usize = 3;
 /// Descriptors of one that talks with its fellows: its two sockets, and connections to and from them.
-const MEMBERS: usize = 2 + CONNECTIONS;
+const MEMBERS: usize = 2 + MEMBERSHIP_CONNECTIONS;
 /// How often the end looks whether all is answered.
 const LOOK: Duration = Duration::from_millis(10);
 /// Time past the longest deadline after which the end no longer waits for a client to read its answer.
@@ -56,16 +56,16 @@
 
 /// Makes a call that a start needs, again for a while where it fails in a way that may pass.
 async fn needed<T>(call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    failure::retry(START, failure::may_pass, call).await
+    errors::retry(START, errors::is_transient, call).await
 }
 
 /// Reads the configuration, again for a while where it cannot be read now.
 async fn configured<T>(read: &impl Fn() -> Result<T, Error>) -> Result<T, Error> {
-    let (since, mut pauses) = (Instant::now(), Pauses::default());
+    let (since, mut pauses) = (Instant::now(), RetryDelays::default());
     loop {
         match read() {
             Err(error) if error.may_pass() && since.elapsed() < START => {
-                tokio::time::sleep(pauses.next_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
             done => return done,
         }
@@ -105,10 +105,10 @@
         if let Some(known) = &config.known {
             broker.apply_endpoint_update(known, true);
         }
-        let dial: Rc<dyn Dial> = Rc::new(Tcp);
+        let dial: Rc<dyn Connector> = Rc::new(TcpConnector);
         let workers = Workers::new(broker.clone(), dial.clone(), places.clone());
-        spawn_local(workers.clone().give_way());
-        let gate = Gate::new(places.clone());
+        spawn_local(workers.clone().close_idle_on_reclaim());
+        let gate = ConnectionManager::new(places.clone());
         let members = members::begin(
             operator.membership.as_ref(),
             config.peer_datagrams,
@@ -138,7 +138,7 @@
             (None, None) => return Err(io::Error::from(io::ErrorKind::NotFound).into()),
         };
         if let Some(members) = members.clone() {
-            spawn_local(members.take_part());
+            spawn_local(members.run());
         }
         let front = Platform { broker: broker.clone(), gate: gate.clone() };
         let watcher = broker.clone();
@@ -147,7 +147,9 @@
         let watched = places.clone();
         // A whole list costs an asked discovery twice what its changes do, when the whole fleet starts.
         let held = config.known.filter(|_| config.ask_in.is_some()).map(|known| known.revision);
-        spawn_local(async move { watch::follow(&*dial, address, held, &watcher, &watched, backoff).await });
+        spawn_local(
+            async move { discovery::follow(&*dial, address, held, &watcher, &watched, backoff).await },
+        );
         spawn_local(reload(hangup, places, recording.clone(), move || {
             // Where discovery is takes effect now, all else at the next start.
             let config = read()?;
@@ -188,9 +190,9 @@
             learner.apply_endpoint_update(&servers, false);
             Ok(format!("{} index servers", servers.workers.len()))
         }));
-        let servers = IndexServers::new(broker.clone(), Rc::new(Tcp), places.clone());
-        spawn_local(servers.clone().give_way());
-        let gate = Gate::new(places);
+        let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), places.clone());
+        spawn_local(servers.clone().close_idle_on_reclaim());
+        let gate = ConnectionManager::new(places);
         let front = OpenSearch::new(broker.clone(), clock, gate.clone(), file.names, start, seed);
         let beside = Beside { stop, recording, upgrade: None, members: None };
         Ok(serve(listener, "opensearch", broker, servers, front, gate, beside).await?)
@@ -200,7 +202,7 @@
 /// The runtime; its own calls may fail for a moment too.
 fn runtime() -> io::Result<Runtime> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    failure::retry_blocking(START, failure::may_pass, build)
+    errors::retry_blocking(START, errors::is_transient, build)
 }
 
 fn in_runtime(main: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
@@ -213,7 +215,7 @@
     stop: Stop,
     recording: Recording,
     upgrade: Option<Rc<Upgrade>>,
-    members: Option<Rc<Members>>,
+    members: Option<Rc<MembershipTransport>>,
 }
 
 /// Serves one front, from its first connection to its last answer.
@@ -223,7 +225,7 @@
     broker: Broker,
     carrier: impl WorkerTransport + 'static,
     front: impl Front + 'static,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     Beside { mut stop, recording, upgrade, members }: Beside,
 ) -> io::Result<()> {
     let longest = broker.with_core(|core| longest(core.contracts()));
@@ -231,9 +233,9 @@
     let driver = broker.clone();
     spawn_local(async move { driver.drive(&carrier).await });
     let tended = gate.clone();
-    spawn_local(async move { tended.tend().await });
+    spawn_local(async move { tended.run_evictions().await });
     let aged = gate.clone();
-    spawn_local(async move { aged.age().await });
+    spawn_local(async move { aged.run_lifecycle_timers().await });
     let kept = spawn_local(recording.clone().keep(broker.clone(), gate.clone()));
     let (serving, door, starting) = (format!("{name} serving on {at}"), gate.clone(), upgrade.clone());
     let accepting = spawn_local(async move {
@@ -272,9 +274,9 @@
 }
 
 /// Divides what the process may use, as one that is alone.
-fn places(allowed: &Allowed) -> io::Result<Rc<Places>> {
+fn places(allowed: &Allowed) -> io::Result<Rc<DescriptorPool>> {
     let plan = allowed.plan(1).map_err(io::Error::other)?;
-    Ok(Places::new(plan, allowed.buffered(1)))
+    Ok(DescriptorPool::new(plan, allowed.buffered(1)))
 }
 
 /// Reads the configuration again at each SIGHUP, and says what holds from now on; nothing that is in flight notices.
@@ -282,7 +284,7 @@
 /// the next SIGHUP: the old discovery may say nothing any longer.
 async fn reload(
     hangups: Hangup,
-    places: Rc<Places>,
+    places: Rc<DescriptorPool>,
     recording: Recording,
     mut read: impl FnMut() -> Result<String, Error>,
 ) {
@@ -300,11 +302,11 @@
 
 /// Reads once; why that failed, if it did.
 async fn try_reload(
-    places: &Rc<Places>,
+    places: &Rc<DescriptorPool>,
     recording: &Recording,
     read: &mut impl FnMut() -> Result<String, Error>,
 ) -> Option<Error> {
-    let _place = places.take(DescriptorClass::Files).await;
+    let _place = places.acquire(DescriptorClass::Files).await;
     match read() {
         Ok(what) => {
             log::info!("configuration read again: {what}");
@@ -322,14 +324,14 @@
 /// Reads again and again, where the file may be there in a moment.
 async fn read_later(
     mut error: Error,
-    places: &Rc<Places>,
+    places: &Rc<DescriptorPool>,
     recording: &Recording,
     read: &mut impl FnMut() -> Result<String, Error>,
 ) {
     let since = Instant::now();
     while error.may_pass() || since.elapsed() < BEING_WRITTEN {
         tokio::time::sleep(READ_AGAIN).await;
-        let _place = places.take(DescriptorClass::Files).await;
+        let _place = places.acquire(DescriptorClass::Files).await;
         match read() {
             Ok(what) => {
                 log::info!("configuration read again: {what}");
@@ -344,15 +346,15 @@
 /// its time is up.
 async fn wind_up(
     broker: &Broker,
-    gate: &Gate,
+    gate: &ConnectionManager,
     stop: LifecycleRequest,
     longest: Duration,
     accepting: JoinHandle<()>,
 ) -> bool {
-    log::info!("stopping: {} connections are open", gate.open());
+    log::info!("stopping: {} connections are open", gate.open_connections());
     // It cannot be refused: nothing stops twice, and a second stop is the first.
-    let _ = gate.call(stop);
-    gate.closing().await;
+    let _ = gate.apply_lifecycle(stop);
+    gate.wait_for_closing().await;
     log::info!("stopping: nothing new is taken");
     let all_answered = async {
         // Guards against an end between two who wait at the door: whoever has connected has to be let in first.
@@ -360,13 +362,13 @@
             log::error!("accepting: {error}");
         }
         // A search that runs once goes on without its client, for the outcome is to be known.
-        while gate.open() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
+        while gate.open_connections() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
             tokio::time::sleep(LOOK).await;
         }
     };
     let answered = tokio::time::timeout(longest + SLACK, all_answered).await.is_ok();
     if !answered {
-        log::warn!("stopped with {} connections open", gate.open());
+        log::warn!("stopped with {} connections open", gate.open_connections());
         let open = broker.with_core(|core| core.open_queries());
         if open > 0 {
             broker.report_violation(
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -8,9 +8,9 @@
 use crate::routing::{Broker, Clock, Invariant};
 use crate::service::lifecycle::LifecycleRequest;
 use crate::service::{LifecycleState, Takeover};
-use crate::transport::failure;
-use crate::transport::gate::Gate;
-use crate::transport::relay::{Lost, Meeting, Relay};
+use crate::transport::connection_manager::ConnectionManager;
+use crate::transport::errors;
+use crate::transport::takeover::{TakeoverChannel, TakeoverChannelError, TakeoverSocket};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     /// Another upgrade is under way.
     Waits,
     /// It passes this on, with its listening socket.
-    HandsOver(Box<TakeoverState>, TcpListener, Relay),
+    HandsOver(Box<TakeoverState>, TcpListener, TakeoverChannel),
     /// Its listening socket came, and nothing else that can be used: it is of another version.
     SocketAlone(TcpListener, String),
     /// It is there, as far as can be told, and cannot be heard.
@@ -82,11 +82,11 @@
 /// One process's part in upgrades.
 pub struct Upgrade {
     broker: Broker,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     clock: Clock,
     allowed: Allowed,
     listen: SocketAddr,
-    meeting: Meeting,
+    meeting: TakeoverSocket,
     succession: RefCell<Takeover>,
     /// Tells the other process, while there is one.
     other: RefCell<Option<mpsc::Sender<Message>>>,
@@ -102,12 +102,12 @@
     /// For the gatherer whose clients connect there.
     pub fn new(
         broker: Broker,
-        gate: Rc<Gate>,
+        gate: Rc<ConnectionManager>,
         clock: Clock,
         allowed: Allowed,
         listen: SocketAddr,
     ) -> Rc<Upgrade> {
-        let meeting = Meeting::new(&std::env::temp_dir(), &listen.to_string());
+        let meeting = TakeoverSocket::new(&std::env::temp_dir(), &listen.to_string());
         Rc::new(Upgrade {
             broker,
             gate,
@@ -173,7 +173,7 @@
 
     /// Asks once.
     async fn ask(&self) -> Asked {
-        let mut relay = match timeout(ANSWER, self.meeting.find()).await {
+        let mut relay = match timeout(ANSWER, self.meeting.connect()).await {
             Ok(Ok(Some(relay))) => relay,
             Ok(Ok(None)) => return Asked::Absent,
             Ok(Err(error)) => return Asked::Unheard(error.to_string()),
@@ -182,7 +182,7 @@
         let join = Message::TakeoverRequest { listen: self.listen.to_string() };
         let asked = async {
             match relay.send(&join).await {
-                Ok(()) => relay.receive_with().await,
+                Ok(()) => relay.receive_with_socket().await,
                 Err(lost) => (Err(lost), None),
             }
         };
@@ -202,7 +202,7 @@
     }
 
     /// Takes over what a predecessor passed on, and follows it.
-    async fn succeed(self: &Rc<Self>, state: TakeoverState, relay: Relay) {
+    async fn succeed(self: &Rc<Self>, state: TakeoverState, relay: TakeoverChannel) {
         let passed = format!(
             "{} workers, {} out by hand",
             state.list.workers.len(),
@@ -232,7 +232,7 @@
         self.broker.with_core(|core| core.take_over(now, &state.list, state.disabled_workers, state.learned));
         if state.drained {
             // It serves, so it cannot be refused.
-            let _ = self.gate.call(LifecycleRequest::Drain);
+            let _ = self.gate.apply_lifecycle(LifecycleRequest::Drain);
         }
     }
 
@@ -244,7 +244,7 @@
                 Err(error) if since.elapsed() < ADDRESS && error.kind() == io::ErrorKind::AddrInUse => {
                     tokio::time::sleep(AGAIN).await;
                 }
-                Err(error) if since.elapsed() < ADDRESS && failure::may_pass(&error) => {
+                Err(error) if since.elapsed() < ADDRESS && errors::is_transient(&error) => {
                     tokio::time::sleep(AGAIN / 10).await;
                 }
                 bound => return bound,
@@ -271,7 +271,7 @@
         let processes = self.succession.borrow().process_count();
         self.broker.with_core(|core| core.set_process_count(processes));
         match self.allowed.plan(processes) {
-            Ok(plan) => self.gate.places().replan(plan, self.allowed.buffered(processes)).await,
+            Ok(plan) => self.gate.descriptor_pool().set_budget(plan, self.allowed.buffered(processes)).await,
             Err(error) => log::warn!("upgrade: descriptors are not shared: {error}"),
         }
     }
@@ -325,11 +325,11 @@
 
     /// The end of the process.
     pub fn end(&self) {
-        self.meeting.leave();
+        self.meeting.remove_socket_file();
     }
 
     /// The successor's side: what the predecessor tells, until its end.
-    async fn follow(self: Rc<Self>, relay: Relay, told: mpsc::Receiver<Message>) {
+    async fn follow(self: Rc<Self>, relay: TakeoverChannel, told: mpsc::Receiver<Message>) {
         let lost = self.relay(relay, told).await;
         log::info!("upgrade: the process before has ended: {lost}");
         self.succession.borrow_mut().on_predecessor_exited();
@@ -361,15 +361,15 @@
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     log::debug!("upgrade: accept: {error}");
-                    if failure::is_out_of_descriptors(&error) {
+                    if errors::is_out_of_descriptors(&error) {
                         // One that a client holds loosely helps: a successor waits.
-                        self.gate.places().recall(DescriptorClass::Clients);
+                        self.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
                     }
                     tokio::time::sleep(AGAIN / 10).await;
                     continue;
                 }
             };
-            let Some(relay) = Relay::new(stream) else { continue };
+            let Some(relay) = TakeoverChannel::new(stream) else { continue };
             // Guards against one that connects and says nothing: the next is heard beside it. Past the bound it waits.
             let Ok(place) = callers.clone().acquire_owned().await else { return };
             let upgrade = self.clone();
@@ -384,7 +384,7 @@
     }
 
     /// Hears what one that connected wants; its connection, if it is the successor from now on.
-    async fn admit(&self, mut relay: Relay) -> Option<Relay> {
+    async fn admit(&self, mut relay: TakeoverChannel) -> Option<TakeoverChannel> {
         let asked = match timeout(ANSWER, relay.receive()).await {
             Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
             Ok(Ok(other)) => Err(format!("{other:?}")),
@@ -395,7 +395,9 @@
             log::warn!("upgrade: no successor: {why}");
             return None;
         }
-        if !self.gate.stage().is_stopping() && self.succession.borrow_mut().admit_successor().is_ok() {
+        if !self.gate.lifecycle_state().is_stopping()
+            && self.succession.borrow_mut().admit_successor().is_ok()
+        {
             return Some(relay);
         }
         // Whether it hears it or not, it has to wait.
@@ -404,21 +406,24 @@
     }
 
     /// The predecessor's side, until the successor's end or its own.
-    async fn hand_over(self: Rc<Self>, mut relay: Relay) {
+    async fn hand_over(self: Rc<Self>, mut relay: TakeoverChannel) {
         log::info!("upgrade: a successor has started");
         self.share().await;
         let told = self.connect();
         let state = self.broker.with_core(|core| TakeoverState {
             list: core.endpoint_list(),
             disabled_workers: core.disabled_workers().clone(),
-            drained: matches!(self.gate.stage(), LifecycleState::Draining | LifecycleState::Drained),
+            drained: matches!(
+                self.gate.lifecycle_state(),
+                LifecycleState::Draining | LifecycleState::Drained
+            ),
             learned: core.policy_snapshot(),
         });
         let message = Message::TakeoverState(Box::new(state));
         let listener = self.listener.borrow().clone();
         let sent = async {
             match &listener {
-                Some(listener) => relay.send_with(&message, listener.as_fd()).await,
+                Some(listener) => relay.send_with_socket(&message, listener.as_fd()).await,
                 None => relay.send(&message).await,
             }
         };
@@ -431,15 +436,19 @@
         self.succession.borrow_mut().on_successor_exited();
         self.other.take();
         // Where one that did not wait for this process serves beside it, starts go on finding that one.
-        let found = self.meeting.is_own() || matches!(self.meeting.find().await, Ok(Some(_)));
-        if !found && !self.gate.stage().is_stopping() {
+        let found = self.meeting.owns_socket_file() || matches!(self.meeting.connect().await, Ok(Some(_)));
+        if !found && !self.gate.lifecycle_state().is_stopping() {
             self.be_found();
         }
         self.share().await;
     }
 
     /// Passes on what happens here and does what is told, until the connection ends; says why it did.
-    async fn relay(&self, mut relay: Relay, mut told: mpsc::Receiver<Message>) -> Lost {
+    async fn relay(
+        &self,
+        mut relay: TakeoverChannel,
+        mut told: mpsc::Receiver<Message>,
+    ) -> TakeoverChannelError {
         loop {
             let message = tokio::select! {
                 biased;
@@ -466,14 +475,14 @@
             Message::Serving => {
                 log::info!("upgrade: the successor serves");
                 self.succession.borrow_mut().on_successor_serving();
-                if self.gate.stage() == LifecycleState::Stopping {
+                if self.gate.lifecycle_state() == LifecycleState::Stopping {
                     // A process that stops may always be succeeded.
-                    let _ = self.gate.call(LifecycleRequest::HandOver);
+                    let _ = self.gate.apply_lifecycle(LifecycleRequest::HandOver);
                 }
             }
             // One that stops says no to both, and they are the other's.
-            Message::Drain => drop(self.gate.call(LifecycleRequest::Drain).ok()),
-            Message::Resume => drop(self.gate.call(LifecycleRequest::Resume).ok()),
+            Message::Drain => drop(self.gate.apply_lifecycle(LifecycleRequest::Drain).ok()),
+            Message::Resume => drop(self.gate.apply_lifecycle(LifecycleRequest::Resume).ok()),
             Message::Stopping => {
                 self.succession.borrow_mut().on_peer_stopping();
                 self.hurry.notify_one();
--- a/src/transport/gate.rs
+++ b/src/transport/connection_manager.rs
@@ -1,7 +1,7 @@
 //! The clients' connections of one process: who is let in, who is told to leave, and how all are told to end. The
 //! order and the time limits are decided in [`crate::limits::crowd`].
 
-use super::places::{Buffered, Place, Places};
+use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
 use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
 use crate::limits::{
     ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
@@ -20,8 +20,8 @@
 const TELL: Duration = Duration::from_secs(5);
 
 /// The connections of one process, and how they are told to end.
-pub struct Gate {
-    places: Rc<Places>,
+pub struct ConnectionManager {
+    places: Rc<DescriptorPool>,
     crowd: RefCell<ClientConnections>,
     signals: RefCell<HashMap<u64, Rc<Signal>>>,
     /// A connection has become one that may be made to leave.
@@ -36,11 +36,11 @@
     told: Notify,
 }
 
-impl Gate {
+impl ConnectionManager {
     /// A gate to these places.
-    pub fn new(places: Rc<Places>) -> Rc<Gate> {
+    pub fn new(places: Rc<DescriptorPool>) -> Rc<ConnectionManager> {
         let stages = Lifecycle::new(places.now());
-        Rc::new(Gate {
+        Rc::new(ConnectionManager {
             places,
             crowd: RefCell::default(),
             signals: RefCell::default(),
@@ -51,7 +51,7 @@
     }
     /// Where the process is now. Guards a process that stood still: what lies there at its wake is read before its timers
     /// have run, and would be taken as if no time had passed.
-    pub fn stage(&self) -> LifecycleState {
+    pub fn lifecycle_state(&self) -> LifecycleState {
         self.pass();
         *self.stage.borrow()
     }
@@ -60,7 +60,7 @@
         self.tell_stage();
     }
     /// Moves the process on, or tells why not.
-    pub fn call(&self, call: LifecycleRequest) -> Result<(), LifecycleError> {
+    pub fn apply_lifecycle(&self, call: LifecycleRequest) -> Result<(), LifecycleError> {
         let done = self.stages.borrow_mut().apply(self.places.now(), call);
         self.tell_stage();
         done
@@ -70,43 +70,43 @@
         self.stage.send_if_modified(|told| {
             let before = std::mem::replace(told, stage);
             if before != stage {
-                log::info!("stage: {before:?} -> {stage:?}, {} connections open", self.open());
+                log::info!("stage: {before:?} -> {stage:?}, {} connections open", self.open_connections());
             }
             before != stage
         });
     }
     /// Lets time lead from stage to stage, for as long as the process lives.
-    pub async fn age(&self) {
+    pub async fn run_lifecycle_timers(&self) {
         let mut stage = self.stage.subscribe();
         loop {
             let due = self.stages.borrow().next_deadline();
             tokio::select! {
                 // The sender lives as long as the gate, so waiting cannot fail.
                 _ = stage.changed() => {}
-                () = tokio::time::sleep_until(self.places.moment(due.unwrap_or_default())), if due.is_some() => {
+                () = tokio::time::sleep_until(self.places.instant_at(due.unwrap_or_default())), if due.is_some() => {
                     self.pass();
                 }
             }
         }
     }
     /// The places that it gives out.
-    pub fn places(&self) -> &Rc<Places> {
+    pub fn descriptor_pool(&self) -> &Rc<DescriptorPool> {
         &self.places
     }
     /// Open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.crowd.borrow().len()
     }
     /// Waits for the stage in which nothing new is taken.
-    pub async fn closing(&self) {
+    pub async fn wait_for_closing(&self) {
         self.reaches(|stage| !stage.accepts_queries()).await;
     }
     /// Waits until connections are to end as soon as nothing is open on them.
-    pub async fn parting(&self) {
+    pub async fn wait_for_idle_close(&self) {
         self.reaches(LifecycleState::closes_idle_connections).await;
     }
     /// Waits until connections are no longer let in.
-    pub async fn shut(&self) {
+    pub async fn wait_for_accept_end(&self) {
         self.reaches(|stage| !stage.accepts_connections()).await;
     }
     async fn reaches(&self, there: impl Fn(LifecycleState) -> bool) {
@@ -119,15 +119,16 @@
     /// than what there is here, and who asked once and stays takes it from those who would come back.
     pub fn pressure(&self) -> ResourcePressure {
         let floor = self.places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
-        ResourcePressure::from_usage(self.open(), floor / 3, floor * 3 / 4).max(self.places.pressure())
+        ResourcePressure::from_usage(self.open_connections(), floor / 3, floor * 3 / 4)
+            .max(self.places.pressure())
     }
 
     /// Lets a connection in. Where there is no place, the one of least worth is told to leave; none at all is to be
     /// had only while a query is open on each.
-    pub async fn admit(self: &Rc<Self>, source: Source, longest: Duration) -> Option<Pass> {
+    pub async fn admit(self: &Rc<Self>, source: Source, longest: Duration) -> Option<ConnectionPermit> {
         let place = loop {
-            let freed = self.places.freed();
-            match self.places.try_take(DescriptorClass::Clients) {
+            let freed = self.places.wait_for_release();
+            match self.places.try_acquire(DescriptorClass::Clients) {
                 Ok(place) => break place,
                 Err(DescriptorDenied::Exhausted) if !self.leaving() => return None,
                 Err(_) => {}
@@ -140,11 +141,12 @@
         let id = self.crowd.borrow_mut().accept(now, source);
         let signal = Rc::new(Signal::default());
         self.signals.borrow_mut().insert(id, signal.clone());
-        self.places.tally.borrow_mut().admitted += 1;
+        self.places.counters.borrow_mut().admitted += 1;
         self.loosened.notify_one();
-        let bytes = Buffered::new(&self.places);
+        let bytes = BufferReservation::new(&self.places);
         let waited = Cell::default();
-        let pass = Pass { gate: self.clone(), id, place, signal, bytes, waited };
+        let pass =
+            ConnectionPermit { gate: self.clone(), id, place, signal, buffer_reservation: bytes, waited };
         // The next one who comes is to find a place free. It is made only now, so that it costs nobody theirs before
         // it is needed, and so that the newcomer is judged beside the others.
         let (free, door) = self.places.descriptors(|all| (all.free(), all.budget().headroom));
@@ -153,7 +155,7 @@
         {
             match lender {
                 DescriptorClass::Clients => self.make_room(),
-                other => self.places.recall(other),
+                other => self.places.reclaim(other),
             }
         }
         Some(pass)
@@ -168,13 +170,13 @@
     fn make_room(&self) {
         let chosen = self.crowd.borrow_mut().evict(self.places.now());
         if let Some((id, why)) = chosen {
-            self.places.tally.borrow_mut().evicted_early += 1;
+            self.places.counters.borrow_mut().evicted_early += 1;
             self.tell(id, why);
         }
     }
 
     fn tell(&self, id: u64, why: EvictionReason) {
-        self.places.tally.borrow_mut().count_eviction(why);
+        self.places.counters.borrow_mut().count_eviction(why);
         if let Some(signal) = self.signals.borrow().get(&id) {
             signal.why.set(Some(why));
             signal.told.notify_one();
@@ -183,13 +185,13 @@
 
     /// Tells those to leave whose time is up, and those whose place another side needs, for as long as the process
     /// lives.
-    pub async fn tend(&self) {
+    pub async fn run_evictions(&self) {
         let (mut said, mut said_at) = (0, self.places.now());
         loop {
             if !self.crowd.borrow().has_evictable() {
                 tokio::select! {
                     () = self.loosened.notified() => {}
-                    () = self.places.recalled(DescriptorClass::Clients) => continue,
+                    () = self.places.wait_for_reclaim(DescriptorClass::Clients) => continue,
                 }
             }
             let pressure = self.pressure();
@@ -197,19 +199,19 @@
             let now = self.places.now();
             let due = due.map_or(TICK, |due| due.since(now)).min(TICK);
             tokio::select! {
-                () = self.places.recalled(DescriptorClass::Clients) => self.make_room(),
-                () = tokio::time::sleep_until(self.places.moment(now.after(due))) => {}
+                () = self.places.wait_for_reclaim(DescriptorClass::Clients) => self.make_room(),
+                () = tokio::time::sleep_until(self.places.instant_at(now.after(due))) => {}
             }
             let pressure = self.pressure();
             let late = self.crowd.borrow_mut().evict_expired(self.places.now(), pressure);
             late.into_iter().for_each(|(id, why)| self.tell(id, why));
             let now = self.places.now();
-            let early = self.places.tally.borrow().evicted_early;
+            let early = self.places.counters.borrow().evicted_early;
             if early > said && now.since(said_at) >= TELL {
-                let left = self.places.tally.borrow().evicted.map(|count| count.to_string()).join(" ");
+                let left = self.places.counters.borrow().evicted.map(|count| count.to_string()).join(" ");
                 log::warn!(
                     "crowded: {} clients, {} left for others; since the start, silent, slow, asked once, marked, idle and over share: {left}",
-                    self.open(),
+                    self.open_connections(),
                     early - said
                 );
                 (said, said_at) = (early, now);
@@ -219,20 +221,20 @@
 }
 
 /// A client's connection, from its being let in to its end.
-pub struct Pass {
-    gate: Rc<Gate>,
+pub struct ConnectionPermit {
+    gate: Rc<ConnectionManager>,
     id: u64,
-    place: Place,
+    place: DescriptorPermit,
     signal: Rc<Signal>,
     /// What is buffered for it.
-    pub bytes: Buffered,
+    pub buffer_reservation: BufferReservation,
     /// How long it may have waited to be let in.
     waited: Cell<Duration>,
 }
 
-impl Pass {
+impl ConnectionPermit {
     /// The gate that it came through.
-    pub fn gate(&self) -> &Gate {
+    pub fn connection_manager(&self) -> &ConnectionManager {
         &self.gate
     }
     fn crowd<T>(&self, change: impl FnOnce(&mut ClientConnections) -> T) -> T {
@@ -240,16 +242,16 @@
     }
 
     /// It may have waited for so long to be let in.
-    pub fn has_waited(&self, waited: Duration) {
+    pub fn set_queue_time(&self, waited: Duration) {
         self.waited.set(waited);
     }
     /// How long its next request may have waited unread: only the first of a connection does.
-    pub fn waited(&self) -> Duration {
+    pub fn take_queue_time(&self) -> Duration {
         self.waited.take()
     }
 
     /// Waits until it is told to leave.
-    pub async fn told_to_leave(&self) -> EvictionReason {
+    pub async fn evicted(&self) -> EvictionReason {
         loop {
             match self.signal.why.take() {
                 Some(why) => return why,
@@ -258,54 +260,54 @@
         }
     }
     /// Bytes of a request have come, which is not all there yet. One that was told to leave stays.
-    pub fn heard(&self, bytes: usize) {
+    pub fn on_bytes_received(&self, bytes: usize) {
         if self.signal.why.take().is_some() {
-            self.gate.places.tally.borrow_mut().eviction_cancelled += 1;
+            self.gate.places.counters.borrow_mut().eviction_cancelled += 1;
         }
         self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
     }
     /// The client has said who it is.
-    pub fn belongs(&self, source: Source) {
+    pub fn set_source(&self, source: Source) {
         self.crowd(|crowd| crowd.set_source(self.id, source));
     }
     /// Its request is all there; false where it cannot be served without touching what others are promised.
-    pub fn opened(&self) -> bool {
-        let pinned = self.place.pin();
+    pub fn try_begin_request(&self) -> bool {
+        let pinned = self.place.try_mark_busy();
         if pinned {
             self.signal.why.take();
             self.crowd(|crowd| crowd.start_query(self.gate.places.now(), self.id));
         } else {
-            self.gate.places.tally.borrow_mut().rejected_no_descriptor += 1;
+            self.gate.places.counters.borrow_mut().rejected_no_descriptor += 1;
             self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
         }
         pinned
     }
     /// Its request has had its answer.
-    pub fn answered(&self, record: RequestValidity) {
-        self.place.unpin();
+    pub fn on_response_sent(&self, record: RequestValidity) {
+        self.place.mark_idle();
         self.crowd(|crowd| crowd.finish_query(self.gate.places.now(), self.id, record));
         self.gate.loosened.notify_one();
     }
     /// Counts something of it.
-    pub fn count(&self, change: impl FnOnce(&mut ConnectionCounters)) {
-        change(&mut self.gate.places.tally.borrow_mut());
+    pub fn update_counters(&self, change: impl FnOnce(&mut ConnectionCounters)) {
+        change(&mut self.gate.places.counters.borrow_mut());
     }
     /// What it sent was no request.
-    pub fn spoke_rubbish(&self) {
+    pub fn on_malformed_input(&self) {
         self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
     }
     /// It stays after all: a request came as it was to leave.
-    pub fn spared(&self, bytes: usize) {
-        self.gate.places.tally.borrow_mut().eviction_cancelled += 1;
+    pub fn cancel_eviction(&self, bytes: usize) {
+        self.gate.places.counters.borrow_mut().eviction_cancelled += 1;
         self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
     }
     /// Its close crossed a request.
-    pub fn crossed(&self) {
-        self.gate.places.tally.borrow_mut().close_races += 1;
+    pub fn on_request_after_close(&self) {
+        self.gate.places.counters.borrow_mut().close_races += 1;
     }
 }
 
-impl Drop for Pass {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.crowd(|crowd| crowd.close(self.id));
         self.gate.signals.borrow_mut().remove(&self.id);
--- a/src/transport/stream.rs
+++ b/src/transport/connector.rs
@@ -1,6 +1,6 @@
 //! Connections out, by TCP or by whatever stands in for it.
 
-use super::failure;
+use super::errors;
 use super::socket::Socket;
 use std::future::Future;
 use std::io;
@@ -15,20 +15,20 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
 /// A connection that is about to be up.
-pub type Dialling<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>> + 'a>>;
+pub type ConnectFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>> + 'a>>;
 
 /// Opens connections.
-pub trait Dial {
+pub trait Connector {
     /// Opens one to this address.
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a>;
+    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a>;
 }
 
 /// TCP.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tcp;
+pub struct TcpConnector;
 
-impl Dial for Tcp {
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a> {
+impl Connector for TcpConnector {
+    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
@@ -40,11 +40,15 @@
 /// Dials, but not for longer than this: a machine that has vanished never answers. The one way by which connections are
 /// opened: what fails for want of something here is tried again, and if it still fails then, the error tells so
 /// ([`failure::is_local`]): it says nothing of the peer.
-pub async fn dial_within(dial: &dyn Dial, address: &str, limit: Duration) -> io::Result<Box<dyn Stream>> {
+pub async fn connect_with_timeout(
+    dial: &dyn Connector,
+    address: &str,
+    limit: Duration,
+) -> io::Result<Box<dyn Stream>> {
     let began = Instant::now();
-    failure::retry(limit, failure::is_local, async || {
+    errors::retry(limit, errors::is_local, async || {
         let left = limit.saturating_sub(began.elapsed());
-        let dialled = tokio::time::timeout(left, dial.dial(address)).await;
+        let dialled = tokio::time::timeout(left, dial.connect(address)).await;
         dialled.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     })
     .await
--- a/src/transport/places.rs
+++ b/src/transport/descriptor_pool.rs
@@ -23,17 +23,17 @@
 const OPENING: usize = 4;
 
 /// What all sides of one process share.
-pub struct Places {
+pub struct DescriptorPool {
     start: Instant,
     descriptors: RefCell<DescriptorAllocator>,
     bytes: RefCell<BufferBudget>,
     openings: RefCell<ConnectQueue>,
-    waiting: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<Opening>>>,
+    waiting: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<ConnectPermit>>>,
     recalls: [Recall; DESCRIPTOR_CLASSES.len()],
     freed: Notify,
     room: Notify,
     /// What it has counted so far.
-    pub tally: RefCell<ConnectionCounters>,
+    pub counters: RefCell<ConnectionCounters>,
 }
 
 #[derive(Default)]
@@ -42,11 +42,11 @@
     notify: Notify,
 }
 
-impl Places {
+impl DescriptorPool {
     /// All places are free; `bytes` may be buffered.
-    pub fn new(plan: DescriptorBudget, bytes: usize) -> Rc<Places> {
+    pub fn new(plan: DescriptorBudget, bytes: usize) -> Rc<DescriptorPool> {
         let floor = plan.floors[DescriptorClass::Workers as usize];
-        Rc::new(Places {
+        Rc::new(DescriptorPool {
             start: Instant::now(),
             bytes: RefCell::new(BufferBudget::new(bytes, plan.usable)),
             openings: RefCell::new(ConnectQueue::new(plan.usable * WAITS_EACH, (floor / OPENING).max(4))),
@@ -55,7 +55,7 @@
             recalls: Default::default(),
             freed: Notify::new(),
             room: Notify::new(),
-            tally: RefCell::default(),
+            counters: RefCell::default(),
         })
     }
 
@@ -63,8 +63,8 @@
     pub fn now(&self) -> Time {
         Time(0).after(self.start.elapsed())
     }
-    /// The moment at which [`Places::now`] will show this time.
-    pub fn moment(&self, at: Time) -> Instant {
+    /// The moment at which [`DescriptorPool::now`] will show this time.
+    pub fn instant_at(&self, at: Time) -> Instant {
         self.start + at.since(Time(0))
     }
     /// Reads the budget of descriptors; not to be held.
@@ -72,7 +72,7 @@
         read(&self.descriptors.borrow())
     }
     /// Bytes that are buffered for peers.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.borrow().used()
     }
     /// How scarce descriptors and bytes are for all sides together.
@@ -85,24 +85,24 @@
     }
 
     /// A loose place, if one is free; else someone is asked for theirs.
-    pub fn try_take(self: &Rc<Self>, side: DescriptorClass) -> Result<Place, DescriptorDenied> {
+    pub fn try_acquire(self: &Rc<Self>, side: DescriptorClass) -> Result<DescriptorPermit, DescriptorDenied> {
         let taken = self.descriptors.borrow_mut().acquire(side);
         if let Err(denied) = taken {
             if let DescriptorDenied::Reclaim(lender) = denied {
-                self.recall(lender);
+                self.reclaim(lender);
             }
             return Err(denied);
         }
         let (held, free) = self.descriptors(|all| (all.held(side), all.budget().usable - all.free()));
-        self.tally.borrow_mut().record_held(side, held, free);
-        Ok(Place { places: self.clone(), side, firm: Cell::new(false) })
+        self.counters.borrow_mut().record_held(side, held, free);
+        Ok(DescriptorPermit { places: self.clone(), side, firm: Cell::new(false) })
     }
 
     /// A loose place for a side that never wants more than its floor.
-    pub async fn take(self: &Rc<Self>, side: DescriptorClass) -> Place {
+    pub async fn acquire(self: &Rc<Self>, side: DescriptorClass) -> DescriptorPermit {
         loop {
             let freed = self.freed.notified();
-            if let Ok(place) = self.try_take(side) {
+            if let Ok(place) = self.try_acquire(side) {
                 return place;
             }
             freed.await;
@@ -110,39 +110,43 @@
     }
 
     /// Divides descriptors and bytes anew, and calls back what is held beyond that, as far as it is held loosely.
-    pub async fn replan(&self, plan: DescriptorBudget, bytes: usize) {
+    pub async fn set_budget(&self, plan: DescriptorBudget, bytes: usize) {
         self.bytes.borrow_mut().resize(bytes, plan.usable);
         self.descriptors.borrow_mut().set_budget(plan);
         self.freed.notify_waiters();
         for _ in 0..self.descriptors(|all| all.excess()) {
-            let freed = self.freed();
+            let freed = self.wait_for_release();
             let side = self.descriptors(|all| all.class_to_reclaim_from().filter(|_| all.excess() > 0));
             let Some(side) = side else { return };
-            self.recall(side);
+            self.reclaim(side);
             // Whoever is called may have nothing left to give: it is not waited for for long.
             let _ = tokio::time::timeout(RECALL, freed).await;
         }
     }
 
     /// Asks a side to let one go.
-    pub fn recall(&self, side: DescriptorClass) {
+    pub fn reclaim(&self, side: DescriptorClass) {
         self.recalls[side as usize].wanted.set(true);
         self.recalls[side as usize].notify.notify_one();
     }
     /// Waits until this side is to let one go.
-    pub async fn recalled(&self, side: DescriptorClass) {
+    pub async fn wait_for_reclaim(&self, side: DescriptorClass) {
         let recall = &self.recalls[side as usize];
         while !recall.wanted.replace(false) {
             recall.notify.notified().await;
         }
     }
     /// Resolves when a place has been given back after this call.
-    pub fn freed(&self) -> impl Future<Output = ()> {
+    pub fn wait_for_release(&self) -> impl Future<Output = ()> {
         self.freed.notified()
     }
 
     /// Waits for the right to open a connection to a server, for a call of so much time. Dropped, it waits no longer.
-    pub async fn open(self: &Rc<Self>, leaf: WorkerId, left: Duration) -> Result<Opening, ConnectWaitError> {
+    pub async fn acquire_connect_permit(
+        self: &Rc<Self>,
+        leaf: WorkerId,
+        left: Duration,
+    ) -> Result<ConnectPermit, ConnectWaitError> {
         let (number, out) = self.openings.borrow_mut().enqueue(self.now(), leaf, left);
         let (tell, told) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, tell);
@@ -156,7 +160,7 @@
             Ok(Err(_)) => ConnectWaitError::QueueFull,
             Err(_) => ConnectWaitError::TimedOut,
         };
-        self.tally.borrow_mut().worker_connect_waits_failed += 1;
+        self.counters.borrow_mut().worker_connect_waits_failed += 1;
         Err(end)
     }
 
@@ -165,13 +169,13 @@
         while self.openings.borrow().can_start_next()
             && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
         {
-            let Ok(place) = self.try_take(DescriptorClass::Workers) else { return };
-            place.pin();
+            let Ok(place) = self.try_acquire(DescriptorClass::Workers) else { return };
+            place.try_mark_busy();
             let admitted = self.openings.borrow_mut().start_next();
             let Some((number, leaf)) = admitted else { return };
-            self.tally.borrow_mut().worker_connects_started += 1;
+            self.counters.borrow_mut().worker_connects_started += 1;
             let tell = self.waiting.borrow_mut().remove(&number);
-            let opening = Opening { place, _coming_up: ComingUp { places: self.clone(), leaf } };
+            let opening = ConnectPermit { place, _coming_up: ComingUp { places: self.clone(), leaf } };
             if let Some(tell) = tell {
                 // Nobody waits any longer if it fails: the opening comes back, and gives its place back.
                 drop(tell.send(opening));
@@ -182,7 +186,7 @@
     fn change_bytes(&self, before: usize, after: usize) {
         let mut bytes = self.bytes.borrow_mut();
         bytes.update(before, after);
-        let mut tally = self.tally.borrow_mut();
+        let mut tally = self.counters.borrow_mut();
         tally.peak_buffered_bytes = tally.peak_buffered_bytes.max(bytes.used());
         if after < before {
             self.room.notify_waiters();
@@ -192,7 +196,7 @@
 
 /// Leaves the queue when nobody waits any longer.
 struct Waiting<'a> {
-    places: &'a Places,
+    places: &'a DescriptorPool,
     number: ConnectTicket,
 }
 
@@ -204,22 +208,22 @@
 }
 
 /// One descriptor of the budget, for as long as it is held.
-pub struct Place {
-    places: Rc<Places>,
+pub struct DescriptorPermit {
+    places: Rc<DescriptorPool>,
     side: DescriptorClass,
     firm: Cell<bool>,
 }
 
-impl Place {
+impl DescriptorPermit {
     /// Makes it firm; false where floors forbid it.
-    pub fn pin(&self) -> bool {
+    pub fn try_mark_busy(&self) -> bool {
         if !self.firm.get() {
             self.firm.set(self.places.descriptors.borrow_mut().mark_busy(self.side));
         }
         self.firm.get()
     }
     /// Makes it loose.
-    pub fn unpin(&self) {
+    pub fn mark_idle(&self) {
         if self.firm.replace(false) {
             self.places.descriptors.borrow_mut().mark_evictable(self.side);
             self.places.pump();
@@ -227,7 +231,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let mut descriptors = self.places.descriptors.borrow_mut();
         if self.firm.get() {
@@ -241,20 +245,20 @@
 }
 
 /// The right to open a connection to a server: a firm place, and one of those that may be coming up at once.
-pub struct Opening {
-    place: Place,
+pub struct ConnectPermit {
+    place: DescriptorPermit,
     _coming_up: ComingUp,
 }
 
-impl Opening {
+impl ConnectPermit {
     /// The connection is up; it keeps the place.
-    pub fn up(self) -> Place {
+    pub fn into_descriptor_permit(self) -> DescriptorPermit {
         self.place
     }
 }
 
 struct ComingUp {
-    places: Rc<Places>,
+    places: Rc<DescriptorPool>,
     leaf: WorkerId,
 }
 
@@ -266,15 +270,15 @@
 }
 
 /// Bytes buffered for one peer, booked for as long as it lives.
-pub struct Buffered {
-    places: Rc<Places>,
+pub struct BufferReservation {
+    places: Rc<DescriptorPool>,
     held: Cell<usize>,
 }
 
-impl Buffered {
+impl BufferReservation {
     /// Nothing yet.
-    pub fn new(places: &Rc<Places>) -> Buffered {
-        Buffered { places: places.clone(), held: Cell::new(0) }
+    pub fn new(places: &Rc<DescriptorPool>) -> BufferReservation {
+        BufferReservation { places: places.clone(), held: Cell::new(0) }
     }
     /// Books what is held now.
     pub fn set(&self, held: usize) {
@@ -288,12 +292,12 @@
         self.places.bytes.borrow().allowance(self.held.get())
     }
     /// Waits until somebody else holds less.
-    pub async fn room(&self) {
+    pub async fn wait_for_space(&self) {
         self.places.room.notified().await;
     }
 }
 
-impl Drop for Buffered {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/src/transport/watch.rs
+++ b/src/transport/discovery.rs
@@ -1,8 +1,8 @@
 //! Follows discovery: the whole list once, where no list is held, then one watch after the other.
 
-use super::client;
-use super::places::Places;
-use super::stream::{Dial, dial_within};
+use super::connector::{Connector, connect_with_timeout};
+use super::descriptor_pool::DescriptorPool;
+use super::http_client;
 use crate::limits::{Backoff, DescriptorClass};
 use crate::protocol::{discovery, http};
 use crate::routing::Broker;
@@ -21,11 +21,11 @@
 /// Tells the broker whatever discovery says, for as long as the process lives. Serving never waits for it. `held` is the
 /// revision of the list that the broker has already, if the first call is to ask for what is newer alone.
 pub async fn follow(
-    dial: &dyn Dial,
+    dial: &dyn Connector,
     mut address: watch::Receiver<String>,
     held: Option<u64>,
     broker: &Broker,
-    places: &Rc<Places>,
+    places: &Rc<DescriptorPool>,
     mut backoff: Backoff,
 ) {
     let (mut at, mut said) = (address.borrow_and_update().clone(), String::new());
@@ -46,7 +46,7 @@
             backoff.record_success();
         }
         // Its floor holds it: it never has to wait for long, whatever the crowd.
-        let _place = places.take(DescriptorClass::Discovery).await;
+        let _place = places.acquire(DescriptorClass::Discovery).await;
         let (error, overbooked) = tokio::select! {
             biased;
             Ok(()) = address.changed() => continue,
@@ -65,14 +65,14 @@
 
 /// Watches on one connection until that fails; says why, and whether discovery has more to do than it bears.
 async fn session(
-    dial: &dyn Dial,
+    dial: &dyn Connector,
     address: &str,
     broker: &Broker,
     revision: &mut Option<u64>,
     backoff: &mut Backoff,
 ) -> (String, bool) {
     let wait = backoff.long_poll_timeout();
-    let mut stream = match dial_within(dial, address, CONNECT).await {
+    let mut stream = match connect_with_timeout(dial, address, CONNECT).await {
         Ok(stream) => stream,
         Err(error) => return (format!("cannot connect: {error}"), false),
     };
@@ -80,7 +80,7 @@
     loop {
         let watch = revision.map(|revision| (revision, wait.as_millis() as u64));
         let request = http::encode_request("GET", &discovery::endpoint_list_target(watch), address, None);
-        let exchange = client::exchange(&mut *stream, &mut buffer, &request, 4 * http::MAX_BODY_BYTES);
+        let exchange = http_client::exchange(&mut *stream, &mut buffer, &request, 4 * http::MAX_BODY_BYTES);
         // Guards against a watch that has fallen silent: what it misses counts as told 2 s after its wait is over, and 6 s
         // after a call that does not wait.
         let longest = if watch.is_some() { wait + SLACK } else { ANSWER };
--- a/src/transport/failure.rs
+++ b/src/transport/errors.rs
@@ -15,7 +15,7 @@
 }
 
 /// Calls that failed and were made again, since the start of this thread.
-pub fn repeated() -> u64 {
+pub fn retried_calls() -> u64 {
     REPEATED.get()
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// Whether a call may do better in a moment: what is local, a network that is not there yet, a disk that fails.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     let other = matches!(
         Errno::from_io_error(error),
         Some(Errno::CONNABORTED | Errno::NETUNREACH | Errno::NETDOWN | Errno::IO | Errno::NOSPC)
@@ -51,17 +51,17 @@
 
 /// The pauses between tries of a call that fails for a moment: they grow.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses(Duration);
+pub struct RetryDelays(Duration);
 
-impl Default for Pauses {
-    fn default() -> Pauses {
-        Pauses(FIRST_PAUSE)
+impl Default for RetryDelays {
+    fn default() -> RetryDelays {
+        RetryDelays(FIRST_PAUSE)
     }
 }
 
-impl Pauses {
+impl RetryDelays {
     /// The next one.
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.0;
         self.0 = (pause * 2).min(LONGEST_PAUSE);
         pause
@@ -74,11 +74,11 @@
     may_pass: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let (since, mut pauses) = (std::time::Instant::now(), Pauses::default());
+    let (since, mut pauses) = (std::time::Instant::now(), RetryDelays::default());
     loop {
         match call() {
             Err(error) if may_pass(&error) && since.elapsed() < limit => {
-                std::thread::sleep(pauses.next_pause());
+                std::thread::sleep(pauses.next_delay());
             }
             done => return done,
         }
@@ -91,12 +91,12 @@
     may_pass: impl Fn(&io::Error) -> bool,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let (since, mut pauses) = (Instant::now(), Pauses::default());
+    let (since, mut pauses) = (Instant::now(), RetryDelays::default());
     loop {
         match call().await {
             Err(error) if may_pass(&error) && since.elapsed() < limit => {
                 REPEATED.set(REPEATED.get() + 1);
-                sleep(pauses.next_pause()).await;
+                sleep(pauses.next_delay()).await;
             }
             done => return done,
         }
--- a/src/transport/client.rs
+++ b/src/transport/http_client.rs
@@ -1,6 +1,6 @@
 //! One HTTP exchange on a connection of our own.
 
-use super::stream::Stream;
+use super::connector::Stream;
 use crate::protocol::http::{self, Malformed, ReceivedResponse};
 use bytes::BytesMut;
 use std::io;
@@ -8,13 +8,13 @@
 
 /// Why there is no response.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum ExchangeError {
     /// The connection ended before the request's last byte was written.
     #[error("not sent: {0}")]
-    Unsent(io::Error),
+    NotSent(io::Error),
     /// It ended after that.
     #[error("sent, not answered: {0}")]
-    Unanswered(io::Error),
+    NoResponse(io::Error),
     /// The response cannot be read.
     #[error("unreadable response: {0}")]
     Malformed(#[from] Malformed),
@@ -26,8 +26,8 @@
     buffer: &mut BytesMut,
     request: &[u8],
     most: usize,
-) -> Result<ReceivedResponse, Broken> {
-    stream.write_all(request).await.map_err(Broken::Unsent)?;
+) -> Result<ReceivedResponse, ExchangeError> {
+    stream.write_all(request).await.map_err(ExchangeError::NotSent)?;
     loop {
         if let Some(response) = http::take_response(buffer, most)? {
             if response.status >= 200 {
@@ -35,13 +35,13 @@
             }
             continue;
         }
-        if stream.read_buf(buffer).await.map_err(Broken::Unanswered)? == 0 {
+        if stream.read_buf(buffer).await.map_err(ExchangeError::NoResponse)? == 0 {
             if let Some(response) = http::take_response_at_eof(buffer, most)?
                 && response.status >= 200
             {
                 return Ok(response);
             }
-            return Err(Broken::Unanswered(io::ErrorKind::UnexpectedEof.into()));
+            return Err(ExchangeError::NoResponse(io::ErrorKind::UnexpectedEof.into()));
         }
     }
 }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -1,9 +1,9 @@
 //! Connections to index servers that speak the OpenSearch-style form: one search at a time on each.
 
-use super::client::{self, Broken};
-use super::failure;
-use super::places::{Buffered, Place, Places};
-use super::stream::{Dial, Stream, dial_within};
+use super::connector::{Connector, Stream, connect_with_timeout};
+use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
+use super::errors;
+use super::http_client::{self, ExchangeError};
 use crate::limits::DescriptorClass;
 use crate::policy::*;
 use crate::protocol::{http, opensearch};
@@ -28,9 +28,9 @@
 
 struct Shared {
     broker: Broker,
-    dial: Rc<dyn Dial>,
+    dial: Rc<dyn Connector>,
     limits: BrokerLimits,
-    places: Rc<Places>,
+    places: Rc<DescriptorPool>,
     links: RefCell<HashMap<WorkerId, Rc<Link>>>,
     running: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
@@ -46,13 +46,13 @@
 /// A connection that waits for its next search; its place is loose.
 struct Idle {
     stream: Box<dyn Stream>,
-    place: Place,
+    place: DescriptorPermit,
     since: Instant,
 }
 
 impl IndexServers {
     /// No connections yet; they are opened as searches need them and places allow.
-    pub fn new(broker: Broker, dial: Rc<dyn Dial>, places: Rc<Places>) -> IndexServers {
+    pub fn new(broker: Broker, dial: Rc<dyn Connector>, places: Rc<DescriptorPool>) -> IndexServers {
         let limits = broker.with_core(|core| core.contracts().limits.clone());
         let (links, running) = (RefCell::default(), RefCell::default());
         IndexServers(Rc::new(Shared { broker, dial, limits, places, links, running }))
@@ -66,7 +66,7 @@
     }
 
     /// Keeps a connection for the next search, and closes it before the server would.
-    fn keep(&self, link: &Rc<Link>, stream: Box<dyn Stream>, place: Place) {
+    fn keep(&self, link: &Rc<Link>, stream: Box<dyn Stream>, place: DescriptorPermit) {
         link.idle.borrow_mut().push(Idle { stream, place, since: Instant::now() });
         let (link, longest) = (link.clone(), self.0.limits.connection_idle_timeout.mul_f64(IDLE_SHARE));
         spawn_local(async move {
@@ -78,15 +78,15 @@
 
     /// Closes the connection that has been idle the longest whenever its place is needed, for as long as the process
     /// lives.
-    pub async fn give_way(self) {
+    pub async fn close_idle_on_reclaim(self) {
         loop {
-            self.0.places.recalled(DescriptorClass::Workers).await;
+            self.0.places.wait_for_reclaim(DescriptorClass::Workers).await;
             let links = self.0.links.borrow();
             let oldest = |link: &&Rc<Link>| link.idle.borrow().first().map(|idle| idle.since);
             let link = links.values().filter(|link| oldest(link).is_some()).min_by_key(oldest).cloned();
             drop(links);
             if let Some(link) = link {
-                self.0.places.tally.borrow_mut().worker_connections_evicted += 1;
+                self.0.places.counters.borrow_mut().worker_connections_evicted += 1;
                 let oldest = link.idle.borrow_mut().remove(0);
                 close(vec![oldest]);
             }
@@ -106,14 +106,17 @@
             Some(kept) => kept,
             None => {
                 // Nothing has run where there was no place for it.
-                let Ok(opening) = self.0.places.open(leaf, part.time_left(self.0.broker.now())).await else {
+                let Ok(opening) =
+                    self.0.places.acquire_connect_permit(leaf, part.time_left(self.0.broker.now())).await
+                else {
                     return AttemptCompletion::without_value(AttemptOutcome::NotSent);
                 };
-                match dial_within(&*self.0.dial, &link.address, self.0.limits.connect_timeout).await {
-                    Ok(stream) => (stream, opening.up()),
+                match connect_with_timeout(&*self.0.dial, &link.address, self.0.limits.connect_timeout).await
+                {
+                    Ok(stream) => (stream, opening.into_descriptor_permit()),
                     Err(error) => {
                         log::warn!("index server at {}: cannot connect: {error}", link.address);
-                        let local = failure::is_local(&error);
+                        let local = errors::is_local(&error);
                         return AttemptCompletion::without_value(if local {
                             AttemptOutcome::NotSent
                         } else {
@@ -127,16 +130,16 @@
         let target = format!("/{}/_search?preference=_shards:{}&timeout={left}ms", part.label, part.shard.0);
         let request = http::encode_request("POST", &target, &link.address, Some(&part.payload));
         let mut buffer = BytesMut::new();
-        let bytes = Buffered::new(&self.0.places);
+        let bytes = BufferReservation::new(&self.0.places);
         bytes.set(request.len());
-        let exchanged = client::exchange(&mut *stream, &mut buffer, &request, MOST_RESULT).await;
-        if !matches!(exchanged, Err(Broken::Unsent(_))) {
+        let exchanged = http_client::exchange(&mut *stream, &mut buffer, &request, MOST_RESULT).await;
+        if !matches!(exchanged, Err(ExchangeError::NotSent(_))) {
             self.0.broker.with_core(|core| core.count_written(1));
         }
         match exchanged {
             Ok(response) => {
                 if response.keep_alive && buffer.is_empty() {
-                    place.unpin();
+                    place.mark_idle();
                     self.keep(link, stream, place);
                 }
                 match response.status {
@@ -156,16 +159,16 @@
             Err(error) => {
                 log::warn!("index server at {}: {error}", link.address);
                 AttemptCompletion::without_value(match error {
-                    Broken::Unsent(_) => AttemptOutcome::ConnectFailed,
-                    Broken::Unanswered(_) => AttemptOutcome::ConnectionReset,
-                    Broken::Malformed(_) => AttemptOutcome::Failed,
+                    ExchangeError::NotSent(_) => AttemptOutcome::ConnectFailed,
+                    ExchangeError::NoResponse(_) => AttemptOutcome::ConnectionReset,
+                    ExchangeError::Malformed(_) => AttemptOutcome::Failed,
                 })
             }
         }
     }
 
     /// An idle connection that the server has not closed meanwhile.
-    async fn kept(&self, link: &Link) -> Option<(Box<dyn Stream>, Place)> {
+    async fn kept(&self, link: &Link) -> Option<(Box<dyn Stream>, DescriptorPermit)> {
         loop {
             let latest = link.idle.borrow_mut().pop();
             let Idle { mut stream, place, .. } = latest?;
@@ -176,7 +179,7 @@
                 () = std::future::ready(()) => true,
             };
             // Where no firm place may be had the connection goes, and the search waits for its turn.
-            if still && place.pin() {
+            if still && place.try_mark_busy() {
                 return Some((stream, place));
             }
         }
--- a/src/transport/members.rs
+++ b/src/transport/membership.rs
@@ -1,7 +1,7 @@
 //! The sockets of membership: datagrams, connections that prove whether a process is there, exchanges of whole tables.
 //! What is asked and concluded is decided in [`crate::membership`].
 
-use super::failure;
+use super::errors;
 use super::socket::Socket;
 use crate::membership::{
     Command, ConnectionProbeResult, KnownMember, MemberChange, Message, Node, ObservedState,
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 /// Connections at once, of one's own and of others together: descriptors kept for them from the start.
-pub const CONNECTIONS: usize = 6;
+pub const MEMBERSHIP_CONNECTIONS: usize = 6;
 /// Those of them that others may hold.
 const CALLERS: usize = 3;
 /// Time for a connection to come up: one that is refused is so within a round trip.
@@ -38,26 +38,26 @@
 
 /// Connects; a failure of this process's own calls is tried again for so long.
 async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
-    failure::retry(limit, failure::is_local, async || TcpStream::connect(address).await).await
+    errors::retry(limit, errors::is_local, async || TcpStream::connect(address).await).await
 }
 
 /// Who is told of what membership finds.
-pub trait Listener {
+pub trait MembershipObserver {
     /// A member stands otherwise than before.
-    fn changed(&self, change: &MemberChange);
+    fn on_member_change(&self, change: &MemberChange);
     /// So many gatherers share the fleet from now on.
-    fn gatherers(&self, count: u32);
+    fn on_fleet_size(&self, count: u32);
 }
 
 /// One member's sockets.
-pub struct Members {
+pub struct MembershipTransport {
     node: RefCell<Node>,
     seal: ClusterKey,
     clock: Clock,
     listen: SocketAddr,
     /// The most bytes of a table.
     most: usize,
-    listener: Box<dyn Listener>,
+    listener: Box<dyn MembershipObserver>,
     told: Cell<u32>,
     /// Datagrams and tables that were not taken, by reason; and those that could not be sent.
     refused: RefCell<BTreeMap<String, u64>>,
@@ -91,7 +91,7 @@
     refused: BTreeMap<String, u64>,
 }
 
-impl Members {
+impl MembershipTransport {
     /// A member that remembers so many others at most.
     pub fn new(
         node: Node,
@@ -99,9 +99,9 @@
         clock: Clock,
         listen: SocketAddr,
         most: usize,
-        listener: Box<dyn Listener>,
-    ) -> Rc<Members> {
-        Rc::new(Members {
+        listener: Box<dyn MembershipObserver>,
+    ) -> Rc<MembershipTransport> {
+        Rc::new(MembershipTransport {
             node: RefCell::new(node),
             seal,
             clock,
@@ -112,14 +112,14 @@
             refused: RefCell::default(),
             due: Notify::new(),
             left: Notify::new(),
-            own: Semaphore::new(CONNECTIONS - CALLERS),
+            own: Semaphore::new(MEMBERSHIP_CONNECTIONS - CALLERS),
             callers: Semaphore::new(CALLERS),
             socket: RefCell::default(),
         })
     }
 
-    /// Takes part until [`Members::leave`].
-    pub async fn take_part(self: Rc<Members>) {
+    /// Takes part until [`MembershipTransport::leave`].
+    pub async fn run(self: Rc<MembershipTransport>) {
         let (socket, listener) = tokio::select! {
             sockets = self.bind() => sockets,
             () = self.left.notified() => return,
@@ -169,7 +169,7 @@
         self.left.notify_one();
     }
 
-    async fn beat(self: Rc<Members>) {
+    async fn beat(self: Rc<MembershipTransport>) {
         loop {
             let now = self.clock.now();
             self.node.borrow_mut().tick(now);
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn receive(self: Rc<Members>, socket: Rc<UdpSocket>) {
+    async fn receive(self: Rc<MembershipTransport>, socket: Rc<UdpSocket>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv(&mut bytes).await {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn hear(self: &Rc<Members>, message: Message) {
+    fn hear(self: &Rc<MembershipTransport>, message: Message) {
         self.node.borrow_mut().receive(self.clock.now(), message);
         self.came();
     }
@@ -208,7 +208,7 @@
     }
 
     /// Does what the node asks for, and tells of what has changed.
-    fn carry_out(self: &Rc<Members>) {
+    fn carry_out(self: &Rc<MembershipTransport>) {
         let orders = self.node.borrow_mut().take_commands();
         let socket = self.socket.borrow().clone();
         for order in orders {
@@ -226,7 +226,7 @@
                     let members = self.clone();
                     spawn_local(async move { members.exchange(with).await });
                 }
-                Command::Notify(change) => self.listener.changed(&change),
+                Command::Notify(change) => self.listener.on_member_change(&change),
                 Command::NameReclaimed => {
                     log::warn!(
                         "members: another process uses this one's name; it was taken back by a later start"
@@ -236,12 +236,12 @@
         }
         let count = self.node.borrow().gatherers(self.clock.now());
         if self.told.replace(count) != count {
-            self.listener.gatherers(count);
+            self.listener.on_fleet_size(count);
         }
     }
 
     /// Something came in: what is due next may have changed.
-    fn came(self: &Rc<Members>) {
+    fn came(self: &Rc<MembershipTransport>) {
         self.carry_out();
         self.due.notify_one();
     }
@@ -265,7 +265,7 @@
     }
 
     /// Finds out whether a process is there; silent where there is no place for one more connection.
-    async fn knock(self: Rc<Members>, name: String, start: u64, address: SocketAddr) {
+    async fn knock(self: Rc<MembershipTransport>, name: String, start: u64, address: SocketAddr) {
         let end = match self.own.try_acquire() {
             Err(_) => ConnectionProbeResult::NoResponse,
             // What fails here says nothing of the other: it is tried again.
@@ -281,7 +281,7 @@
         self.came();
     }
 
-    async fn exchange(self: Rc<Members>, with: SocketAddr) {
+    async fn exchange(self: Rc<MembershipTransport>, with: SocketAddr) {
         let Ok(_place) = self.own.try_acquire() else { return };
         let both = async {
             let mut stream = Socket::new(connect(with, EXCHANGE).await.ok()?);
@@ -294,7 +294,7 @@
         }
     }
 
-    async fn accept(self: Rc<Members>, listener: TcpListener) {
+    async fn accept(self: Rc<MembershipTransport>, listener: TcpListener) {
         loop {
             let Ok(place) = self.callers.acquire().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
@@ -339,7 +339,7 @@
     }
 
     /// What is known, as JSON.
-    pub fn view(&self) -> String {
+    pub fn status_json(&self) -> String {
         let (node, now) = (self.node.borrow(), self.clock.now());
         let own = node.own();
         let row = |seen: &KnownMember| Row {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,16 +1,16 @@
 //! Sockets: clients' connections, connections to workers, the discovery watch, operators' calls. Nothing here decides.
 
-pub mod client;
-pub mod failure;
-pub mod gate;
+pub mod connection_manager;
+pub mod connector;
+pub mod descriptor_pool;
+pub mod discovery;
+pub mod errors;
+pub mod http_client;
 pub mod index_servers;
 pub mod listener;
-pub mod members;
+pub mod membership;
 pub mod operator_api;
-pub mod owed_answer;
-pub mod places;
-pub mod relay;
+pub mod response_guard;
 pub mod socket;
-pub mod stream;
-pub mod watch;
+pub mod takeover;
 pub mod workers;
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -1,7 +1,7 @@
 //! Where operators call: HTTP/1.1, one call to a connection, few callers at once on descriptors of their own.
 
+use super::descriptor_pool::{DescriptorPermit, DescriptorPool};
 use super::listener::drain;
-use super::places::{Place, Places};
 use super::socket::Socket;
 use crate::limits::DescriptorClass;
 use crate::limits::descriptors::OPERATOR_DESCRIPTORS;
@@ -29,12 +29,12 @@
 /// What answers operators' calls.
 pub trait OperatorApi {
     /// The answer to a call.
-    fn answer(&self, request: &Request) -> Response;
+    fn respond(&self, request: &Request) -> Response;
 }
 
 /// Takes calls for as long as the process lives. Guards against callers that connect and say nothing, however many: the
 /// one that came first gives its place to the next.
-pub async fn serve<D: OperatorApi + 'static>(listener: TcpListener, api: Rc<D>, places: Rc<Places>) {
+pub async fn serve<D: OperatorApi + 'static>(listener: TcpListener, api: Rc<D>, places: Rc<DescriptorPool>) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
@@ -51,14 +51,14 @@
         {
             first.abort();
         }
-        let place = places.take(DescriptorClass::Operators).await;
+        let place = places.acquire(DescriptorClass::Operators).await;
         let api = api.clone();
         callers.push_back(spawn_local(async move { call(stream, &*api, place).await }));
     }
 }
 
 /// The life of one call.
-async fn call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _place: Place) {
+async fn call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _place: DescriptorPermit) {
     let mut buffer = BytesMut::new();
     let arriving = async {
         loop {
@@ -74,7 +74,7 @@
         }
     };
     let response = match tokio::time::timeout(ARRIVE, arriving).await {
-        Ok(Some(Ok(request))) => api.answer(&request),
+        Ok(Some(Ok(request))) => api.respond(&request),
         Ok(Some(Err(error))) => Response::text(error.status(), error.to_string()),
         Ok(None) => return,
         Err(_) => Response::text(408, "the call did not end in time"),
--- a/src/transport/owed_answer.rs
+++ b/src/transport/response_guard.rs
@@ -7,31 +7,31 @@
 
 /// The answer to one request that was read. Dropped before it is given, or its client has gone, it counts as a broken
 /// invariant.
-pub struct OwedAnswer<'a, F: Front> {
+pub struct ResponseGuard<'a, F: Front> {
     front: &'a F,
     label: String,
     settled: bool,
 }
 
-impl<'a, F: Front> OwedAnswer<'a, F> {
+impl<'a, F: Front> ResponseGuard<'a, F> {
     /// This request has been read.
-    pub fn new(front: &'a F, request: &Request) -> OwedAnswer<'a, F> {
+    pub fn new(front: &'a F, request: &Request) -> ResponseGuard<'a, F> {
         let label = front.label(request).unwrap_or(&request.path).to_owned();
-        OwedAnswer { front, label, settled: false }
+        ResponseGuard { front, label, settled: false }
     }
 
     /// The last byte of its answer is written.
-    pub fn given(mut self) {
+    pub fn mark_sent(mut self) {
         self.settled = true;
     }
 
     /// Its client closed the connection first.
-    pub fn client_gone(mut self) {
+    pub fn mark_client_gone(mut self) {
         self.settled = true;
     }
 }
 
-impl<F: Front> Drop for OwedAnswer<'_, F> {
+impl<F: Front> Drop for ResponseGuard<'_, F> {
     fn drop(&mut self) {
         if !self.settled {
             let concerns = format!("request {} is closed without its answer", self.label);
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -20,12 +20,12 @@
 }
 
 /// Calls that were interrupted and made again, since the start of this thread.
-pub fn interrupted() -> u64 {
+pub fn interrupted_calls() -> u64 {
     INTERRUPTED.get()
 }
 
 /// A socket of the runtime, as far as it tells of readiness and makes single calls.
-pub trait Raw: Unpin {
+pub trait RawSocket: Unpin {
     /// Waits until a read may be tried.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
     /// Waits until a write may be tried.
@@ -40,7 +40,7 @@
 
 macro_rules! raw {
     ($stream:ty) => {
-        impl Raw for $stream {
+        impl RawSocket for $stream {
             fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
                 <$stream>::poll_read_ready(self, cx)
             }
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Socket<S>(S);
 
-impl<S: Raw> Socket<S> {
+impl<S: RawSocket> Socket<S> {
     /// Reads and writes this socket.
     pub fn new(raw: S) -> Socket<S> {
         Socket(raw)
@@ -103,7 +103,7 @@
     }
 }
 
-impl<S: Raw> AsyncRead for Socket<S> {
+impl<S: RawSocket> AsyncRead for Socket<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -114,7 +114,7 @@
     }
 }
 
-impl<S: Raw> AsyncWrite for Socket<S> {
+impl<S: RawSocket> AsyncWrite for Socket<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let raw = &self.0;
         poll_call(cx, |cx| raw.poll_write_ready(cx), || raw.try_write(bytes))
--- a/src/transport/relay.rs
+++ b/src/transport/takeover.rs
@@ -24,31 +24,31 @@
 
 /// Why the other process is no longer heard.
 #[derive(Debug, thiserror::Error)]
-pub enum Lost {
+pub enum TakeoverChannelError {
     /// The connection.
     #[error("{0}")]
-    Ended(#[from] io::Error),
+    Closed(#[from] io::Error),
     /// What it said.
     #[error("{0}")]
-    Unusable(#[from] HandoverError),
+    InvalidMessage(#[from] HandoverError),
 }
 
 /// Where the processes of one gatherer find each other: by a file of a private folder, or where that cannot be written
 /// by a name without a file.
 #[derive(Clone, Debug)]
-pub struct Meeting {
+pub struct TakeoverSocket {
     path: PathBuf,
     name: String,
     /// The number of the file that is this process's own.
     own: Cell<Option<u64>>,
 }
 
-impl Meeting {
+impl TakeoverSocket {
     /// For the gatherer whose clients connect there.
-    pub fn new(folder: &Path, listen: &str) -> Meeting {
+    pub fn new(folder: &Path, listen: &str) -> TakeoverSocket {
         let name =
             format!("clayshore-{}-{}", rustix::process::geteuid().as_raw(), listen.replace([':', '/'], "-"));
-        Meeting { path: folder.join(format!("{name}.sock")), name, own: Cell::new(None) }
+        TakeoverSocket { path: folder.join(format!("{name}.sock")), name, own: Cell::new(None) }
     }
 
     fn nameless(&self) -> io::Result<SocketAddr> {
@@ -75,7 +75,7 @@
     }
 
     /// Finds a process that waits there; `None` where there is none. A call that fails here says nothing of that.
-    pub async fn find(&self) -> io::Result<Option<Relay>> {
+    pub async fn connect(&self) -> io::Result<Option<TakeoverChannel>> {
         let stream = match UnixStream::connect(&self.path).await {
             Ok(stream) => stream,
             Err(error) if is_absent(&error) => match self.connect_nameless() {
@@ -85,7 +85,7 @@
             },
             Err(error) => return Err(error),
         };
-        Ok(Relay::new(stream))
+        Ok(TakeoverChannel::new(stream))
     }
 
     fn connect_nameless(&self) -> io::Result<UnixStream> {
@@ -95,15 +95,15 @@
     }
 
     /// Whether the file there is this process's own.
-    pub fn is_own(&self) -> bool {
+    pub fn owns_socket_file(&self) -> bool {
         let there = std::fs::metadata(&self.path).ok().map(|file| file.ino());
         there.is_some() && there == self.own.get()
     }
 
     /// Leaves no file of its own behind. Guards a successor's, which replaced it, by hand-over or beside a process that
     /// did not answer.
-    pub fn leave(&self) {
-        if self.is_own() {
+    pub fn remove_socket_file(&self) {
+        if self.owns_socket_file() {
             // It may be gone by now.
             let _ = std::fs::remove_file(&self.path);
         }
@@ -117,28 +117,32 @@
 
 /// A connection to the other process.
 #[derive(Debug)]
-pub struct Relay {
+pub struct TakeoverChannel {
     stream: Socket<UnixStream>,
     buffer: BytesMut,
 }
 
-impl Relay {
+impl TakeoverChannel {
     /// A connection, where the other end belongs to the same user.
-    pub fn new(stream: UnixStream) -> Option<Relay> {
+    pub fn new(stream: UnixStream) -> Option<TakeoverChannel> {
         let same = |user: u32| user == rustix::process::geteuid().as_raw();
         let peer = stream.peer_cred().ok().filter(|peer| same(peer.uid()));
         // Guards against any other user's process that takes the name: it is given nothing and believed nothing.
-        peer.is_some().then(|| Relay { stream: Socket::new(stream), buffer: BytesMut::new() })
+        peer.is_some().then(|| TakeoverChannel { stream: Socket::new(stream), buffer: BytesMut::new() })
     }
 
     /// Sends a message.
-    pub async fn send(&mut self, message: &Message) -> Result<(), Lost> {
+    pub async fn send(&mut self, message: &Message) -> Result<(), TakeoverChannelError> {
         let bytes = handover::encode(message)?;
         Ok(self.stream.write_all(&bytes).await?)
     }
 
     /// Sends a message with a socket beside it.
-    pub async fn send_with(&mut self, message: &Message, socket: BorrowedFd<'_>) -> Result<(), Lost> {
+    pub async fn send_with_socket(
+        &mut self,
+        message: &Message,
+        socket: BorrowedFd<'_>,
+    ) -> Result<(), TakeoverChannelError> {
         let bytes = handover::encode(message)?;
         let raw = self.stream.raw();
         let sent = raw
@@ -158,7 +162,7 @@
     }
 
     /// The next message.
-    pub async fn receive(&mut self) -> Result<Message, Lost> {
+    pub async fn receive(&mut self) -> Result<Message, TakeoverChannelError> {
         loop {
             if let Some(message) = handover::take_message(&mut self.buffer)? {
                 return Ok(message);
@@ -171,7 +175,7 @@
     }
 
     /// The next message, and the socket that comes beside it: that one also where the message is of no use.
-    pub async fn receive_with(&mut self) -> (Result<Message, Lost>, Option<OwnedFd>) {
+    pub async fn receive_with_socket(&mut self) -> (Result<Message, TakeoverChannelError>, Option<OwnedFd>) {
         let mut socket = None;
         loop {
             match handover::take_message(&mut self.buffer) {
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -5,8 +5,8 @@
 mod connection;
 mod session;
 
-use super::places::Places;
-use super::stream::Dial;
+use super::connector::Connector;
+use super::descriptor_pool::DescriptorPool;
 use crate::limits::DescriptorClass;
 use crate::limits::connection_pool::{self, ConnectionChoice};
 use crate::policy::*;
@@ -72,7 +72,7 @@
 
 impl Workers {
     /// No connections yet; they are opened as calls need them and places allow.
-    pub fn new(broker: Broker, dial: Rc<dyn Dial>, places: Rc<Places>) -> Workers {
+    pub fn new(broker: Broker, dial: Rc<dyn Connector>, places: Rc<DescriptorPool>) -> Workers {
         let contracts = broker.with_core(|core| core.contracts().clone());
         let (limits, settings) = (contracts.limits, contracts.settings);
         // Guards against writing on into a machine that vanished: silence is judged by what answers may take here.
@@ -136,7 +136,7 @@
     }
 
     fn count(&self, disconnect: &Disconnect) {
-        let mut tally = self.0.shared.places.tally.borrow_mut();
+        let mut tally = self.0.shared.places.counters.borrow_mut();
         *match disconnect {
             Disconnect::Closed(_) => &mut tally.worker_connections_closed,
             Disconnect::Untrusted(_) => &mut tally.worker_connections_untrusted,
@@ -158,15 +158,15 @@
 
     /// Closes the connection that has been idle the longest whenever its place is needed, for as long as the process
     /// lives.
-    pub async fn give_way(self) {
+    pub async fn close_idle_on_reclaim(self) {
         let places = &self.0.shared.places;
         loop {
-            places.recalled(DescriptorClass::Workers).await;
+            places.wait_for_reclaim(DescriptorClass::Workers).await;
             let workers = self.0.workers.borrow();
             let connections = workers.values().flat_map(|worker| &worker.connections);
             let idle = connections.filter(|connection| connection.is_evictable());
             if let Some(connection) = idle.min_by_key(|connection| connection.last_used.get()) {
-                places.tally.borrow_mut().worker_connections_evicted += 1;
+                places.counters.borrow_mut().worker_connections_evicted += 1;
                 connection.retire();
             }
         }
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -4,7 +4,7 @@
 use crate::policy::Time;
 use crate::protocol::frame;
 use crate::routing::{AttemptId, Dispatch};
-use crate::transport::places::Place;
+use crate::transport::descriptor_pool::DescriptorPermit;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -33,7 +33,7 @@
     /// Wakes the session.
     pub wake: Notify,
     /// Its descriptor, once it may have one; firm while anything is out on it.
-    pub place: RefCell<Option<Place>>,
+    pub place: RefCell<Option<DescriptorPermit>>,
     /// When anything was last out on it.
     pub last_used: Cell<Instant>,
 }
@@ -175,9 +175,9 @@
     pub fn update_place(&self) {
         if let Some(place) = &*self.place.borrow() {
             if self.is_idle() {
-                place.unpin();
+                place.mark_idle();
             } else {
-                place.pin();
+                place.try_mark_busy();
             }
         }
     }
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -5,9 +5,9 @@
 use crate::policy::{ReportField, WorkerId};
 use crate::protocol::frame::{self, WorkerMessage};
 use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
-use crate::transport::failure;
-use crate::transport::places::{Buffered, Places};
-use crate::transport::stream::{Dial, Stream, dial_within};
+use crate::transport::connector::{Connector, Stream, connect_with_timeout};
+use crate::transport::descriptor_pool::{BufferReservation, DescriptorPool};
+use crate::transport::errors;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
 use std::pin::Pin;
@@ -29,11 +29,11 @@
     /// Hears of each attempt's end.
     pub broker: Broker,
     /// Opens connections.
-    pub dial: Rc<dyn Dial>,
+    pub dial: Rc<dyn Connector>,
     /// Limits of a connection.
     pub limits: BrokerLimits,
     /// The process's descriptors and bytes.
-    pub places: Rc<Places>,
+    pub places: Rc<DescriptorPool>,
     /// The fields of a load report.
     pub fields: Vec<ReportField>,
 }
@@ -86,18 +86,19 @@
     connection: &Connection,
     left: Duration,
 ) -> Result<Option<Box<dyn Stream>>, Disconnect> {
-    let opening = shared.places.open(worker, left).await;
+    let opening = shared.places.acquire_connect_permit(worker, left).await;
     let opening = opening.map_err(|turned| Disconnect::Unopened(turned.to_string()))?;
     if connection.is_idle() {
         return Ok(None);
     }
-    let stream = dial_within(&*shared.dial, &connection.address, shared.limits.connect_timeout).await;
+    let stream =
+        connect_with_timeout(&*shared.dial, &connection.address, shared.limits.connect_timeout).await;
     let stream = stream.map_err(|error| {
         let why = format!("cannot connect: {error}");
         // Guards the worker's good name against what fails here.
-        if failure::is_local(&error) { Disconnect::Unopened(why) } else { Disconnect::Closed(why) }
+        if errors::is_local(&error) { Disconnect::Unopened(why) } else { Disconnect::Closed(why) }
     })?;
-    connection.place.replace(Some(opening.up()));
+    connection.place.replace(Some(opening.into_descriptor_permit()));
     Ok(Some(stream))
 }
 
@@ -138,7 +139,7 @@
     /// What was read and is no whole answer yet.
     buffer: BytesMut,
     /// Books the buffer's size.
-    buffered: Buffered,
+    buffered: BufferReservation,
     /// When anything was last out.
     last_used: Instant,
     /// When the answer that is not all there began.
@@ -147,7 +148,7 @@
 
 impl<'a> Session<'a> {
     fn new(shared: &'a Shared, connection: &'a Connection) -> Session<'a> {
-        let buffered = Buffered::new(&shared.places);
+        let buffered = BufferReservation::new(&shared.places);
         Session {
             shared,
             connection,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A root in miniature: hands events to the module and books what it asks for.
 #![allow(dead_code)] // each test file uses its own share of this
 
-pub mod fleet;
-pub mod links;
 pub mod process;
+pub mod proxied_fleet;
+pub mod simulated_fleet;
 
 use gatherer::Aggregator;
 use gatherer::policy::*;
@@ -69,7 +69,7 @@
     }
 }
 
-pub fn list(leaves: &[u32]) -> Arc<[Endpoint]> {
+pub fn endpoint_list(leaves: &[u32]) -> Arc<[Endpoint]> {
     leaves.iter().map(|leaf| entry(*leaf, EndpointStatus::Active, None)).collect()
 }
 
@@ -78,13 +78,13 @@
 pub struct Sent {
     pub id: RequestId,
     pub attempt: AttemptNo,
-    pub leaf: WorkerId,
+    pub worker: WorkerId,
     pub at: Time,
     pub timeout: Duration,
 }
 
-pub struct Root {
-    pub module: Aggregator,
+pub struct AggregatorHarness {
+    pub aggregator: Aggregator,
     pub now: Time,
     /// Every send so far.
     pub sent: Vec<Sent>,
@@ -93,46 +93,50 @@
     next: u64,
 }
 
-impl Root {
-    pub fn new(settings: Settings, leaves: &[u32]) -> Root {
-        let mut root = Root {
-            module: Aggregator::new(settings),
+impl AggregatorHarness {
+    pub fn new(settings: Settings, leaves: &[u32]) -> AggregatorHarness {
+        let mut root = AggregatorHarness {
+            aggregator: Aggregator::new(settings),
             now: Time(1_000_000 * MS),
             sent: Vec::new(),
             actions: Vec::new(),
             next: 1,
         };
-        root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list(leaves)))]);
+        root.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(leaves)))]);
         root
     }
 
-    pub fn turn(&mut self, events: Vec<Event>) {
+    pub fn step(&mut self, events: Vec<Event>) {
         self.actions.clear();
-        self.module.step(self.now, events, &mut self.actions);
+        self.aggregator.step(self.now, events, &mut self.actions);
         for action in &self.actions {
             if let Action::Send { id, worker: leaf, timeout } = action {
                 let attempt = AttemptNo(self.sent.iter().filter(|sent| sent.id == *id).count() as u32);
-                self.sent.push(Sent { id: *id, attempt, leaf: *leaf, at: self.now, timeout: *timeout });
+                self.sent.push(Sent { id: *id, attempt, worker: *leaf, at: self.now, timeout: *timeout });
             }
         }
     }
 
     /// Lets time pass in steps of 10 ms, as the module's own timer would.
-    pub fn pass(&mut self, span: u64) {
+    pub fn advance(&mut self, span: u64) {
         for _ in 0..span / 10 {
             self.now = self.now.after(ms(10));
-            self.turn(vec![Event::TimerFired { timer: TimerId(0) }]);
+            self.step(vec![Event::TimerFired { timer: TimerId(0) }]);
         }
     }
 
     /// A query of class 0 with one part for each shard; returns its id and its parts'.
-    pub fn ask(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>) {
-        let (query, parts, events) = self.query(key, shards);
-        self.turn(events);
+    pub fn submit(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>) {
+        let (query, parts, events) = self.new_query(key, shards);
+        self.step(events);
         (query, parts)
     }
 
-    pub fn query(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>, Vec<Event>) {
+    pub fn new_query(
+        &mut self,
+        key: Option<&str>,
+        shards: &[u32],
+    ) -> (RequestId, Vec<RequestId>, Vec<Event>) {
         let id = RequestId(self.next);
         let job = JobId(self.next);
         self.next += 1;
@@ -162,11 +166,11 @@
         (id, parts, events)
     }
 
-    pub fn end(&self, sent: Sent, outcome: AttemptOutcome, busy: Option<f64>) -> Event {
+    pub fn attempt_finished(&self, sent: Sent, outcome: AttemptOutcome, busy: Option<f64>) -> Event {
         Event::AttemptFinished(AttemptResult {
             id: sent.id,
             attempt: sent.attempt,
-            worker: sent.leaf,
+            worker: sent.worker,
             outcome,
             elapsed: self.now.since(sent.at),
             part_finished: outcome == AttemptOutcome::Succeeded,
@@ -174,7 +178,7 @@
         })
     }
 
-    pub fn last(&self) -> Sent {
+    pub fn last_sent(&self) -> Sent {
         *self.sent.last().expect("something was sent")
     }
 }
--- a/tests/common/links.rs
+++ b/tests/common/proxied_fleet.rs
@@ -20,16 +20,16 @@
 
 /// What becomes of what passes.
 #[derive(Default)]
-pub struct Faults {
+pub struct NetworkFaults {
     /// Shares of datagrams that are lost, and that come twice.
     pub loss: f64,
-    pub twice: f64,
+    pub duplication: f64,
     /// From whom to whom nothing passes, by number.
-    pub cuts: HashSet<(usize, usize)>,
+    pub partitions: HashSet<(usize, usize)>,
 }
 
-pub struct Fleet {
-    pub faults: Arc<Mutex<Faults>>,
+pub struct ProxiedFleet {
+    pub faults: Arc<Mutex<NetworkFaults>>,
     pub members: Vec<Option<Gatherer>>,
     pub worker: Worker,
     pub discovery: Discovery,
@@ -49,14 +49,14 @@
     name[1..].parse().expect("a number")
 }
 
-impl Fleet {
+impl ProxiedFleet {
     /// So many processes; returns once all see each other.
-    pub fn start(test: &str, count: usize) -> Fleet {
+    pub fn start(test: &str, count: usize) -> ProxiedFleet {
         let worker = Worker::start();
         let discovery = Discovery::start(&member("w1", &worker.address));
         let folder = Folder::new(test);
-        let faults: Arc<Mutex<Faults>> = Arc::default();
-        let mut fleet = Fleet {
+        let faults: Arc<Mutex<NetworkFaults>> = Arc::default();
+        let mut fleet = ProxiedFleet {
             faults,
             members: Vec::new(),
             worker,
@@ -90,13 +90,13 @@
             ));
             fleet.members.push(None);
         }
-        (0..count).for_each(|id| fleet.begin(id));
-        fleet.agreed();
+        (0..count).for_each(|id| fleet.start_member(id));
+        fleet.wait_until_converged();
         fleet
     }
 
     /// Starts a process of this member.
-    pub fn begin(&mut self, id: usize) {
+    pub fn start_member(&mut self, id: usize) {
         self.open(id);
         let gatherer = Gatherer::begin_operated(&self.folder, &self.configs[id], &self.operators[id]);
         gatherer.logged(" serving on ");
@@ -111,15 +111,15 @@
     /// Kills the process of this member; its machine refuses connections from then on.
     pub fn kill(&mut self, id: usize) {
         drop(self.members[id].take());
-        self.shut(id);
+        self.close_proxy(id);
     }
-    pub fn shut(&self, id: usize) {
+    pub fn close_proxy(&self, id: usize) {
         *self.doors[id].lock().expect("sound") = None;
         // Ends the wait for a connection that holds the port open.
         until("the port is free", || TcpStream::connect(self.relays[id]).is_err());
     }
     /// A further process of this member beside the first, as in an upgrade.
-    pub fn beside(&self, id: usize) -> Gatherer {
+    pub fn start_second_process(&self, id: usize) -> Gatherer {
         let mut config = self.configs[id].clone();
         config["operator"] = free().into();
         Gatherer::begin_operated(&self.folder, &config, &self.operators[id])
@@ -127,48 +127,48 @@
     pub fn member(&self, id: usize) -> &Gatherer {
         self.members[id].as_ref().expect("it runs")
     }
-    pub fn living(&self) -> Vec<usize> {
+    pub fn running(&self) -> Vec<usize> {
         (0..self.members.len()).filter(|id| self.members[*id].is_some()).collect()
     }
     /// Nothing passes from these to those.
-    pub fn cut(&self, from: &[usize], to: &[usize]) {
+    pub fn partition(&self, from: &[usize], to: &[usize]) {
         let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b)));
-        self.faults.lock().expect("sound").cuts.extend(pairs);
+        self.faults.lock().expect("sound").partitions.extend(pairs);
     }
     pub fn heal(&self) {
-        *self.faults.lock().expect("sound") = Faults::default();
+        *self.faults.lock().expect("sound") = NetworkFaults::default();
     }
     /// What this member sees.
-    pub fn view(&self, id: usize) -> Value {
+    pub fn membership_status(&self, id: usize) -> Value {
         let (status, text) = operate(&self.member(id).operators, "GET", "/-/members");
         assert_eq!(status, 200, "{text}");
         serde_json::from_str(&text).expect("JSON")
     }
     /// How this member sees another; empty where it does not know it.
-    pub fn sees(&self, id: usize, other: usize) -> String {
-        let view = self.view(id);
+    pub fn state_seen_by(&self, id: usize, other: usize) -> String {
+        let view = self.membership_status(id);
         let row =
             view["members"].as_array().expect("rows").iter().find(|row| row["name"] == name(other).as_str());
         row.map_or(String::new(), |row| row["state"].as_str().expect("text").to_owned())
     }
-    pub fn gatherers(&self, id: usize) -> u64 {
-        self.view(id)["gatherers"].as_u64().expect("a number")
+    pub fn fleet_size_seen_by(&self, id: usize) -> u64 {
+        self.membership_status(id)["gatherers"].as_u64().expect("a number")
     }
     /// Waits until all that live see all that live, and nobody else as there.
-    pub fn agreed(&self) {
-        let living = self.living();
+    pub fn wait_until_converged(&self) {
+        let living = self.running();
         for id in &living {
             until(&format!("{} sees all", name(*id)), || {
                 let others = (0..self.members.len()).filter(|other| other != id);
                 others.into_iter().all(|other| {
-                    let there = matches!(self.sees(*id, other).as_str(), "alive" | "cut");
+                    let there = matches!(self.state_seen_by(*id, other).as_str(), "alive" | "cut");
                     there == living.contains(&other)
                 })
             });
         }
     }
     /// Lines of all logs that tell of a death, but of these members.
-    pub fn deaths_but_of(&self, expected: &[usize]) -> Vec<String> {
+    pub fn unexpected_death_lines(&self, expected: &[usize]) -> Vec<String> {
         let expected: Vec<String> = expected.iter().map(|id| format!("members: {} is", name(*id))).collect();
         let lines =
             self.members.iter().flatten().flat_map(|member| member.log.0.lock().expect("sound").clone());
@@ -181,7 +181,7 @@
     }
 }
 
-fn relay_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<Faults>>) {
+fn relay_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<NetworkFaults>>) {
     let seal = ClusterKey::new(CLUSTER, SECRET);
     thread::spawn(move || {
         let mut bytes = [0; 2048];
@@ -190,10 +190,10 @@
             let sender = seal.decode_datagram(&bytes[..length]).map(|message| number(&message.from.name));
             let copies = {
                 let faults = faults.lock().expect("sound");
-                let cut = sender.is_ok_and(|from| faults.cuts.contains(&(from, id)));
+                let cut = sender.is_ok_and(|from| faults.partitions.contains(&(from, id)));
                 match cut || fastrand::f64() < faults.loss {
                     true => 0,
-                    false => 1 + usize::from(fastrand::f64() < faults.twice),
+                    false => 1 + usize::from(fastrand::f64() < faults.duplication),
                 }
             };
             // Where nobody listens the datagram is lost, as it would be.
@@ -207,7 +207,7 @@
     door: Arc<Mutex<Option<TcpListener>>>,
     id: usize,
     to: SocketAddr,
-    faults: Arc<Mutex<Faults>>,
+    faults: Arc<Mutex<NetworkFaults>>,
 ) {
     thread::spawn(move || {
         loop {
@@ -228,7 +228,7 @@
     });
 }
 
-fn table(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<Faults>) -> Option<()> {
+fn table(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<NetworkFaults>) -> Option<()> {
     let frame = |stream: &mut TcpStream| {
         let mut length = [0; 4];
         stream.read_exact(&mut length).ok()?;
@@ -239,7 +239,7 @@
     let asked = frame(&mut near)?;
     let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&asked[4..]).expect("a member's").from.name);
     let cut = |cuts: &HashSet<_>| cuts.contains(&(from, id)) || cuts.contains(&(id, from));
-    if cut(&faults.lock().expect("sound").cuts) {
+    if cut(&faults.lock().expect("sound").partitions) {
         return None;
     }
     let mut far = TcpStream::connect(to).ok()?;
--- a/tests/common/fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -1,22 +1,22 @@
 //! A stand-in for the fleet at size: a hundred roots, sixty workers in three zones, and an overbooked discovery.
 
-use super::{Root, Sent, class, entry, ms, settings};
+use super::{AggregatorHarness, Sent, class, entry, ms, settings};
 use gatherer::policy::*;
 use std::collections::VecDeque;
 
-pub const ROOTS: u32 = 100;
+pub const AGGREGATORS: u32 = 100;
 const CELLS: u32 = 60;
 pub const ZONES: u32 = 3;
 const STEP: u64 = 10;
 
 /// What a worker does with whatever reaches it.
 #[derive(Clone, Copy)]
-pub enum Worker {
+pub enum WorkerBehavior {
     Answers,
     /// Cannot be connected to: that takes 250 ms.
     Lost,
     /// Answers eight of ten attempts with an error, at once.
-    Errs,
+    Failing,
 }
 
 /// When an attempt ends, and how.
@@ -24,8 +24,8 @@
 
 /// The roots, each with what will come back to it, and the workers.
 pub struct Fleet {
-    roots: Vec<(Root, Vec<Due>)>,
-    workers: Vec<Worker>,
+    roots: Vec<(AggregatorHarness, Vec<Due>)>,
+    workers: Vec<WorkerBehavior>,
     random: fastrand::Rng,
 }
 
@@ -40,7 +40,7 @@
         let classes = vec![Class { latency_objective: ms(650), ..class(effect) }];
         let (cells, shards, most_attempts) = (CELLS, CELLS, Some(4));
         let all = Settings {
-            fleet_size: ROOTS,
+            fleet_size: AGGREGATORS,
             classes,
             cells,
             cells_per_shard: 4,
@@ -51,41 +51,45 @@
         let root = |id: u32| {
             let seed = seed << 32 | u64::from(id);
             let own = Settings { seed, zone: ZoneId(id % ZONES), may_health_check: false, ..all.clone() };
-            let mut root = Root::new(own, &[]);
-            root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.clone().into()))]);
+            let mut root = AggregatorHarness::new(own, &[]);
+            root.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.clone().into()))]);
             (root, Vec::new())
         };
-        let (roots, workers) = ((0..ROOTS).map(root).collect(), vec![Worker::Answers; CELLS as usize]);
+        let (roots, workers) =
+            ((0..AGGREGATORS).map(root).collect(), vec![WorkerBehavior::Answers; CELLS as usize]);
         Fleet { roots, workers, random: fastrand::Rng::with_seed(seed) }
     }
 
-    pub fn make(&mut self, which: impl Fn(u32) -> bool, worker: Worker) {
+    pub fn set_behavior(&mut self, which: impl Fn(u32) -> bool, worker: WorkerBehavior) {
         (0..CELLS).filter(|id| which(*id)).for_each(|id| self.workers[id as usize] = worker);
     }
 
     /// Lets time pass; each root gets four queries of eight parts a second. Returns the sends to these workers, and all.
-    pub fn pass(&mut self, span: u64, which: impl Fn(u32) -> bool) -> (usize, usize) {
+    pub fn advance(&mut self, span: u64, which: impl Fn(u32) -> bool) -> (usize, usize) {
         let (mut to_these, mut all) = (0, 0);
         for _ in 0..span / STEP {
             for (root, due) in &mut self.roots {
                 root.now = root.now.after(ms(STEP));
                 let ready = due.extract_if(.., |(at, ..)| *at <= root.now);
                 let busy = |outcome| (outcome == AttemptOutcome::Succeeded).then_some(0.5);
-                let ended = ready.map(|(_, sent, outcome)| root.end(sent, outcome, busy(outcome)));
+                let ended =
+                    ready.map(|(_, sent, outcome)| root.attempt_finished(sent, outcome, busy(outcome)));
                 let mut events: Vec<Event> = ended.collect();
                 events.push(Event::TimerFired { timer: TimerId(0) });
                 if self.random.u64(..1000) < 4 * STEP {
                     let shards: [u32; 8] = std::array::from_fn(|_| self.random.u32(..CELLS));
-                    events.extend(root.query(Some(&format!("k{}", shards[0])), &shards).2);
+                    events.extend(root.new_query(Some(&format!("k{}", shards[0])), &shards).2);
                 }
                 let before = root.sent.len();
-                root.turn(events);
+                root.step(events);
                 for sent in &root.sent[before..] {
-                    let worker = self.workers[sent.leaf.0 as usize];
-                    (to_these, all) = (to_these + usize::from(which(sent.leaf.0)), all + 1);
+                    let worker = self.workers[sent.worker.0 as usize];
+                    (to_these, all) = (to_these + usize::from(which(sent.worker.0)), all + 1);
                     let (outcome, took) = match worker {
-                        Worker::Lost => (AttemptOutcome::ConnectFailed, 250),
-                        Worker::Errs if self.random.u32(..10) < 8 => (AttemptOutcome::Failed, STEP),
+                        WorkerBehavior::Lost => (AttemptOutcome::ConnectFailed, 250),
+                        WorkerBehavior::Failing if self.random.u32(..10) < 8 => {
+                            (AttemptOutcome::Failed, STEP)
+                        }
                         _ => (AttemptOutcome::Succeeded, 20 + self.random.u64(..20)),
                     };
                     due.push((root.now.after(ms(took)), *sent, outcome));
@@ -103,7 +107,7 @@
 
 /// Callers that got their list from a discovery as herd+vast has it: a call takes 150 ms, 14 wait in turn, others are
 /// turned away, and who has waited for 2 s is served in vain. Also the most calls in a second.
-pub fn served(starts: Vec<u64>, mut pause: impl FnMut(usize) -> u64) -> (usize, usize) {
+pub fn simulate_discovery_polls(starts: Vec<u64>, mut pause: impl FnMut(usize) -> u64) -> (usize, usize) {
     let mut due: Vec<Option<u64>> = starts.into_iter().map(Some).collect();
     let (mut turn, mut done, mut calls) = (VecDeque::new(), 0, vec![0; 90]);
     for now in 0..90_000 {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -11,9 +11,9 @@
 use gatherer::protocol::http::{self, Request, Response};
 use gatherer::records::record::{RecordBody, RecordedWorkerState};
 use gatherer::routing::{Broker, Clock, Core};
-use gatherer::transport::places::Places;
-use gatherer::transport::stream::{Dial, Dialling, Stream};
-use gatherer::transport::watch;
+use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
+use gatherer::transport::descriptor_pool::DescriptorPool;
+use gatherer::transport::discovery;
 use std::cell::{Cell, RefCell};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -152,8 +152,8 @@
 
 struct Network(Rc<Discovery>);
 
-impl Dial for Network {
-    fn dial<'a>(&'a self, _address: &'a str) -> Dialling<'a> {
+impl Connector for Network {
+    fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             sleep(Duration::from_millis(1)).await;
             let (near, far) = tokio::io::duplex(1 << 16);
@@ -174,11 +174,11 @@
     broker.apply_endpoint_update(&known, true);
     let (network, watching) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
-        let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
+        let places = DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         // The sender stays: discovery does not move.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, ASK_IN);
-        watch::follow(&network, address, Some(known.revision), &watching, &places, backoff).await;
+        discovery::follow(&network, address, Some(known.revision), &watching, &places, backoff).await;
     });
     broker
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::fleet::{Fleet, ROOTS, Worker, ZONES, served};
 use common::ms;
+use common::simulated_fleet::{AGGREGATORS, Fleet, WorkerBehavior, ZONES, simulate_discovery_polls};
 use gatherer::limits::Backoff;
 use gatherer::policy::*;
 
@@ -12,15 +12,15 @@
     let zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
         let mut fleet = Fleet::new(seed, Idempotency::Idempotent);
-        fleet.pass(3000, zone);
-        fleet.make(zone, Worker::Lost);
-        let (first, later) = (fleet.pass(1000, zone).0, fleet.pass(2000, zone).0);
+        fleet.advance(3000, zone);
+        fleet.set_behavior(zone, WorkerBehavior::Lost);
+        let (first, later) = (fleet.advance(1000, zone).0, fleet.advance(2000, zone).0);
         // Each on its own: 900 sends in the first second, and 800 in the next two.
         assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
         // Healed without a restart, so that no list tells of it. Each on its own: 1,190 sends in three seconds.
-        fleet.make(zone, Worker::Answers);
-        fleet.pass(1000, zone);
-        let back = fleet.pass(3000, zone).0;
+        fleet.set_behavior(zone, WorkerBehavior::Answers);
+        fleet.advance(1000, zone);
+        let back = fleet.advance(3000, zone).0;
         assert!(back > 1600, "seed {seed}: {back} sends to the zone when it was back");
     }
 }
@@ -30,10 +30,10 @@
     let bad = |id| id % 10 == 0;
     for seed in [1, 2] {
         let mut fleet = Fleet::new(seed, Idempotency::NonIdempotent);
-        fleet.pass(2000, bad);
-        fleet.make(bad, Worker::Errs);
-        fleet.pass(4000, bad);
-        let (errs, all) = fleet.pass(4000, bad);
+        fleet.advance(2000, bad);
+        fleet.set_behavior(bad, WorkerBehavior::Failing);
+        fleet.advance(4000, bad);
+        let (errs, all) = fleet.advance(4000, bad);
         // A tenth of the workers, and a tenth of the sends where errors are no losses.
         assert!(errs * 50 < all, "seed {seed}: {errs} of {all} sends to workers that err");
     }
@@ -41,13 +41,17 @@
 
 #[test]
 fn an_overbooked_discovery_is_reached_by_all() {
-    let all = ROOTS as usize;
-    assert!(served(vec![0; all], |_| 100).0 < all / 4, "a constant pause keeps it overbooked");
+    let all = AGGREGATORS as usize;
+    assert!(
+        simulate_discovery_polls(vec![0; all], |_| 100).0 < all / 4,
+        "a constant pause keeps it overbooked"
+    );
     for seed in [1, 2] {
-        let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), ROOTS, ms(10_000));
-        let mut callers: Vec<Backoff> = (0..ROOTS).map(caller).collect();
+        let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), AGGREGATORS, ms(10_000));
+        let mut callers: Vec<Backoff> = (0..AGGREGATORS).map(caller).collect();
         let starts = callers.iter_mut().map(|caller| caller.initial_delay().as_millis() as u64).collect();
-        let (done, most) = served(starts, |id| callers[id].next_delay(true).as_millis() as u64);
+        let (done, most) =
+            simulate_discovery_polls(starts, |id| callers[id].next_delay(true).as_millis() as u64);
         assert!(done == all && most < 20, "seed {seed}: {done} served, up to {most} calls in a second");
     }
 }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -6,9 +6,9 @@
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Response};
 use gatherer::routing::{Broker, Clock, Core, QueryOutcome, QueryPart, SearchRequest};
+use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
+use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::index_servers::IndexServers;
-use gatherer::transport::places::Places;
-use gatherer::transport::stream::{Dial, Dialling, Stream};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 #[derive(Default)]
 struct Servers(RefCell<Vec<String>>);
 
-impl Dial for Servers {
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a> {
+impl Connector for Servers {
+    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             self.0.borrow_mut().push(address.to_owned());
             let (near, far) = tokio::io::duplex(1 << 16);
@@ -66,7 +66,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         let mut list = config.known.expect("a list");
         list.workers.truncate(1);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -8,9 +8,9 @@
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::invariants::{INVARIANTS, SendCheck, check_answer, check_rejection};
 use gatherer::routing::{Invariant, Violations};
-use gatherer::transport::gate::Gate;
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::listener::{Front, serve};
-use gatherer::transport::places::Places;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -97,8 +97,8 @@
     fn malformed(&self, error: Malformed) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn crowded(&self, _: Option<&Request>) -> Response {
-        Response::text(503, "crowded")
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        Response::text(503, "overloaded")
     }
     fn caller<'a>(&self, _: &'a Request) -> Option<&'a str> {
         None
@@ -113,8 +113,8 @@
 
 /// Serves one connection on which a request comes, until `leaves`: by the client, or by this side.
 async fn left(leaves: bool) -> Vec<Invariant> {
-    let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
-    let gate = Gate::new(places.clone());
+    let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+    let gate = ConnectionManager::new(places.clone());
     let source = gatherer::limits::client_connections::Source(1);
     let pass = gate.admit(source, Duration::ZERO).await.expect("room");
     let (near, mut far) = tokio::io::duplex(1 << 12);
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -4,9 +4,9 @@
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::Invariant;
 use gatherer::service::lifecycle::LifecycleRequest;
-use gatherer::transport::gate::Gate;
-use gatherer::transport::listener::{Accept, Accepting, Front, accept};
-use gatherer::transport::places::{Place, Places};
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
+use gatherer::transport::listener::{Accept, AcceptFuture, Front, accept};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -32,8 +32,8 @@
     fn malformed(&self, error: Malformed) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn crowded(&self, _: Option<&Request>) -> Response {
-        Response::text(503, "crowded").with_header("Retry-After", "1")
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        Response::text(503, "overloaded").with_header("Retry-After", "1")
     }
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
         request.headers.get("X-Caller")
@@ -52,7 +52,7 @@
 
 /// A gate with a listener in front of it.
 struct House {
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     address: SocketAddr,
     held: Rc<Semaphore>,
     accepting: JoinHandle<()>,
@@ -62,7 +62,7 @@
 struct Short(TcpListener, Cell<u32>, i32);
 
 impl Accept for Short {
-    fn accept(&self) -> Accepting<'_> {
+    fn accept(&self) -> AcceptFuture<'_> {
         Box::pin(async move {
             if self.1.get() > 0 {
                 self.1.set(self.1.get() - 1);
@@ -85,8 +85,8 @@
     async fn failing(descriptors: usize, failures: u32, error: i32, bytes: usize) -> House {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let places = Places::new(DescriptorBudget::new(descriptors, 16, 0).expect("enough"), bytes);
-        let (gate, held) = (Gate::new(places), Rc::new(Semaphore::new(0)));
+        let places = DescriptorPool::new(DescriptorBudget::new(descriptors, 16, 0).expect("enough"), bytes);
+        let (gate, held) = (ConnectionManager::new(places), Rc::new(Semaphore::new(0)));
         let front = Rc::new(Echo(held.clone()));
         let accepting = if failures > 0 {
             spawn_local(accept(Short(listener, Cell::new(failures), error), front, gate.clone()))
@@ -94,13 +94,13 @@
             spawn_local(accept(listener, front, gate.clone()))
         };
         let tended = gate.clone();
-        spawn_local(async move { tended.tend().await });
+        spawn_local(async move { tended.run_evictions().await });
         let aged = gate.clone();
-        spawn_local(async move { aged.age().await });
+        spawn_local(async move { aged.run_lifecycle_timers().await });
         House { gate, address, held, accepting }
     }
     fn free(&self) -> usize {
-        self.gate.places().descriptors(|all| all.free())
+        self.gate.descriptor_pool().descriptors(|all| all.free())
     }
     async fn client(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("connected")
@@ -168,50 +168,50 @@
 }
 
 /// Takes all places of the servers' side, firmly, as wide queries do.
-fn servers_at_their_floor(places: &Rc<Places>) -> Vec<Place> {
+fn servers_at_their_floor(places: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
     let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
-    let held: Vec<Place> =
-        (0..floor).map(|_| places.try_take(DescriptorClass::Workers).expect("its floor")).collect();
-    assert!(held.iter().all(Place::pin));
+    let held: Vec<DescriptorPermit> =
+        (0..floor).map(|_| places.try_acquire(DescriptorClass::Workers).expect("its floor")).collect();
+    assert!(held.iter().all(DescriptorPermit::try_mark_busy));
     held
 }
 
 async fn usual_clients_lose_nothing(descriptors: usize, failures: u32, floor_taken: bool, come: u64) {
     let house = House::open(descriptors, failures).await;
-    let servers = floor_taken.then(|| servers_at_their_floor(house.gate.places()));
+    let servers = floor_taken.then(|| servers_at_their_floor(house.gate.descriptor_pool()));
     let crowd: Vec<_> =
         (0..10 * descriptors).map(|number| spawn_local(nuisance(house.address, number))).collect();
     // Usual clients keep their connections and come back; one that is closed between two requests comes anew.
     let mut clients = [None, None, None, None];
-    let admitted = || house.gate.places().tally.borrow().admitted;
+    let admitted = || house.gate.descriptor_pool().counters.borrow().admitted;
     let mut rounds = 0;
     while rounds < 10 || admitted() < come {
         for client in &mut clients {
             assert!(usual(house.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
         rounds += 1;
-        assert!(house.free() <= house.gate.places().descriptors(|all| all.budget().usable));
+        assert!(house.free() <= house.gate.descriptor_pool().descriptors(|all| all.budget().usable));
         tokio::task::yield_now().await;
     }
-    let tally = house.gate.places().tally.borrow().clone();
+    let tally = house.gate.descriptor_pool().counters.borrow().clone();
     assert!(tally.peak_descriptors <= descriptors - 16, "{tally}");
     assert!(tally.evicted_early > 0 && tally.total_evicted() > 0, "{tally}");
     assert_eq!((tally.rejected, tally.rejected_no_descriptor), (0, 0), "{tally}");
     assert_eq!(tally.accept_failed > 0, failures > 0, "{tally}");
     let mut last = house.client().await;
     say(&mut last, "/held").await;
-    while house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
+    while house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
         tokio::task::yield_now().await;
     }
     // At SIGTERM usual clients still have their answers, and the end comes in spite of the crowd.
-    house.gate.call(LifecycleRequest::Stop).expect("taken");
+    house.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
     assert!(usual(house.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
-    house.gate.closing().await;
+    house.gate.wait_for_closing().await;
     house.held.add_permits(1);
     assert!(hear(&mut last, "/held").await.contains("Connection: close\r\n"));
     crowd.iter().for_each(JoinHandle::abort);
     house.accepting.await.expect("accepting ends");
-    while house.gate.open() > 0 {
+    while house.gate.open_connections() > 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     drop(servers);
@@ -242,8 +242,8 @@
             let mut client = house.client().await;
             say(&mut client, "/held").await;
             busy.push(client);
-            let firm = || house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients));
-            let refused = || house.gate.places().tally.borrow().rejected_no_descriptor;
+            let firm = || house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
+            let refused = || house.gate.descriptor_pool().counters.borrow().rejected_no_descriptor;
             let before = firm() + refused() as usize;
             while firm() + refused() as usize == before && house.free() > 0 {
                 tokio::task::yield_now().await;
@@ -258,12 +258,12 @@
         refused.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: 1\r\n"), "{text}");
         // Floors of the other sides stay free to be had.
-        let (places, mut others) = (house.gate.places(), Vec::new());
+        let (places, mut others) = (house.gate.descriptor_pool(), Vec::new());
         for side in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
             let floor = places.descriptors(|all| all.budget().floors[side as usize]);
             for _ in 0..floor {
-                let place = places.take(side).await;
-                assert!(place.pin(), "{side}");
+                let place = places.acquire(side).await;
+                assert!(place.try_mark_busy(), "{side}");
                 others.push(place);
             }
         }
@@ -271,7 +271,7 @@
         let mut text = String::new();
         late.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
-        assert_eq!(places.tally.borrow().rejected, 1);
+        assert_eq!(places.counters.borrow().rejected, 1);
         house.held.add_permits(busy.len());
         for client in &mut busy {
             assert!(hear(client, "/held").await.starts_with("HTTP/1.1 200 OK\r\n"));
@@ -307,7 +307,7 @@
                 told += usize::from(text.starts_with("HTTP/1.1 408 "));
             }
         }
-        let most = house.gate.places().tally.borrow().peak_buffered_bytes;
+        let most = house.gate.descriptor_pool().counters.borrow().peak_buffered_bytes;
         assert!(told > 0 && most > 100 << 10 && most <= 400 << 10, "{told} told, {most} bytes");
     });
 }
@@ -322,7 +322,7 @@
         let mut text = String::new();
         let closed = half.read_to_string(&mut text);
         let more = async {
-            while house.gate.places().tally.borrow().evicted.iter().sum::<u64>() == 0 {
+            while house.gate.descriptor_pool().counters.borrow().evicted.iter().sum::<u64>() == 0 {
                 others.push(house.client().await);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -333,7 +333,7 @@
             () = more => {}
         }
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
-        assert!(house.gate.places().tally.borrow().evicted[1] > 0);
+        assert!(house.gate.descriptor_pool().counters.borrow().evicted[1] > 0);
     });
 }
 
@@ -344,13 +344,13 @@
         let mut client = house.client().await;
         ask(&mut client, "/a").await;
         // Both happen before the connection's task runs again.
-        house.gate.places().recall(DescriptorClass::Clients);
+        house.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
         say(&mut client, "/b").await;
-        let spared = || house.gate.places().tally.borrow().eviction_cancelled;
+        let spared = || house.gate.descriptor_pool().counters.borrow().eviction_cancelled;
         let text = hear(&mut client, "/b").await;
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"));
         assert!(spared() <= 1);
-        assert_eq!(house.gate.places().tally.borrow().close_races, 0);
+        assert_eq!(house.gate.descriptor_pool().counters.borrow().close_races, 0);
     });
 }
 
@@ -369,7 +369,7 @@
     // Guards a request that waits for its first attempt: its client sent more than is kept ahead, and left.
     run(async {
         let house = House::open(64, 0).await;
-        let firm = || house.gate.places().descriptors(|all| all.busy(DescriptorClass::Clients));
+        let firm = || house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
         let mut leaving = Vec::new();
         for _ in 0..4 {
             let mut client = house.client().await;
@@ -386,7 +386,7 @@
         for gone in burst.collect::<Vec<_>>() {
             gone.await.expect("it ends");
         }
-        event("they are gone", || house.gate.open() == 0).await;
+        event("they are gone", || house.gate.open_connections() == 0).await;
         // One that stays has its answer, and the end of its connection: what it sent ahead is no request any more.
         let mut client = house.client().await;
         say(&mut client, "/held").await;
@@ -405,16 +405,16 @@
         let house = House::open(64, 0).await;
         let mut client = house.client().await;
         ask(&mut client, "/a").await;
-        house.gate.places().recall(DescriptorClass::Clients);
+        house.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
         let mut text = String::new();
         client.read_to_string(&mut text).await.expect("it ends for writing first");
         say(&mut client, "/b").await;
-        event("it is read", || house.gate.places().tally.borrow().close_races == 1).await;
+        event("it is read", || house.gate.descriptor_pool().counters.borrow().close_races == 1).await;
         client.read_to_string(&mut text).await.expect("no reset");
         assert_eq!(text, "");
         drop(client);
-        event("it is closed", || house.gate.open() == 0).await;
-        assert_eq!(house.gate.places().tally.borrow().eviction_cancelled, 0);
+        event("it is closed", || house.gate.open_connections() == 0).await;
+        assert_eq!(house.gate.descriptor_pool().counters.borrow().eviction_cancelled, 0);
     });
 }
 
@@ -423,7 +423,7 @@
     // Guards those in the queue of a process that stood still: their connections are there, and so is the end.
     run(async {
         let house = House::open(256, 0).await;
-        house.gate.call(LifecycleRequest::Stop).expect("taken");
+        house.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
         let come = |_| {
             let mut client = std::net::TcpStream::connect(house.address).expect("connected");
             std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n").expect("written");
@@ -449,7 +449,7 @@
         let since = std::time::Instant::now();
         let mut client = house.client().await;
         assert!(ask(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
-        let (took, tally) = (since.elapsed(), house.gate.places().tally.borrow().clone());
+        let (took, tally) = (since.elapsed(), house.gate.descriptor_pool().counters.borrow().clone());
         // One more fails before the next connection.
         assert_eq!((tally.accept_failed, tally.evicted_early), (41, 0), "{tally}");
         assert!(took < Duration::from_millis(400), "40 failures took {took:?}");
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -3,134 +3,137 @@
 
 mod common;
 
-use common::links::Fleet;
 use common::process::{Discovery, Folder, Gatherer, Worker, config, free, listen, member, operate, until};
+use common::proxied_fleet::ProxiedFleet;
 use std::net::UdpSocket;
 use std::process::Command;
 use std::time::Duration;
 
 #[test]
 fn a_killed_process_is_dead_to_all_and_its_next_start_is_new() {
-    let mut fleet = Fleet::start("killed", 5);
-    assert!(fleet.living().iter().all(|id| fleet.gatherers(*id) == 5));
+    let mut fleet = ProxiedFleet::start("killed", 5);
+    assert!(fleet.running().iter().all(|id| fleet.fleet_size_seen_by(*id) == 5));
     fleet.kill(0);
     for id in 1..5 {
-        until("dead to all", || fleet.sees(id, 0) == "dead");
+        until("dead to all", || fleet.state_seen_by(id, 0) == "dead");
         // It is certain, so that its share is the others' at once; the core goes by the number.
-        assert_eq!(fleet.gatherers(id), 4);
+        assert_eq!(fleet.fleet_size_seen_by(id), 4);
         fleet.member(id).logged("members: 4 gatherers share the fleet");
     }
     // The first seed is down: a further member is found through the second, and the first comes back through it too.
     fleet.kill(4);
-    (1..4).for_each(|id| until("both dead", || fleet.gatherers(id) == 3));
-    fleet.begin(4);
-    fleet.begin(0);
-    fleet.agreed();
-    assert_eq!(fleet.deaths_but_of(&[0, 4]), Vec::<String>::new());
+    (1..4).for_each(|id| until("both dead", || fleet.fleet_size_seen_by(id) == 3));
+    fleet.start_member(4);
+    fleet.start_member(0);
+    fleet.wait_until_converged();
+    assert_eq!(fleet.unexpected_death_lines(&[0, 4]), Vec::<String>::new());
 }
 
 #[test]
 fn those_that_stand_still_are_suspected_keep_their_shares_and_bury_nobody_when_they_wake() {
-    let fleet = Fleet::start("still", 5);
+    let fleet = ProxiedFleet::start("still", 5);
     for id in [3, 4] {
         fleet.member(id).signal("-STOP");
     }
     for id in 0..3 {
-        until("suspected", || ["suspect", "silent"].contains(&fleet.sees(id, 3).as_str()));
+        until("suspected", || ["suspect", "silent"].contains(&fleet.state_seen_by(id, 3).as_str()));
         // Whatever it turns out to be, its share stays its own.
-        assert_eq!(fleet.gatherers(id), 5);
+        assert_eq!(fleet.fleet_size_seen_by(id), 5);
     }
     // All of these were still for longer than any answer takes: who wakes is not to hold that against the others.
     for id in [3, 4] {
         fleet.member(id).signal("-CONT");
     }
-    fleet.agreed();
-    assert_eq!(fleet.deaths_but_of(&[3, 4]), Vec::<String>::new());
-    assert!(fleet.living().iter().all(|id| fleet.gatherers(*id) == 5));
+    fleet.wait_until_converged();
+    assert_eq!(fleet.unexpected_death_lines(&[3, 4]), Vec::<String>::new());
+    assert!(fleet.running().iter().all(|id| fleet.fleet_size_seen_by(*id) == 5));
 }
 
 #[test]
 fn a_network_that_loses_and_doubles_buries_nobody_and_hides_no_death() {
-    let mut fleet = Fleet::start("lossy", 6);
+    let mut fleet = ProxiedFleet::start("lossy", 6);
     {
         let mut faults = fleet.faults.lock().expect("sound");
-        (faults.loss, faults.twice) = (0.2, 0.2);
+        (faults.loss, faults.duplication) = (0.2, 0.2);
     }
     fleet.kill(5);
     for id in 0..5 {
-        until("dead to all", || fleet.sees(id, 5) == "dead");
+        until("dead to all", || fleet.state_seen_by(id, 5) == "dead");
     }
     // Another one joins through it.
-    fleet.begin(5);
-    fleet.agreed();
-    assert_eq!(fleet.deaths_but_of(&[5]), Vec::<String>::new());
+    fleet.start_member(5);
+    fleet.wait_until_converged();
+    assert_eq!(fleet.unexpected_death_lines(&[5]), Vec::<String>::new());
 }
 
 #[test]
 fn halves_keep_their_shares_and_meet_again_without_a_burial() {
-    let fleet = Fleet::start("halves", 6);
+    let fleet = ProxiedFleet::start("halves", 6);
     let (left, right) = ([0, 1, 2], [3, 4, 5]);
-    fleet.cut(&left, &right);
-    fleet.cut(&right, &left);
+    fleet.partition(&left, &right);
+    fleet.partition(&right, &left);
     for id in 0..6 {
         let others = if id < 3 { right } else { left };
         for other in others {
-            until("silent", || fleet.sees(id, other) == "silent");
+            until("silent", || fleet.state_seen_by(id, other) == "silent");
         }
         // Neither half is a majority, so neither takes the other's share.
-        assert_eq!(fleet.gatherers(id), 6);
+        assert_eq!(fleet.fleet_size_seen_by(id), 6);
     }
-    let before = fleet.deaths_but_of(&[]).len();
+    let before = fleet.unexpected_death_lines(&[]).len();
     fleet.heal();
-    fleet.agreed();
-    assert_eq!(fleet.deaths_but_of(&[]).len(), before, "merging buries nobody");
+    fleet.wait_until_converged();
+    assert_eq!(fleet.unexpected_death_lines(&[]).len(), before, "merging buries nobody");
 }
 
 #[test]
 fn a_cut_one_way_between_two_is_known_as_that() {
-    let fleet = Fleet::start("one_way", 5);
-    fleet.cut(&[1], &[4]);
-    until("told apart", || fleet.sees(4, 1) == "cut");
+    let fleet = ProxiedFleet::start("one_way", 5);
+    fleet.partition(&[1], &[4]);
+    until("told apart", || fleet.state_seen_by(4, 1) == "cut");
     for id in [0, 2, 3] {
-        assert_eq!((fleet.sees(id, 1).as_str(), fleet.sees(id, 4).as_str()), ("alive", "alive"));
+        assert_eq!(
+            (fleet.state_seen_by(id, 1).as_str(), fleet.state_seen_by(id, 4).as_str()),
+            ("alive", "alive")
+        );
     }
     fleet.heal();
-    until("over", || fleet.sees(4, 1) == "alive");
-    assert_eq!(fleet.deaths_but_of(&[]), Vec::<String>::new());
+    until("over", || fleet.state_seen_by(4, 1) == "alive");
+    assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
 #[test]
 fn an_upgrade_is_one_member_and_who_stops_has_left() {
-    let mut fleet = Fleet::start("upgraded", 5);
-    let start = |fleet: &Fleet| {
-        let view = fleet.view(0);
+    let mut fleet = ProxiedFleet::start("upgraded", 5);
+    let start = |fleet: &ProxiedFleet| {
+        let view = fleet.membership_status(0);
         let rows = view["members"].as_array().expect("rows").clone();
         rows.iter().find(|row| row["name"] == "g2").expect("listed")["start"].as_u64()
     };
     let before = start(&fleet);
-    let second = fleet.beside(2);
+    let second = fleet.start_second_process(2);
     second.logged(" serving on ");
     let mut first = fleet.members[2].replace(second).expect("it runs");
     first.signal("-TERM");
     assert!(first.ended());
     until("the second's start", || start(&fleet) > before);
-    fleet.agreed();
-    assert_eq!(fleet.deaths_but_of(&[]), Vec::<String>::new());
+    fleet.wait_until_converged();
+    assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
     // A planned end needs no proof.
     let mut last = fleet.members[4].take().expect("it runs");
     last.signal("-TERM");
     for id in 0..4 {
-        until("left", || fleet.sees(id, 4) == "left");
-        assert_eq!(fleet.gatherers(id), 4);
+        until("left", || fleet.state_seen_by(id, 4) == "left");
+        assert_eq!(fleet.fleet_size_seen_by(id), 4);
     }
     assert!(last.ended());
-    assert_eq!(fleet.deaths_but_of(&[]), Vec::<String>::new());
+    assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
 #[test]
 fn strangers_are_counted_and_change_nothing_and_people_see_who_is_there() {
-    let fleet = Fleet::start("strangers", 5);
-    let view = fleet.view(0);
+    let fleet = ProxiedFleet::start("strangers", 5);
+    let view = fleet.membership_status(0);
     let address = view["own"]["address"].as_str().expect("an address").to_owned();
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let long = [0; 1400];
@@ -138,9 +141,9 @@
         stranger.send_to(bytes, &address).expect("sent");
     }
     for why in ["foreign", "version", "seal", "length"] {
-        until(why, || fleet.view(0)["refused"][why].as_u64() == Some(1));
+        until(why, || fleet.membership_status(0)["refused"][why].as_u64() == Some(1));
     }
-    fleet.agreed();
+    fleet.wait_until_converged();
     let run = |extra: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
         let out =
--- a/tests/odd_orders.rs
+++ b/tests/odd_orders.rs
@@ -12,7 +12,7 @@
     let partial = Class { min_coverage: 0.6, ..class(effect) };
     let settings =
         Settings { seed, fleet_size: 2, classes: vec![partial], retry_budget: Some(budget), ..settings() };
-    let mut root = Root::new(settings, &[1, 2, 3, 4]);
+    let mut root = AggregatorHarness::new(settings, &[1, 2, 3, 4]);
     let mut open: BTreeMap<RequestId, (Time, Vec<RequestId>)> = BTreeMap::new();
     let mut out: Vec<Sent> = Vec::new();
     let mut done: Vec<RequestId> = Vec::new();
@@ -24,7 +24,7 @@
         root.now = root.now.after(ms(random.u64(1..20)));
         let mut events = vec![Event::TimerFired { timer: TimerId(0) }];
         if step < 2500 && random.u8(0..4) == 0 {
-            let (id, parts, new) = root.query(Some(&format!("k{}", random.u8(0..9))), &[0, 1, 2]);
+            let (id, parts, new) = root.new_query(Some(&format!("k{}", random.u8(0..9))), &[0, 1, 2]);
             events.extend(new);
             taken.extend([root.now; 4]);
             open.insert(id, (root.now.after(ms(5000)), parts));
@@ -50,7 +50,7 @@
             if outcome == AttemptOutcome::Succeeded {
                 done.push(sent.id);
             }
-            events.push(root.end(sent, outcome, Some(f64::from(random.u8(0..200)) / 100.0)));
+            events.push(root.attempt_finished(sent, outcome, Some(f64::from(random.u8(0..200)) / 100.0)));
         }
         out = still;
         if random.u16(0..400) == 0 {
@@ -68,9 +68,9 @@
             events.push(Event::EndpointUpdate(EndpointUpdate::Delta(news)));
         }
         let before = root.sent.len();
-        root.turn(events);
+        root.step(events);
         for sent in root.sent[before..].iter().copied() {
-            assert!(!drained.contains_key(&sent.leaf), "seed {seed}: sent to a draining leaf");
+            assert!(!drained.contains_key(&sent.worker), "seed {seed}: sent to a draining leaf");
             assert!(!done.contains(&sent.id), "seed {seed}: sent a part that is done");
             assert!(open.values().any(|(_, parts)| parts.contains(&sent.id)), "seed {seed}: query is over");
             let earlier = out.iter().filter(|other| other.id == sent.id).map(|other| other.at).min();
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -12,12 +12,12 @@
 use gatherer::protocol::http;
 use gatherer::routing::{Broker, Clock, Contracts, Core, ListedWorker, WorkerListUpdate, WorkerTransport};
 use gatherer::service::lifecycle::LifecycleRequest;
-use gatherer::transport::gate::Gate;
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
+use gatherer::transport::descriptor_pool::DescriptorPool;
+use gatherer::transport::discovery;
 use gatherer::transport::index_servers::IndexServers;
 use gatherer::transport::listener::{self, Front};
-use gatherer::transport::places::Places;
-use gatherer::transport::stream::{Dial, Dialling, Stream};
-use gatherer::transport::watch;
 use gatherer::transport::workers::Workers;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -137,8 +137,8 @@
 #[derive(Clone, Default)]
 struct Pipes(Rc<RefCell<BTreeMap<String, Party>>>);
 
-impl Dial for Pipes {
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a> {
+impl Connector for Pipes {
+    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             let port = self.0.borrow().get(address).map_or(Port::Closed, |party| party.port);
             match port {
@@ -160,7 +160,7 @@
     transcript: String,
     seen: String,
     broker: Broker,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     /// Where discovery is.
     agent: tokio::sync::watch::Sender<String>,
 }
@@ -170,8 +170,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (first, rest) = script.split_once('\n').expect("a first line");
-        let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
-        let (clock, gate, pipes) = (Clock::starting_at(UNIX), Gate::new(places.clone()), Pipes::default());
+        let places = DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
+        let (clock, gate, pipes) =
+            (Clock::starting_at(UNIX), ConnectionManager::new(places.clone()), Pipes::default());
         let agent = tokio::sync::watch::Sender::new("agent".to_owned());
         match first {
             "front platform"
@@ -195,7 +196,7 @@
                         false => (None, Backoff::for_local_agent(1, Duration::from_millis(250))),
                     };
                     spawn_local(async move {
-                        watch::follow(&dial, address, held, &watcher, &places, backoff).await
+                        discovery::follow(&dial, address, held, &watcher, &places, backoff).await
                     });
                 }
                 let front = Platform { broker: broker.clone(), gate: gate.clone() };
@@ -228,16 +229,16 @@
     broker: Broker,
     carrier: impl WorkerTransport + 'static,
     front: F,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionManager>,
     pipes: Pipes,
     agent: tokio::sync::watch::Sender<String>,
 ) -> String {
     let driver = broker.clone();
     spawn_local(async move { driver.drive(&carrier).await });
     let tended = gate.clone();
-    spawn_local(async move { tended.tend().await });
+    spawn_local(async move { tended.run_evictions().await });
     let aged = gate.clone();
-    spawn_local(async move { aged.age().await });
+    spawn_local(async move { aged.run_lifecycle_timers().await });
     let (start, front) = (Instant::now(), Rc::new(front));
     let (transcript, seen) = (String::new(), String::new());
     let mut play = Play { pipes, start, transcript, seen, broker, gate, agent };
@@ -333,11 +334,11 @@
             return;
         }
         if who == "SIGTERM" {
-            return self.gate.call(LifecycleRequest::Stop).expect("taken");
+            return self.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
         }
         if who == "operator" {
             let call = if what == "drain" { LifecycleRequest::Drain } else { LifecycleRequest::Resume };
-            return self.gate.call(call).expect("taken");
+            return self.gate.apply_lifecycle(call).expect("taken");
         }
         // `NAME.N` speaks on the party's Nth connection, `NAME` on the one that is next.
         let (who, number) = who.split_once('.').map_or((who, None), |(who, at)| (who, at.parse().ok()));
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Root, Sent, class, entry, ms, settings};
+use common::{AggregatorHarness, Sent, class, entry, ms, settings};
 use gatherer::membership::{Node, Timing};
 use gatherer::policy::*;
 use gatherer::simulation::engine::Simulation;
@@ -45,7 +45,7 @@
 struct Fleet {
     world: Simulation<Node>,
     /// Each with what is due to come back to it, and whose its queries are.
-    roots: Vec<(Root, Due, Asks)>,
+    roots: Vec<(AggregatorHarness, Due, Asks)>,
     workers: Vec<Worker>,
     random: fastrand::Rng,
     /// Whether the modules go by what membership tells, or by the settings' number.
@@ -68,7 +68,7 @@
         let root = |id: usize| {
             let all: Vec<u32> = (0..WORKERS).collect();
             (
-                Root::new(Settings { seed: seed << 8 | id as u64, ..rules.clone() }, &all),
+                AggregatorHarness::new(Settings { seed: seed << 8 | id as u64, ..rules.clone() }, &all),
                 Vec::new(),
                 HashMap::new(),
             )
@@ -90,7 +90,7 @@
             worker.since = Some(now);
             let news = [entry(id as u32, EndpointStatus::Active, Some(now))];
             for (root, _, _) in &mut self.roots {
-                root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
+                root.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
             }
         }
     }
@@ -113,14 +113,18 @@
                 let (root, due, asks) = &mut self.roots[id];
                 root.now = root.now.after(ms(STEP));
                 if self.told {
-                    root.module.set_fleet_size(self.world.gatherers(id).expect("it lives"));
+                    root.aggregator.set_fleet_size(self.world.gatherers(id).expect("it lives"));
                 }
                 let now = root.now;
                 let ready: Vec<_> = due.extract_if(.., |(at, _)| *at <= now).collect();
                 let mut events: Vec<Event> = Vec::new();
                 for (_, sent) in ready {
-                    let queue = self.workers[sent.leaf.0 as usize].free_at.since(now).as_secs_f64();
-                    events.push(root.end(sent, AttemptOutcome::Succeeded, Some((queue * 2.0).min(1.0))));
+                    let queue = self.workers[sent.worker.0 as usize].free_at.since(now).as_secs_f64();
+                    events.push(root.attempt_finished(
+                        sent,
+                        AttemptOutcome::Succeeded,
+                        Some((queue * 2.0).min(1.0)),
+                    ));
                 }
                 events.push(Event::TimerFired { timer: TimerId(0) });
                 for (tenant, to) in asked.into_iter().enumerate() {
@@ -129,7 +133,7 @@
                     }
                     let shards = [self.random.u32(..8), self.random.u32(..8)];
                     let key = format!("k{}", self.random.u32(..40));
-                    let (id, _, mut query) = root.query(Some(&key), &shards);
+                    let (id, _, mut query) = root.new_query(Some(&key), &shards);
                     if let Some(Event::QueryReceived(asked)) = query.first_mut() {
                         asked.tenant = Some(TenantId(tenant));
                     }
@@ -141,7 +145,7 @@
                     root.sent.drain(..200);
                 }
                 let before = root.sent.len();
-                root.turn(events);
+                root.step(events);
                 for action in &root.actions {
                     match action {
                         Action::Respond { id, .. } => played.answered[asks[id]] += 1,
@@ -150,7 +154,7 @@
                     }
                 }
                 for sent in &root.sent[before..] {
-                    let worker = &mut self.workers[sent.leaf.0 as usize];
+                    let worker = &mut self.workers[sent.worker.0 as usize];
                     let carries = worker.since.map_or(1.0, |since| Fleet::carries(since, now));
                     if carries < 1.0 {
                         worker.came.push_back(now);
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -5,8 +5,8 @@
 use gatherer::policy::*;
 use gatherer::program::config::Config;
 use gatherer::routing::{Broker, Clock, Command, Core, QueryOutcome, QueryPart, SearchRequest};
-use gatherer::transport::places::{Place, Places};
-use gatherer::transport::stream::{Dial, Dialling, Stream};
+use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
+use gatherer::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
 use gatherer::transport::workers::Workers;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 /// Connections to workers that serve every part after this time.
 struct Answering(Duration);
 
-impl Dial for Answering {
-    fn dial<'a>(&'a self, _address: &'a str) -> Dialling<'a> {
+impl Connector for Answering {
+    fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             // A new connection costs a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
@@ -58,8 +58,8 @@
 #[derive(Default)]
 struct Stuck(RefCell<Vec<DuplexStream>>);
 
-impl Dial for Stuck {
-    fn dial<'a>(&'a self, _address: &'a str) -> Dialling<'a> {
+impl Connector for Stuck {
+    fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             let (near, far) = tokio::io::duplex(16);
             self.0.borrow_mut().push(far);
@@ -68,11 +68,14 @@
     }
 }
 
-fn run<F: Future<Output = ()>>(time: u64, main: impl FnOnce(Broker, Rc<Places>) -> F) {
+fn run<F: Future<Output = ()>>(time: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
     run_on(Rc::new(Answering(Duration::from_millis(time))), main);
 }
 
-fn run_on<F: Future<Output = ()>>(dial: Rc<dyn Dial>, main: impl FnOnce(Broker, Rc<Places>) -> F) {
+fn run_on<F: Future<Output = ()>>(
+    dial: Rc<dyn Connector>,
+    main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
+) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let mut json: serde_json::Value =
@@ -80,11 +83,11 @@
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = Places::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         broker.apply_endpoint_update(&config.known.expect("a list"), true);
         let workers = Workers::new(broker.clone(), dial, places.clone());
-        spawn_local(workers.clone().give_way());
+        spawn_local(workers.clone().close_idle_on_reclaim());
         let driver = broker.clone();
         spawn_local(async move { driver.drive(&workers).await });
         main(broker, places).await;
@@ -115,15 +118,19 @@
     // Every part runs once and wants a connection of its own: 64 of them, where 48 descriptors are to be had in all.
     run(20, |broker, places| async move {
         let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
-        let clients: Vec<Place> =
-            (0..floor).map(|_| places.try_take(DescriptorClass::Clients).expect("its floor")).collect();
-        assert!(clients.iter().all(Place::pin));
+        let clients: Vec<DescriptorPermit> =
+            (0..floor).map(|_| places.try_acquire(DescriptorClass::Clients).expect("its floor")).collect();
+        assert!(clients.iter().all(DescriptorPermit::try_mark_busy));
         let verdict = broker.submit(ask("wide", "seal", SHARDS, &broker)).await;
         let QueryOutcome::Answered { complete: true, values } = verdict else {
-            panic!("{verdict:?} {} {}", broker.with_core(|core| core.counters.clone()), places.tally.borrow())
+            panic!(
+                "{verdict:?} {} {}",
+                broker.with_core(|core| core.counters.clone()),
+                places.counters.borrow()
+            )
         };
         assert_eq!(values.len(), SHARDS as usize);
-        let tally = places.tally.borrow().clone();
+        let tally = places.counters.borrow().clone();
         assert_eq!(
             (tally.worker_connects_started, tally.worker_connect_waits_failed),
             (u64::from(SHARDS), 0),
@@ -145,14 +152,14 @@
     run(20, |broker, places| async move {
         let mut held = Vec::new();
         while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
-            held.push(places.try_take(DescriptorClass::Workers).expect("free"));
-            assert!(held.last().is_some_and(Place::pin));
+            held.push(places.try_acquire(DescriptorClass::Workers).expect("free"));
+            assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
         let verdict = broker.submit(ask("none", "seal", 2, &broker)).await;
         assert!(matches!(verdict, QueryOutcome::Rejected { .. }), "{verdict:?}");
         let counted = broker.with_core(|core| core.counters.clone());
         assert!(counted.ended_skipped > 0 && counted.ended_refused == 0, "{counted}");
-        assert!(places.tally.borrow().worker_connect_waits_failed > 0);
+        assert!(places.counters.borrow().worker_connect_waits_failed > 0);
     });
 }
 
@@ -168,14 +175,14 @@
         // Guards against loans that are never given back: clients take everything that their side may have.
         let mut clients = Vec::new();
         while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
-            clients.push(places.take(DescriptorClass::Clients).await);
-            assert!(clients.last().is_some_and(Place::pin));
+            clients.push(places.acquire(DescriptorClass::Clients).await);
+            assert!(clients.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
         let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
         assert_eq!(clients.len(), usable - floors[1] - floors[2] - floors[3]);
         // And the workers' floor is there for the next query.
         assert!(served(broker.submit(ask("b", "search", 8, &broker)).await));
-        assert!(places.tally.borrow().peak_descriptors <= usable);
+        assert!(places.counters.borrow().peak_descriptors <= usable);
     });
 }
 
@@ -236,8 +243,8 @@
 /// Connections that come up late, to workers that keep what they are sent.
 struct Late(Duration, RefCell<Vec<DuplexStream>>);
 
-impl Dial for Late {
-    fn dial<'a>(&'a self, _address: &'a str) -> Dialling<'a> {
+impl Connector for Late {
+    fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             tokio::time::sleep(self.0).await;
             let (near, far) = tokio::io::duplex(1 << 16);
@@ -273,14 +280,14 @@
 /// Fails to open connections for want of descriptors, so often; then to workers that serve at once.
 struct Starved(Cell<u32>);
 
-impl Dial for Starved {
-    fn dial<'a>(&'a self, address: &'a str) -> Dialling<'a> {
+impl Connector for Starved {
+    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         const ENFILE: i32 = 23;
         if self.0.get() > 0 {
             self.0.set(self.0.get() - 1);
             return Box::pin(async { Err(std::io::Error::from_raw_os_error(ENFILE)) });
         }
-        Box::pin(async move { Answering(Duration::from_millis(1)).dial(address).await })
+        Box::pin(async move { Answering(Duration::from_millis(1)).connect(address).await })
     }
 }
 
