--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,7 +1,7 @@
 //! The words of the wire. Reads fields, settings, events and list entries; writes actions.
 
 use gatherer::policy::*;
-use gatherer::program::settings::Pairs;
+use gatherer::program::settings::FlatSettings;
 use std::fmt::Write;
 use std::str::FromStr;
 use std::sync::Arc;
@@ -217,7 +217,7 @@
 /// The `start` message, after its name.
 pub fn start(fields: &mut Fields<'_>) -> Result<Settings, String> {
     let seed: i128 = fields.must("entropy")?;
-    let contracts = Pairs::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
+    let contracts = FlatSettings::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
     contracts.map(|contracts| contracts.settings).map_err(|fault| format!("start: env: {fault}"))
 }
 
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,6 +1,6 @@
 //! Configuration of the real gatherer: the platform's variables and its JSON file, read and checked here.
 
-use super::settings::{Faulty, Pairs};
+use super::settings::{FlatSettings, InvalidSetting};
 use crate::limits::descriptors;
 use crate::protocol::discovery;
 use crate::routing::{Contracts, WorkerListUpdate};
@@ -39,7 +39,7 @@
     },
     /// A key.
     #[error("configuration: {0}")]
-    Key(#[from] Faulty),
+    Key(#[from] InvalidSetting),
 }
 
 impl Error {
@@ -57,17 +57,17 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators call, if anywhere.
-    pub operator: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
     /// Where discovery is.
-    pub discovery: String,
+    pub discovery_address: String,
     /// Descriptors that it may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that it may use, in MB.
     pub memory_mb: u64,
     /// The list of workers as it was last held.
-    pub known: Option<WorkerListUpdate>,
+    pub initial_workers: Option<WorkerListUpdate>,
     /// Where discovery has to be asked: the time in which it must be.
-    pub ask_in: Option<Duration>,
+    pub max_poll_interval: Option<Duration>,
     /// The platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
     pub peer_datagrams: bool,
     /// Contracts and limits.
@@ -86,17 +86,20 @@
     }
 
     /// Checks the file's content.
-    pub fn from_json(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Faulty> {
+    pub fn from_json(
+        json: &Value,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, InvalidSetting> {
         let text = |key: &str, name: &str| {
             match json.get(key).filter(|value| !value.is_null()) {
                 Some(value) => value.as_str().map(str::to_owned),
                 None => variable(name),
             }
-            .ok_or_else(|| Faulty::new(key, "missing, or no text"))
+            .ok_or_else(|| InvalidSetting::new(key, "missing, or no text"))
         };
         let address = |key: &str, name: &str| {
             let text = text(key, name)?;
-            text.parse().map_err(|_| Faulty::new(key, format!("no address {text:?}")))
+            text.parse().map_err(|_| InvalidSetting::new(key, format!("no address {text:?}")))
         };
         let listen = address("listen", "LB_LISTEN")?;
         let operated =
@@ -107,13 +110,13 @@
             Some(Value::Number(number)) => number.as_u64().unwrap_or(0),
             Some(seed) => {
                 let hex = seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-                hex.ok_or_else(|| Faulty::new("seed", format!("no hexadecimal number {seed}")))?
+                hex.ok_or_else(|| InvalidSetting::new("seed", format!("no hexadecimal number {seed}")))?
             }
         };
         let limit = |key: &str, absent: u64, least: u64| match json.pointer(&format!("/limits/{key}")) {
             None => Ok(absent),
             Some(count) => count.as_u64().filter(|count| *count >= least).ok_or_else(|| {
-                Faulty::new(&format!("limits.{key}"), format!("{count}: {least} at least are needed"))
+                InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {least} at least are needed"))
             }),
         };
         let sockets = limit("sockets", SOCKETS, descriptors::MIN_DESCRIPTORS as u64)?;
@@ -122,17 +125,18 @@
             None | Some(Value::Null) => None,
             Some(list) => Some(
                 discovery::decode_endpoint_list(list.to_string().as_bytes())
-                    .map_err(|error| Faulty::new("known", error.to_string()))?,
+                    .map_err(|error| InvalidSetting::new("known", error.to_string()))?,
             ),
         };
-        let settings = json.get("settings").ok_or_else(|| Faulty::new("settings", "missing"))?;
-        let within = |fault: Faulty| Faulty::new(&format!("settings.{}", fault.path), fault.what);
-        let mut contracts = Pairs::from_json(settings).contracts(seed).map_err(within)?;
+        let settings = json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "missing"))?;
+        let within =
+            |fault: InvalidSetting| InvalidSetting::new(&format!("settings.{}", fault.path), fault.reason);
+        let mut contracts = FlatSettings::from_json(settings).contracts(seed).map_err(within)?;
         if contracts.settings.shards == 0 {
-            return Err(Faulty::new("settings.domain.slices", "there must be one at least"));
+            return Err(InvalidSetting::new("settings.domain.slices", "there must be one at least"));
         }
         if contracts.classes.is_empty() {
-            return Err(Faulty::new("settings.categories", "there must be one at least"));
+            return Err(InvalidSetting::new("settings.categories", "there must be one at least"));
         }
         // Neither has a form on the platform's wires: an answer ends a query, and nothing is probed or asked for.
         contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
@@ -143,12 +147,12 @@
         Ok(Config {
             name: text("name", "LB_NAME")?,
             listen,
-            operator,
-            discovery: text("discovery", "LB_DISCOVERY")?,
-            sockets: usize::try_from(sockets).unwrap_or(usize::MAX),
+            operator_address: operator,
+            discovery_address: text("discovery", "LB_DISCOVERY")?,
+            max_descriptors: usize::try_from(sockets).unwrap_or(usize::MAX),
             memory_mb,
-            known,
-            ask_in,
+            initial_workers: known,
+            max_poll_interval: ask_in,
             peer_datagrams: json.get("peer_listen").is_some_and(|address| !address.is_null()),
             contracts,
         })
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,7 +1,7 @@
 //! The file of the OpenSearch-style front, read and checked here.
 
 use super::config::Error;
-use super::settings::Faulty;
+use super::settings::InvalidSetting;
 use crate::fronts::opensearch::Names;
 use crate::limits::descriptors;
 use crate::policy::*;
@@ -164,25 +164,26 @@
 }
 
 impl File {
-    fn check(self, seed: u64) -> Result<FrontFile, Faulty> {
+    fn check(self, seed: u64) -> Result<FrontFile, InvalidSetting> {
         let listen = self.listen.parse::<SocketAddr>();
-        let listen = listen.map_err(|_| Faulty::new("listen", format!("no address {:?}", self.listen)))?;
+        let listen =
+            listen.map_err(|_| InvalidSetting::new("listen", format!("no address {:?}", self.listen)))?;
         let Layout { shards, cells, span } = self.layout;
         if shards == 0 || cells == 0 || !(1..=cells).contains(&span) {
-            return Err(Faulty::new("layout", "shards and cells are 1 at least, span is 1 to cells"));
+            return Err(InvalidSetting::new("layout", "shards and cells are 1 at least, span is 1 to cells"));
         }
         let FileLimits { max_open, window, searches_per_server, attempts, .. } = self.limits;
         if window == 0 || searches_per_server == 0 || attempts == 0 || max_open <= shards as usize {
-            return Err(Faulty::new("limits", "1 at least; max_open over layout.shards"));
+            return Err(InvalidSetting::new("limits", "1 at least; max_open over layout.shards"));
         }
         let FileLimits { sockets, memory_mb, .. } = self.limits;
         if sockets < descriptors::MIN_DESCRIPTORS {
             let what = format!("{sockets}: {} at least are needed", descriptors::MIN_DESCRIPTORS);
-            return Err(Faulty::new("limits.sockets", what));
+            return Err(InvalidSetting::new("limits.sockets", what));
         }
         if memory_mb < LEAST_MEMORY_MB {
             let what = format!("{memory_mb}: {LEAST_MEMORY_MB} at least are needed");
-            return Err(Faulty::new("limits.memory_mb", what));
+            return Err(InvalidSetting::new("limits.memory_mb", what));
         }
         // More than that many could not be open beside the clients' floor, and what files and the watch need.
         let most = sockets / 16 * 7;
@@ -191,16 +192,16 @@
                 "with {} servers more than {most} connections, 7/16 of limits.sockets",
                 self.server.len()
             );
-            return Err(Faulty::new("limits.searches_per_server", what));
+            return Err(InvalidSetting::new("limits.searches_per_server", what));
         }
         let mut classes = Vec::new();
         for (at, class) in self.class.iter().enumerate() {
             let key = |name: &str| format!("class.{at}.{name}");
             if class.wanted_ms == 0 || class.wanted_ms > class.deadline_ms {
-                return Err(Faulty::new(&key("wanted_ms"), "1 at least, and not past deadline_ms"));
+                return Err(InvalidSetting::new(&key("wanted_ms"), "1 at least, and not past deadline_ms"));
             }
             if !(class.floor > 0.0 && class.floor <= 1.0) {
-                return Err(Faulty::new(&key("floor"), "a share over 0 and up to 1"));
+                return Err(InvalidSetting::new(&key("floor"), "a share over 0 and up to 1"));
             }
             classes.push(Class {
                 latency_objective: Duration::from_millis(class.wanted_ms),
@@ -223,7 +224,7 @@
         let mut members = Vec::new();
         for (at, server) in self.server.into_iter().enumerate() {
             if server.cell >= cells {
-                return Err(Faulty::new(&format!("server.{at}.cell"), format!("there are {cells}")));
+                return Err(InvalidSetting::new(&format!("server.{at}.cell"), format!("there are {cells}")));
             }
             if !zones.contains(&server.zone) {
                 zones.push(server.zone.clone());
@@ -280,14 +281,16 @@
         let mut names = Names { window, ..Names::default() };
         for (at, index) in self.index.into_iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
-            let unknown = || Faulty::new(&format!("index.{at}.class"), format!("no class {:?}", index.class));
+            let unknown =
+                || InvalidSetting::new(&format!("index.{at}.class"), format!("no class {:?}", index.class));
             names.indexes.insert(index.name.clone(), class.ok_or_else(unknown)?);
         }
         let mut callers = HashMap::new();
         for (at, caller) in self.caller.into_iter().enumerate() {
             let tenant = contracts.tenant(&caller.tenant);
-            let unknown =
-                || Faulty::new(&format!("caller.{at}.tenant"), format!("no tenant {:?}", caller.tenant));
+            let unknown = || {
+                InvalidSetting::new(&format!("caller.{at}.tenant"), format!("no tenant {:?}", caller.tenant))
+            };
             callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
         }
         names.callers = callers;
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -2,7 +2,7 @@
 //! there is no such file.
 
 use super::config::Error;
-use super::settings::Faulty;
+use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
 use serde::Deserialize;
@@ -77,24 +77,30 @@
         }
     }
 
-    fn check(&self) -> Result<(), Faulty> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if self.cluster.is_empty() {
-            return Err(Faulty::new("membership.cluster", "it needs a name"));
+            return Err(InvalidSetting::new("membership.cluster", "it needs a name"));
         }
         if !self.secret.is_empty() && self.secret.len() < 16 {
-            return Err(Faulty::new("membership.secret", "16 bytes at least, or none"));
+            return Err(InvalidSetting::new("membership.secret", "16 bytes at least, or none"));
         }
         if !(1..=10_000).contains(&self.most) {
-            return Err(Faulty::new("membership.most", "1 to 10,000"));
+            return Err(InvalidSetting::new("membership.most", "1 to 10,000"));
         }
         if !(50..=10_000).contains(&self.period_ms) {
-            return Err(Faulty::new("membership.period_ms", "50 ms to 10 s"));
+            return Err(InvalidSetting::new("membership.period_ms", "50 ms to 10 s"));
         }
         if self.bury_ms < 4 * self.period_ms || self.bury_ms > 600_000 {
-            return Err(Faulty::new("membership.bury_ms", "four periods at least, 10 minutes at most"));
+            return Err(InvalidSetting::new(
+                "membership.bury_ms",
+                "four periods at least, 10 minutes at most",
+            ));
         }
         if self.advertise.unwrap_or(self.listen).ip().is_unspecified() {
-            return Err(Faulty::new("membership.advertise", "an address at which others reach this one"));
+            return Err(InvalidSetting::new(
+                "membership.advertise",
+                "an address at which others reach this one",
+            ));
         }
         Ok(())
     }
@@ -169,15 +175,15 @@
 }
 
 impl Records {
-    fn check(&self) -> Result<(), Faulty> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if !(64..=1 << 20).contains(&self.segment_kb) {
-            return Err(Faulty::new("records.segment_kb", "64 kB to 1 GB"));
+            return Err(InvalidSetting::new("records.segment_kb", "64 kB to 1 GB"));
         }
         if !(1..=7 * 86_400).contains(&self.segment_s) {
-            return Err(Faulty::new("records.segment_s", "1 second to a week"));
+            return Err(InvalidSetting::new("records.segment_s", "1 second to a week"));
         }
         if self.all_kb < 2 * self.segment_kb || self.all_kb > 1 << 30 {
-            return Err(Faulty::new("records.all_kb", "two segments at least, 1 TB at most"));
+            return Err(InvalidSetting::new("records.all_kb", "two segments at least, 1 TB at most"));
         }
         Ok(())
     }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -80,7 +80,7 @@
     in_runtime(async move {
         let (hangup, mut stop) = needed(async || signals::listen()).await?;
         let config = configured(&read).await?;
-        let operators = match config.operator {
+        let operators = match config.operator_address {
             Some(address) => Some(needed(async || TcpListener::bind(address).await).await?),
             None => None,
         };
@@ -90,19 +90,19 @@
         };
         let talks = if operator.membership.is_some() { MEMBERS } else { 0 };
         let later = talks + if alone.is_some() { 0 } else { UPGRADE };
-        let allowed = Allowed::read(config.sockets, config.memory_mb, later, operators.is_some());
+        let allowed = Allowed::read(config.max_descriptors, config.memory_mb, later, operators.is_some());
         let places = places(&allowed)?;
         let digest = digest(&config.contracts);
         let clock = Clock::system();
         let (seed, roots) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
-        let backoff = match config.ask_in {
+        let backoff = match config.max_poll_interval {
             Some(ask_in) => Backoff::new(seed, roots, ask_in),
             None => Backoff::for_local_agent(seed, config.contracts.limits.drain_grace),
         };
         let broker = Broker::new(Core::new(config.contracts), clock);
         let start = format!("{:x}-{:x}", clock.now().0, std::process::id());
         let recording = Recording::begin(operator.records.as_ref(), &config.name, &start, &digest, &broker)?;
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.initial_workers {
             broker.apply_endpoint_update(known, true);
         }
         let dial: Rc<dyn Connector> = Rc::new(TcpConnector);
@@ -142,19 +142,20 @@
         }
         let front = Platform { broker: broker.clone(), gate: gate.clone() };
         let watcher = broker.clone();
-        let discovery = Sender::new(config.discovery);
+        let discovery = Sender::new(config.discovery_address);
         let address = discovery.subscribe();
         let watched = places.clone();
         // A whole list costs an asked discovery twice what its changes do, when the whole fleet starts.
-        let held = config.known.filter(|_| config.ask_in.is_some()).map(|known| known.revision);
+        let held =
+            config.initial_workers.filter(|_| config.max_poll_interval.is_some()).map(|known| known.revision);
         spawn_local(
             async move { discovery::follow(&*dial, address, held, &watcher, &watched, backoff).await },
         );
         spawn_local(reload(hangup, places, recording.clone(), move || {
             // Where discovery is takes effect now, all else at the next start.
             let config = read()?;
-            let news = format!("discovery at {}", config.discovery);
-            discovery.send_replace(config.discovery);
+            let news = format!("discovery at {}", config.discovery_address);
+            discovery.send_replace(config.discovery_address);
             Ok(news)
         }));
         let beside = Beside { stop, recording, upgrade, members };
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -19,41 +19,41 @@
 
 /// A setting that cannot be used, by the path of its key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{path}: {what}")]
-pub struct Faulty {
+#[error("{path}: {reason}")]
+pub struct InvalidSetting {
     /// The key.
     pub path: String,
     /// What is wrong with it.
-    pub what: String,
+    pub reason: String,
 }
 
-impl Faulty {
+impl InvalidSetting {
     /// The fault of this key.
-    pub fn new(path: &str, what: impl Into<String>) -> Faulty {
-        Faulty { path: path.to_owned(), what: what.into() }
+    pub fn new(path: &str, what: impl Into<String>) -> InvalidSetting {
+        InvalidSetting { path: path.to_owned(), reason: what.into() }
     }
 }
 
 /// Settings by path. An absent one has the value that [`Settings`] states.
 #[derive(Debug, Default)]
-pub struct Pairs(HashMap<String, String>);
+pub struct FlatSettings(HashMap<String, String>);
 
-impl Pairs {
+impl FlatSettings {
     /// Reads `path=value` pairs with a space between each.
-    pub fn from_text(text: &str) -> Result<Pairs, Faulty> {
+    pub fn from_text(text: &str) -> Result<FlatSettings, InvalidSetting> {
         let mut map = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
             let Some((path, value)) = pair.split_once('=') else {
-                return Err(Faulty::new(&format!("{pair:?}"), "expected path=value"));
+                return Err(InvalidSetting::new(&format!("{pair:?}"), "expected path=value"));
             };
             map.insert(path.to_owned(), value.to_owned());
         }
-        Ok(Pairs(map))
+        Ok(FlatSettings(map))
     }
 
     /// Reads nested JSON: `a.b` for fields, `a.0` and `a.count` for lists.
-    pub fn from_json(value: &Value) -> Pairs {
-        let mut pairs = Pairs::default();
+    pub fn from_json(value: &Value) -> FlatSettings {
+        let mut pairs = FlatSettings::default();
         pairs.add("", value);
         pairs
     }
@@ -81,35 +81,35 @@
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(String::as_str).filter(|value| !value.is_empty() && *value != "-")
     }
-    fn number(&self, path: &str) -> Result<Option<f64>, Faulty> {
+    fn number(&self, path: &str) -> Result<Option<f64>, InvalidSetting> {
         let Some(value) = self.text(path) else { return Ok(None) };
         match value.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
-            _ => Err(Faulty::new(path, format!("bad number {value:?}"))),
+            _ => Err(InvalidSetting::new(path, format!("bad number {value:?}"))),
         }
     }
-    fn count(&self, path: &str) -> Result<u32, Faulty> {
+    fn count(&self, path: &str) -> Result<u32, InvalidSetting> {
         Ok(self.number(path)?.unwrap_or(0.0).max(0.0) as u32)
     }
-    fn span(&self, path: &str) -> Result<Option<Duration>, Faulty> {
+    fn span(&self, path: &str) -> Result<Option<Duration>, InvalidSetting> {
         Ok(self.number(path)?.map(|span| Duration::from_nanos(span.max(0.0) as u64)))
     }
-    fn flag(&self, path: &str) -> Result<bool, Faulty> {
+    fn flag(&self, path: &str) -> Result<bool, InvalidSetting> {
         match self.text(path) {
             None | Some("false" | "0") => Ok(false),
             Some("true" | "1") => Ok(true),
-            Some(value) => Err(Faulty::new(path, format!("bad value {value:?}"))),
+            Some(value) => Err(InvalidSetting::new(path, format!("bad value {value:?}"))),
         }
     }
     /// A value for each class: one for all, a comma-joined list, or numbered paths.
-    fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, Faulty> {
+    fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, InvalidSetting> {
         let numbered = format!("{path}.{class}");
         if self.text(&numbered).is_some() {
             return self.number(&numbered);
         }
         let Some(list) = self.text(path) else { return Ok(None) };
         let item = list.split(',').nth(class).or_else(|| list.split(',').next_back());
-        item.map(|item| item.parse().map_err(|_| Faulty::new(path, format!("bad number {item:?}"))))
+        item.map(|item| item.parse().map_err(|_| InvalidSetting::new(path, format!("bad number {item:?}"))))
             .transpose()
     }
     /// A list of names, numbered or comma-joined.
@@ -123,7 +123,7 @@
     }
 
     /// The contracts that these settings make, for an instance with this seed.
-    pub fn contracts(&self, seed: u64) -> Result<Contracts, Faulty> {
+    pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
         let named = |list: &str, at: u32| {
             self.text(&format!("{list}.{at}.name")).map_or_else(|| at.to_string(), str::to_owned)
         };
@@ -150,7 +150,7 @@
         })
     }
 
-    fn class(&self, at: usize) -> Result<Class, Faulty> {
+    fn class(&self, at: usize) -> Result<Class, InvalidSetting> {
         let path = |name: &str| format!("categories.{at}.{name}");
         let deadline = self.span(&path("deadline"))?.unwrap_or_default();
         let whole_at = self.by_class("domain.whole-at", at)?.unwrap_or(1.0);
@@ -163,7 +163,7 @@
                 Some("by_key") => Idempotency::Keyed,
                 Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => {
-                    return Err(Faulty::new(&path("semantics"), format!("unknown value {other:?}")));
+                    return Err(InvalidSetting::new(&path("semantics"), format!("unknown value {other:?}")));
                 }
             },
             repeat_window: self.span(&path("window"))?.unwrap_or_default(),
@@ -176,7 +176,7 @@
         })
     }
 
-    fn settings(&self, seed: u64) -> Result<Settings, Faulty> {
+    fn settings(&self, seed: u64) -> Result<Settings, InvalidSetting> {
         let classes = (0..self.count("categories.count")? as usize).map(|at| self.class(at));
         let mut tenants = Vec::new();
         for at in 0..self.count("tenants.count")? {
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -15,7 +15,7 @@
     let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let mut core = Core::new(config.contracts);
-    core.apply_endpoint_update(START, &config.known.expect("a list"), true);
+    core.apply_endpoint_update(START, &config.initial_workers.expect("a list"), true);
     core.step(START);
     core
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -16,7 +16,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Waits until this is so.
-pub fn until(what: &str, mut so: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let since = Instant::now();
     while !so() {
         assert!(since.elapsed() < PATIENCE, "in vain: {what}");
@@ -27,17 +27,17 @@
 /// A worker that serves every part, and remembers how often each came.
 pub struct Worker {
     pub address: String,
-    pub came: Arc<Mutex<HashMap<String, usize>>>,
+    pub received: Arc<Mutex<HashMap<String, usize>>>,
     /// While it is held, no part is answered.
-    pub held: Arc<(Mutex<bool>, Condvar)>,
+    pub paused: Arc<(Mutex<bool>, Condvar)>,
 }
 
 impl Worker {
     pub fn start() -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let worker = Worker { address, came: Arc::default(), held: Arc::default() };
-        let (came, held) = (worker.came.clone(), worker.held.clone());
+        let worker = Worker { address, received: Arc::default(), paused: Arc::default() };
+        let (came, held) = (worker.received.clone(), worker.paused.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (came, held) = (came.clone(), held.clone());
@@ -46,17 +46,17 @@
         });
         worker
     }
-    pub fn hold(&self, held: bool) {
-        *self.held.0.lock().expect("sound") = held;
-        self.held.1.notify_all();
+    pub fn set_paused(&self, held: bool) {
+        *self.paused.0.lock().expect("sound") = held;
+        self.paused.1.notify_all();
     }
     /// Parts that came.
-    pub fn parts(&self) -> usize {
-        self.came.lock().expect("sound").values().sum()
+    pub fn parts_received(&self) -> usize {
+        self.received.lock().expect("sound").values().sum()
     }
     /// The most often that any part came.
-    pub fn most(&self) -> usize {
-        self.came.lock().expect("sound").values().copied().max().unwrap_or(0)
+    pub fn max_deliveries_of_a_part(&self) -> usize {
+        self.received.lock().expect("sound").values().copied().max().unwrap_or(0)
     }
 }
 
@@ -110,7 +110,7 @@
         discovery
     }
     /// Replaces the list; every watch is told.
-    pub fn tell(&self, members: &str) {
+    pub fn publish(&self, members: &str) {
         let mut told = self.told.0.lock().expect("sound");
         *told = (told.0 + 1, members.to_owned());
         self.told.1.notify_all();
@@ -180,7 +180,7 @@
 }
 
 /// An operator's call: its status and text.
-pub fn operate(address: &str, method: &str, path: &str) -> (u16, String) {
+pub fn call_operator_api(address: &str, method: &str, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream.write_all(&http::encode_request(method, path, "x", None)).expect("written");
     let answer = response(&mut stream).expect("an answer");
@@ -188,25 +188,25 @@
 }
 
 /// The value of a figure.
-pub fn figure(address: &str, name: &str) -> u64 {
-    let (_, text) = operate(address, "GET", "/-/metrics");
+pub fn metric_value(address: &str, name: &str) -> u64 {
+    let (_, text) = call_operator_api(address, "GET", "/-/metrics");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
     let value = line.unwrap_or_else(|| panic!("no {name} in {text}")).split('|').next().expect("a value");
     value.parse().expect("a number")
 }
 
 /// A folder of a test's own, removed at its end.
-pub struct Folder(pub PathBuf);
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
-    pub fn new(name: &str) -> Folder {
+impl TempFolder {
+    pub fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("clayshore-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -241,33 +241,41 @@
 
 impl Gatherer {
     /// Starts the platform's front; what is not in `config` is as in the scenarios.
-    pub fn start(folder: &Folder, config: &serde_json::Value) -> Gatherer {
-        let gatherer = Gatherer::begin(folder, config);
-        gatherer.logged(" serving on ");
+    pub fn start(folder: &TempFolder, config: &serde_json::Value) -> Gatherer {
+        let gatherer = Gatherer::start_without_waiting(folder, config);
+        gatherer.wait_for_log(" serving on ");
         gatherer
     }
 
     /// The same, without waiting until it serves.
-    pub fn begin(folder: &Folder, config: &serde_json::Value) -> Gatherer {
-        Gatherer::begin_with(folder, config, folder, None)
+    pub fn start_without_waiting(folder: &TempFolder, config: &serde_json::Value) -> Gatherer {
+        Gatherer::start_on_config(folder, config, folder, None)
     }
 
     /// The same with an operator's file.
-    pub fn begin_operated(folder: &Folder, config: &serde_json::Value, operator: &str) -> Gatherer {
-        Gatherer::begin_with(folder, config, folder, Some(operator))
+    pub fn start_with_operator_file(
+        folder: &TempFolder,
+        config: &serde_json::Value,
+        operator: &str,
+    ) -> Gatherer {
+        Gatherer::start_on_config(folder, config, folder, Some(operator))
     }
 
     /// The same, where it may write elsewhere.
-    pub fn start_with(folder: &Folder, config: &serde_json::Value, scratch: &Folder) -> Gatherer {
-        let gatherer = Gatherer::begin_with(folder, config, scratch, None);
-        gatherer.logged(" serving on ");
+    pub fn start_with_temp_folder(
+        folder: &TempFolder,
+        config: &serde_json::Value,
+        scratch: &TempFolder,
+    ) -> Gatherer {
+        let gatherer = Gatherer::start_on_config(folder, config, scratch, None);
+        gatherer.wait_for_log(" serving on ");
         gatherer
     }
 
-    fn begin_with(
-        folder: &Folder,
+    fn start_on_config(
+        folder: &TempFolder,
         config: &serde_json::Value,
-        scratch: &Folder,
+        scratch: &TempFolder,
         operator: Option<&str>,
     ) -> Gatherer {
         let file = folder.0.join(format!("config-{}.json", fastrand::u64(..)));
@@ -277,8 +285,8 @@
 
     /// The same with the library of faults preloaded; `faults` says which, and `switch` is the file while which is there
     /// they happen.
-    pub fn begin_with_faults(
-        folder: &Folder,
+    pub fn start_with_faults(
+        folder: &TempFolder,
         config: &serde_json::Value,
         faults: &str,
         switch: Option<&Path>,
@@ -294,7 +302,7 @@
     pub fn spawn(
         file: &Path,
         config: &serde_json::Value,
-        scratch: &Folder,
+        scratch: &TempFolder,
         operator: Option<&str>,
     ) -> Gatherer {
         Gatherer::spawn_in(file, config, scratch, operator, &[])
@@ -303,7 +311,7 @@
     fn spawn_in(
         file: &Path,
         config: &serde_json::Value,
-        scratch: &Folder,
+        scratch: &TempFolder,
         operator: Option<&str>,
         variables: &[(&str, PathBuf)],
     ) -> Gatherer {
@@ -333,7 +341,7 @@
     }
 
     /// Waits for a line of the log that holds these words.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         let lines = self.log.0.lock().expect("sound");
         let there = |lines: &Vec<String>| lines.iter().any(|line| line.contains(words));
         let over = |lines: &Vec<String>| lines.last().is_some_and(|line| line == "the log ends");
@@ -350,16 +358,16 @@
     }
 
     /// Has it stand still, and waits until it does: whatever comes from now on lies there at the same wake.
-    pub fn stand_still(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || std::fs::read_to_string(&stat).expect("its state").contains(") T "));
+        wait_until("it stands still", || std::fs::read_to_string(&stat).expect("its state").contains(") T "));
     }
 
     /// Waits for its end; whether that was a good one.
-    pub fn ended(&mut self) -> bool {
+    pub fn wait_for_exit(&mut self) -> bool {
         let mut status = None;
-        until("it ends", || {
+        wait_until("it ends", || {
             status = self.child.try_wait().expect("its status");
             status.is_some()
         });
@@ -383,7 +391,7 @@
 
 /// An address for two processes to share. It is one that no stand-in and no client uses: a port that was free a moment
 /// ago on the usual one may be another test's by now.
-pub fn free() -> String {
+pub fn unused_address() -> String {
     listen().local_addr().expect("an address").to_string()
 }
 
@@ -399,6 +407,6 @@
         serde_json::from_str(include_str!("../scenario/platform.json")).expect("JSON");
     config["discovery"] = discovery.address.clone().into();
     config["known"] = serde_json::from_str(&discovery.list()).expect("JSON");
-    (config["listen"], config["operator"]) = (free().into(), free().into());
+    (config["listen"], config["operator"]) = (unused_address().into(), unused_address().into());
     config
 }
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -38,7 +38,7 @@
     /// The relay before each member refuses connections while this is empty, as the member's machine would.
     doors: Vec<Arc<Mutex<Option<TcpListener>>>>,
     relays: Vec<SocketAddr>,
-    folder: Folder,
+    folder: TempFolder,
 }
 
 fn name(id: usize) -> String {
@@ -54,7 +54,7 @@
     pub fn start(test: &str, count: usize) -> ProxiedFleet {
         let worker = Worker::start();
         let discovery = Discovery::start(&member("w1", &worker.address));
-        let folder = Folder::new(test);
+        let folder = TempFolder::new(test);
         let faults: Arc<Mutex<NetworkFaults>> = Arc::default();
         let mut fleet = ProxiedFleet {
             faults,
@@ -67,7 +67,8 @@
             relays: Vec::new(),
             folder,
         };
-        let inner: Vec<SocketAddr> = (0..count).map(|_| free().parse().expect("an address")).collect();
+        let inner: Vec<SocketAddr> =
+            (0..count).map(|_| unused_address().parse().expect("an address")).collect();
         for (id, to) in inner.iter().enumerate() {
             let door = listen();
             let at = door.local_addr().expect("an address");
@@ -98,8 +99,9 @@
     /// Starts a process of this member.
     pub fn start_member(&mut self, id: usize) {
         self.open(id);
-        let gatherer = Gatherer::begin_operated(&self.folder, &self.configs[id], &self.operators[id]);
-        gatherer.logged(" serving on ");
+        let gatherer =
+            Gatherer::start_with_operator_file(&self.folder, &self.configs[id], &self.operators[id]);
+        gatherer.wait_for_log(" serving on ");
         self.members[id] = Some(gatherer);
     }
     fn open(&self, id: usize) {
@@ -116,13 +118,13 @@
     pub fn close_proxy(&self, id: usize) {
         *self.doors[id].lock().expect("sound") = None;
         // Ends the wait for a connection that holds the port open.
-        until("the port is free", || TcpStream::connect(self.relays[id]).is_err());
+        wait_until("the port is free", || TcpStream::connect(self.relays[id]).is_err());
     }
     /// A further process of this member beside the first, as in an upgrade.
     pub fn start_second_process(&self, id: usize) -> Gatherer {
         let mut config = self.configs[id].clone();
-        config["operator"] = free().into();
-        Gatherer::begin_operated(&self.folder, &config, &self.operators[id])
+        config["operator"] = unused_address().into();
+        Gatherer::start_with_operator_file(&self.folder, &config, &self.operators[id])
     }
     pub fn member(&self, id: usize) -> &Gatherer {
         self.members[id].as_ref().expect("it runs")
@@ -140,7 +142,7 @@
     }
     /// What this member sees.
     pub fn membership_status(&self, id: usize) -> Value {
-        let (status, text) = operate(&self.member(id).operators, "GET", "/-/members");
+        let (status, text) = call_operator_api(&self.member(id).operators, "GET", "/-/members");
         assert_eq!(status, 200, "{text}");
         serde_json::from_str(&text).expect("JSON")
     }
@@ -158,7 +160,7 @@
     pub fn wait_until_converged(&self) {
         let living = self.running();
         for id in &living {
-            until(&format!("{} sees all", name(*id)), || {
+            wait_until(&format!("{} sees all", name(*id)), || {
                 let others = (0..self.members.len()).filter(|other| other != id);
                 others.into_iter().all(|other| {
                     let there = matches!(self.state_seen_by(*id, other).as_str(), "alive" | "cut");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::BytesMut;
-use common::process::{self, Folder, Gatherer, Worker, free, member, operate};
+use common::process::{self, Gatherer, TempFolder, Worker, call_operator_api, member, unused_address};
 use gatherer::limits::{Backoff, DescriptorBudget};
 use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
@@ -170,7 +170,7 @@
     json["settings"]["balancers"] = gatherers.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-    let known = config.known.expect("a list");
+    let known = config.initial_workers.expect("a list");
     broker.apply_endpoint_update(&known, true);
     let (network, watching) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
@@ -290,12 +290,12 @@
     let mut json: serde_json::Value =
         serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let config = Config::from_json(&json, |_| None).expect("a configuration");
-    assert_eq!((config.ask_in, config.peer_datagrams), (None, false));
+    assert_eq!((config.max_poll_interval, config.peer_datagrams), (None, false));
     json["settings"]["discovery"] = "on_request".into();
     json["settings"]["rules"]["must-ask-in"] = 10_000_000_000_u64.into();
     json["peer_listen"] = "127.0.0.1:9".into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
-    assert_eq!((config.ask_in, config.peer_datagrams), (Some(ASK_IN), true));
+    assert_eq!((config.max_poll_interval, config.peer_datagrams), (Some(ASK_IN), true));
     // The watch is the network code's: the module does not ask beside it.
     assert!(!config.contracts.settings.poll_discovery);
 }
@@ -306,16 +306,16 @@
     let mut config = process::config(&before);
     config["settings"]["discovery"] = "on_request".into();
     config["settings"]["rules"]["must-ask-in"] = 10_000_000_000_u64.into();
-    (config["discovery"], config["operator"]) = (free().into(), serde_json::Value::Null);
+    (config["discovery"], config["operator"]) = (unused_address().into(), serde_json::Value::Null);
     config
 }
 
 #[test]
 fn a_process_that_starts_while_discovery_is_down_is_ready_and_serves_from_the_list_it_holds() {
-    let (folder, worker) = (Folder::new("down"), Worker::start());
+    let (folder, worker) = (TempFolder::new("down"), Worker::start());
     let begun = std::time::Instant::now();
     let gatherer = Gatherer::start(&folder, &beside_a_discovery_that_is_down(&worker));
-    assert_eq!(operate(&gatherer.clients, "GET", "/_health").0, 200);
+    assert_eq!(call_operator_api(&gatherer.clients, "GET", "/_health").0, 200);
     let took = begun.elapsed();
     assert!(took < Duration::from_secs(10), "{took:?}");
     let mut client = gatherer.connect();
@@ -325,22 +325,22 @@
 
 #[test]
 fn idle_clients_that_fill_the_descriptors_keep_discovery_from_nobody() {
-    let (folder, workers) = (Folder::new("filled"), [Worker::start(), Worker::start()]);
+    let (folder, workers) = (TempFolder::new("filled"), [Worker::start(), Worker::start()]);
     let mut config = beside_a_discovery_that_is_down(&workers[0]);
     config["limits"] = serde_json::json!({ "sockets": 64 });
     let gatherer = Gatherer::start(&folder, &config);
     let idle: Vec<TcpStream> = (0..200).map(|_| gatherer.connect()).collect();
-    gatherer.logged("cannot connect");
+    gatherer.wait_for_log("cannot connect");
     // Discovery is back, with another worker in its list.
     let address = config["discovery"].as_str().expect("an address");
     let listener = TcpListener::bind(address).expect("its port");
     let discovery = process::Discovery::on(listener, "");
-    discovery.tell(&member("w2", &workers[1].address));
-    gatherer.logged("list 2 with 1 workers");
+    discovery.publish(&member("w2", &workers[1].address));
+    gatherer.wait_for_log("list 2 with 1 workers");
     let mut client = gatherer.connect();
     process::query(&mut client, "a", "search").expect("written");
     assert_eq!(process::response(&mut client).expect("an answer").status, 200);
-    assert_eq!(workers.map(|worker| worker.parts()), [0, 1]);
+    assert_eq!(workers.map(|worker| worker.parts_received()), [0, 1]);
     drop(idle);
 }
 
@@ -351,7 +351,7 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let (mut core, begun) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
-    let mut list = config.known.expect("a list");
+    let mut list = config.initial_workers.expect("a list");
     list.workers.truncate(1);
     list.workers[0].started_at = Some(begun.after(Duration::from_secs(3600)));
     let state = |core: &mut Core| {
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::process::{Discovery, Folder, Gatherer, Worker, config, member, response, until};
+use common::process::{Discovery, Gatherer, TempFolder, Worker, config, member, response, wait_until};
 use gatherer::protocol::http;
 use gatherer::service::lifecycle::GRACE_PERIOD;
 use rustix::net::sockopt::set_socket_linger;
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_request_beside_sigterm_has_its_one_answer() {
-    let (folder, worker) = (Folder::new("beside"), Worker::start());
+    let (folder, worker) = (TempFolder::new("beside"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut gatherer = Gatherer::start(&folder, &hurried(&discovery));
     let mut resting: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
@@ -69,7 +69,7 @@
         query(client, &format!("a{at}"), "seal").expect("written");
         assert_eq!(response(client).expect("an answer").status, 200);
     }
-    gatherer.stand_still();
+    gatherer.pause();
     let (whole, half) = resting.split_at_mut(4);
     for (at, client) in whole.iter_mut().enumerate() {
         query(client, &format!("b{at}"), "seal").expect("written");
@@ -93,17 +93,17 @@
         client.write_all(b"-Id: d\r\nContent-Length: 0\r\n\r\n").expect("written");
         assert_eq!(response(client).expect("an answer").status, 400);
     }
-    assert!(gatherer.ended());
+    assert!(gatherer.wait_for_exit());
     // So many at once may be more than the module expects to be served in time: what it refused was not sent.
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served > 0 && statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
-    assert_eq!((worker.parts(), worker.most()), (8 + served, 1));
+    assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (8 + served, 1));
 }
 
 #[test]
 fn what_comes_after_the_linger_is_refused_though_the_process_stood_still() {
     // Guards against taking what SIGKILL may find unanswered: where deadlines are short it comes soon.
-    let (folder, worker) = (Folder::new("after"), Worker::start());
+    let (folder, worker) = (TempFolder::new("after"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut config = hurried(&discovery);
     config["settings"]["allowed"]["retry-after"] = json!(false);
@@ -114,8 +114,8 @@
         assert_eq!(response(client).expect("an answer").status, 200);
     }
     gatherer.signal("-TERM");
-    gatherer.logged("stopping: ");
-    gatherer.stand_still();
+    gatherer.wait_for_log("stopping: ");
+    gatherer.pause();
     // Not a wait for anything: the time after which nothing is taken passes while the process stands still.
     thread::sleep(GRACE_PERIOD);
     for (at, client) in kept.iter_mut().enumerate() {
@@ -130,13 +130,13 @@
             Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::UnexpectedEof),
         }
     }
-    assert!(gatherer.ended());
-    assert_eq!(worker.parts(), 8, "nothing of what came later was sent on");
+    assert!(gatherer.wait_for_exit());
+    assert_eq!(worker.parts_received(), 8, "nothing of what came later was sent on");
 }
 
 #[test]
 fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on() {
-    let (folder, worker) = (Folder::new("crosses"), Worker::start());
+    let (folder, worker) = (TempFolder::new("crosses"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut gatherer = Gatherer::start(&folder, &hurried(&discovery));
     let mut client = gatherer.connect();
@@ -148,15 +148,15 @@
     query(&mut client, "b", "seal").expect("written");
     ends(&mut client);
     drop(client);
-    assert!(gatherer.ended());
-    gatherer.logged("crossed=1");
-    assert_eq!(worker.parts(), 1);
+    assert!(gatherer.wait_for_exit());
+    gatherer.wait_for_log("crossed=1");
+    assert_eq!(worker.parts_received(), 1);
 }
 
 #[test]
 fn signals_are_heard_before_the_configuration_is_read() {
     // Guards a process that has just started: SIGHUP ended it, which is a crash.
-    let (folder, worker) = (Folder::new("early"), Worker::start());
+    let (folder, worker) = (TempFolder::new("early"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let (config, file) = (hurried(&discovery), folder.0.join("config.json"));
     let made = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
@@ -171,13 +171,13 @@
     std::fs::rename(&usual, &file).expect("in its place");
     write!(pipe, "{config}").expect("written");
     drop(pipe);
-    gatherer.logged("configuration read again");
+    gatherer.wait_for_log("configuration read again");
     let mut client = gatherer.connect();
     query(&mut client, "a", "seal").expect("written");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     drop(client);
     gatherer.signal("-TERM");
-    assert!(gatherer.ended());
+    assert!(gatherer.wait_for_exit());
 }
 
 /// A worker whose connections the test holds: it answers nothing by itself.
@@ -213,7 +213,7 @@
 #[test]
 fn half_an_answer_and_the_end_at_the_same_wake_leave_a_part_that_may_have_run() {
     for (name, by_reset) in [("half-end", false), ("half-reset", true)] {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         let ((first, told), second) = (silent_worker(), Worker::start());
         let discovery = Discovery::start(&member("w1", &first));
         let mut gatherer = Gatherer::start(&folder, &patient(&discovery));
@@ -229,9 +229,9 @@
         // From here on there is another worker, which may take what may be repeated.
         let both = format!("{},{}", member("w1", &first), member("w2", &second.address));
         let listings = count(&mut watch, "listings");
-        discovery.tell(&both);
-        until("the list is told", || count(&mut watch, "listings") > listings);
-        gatherer.stand_still();
+        discovery.publish(&both);
+        wait_until("the list is told", || count(&mut watch, "listings") > listings);
+        gatherer.pause();
         let mut clients = Vec::new();
         for (client, mut line) in asked {
             line.write_all(&[30, 0, 0, 0, b'q', b's']).expect("written");
@@ -245,10 +245,14 @@
         gatherer.signal("-CONT");
         assert_eq!(response(&mut clients[0]).expect("an answer").status, 504, "{name}: it may have run");
         assert_eq!(response(&mut clients[1]).expect("an answer").status, 200, "{name}");
-        assert_eq!((second.parts(), second.most()), (1, 1), "{name}: only what may be repeated came");
+        assert_eq!(
+            (second.parts_received(), second.max_deliveries_of_a_part()),
+            (1, 1),
+            "{name}: only what may be repeated came"
+        );
         drop((clients, watch));
         gatherer.signal("-TERM");
-        assert!(gatherer.ended());
+        assert!(gatherer.wait_for_exit());
     }
 }
 
@@ -267,7 +271,7 @@
 
 #[test]
 fn nothing_is_sent_for_clients_that_left_in_one_burst_while_their_parts_waited() {
-    let folder = Folder::new("burst");
+    let folder = TempFolder::new("burst");
     let (door, queue) = full_door();
     let address = door.local_addr().expect("an address");
     let discovery = Discovery::start(&member("w1", &address.to_string()));
@@ -282,9 +286,9 @@
         query(&mut client, &format!("a{at}"), if at % 2 == 0 { "seal" } else { "search" }).expect("written");
         clients.push(client);
     }
-    until("all are sent", || count(&mut watch, "sent") >= 12);
+    wait_until("all are sent", || count(&mut watch, "sent") >= 12);
     // All leave while the process stands still, some by a reset, some behind the beginning of another request.
-    gatherer.stand_still();
+    gatherer.pause();
     for (at, mut client) in clients.into_iter().enumerate() {
         if at % 3 > 0 {
             client.write_all(b"POST /api HTTP/1.1\r\n").expect("written");
@@ -294,7 +298,7 @@
         }
     }
     gatherer.signal("-CONT");
-    until("all have left", || count(&mut watch, "left") >= 12);
+    wait_until("all have left", || count(&mut watch, "left") >= 12);
     // Now the worker takes connections, those that were coming up among them: none may bring a part.
     let filled = queue.len();
     drop(queue);
@@ -309,7 +313,7 @@
     assert_eq!(count(&mut watch, "written"), 0);
     drop(watch);
     gatherer.signal("-TERM");
-    assert!(gatherer.ended());
+    assert!(gatherer.wait_for_exit());
     let last = TcpStream::connect(address).expect("connected");
     let last = last.local_addr().expect("an address");
     let mut came = 0;
@@ -337,7 +341,7 @@
 #[test]
 fn an_idle_connection_that_ends_as_a_part_is_to_be_written_costs_no_query() {
     for (name, by_reset) in [("idle-end", false), ("idle-reset", true)] {
-        let (folder, (address, told)) = (Folder::new(name), silent_worker());
+        let (folder, (address, told)) = (TempFolder::new(name), silent_worker());
         let next = || told.recv_timeout(Duration::from_secs(60)).expect("a connection");
         let discovery = Discovery::start(&member("w1", &address));
         let mut gatherer = Gatherer::start(&folder, &patient(&discovery));
@@ -348,7 +352,7 @@
         serve(&mut kept, &id);
         assert_eq!(response(&mut client).expect("an answer").status, 200);
         // The end of the kept connection and two requests lie there at the same wake.
-        gatherer.stand_still();
+        gatherer.pause();
         let mut once = gatherer.connect();
         query(&mut client, "b", "search").expect("written");
         query(&mut once, "c", "seal").expect("written");
@@ -372,6 +376,6 @@
         }
         drop((client, once));
         gatherer.signal("-TERM");
-        assert!(gatherer.ended());
+        assert!(gatherer.wait_for_exit());
     }
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -15,12 +15,12 @@
 
 /// Asks on one kept connection; each query is answered, and its one part comes once.
 fn serves_all(folder: &str, faults: &str) {
-    let (folder, worker) = (Folder::new(folder), Worker::start());
+    let (folder, worker) = (TempFolder::new(folder), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let switch = folder.0.join("faults");
-    let mut gatherer = Gatherer::begin_with_faults(&folder, &config(&discovery), faults, Some(&switch));
-    gatherer.logged(" serving on ");
-    gatherer.logged("discovery at");
+    let mut gatherer = Gatherer::start_with_faults(&folder, &config(&discovery), faults, Some(&switch));
+    gatherer.wait_for_log(" serving on ");
+    gatherer.wait_for_log("discovery at");
     std::fs::write(&switch, "").expect("written");
     let mut client = gatherer.connect();
     for at in 0..QUERIES {
@@ -28,12 +28,12 @@
         query(&mut client, &format!("a{at}"), class).expect("written");
         assert_eq!(response(&mut client).expect("an answer").status, 200, "query {at}");
     }
-    assert_eq!((worker.parts(), worker.most()), (QUERIES, 1));
+    assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (QUERIES, 1));
     std::fs::remove_file(&switch).expect("removed");
     // The library looks at its switch every 2 ms; a signal that comes before has a test of its own.
     thread::sleep(Duration::from_millis(20));
     gatherer.signal("-TERM");
-    assert!(gatherer.ended());
+    assert!(gatherer.wait_for_exit());
 }
 
 #[test]
@@ -48,31 +48,31 @@
 
 #[test]
 fn a_signal_is_heard_though_the_call_that_tells_of_it_is_interrupted() {
-    let (folder, worker) = (Folder::new("signals"), Worker::start());
+    let (folder, worker) = (TempFolder::new("signals"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let switch = folder.0.join("faults");
     let faults = "seed=3,interrupt=1";
-    let mut gatherer = Gatherer::begin_with_faults(&folder, &config(&discovery), faults, Some(&switch));
-    gatherer.logged(" serving on ");
-    gatherer.logged("discovery at");
+    let mut gatherer = Gatherer::start_with_faults(&folder, &config(&discovery), faults, Some(&switch));
+    gatherer.wait_for_log(" serving on ");
+    gatherer.wait_for_log("discovery at");
     std::fs::write(&switch, "").expect("written");
     thread::sleep(Duration::from_millis(20));
     gatherer.signal("-TERM");
     thread::sleep(Duration::from_millis(20));
     std::fs::remove_file(&switch).expect("removed");
-    gatherer.logged("stopping: ");
-    assert!(gatherer.ended());
+    gatherer.wait_for_log("stopping: ");
+    assert!(gatherer.wait_for_exit());
 }
 
 #[test]
 fn a_start_bears_calls_that_fail_for_a_moment() {
-    let (folder, worker) = (Folder::new("start"), Worker::start());
+    let (folder, worker) = (TempFolder::new("start"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     for seed in 1..=6 {
         let faults =
             format!("seed={seed},socket=0.5,bind=0.5,open=0.5,connect=0.5,on_ms=300,period_ms=60000");
-        let gatherer = Gatherer::begin_with_faults(&folder, &config(&discovery), &faults, None);
-        gatherer.logged(" serving on ");
+        let gatherer = Gatherer::start_with_faults(&folder, &config(&discovery), &faults, None);
+        gatherer.wait_for_log(" serving on ");
         let mut client = gatherer.connect();
         query(&mut client, &format!("s{seed}"), "search").expect("written");
         assert_eq!(response(&mut client).expect("an answer").status, 200, "seed {seed}");
@@ -81,35 +81,35 @@
 
 #[test]
 fn a_successor_finds_a_predecessor_that_is_out_of_descriptors_for_a_while() {
-    let (folder, worker) = (Folder::new("starved"), Worker::start());
+    let (folder, worker) = (TempFolder::new("starved"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let (switch, first) = (folder.0.join("faults"), config(&discovery));
     let mut second = first.clone();
-    second["operator"] = free().into();
-    let first = Gatherer::begin_with_faults(&folder, &first, "seed=4,accept=1", Some(&switch));
-    first.logged(" serving on ");
+    second["operator"] = unused_address().into();
+    let first = Gatherer::start_with_faults(&folder, &first, "seed=4,accept=1", Some(&switch));
+    first.wait_for_log(" serving on ");
     std::fs::write(&switch, "").expect("written");
-    let second = Gatherer::begin(&folder, &second);
+    let second = Gatherer::start_without_waiting(&folder, &second);
     // Longer than one answer may take.
     thread::sleep(Duration::from_millis(2500));
     std::fs::remove_file(&switch).expect("removed");
-    second.logged(" serving on ");
-    first.logged("upgrade: the successor serves");
+    second.wait_for_log(" serving on ");
+    first.wait_for_log("upgrade: the successor serves");
 }
 
 #[test]
 fn a_configuration_that_cannot_be_read_at_sighup_is_read_again() {
-    let (folder, worker) = (Folder::new("unreadable"), Worker::start());
+    let (folder, worker) = (TempFolder::new("unreadable"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let switch = folder.0.join("faults");
-    let gatherer = Gatherer::begin_with_faults(&folder, &config(&discovery), "seed=5,open=1", Some(&switch));
-    gatherer.logged(" serving on ");
+    let gatherer = Gatherer::start_with_faults(&folder, &config(&discovery), "seed=5,open=1", Some(&switch));
+    gatherer.wait_for_log(" serving on ");
     std::fs::write(&switch, "").expect("written");
     thread::sleep(Duration::from_millis(20));
     gatherer.signal("-HUP");
-    gatherer.logged("configuration not read again");
+    gatherer.wait_for_log("configuration not read again");
     std::fs::remove_file(&switch).expect("removed");
-    gatherer.logged("configuration read again");
+    gatherer.wait_for_log("configuration read again");
 }
 
 /// A worker that tells how many milliseconds the first part that comes was told to have.
@@ -132,12 +132,12 @@
 
 #[test]
 fn a_request_that_waited_behind_failing_accepts_tells_workers_of_less_time() {
-    let (folder, (worker, told)) = (Folder::new("queue"), worker_that_tells_its_deadline());
+    let (folder, (worker, told)) = (TempFolder::new("queue"), worker_that_tells_its_deadline());
     let discovery = Discovery::start(&member("w1", &worker));
     let switch = folder.0.join("faults");
     let gatherer =
-        Gatherer::begin_with_faults(&folder, &config(&discovery), "seed=6,accept=1", Some(&switch));
-    gatherer.logged(" serving on ");
+        Gatherer::start_with_faults(&folder, &config(&discovery), "seed=6,accept=1", Some(&switch));
+    gatherer.wait_for_log(" serving on ");
     std::fs::write(&switch, "").expect("written");
     thread::sleep(Duration::from_millis(20));
     let mut client = gatherer.connect();
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -35,7 +35,7 @@
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let mut core = Core::new(config.contracts);
         let mut now = Time(1_700_000_000_000_000_000);
-        core.apply_endpoint_update(now, &config.known.expect("a list"), true);
+        core.apply_endpoint_update(now, &config.initial_workers.expect("a list"), true);
         let (mut open, mut out): (Vec<RequestId>, Vec<AttemptId>) = Default::default();
         let (mut came, mut settled) = ([0_u64; 2], 0_u64);
         for event in events {
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -68,7 +68,7 @@
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-        let mut list = config.known.expect("a list");
+        let mut list = config.initial_workers.expect("a list");
         list.workers.truncate(1);
         broker.apply_endpoint_update(&list, true);
         let dial = Rc::new(Servers::default());
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::process::{Discovery, Folder, Gatherer, Worker, config, free, listen, member, operate, until};
+use common::process::{
+    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, listen, member, unused_address,
+    wait_until,
+};
 use common::proxied_fleet::ProxiedFleet;
 use std::net::UdpSocket;
 use std::process::Command;
@@ -15,14 +18,14 @@
     assert!(fleet.running().iter().all(|id| fleet.fleet_size_seen_by(*id) == 5));
     fleet.kill(0);
     for id in 1..5 {
-        until("dead to all", || fleet.state_seen_by(id, 0) == "dead");
+        wait_until("dead to all", || fleet.state_seen_by(id, 0) == "dead");
         // It is certain, so that its share is the others' at once; the core goes by the number.
         assert_eq!(fleet.fleet_size_seen_by(id), 4);
-        fleet.member(id).logged("members: 4 gatherers share the fleet");
+        fleet.member(id).wait_for_log("members: 4 gatherers share the fleet");
     }
     // The first seed is down: a further member is found through the second, and the first comes back through it too.
     fleet.kill(4);
-    (1..4).for_each(|id| until("both dead", || fleet.fleet_size_seen_by(id) == 3));
+    (1..4).for_each(|id| wait_until("both dead", || fleet.fleet_size_seen_by(id) == 3));
     fleet.start_member(4);
     fleet.start_member(0);
     fleet.wait_until_converged();
@@ -36,7 +39,7 @@
         fleet.member(id).signal("-STOP");
     }
     for id in 0..3 {
-        until("suspected", || ["suspect", "silent"].contains(&fleet.state_seen_by(id, 3).as_str()));
+        wait_until("suspected", || ["suspect", "silent"].contains(&fleet.state_seen_by(id, 3).as_str()));
         // Whatever it turns out to be, its share stays its own.
         assert_eq!(fleet.fleet_size_seen_by(id), 5);
     }
@@ -58,7 +61,7 @@
     }
     fleet.kill(5);
     for id in 0..5 {
-        until("dead to all", || fleet.state_seen_by(id, 5) == "dead");
+        wait_until("dead to all", || fleet.state_seen_by(id, 5) == "dead");
     }
     // Another one joins through it.
     fleet.start_member(5);
@@ -75,7 +78,7 @@
     for id in 0..6 {
         let others = if id < 3 { right } else { left };
         for other in others {
-            until("silent", || fleet.state_seen_by(id, other) == "silent");
+            wait_until("silent", || fleet.state_seen_by(id, other) == "silent");
         }
         // Neither half is a majority, so neither takes the other's share.
         assert_eq!(fleet.fleet_size_seen_by(id), 6);
@@ -90,7 +93,7 @@
 fn a_cut_one_way_between_two_is_known_as_that() {
     let fleet = ProxiedFleet::start("one_way", 5);
     fleet.partition(&[1], &[4]);
-    until("told apart", || fleet.state_seen_by(4, 1) == "cut");
+    wait_until("told apart", || fleet.state_seen_by(4, 1) == "cut");
     for id in [0, 2, 3] {
         assert_eq!(
             (fleet.state_seen_by(id, 1).as_str(), fleet.state_seen_by(id, 4).as_str()),
@@ -98,7 +101,7 @@
         );
     }
     fleet.heal();
-    until("over", || fleet.state_seen_by(4, 1) == "alive");
+    wait_until("over", || fleet.state_seen_by(4, 1) == "alive");
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
@@ -112,21 +115,21 @@
     };
     let before = start(&fleet);
     let second = fleet.start_second_process(2);
-    second.logged(" serving on ");
+    second.wait_for_log(" serving on ");
     let mut first = fleet.members[2].replace(second).expect("it runs");
     first.signal("-TERM");
-    assert!(first.ended());
-    until("the second's start", || start(&fleet) > before);
+    assert!(first.wait_for_exit());
+    wait_until("the second's start", || start(&fleet) > before);
     fleet.wait_until_converged();
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
     // A planned end needs no proof.
     let mut last = fleet.members[4].take().expect("it runs");
     last.signal("-TERM");
     for id in 0..4 {
-        until("left", || fleet.state_seen_by(id, 4) == "left");
+        wait_until("left", || fleet.state_seen_by(id, 4) == "left");
         assert_eq!(fleet.fleet_size_seen_by(id), 4);
     }
-    assert!(last.ended());
+    assert!(last.wait_for_exit());
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
@@ -141,7 +144,7 @@
         stranger.send_to(bytes, &address).expect("sent");
     }
     for why in ["foreign", "version", "seal", "length"] {
-        until(why, || fleet.membership_status(0)["refused"][why].as_u64() == Some(1));
+        wait_until(why, || fleet.membership_status(0)["refused"][why].as_u64() == Some(1));
     }
     fleet.wait_until_converged();
     let run = |extra: &[&str]| {
@@ -160,29 +163,30 @@
     let json: serde_json::Value = serde_json::from_str(&run(&["--json"])).expect("JSON");
     assert_eq!(json["members"].as_array().map(Vec::len), Some(4));
     // A wrong call changes nothing.
-    assert_eq!(operate(&fleet.member(0).operators, "PUT", "/-/members").0, 405);
+    assert_eq!(call_operator_api(&fleet.member(0).operators, "PUT", "/-/members").0, 405);
 }
 
 #[test]
 fn where_the_platform_carries_datagrams_itself_membership_sends_none() {
     // There a datagram over 256 bytes, and any other path between gatherers, is forbidden; a member's are up to 1,200.
-    let (folder, worker) = (Folder::new("peers"), Worker::start());
+    let (folder, worker) = (TempFolder::new("peers"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let seed = listen();
     let at = seed.local_addr().expect("an address");
     let datagrams = UdpSocket::bind(at).expect("the same port");
     let mut config = config(&discovery);
     config["settings"]["allowed"]["may-tell"] = true.into();
-    (config["peer_listen"], config["peers"]) = (free().into(), vec![at.to_string()].into());
-    let operator = format!("[membership]\nlisten = \"{}\"\ncluster = \"test\"\nseeds = [\"{at}\"]\n", free());
-    let gatherer = Gatherer::begin_operated(&folder, &config, &operator);
-    gatherer.logged(" serving on ");
+    (config["peer_listen"], config["peers"]) = (unused_address().into(), vec![at.to_string()].into());
+    let operator =
+        format!("[membership]\nlisten = \"{}\"\ncluster = \"test\"\nseeds = [\"{at}\"]\n", unused_address());
+    let gatherer = Gatherer::start_with_operator_file(&folder, &config, &operator);
+    gatherer.wait_for_log(" serving on ");
     // A member calls its seeds with its first beat, half a second from its start at most.
     seed.set_nonblocking(true).expect("set");
     datagrams.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
     let heard = datagrams.recv(&mut [0; 2000]);
     assert!(heard.is_err(), "{heard:?} bytes came");
     assert!(seed.accept().is_err(), "it connected to a seed");
-    gatherer.logged("membership stays off: the platform carries datagrams");
-    assert_eq!(operate(&gatherer.operators, "GET", "/-/members").0, 404);
+    gatherer.wait_for_log("membership stays off: the platform carries datagrams");
+    assert_eq!(call_operator_api(&gatherer.operators, "GET", "/-/members").0, 404);
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -10,20 +10,20 @@
 fn staff_are_answered_while_silent_callers_hold_connections() {
     let worker = Worker::start();
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let folder = Folder::new("operators");
+    let folder = TempFolder::new("operators");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
     let at = &gatherer.operators;
     // Guards against callers who finish no call: many times as many as may be in at once, silent or in mid-call.
     let mut silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(at).expect("connected")).collect();
     silent.iter_mut().step_by(2).for_each(|caller| caller.write_all(b"GET /-/rea").expect("written"));
-    assert_eq!(operate(at, "GET", "/-/ready"), (200, "ready\n".to_owned()));
+    assert_eq!(call_operator_api(at, "GET", "/-/ready"), (200, "ready\n".to_owned()));
     for (method, path, status) in [
         ("POST", "/-/drain", 405),
         ("PUT", "/-/metrics", 405),
         ("GET", "/-/drains", 404),
         ("PUT", "/api", 404),
     ] {
-        let (answered, text) = operate(at, method, path);
+        let (answered, text) = call_operator_api(at, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
     let mut rubbish = TcpStream::connect(at).expect("connected");
@@ -38,9 +38,9 @@
         query(&mut client, id, if id == "a3" { "seal" } else { "search" }).expect("written");
         assert_eq!(response(&mut client).expect("an answer").status, 200);
     }
-    worker.hold(true);
+    worker.set_paused(true);
     query(&mut client, "a4", "search").expect("written");
-    until("four are written", || figure(at, "gatherer.forwards") == 4);
+    wait_until("four are written", || metric_value(at, "gatherer.forwards") == 4);
     let figures = [
         ("succeeded.search", 2),
         ("succeeded.seal", 1),
@@ -51,39 +51,39 @@
         ("ejected", 0),
     ];
     for (name, value) in figures {
-        assert_eq!(figure(at, &format!("gatherer.{name}")), value, "{name}");
+        assert_eq!(metric_value(at, &format!("gatherer.{name}")), value, "{name}");
     }
 
     // Told to drain: unhealthy at once, what is taken is answered, and its connection ends behind the answer.
-    assert_eq!(operate(at, "PUT", "/-/drain").0, 200);
-    assert_eq!(operate(at, "PUT", "/-/drain").0, 200);
-    assert_eq!(operate(at, "GET", "/-/ready"), (503, "drained\n".to_owned()));
+    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(at, "GET", "/-/ready"), (503, "drained\n".to_owned()));
     let mut idle = gatherer.connect();
     idle.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
     assert_eq!(response(&mut idle).expect("an answer").status, 503);
     assert_eq!(idle.read(&mut [0]).expect("the end"), 0, "an idle connection is closed once drained");
-    worker.hold(false);
+    worker.set_paused(false);
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     assert_eq!(client.read(&mut [0]).expect("the end"), 0);
-    assert_eq!(operate(at, "PUT", "/-/resume").0, 200);
+    assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 200);
     let mut again = gatherer.connect();
     again.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
     assert_eq!(response(&mut again).expect("an answer").status, 200);
-    assert_eq!(figure(at, "gatherer.succeeded.search"), 3);
+    assert_eq!(metric_value(at, "gatherer.succeeded.search"), 3);
 
     // SIGTERM during a drain ends the process, and no call leads back.
-    assert_eq!(operate(at, "PUT", "/-/drain").0, 200);
-    worker.hold(true);
+    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
+    worker.set_paused(true);
     let mut last = gatherer.connect();
     query(&mut last, "a5", "search").expect("written");
-    until("one is out", || figure(at, "gatherer.outstanding") == 1);
+    wait_until("one is out", || metric_value(at, "gatherer.outstanding") == 1);
     gatherer.signal("-TERM");
-    gatherer.logged("stopping: ");
-    assert_eq!(operate(at, "PUT", "/-/resume").0, 409);
-    worker.hold(false);
+    gatherer.wait_for_log("stopping: ");
+    assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 409);
+    worker.set_paused(false);
     assert_eq!(response(&mut last).expect("an answer").status, 200);
     let mut gatherer = gatherer;
-    assert!(gatherer.ended());
+    assert!(gatherer.wait_for_exit());
 }
 
 #[test]
@@ -95,7 +95,7 @@
         format!("{first},{}", member("w2", &second.address))
     };
     let discovery = Discovery::start(&both(0));
-    let folder = Folder::new("bans");
+    let folder = TempFolder::new("bans");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
     let at = &gatherer.operators;
     let mut client = gatherer.connect();
@@ -108,7 +108,7 @@
         }
     };
     ask(40);
-    assert!(first.parts() > 0 && second.parts() > 0, "both are in use");
+    assert!(first.parts_received() > 0 && second.parts_received() > 0, "both are in use");
     for (method, path, status) in [
         ("PUT", "/-/workers/w9/disable", 404),
         ("PUT", "/-/workers//enable", 404),
@@ -116,27 +116,27 @@
         ("GET", "/-/workers/w2/disable", 405),
         ("PUT", "/-/workers/w2/remove", 404),
     ] {
-        let (answered, text) = operate(at, method, path);
+        let (answered, text) = call_operator_api(at, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
-    assert_eq!(figure(at, "gatherer.ejected"), 0, "none of these changes anything");
+    assert_eq!(metric_value(at, "gatherer.ejected"), 0, "none of these changes anything");
     // Out twice; what discovery says in between, that it restarted among it, undoes nothing.
-    assert_eq!(operate(at, "PUT", "/-/workers/w%251/disable").0, 200);
-    assert_eq!(operate(at, "PUT", "/-/workers/w%251/disable").0, 200);
-    assert_eq!(figure(at, "gatherer.ejected"), 1);
-    let before = first.parts();
+    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
+    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
+    assert_eq!(metric_value(at, "gatherer.ejected"), 1);
+    let before = first.parts_received();
     ask(20);
     for list in [both(1), member("w2", &second.address), both(2)] {
         let listed = list.matches("host_port").count() as u64;
-        discovery.tell(&list);
-        until("told", || figure(at, "gatherer.discovered") == listed);
+        discovery.publish(&list);
+        wait_until("told", || metric_value(at, "gatherer.discovered") == listed);
         ask(20);
     }
-    assert_eq!(first.parts(), before);
+    assert_eq!(first.parts_received(), before);
     // One call back undoes both.
-    assert_eq!(operate(at, "PUT", "/-/workers/w%251/enable").0, 200);
-    assert_eq!(figure(at, "gatherer.ejected"), 0);
-    while first.parts() == before {
+    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/enable").0, 200);
+    assert_eq!(metric_value(at, "gatherer.ejected"), 0);
+    while first.parts_received() == before {
         ask(1);
     }
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -274,7 +274,7 @@
         gatherer::program::config::Config::from_json(&json, |name| {
             variable.clone().filter(|_| name == "LB_OPERATOR")
         })
-        .map(|config| config.operator.map(|address| address.to_string()))
+        .map(|config| config.operator_address.map(|address| address.to_string()))
         .map_err(|error| error.to_string())
     };
     let null = serde_json::Value::Null;
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -183,7 +183,7 @@
                     serde_json::from_str(include_str!("platform.json")).expect("JSON");
                 json["settings"]["allowed"]["cancel"] = (!first.ends_with("without cancelling")).into();
                 let config = Config::from_json(&json, |_| None).expect("a configuration");
-                let known = config.known.expect("a list");
+                let known = config.initial_workers.expect("a list");
                 let broker = broker(config.contracts, &known, clock, &pipes, Form::Frames);
                 let workers = Workers::new(broker.clone(), Rc::new(pipes.clone()), places.clone());
                 if first.ends_with("agent") {
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -28,7 +28,7 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let start = Time(1_700_000_000_000_000_000);
     let mut core = Core::new(config.contracts);
-    core.apply_endpoint_update(Time(0), &config.known.expect("a list"), true);
+    core.apply_endpoint_update(Time(0), &config.initial_workers.expect("a list"), true);
     let mut names = Vec::new();
     let mut now = start;
     let mut orders = core.step(now);
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -17,7 +17,7 @@
     worker: Worker,
     other: Worker,
     discovery: Discovery,
-    folder: Folder,
+    folder: TempFolder,
     config: serde_json::Value,
 }
 
@@ -26,7 +26,7 @@
         let (worker, other) = (Worker::start(), Worker::start());
         let members = format!("{},{}", member("w1", &worker.address), member("w2", &other.address));
         let discovery = Discovery::start(&members);
-        let (folder, mut config) = (Folder::new(name), config(&discovery));
+        let (folder, mut config) = (TempFolder::new(name), config(&discovery));
         // Two processes have half each: room for all that the clients here ask at once.
         config["settings"]["allowed"]["max-open"] = 100.into();
         Fleet { worker, other, discovery, folder, config }
@@ -34,7 +34,7 @@
     /// The same gatherer's configuration for a further start: its operators call elsewhere.
     fn again(&self) -> serde_json::Value {
         let mut config = self.config.clone();
-        config["operator"] = free().into();
+        config["operator"] = unused_address().into();
         config
     }
     /// The same where discovery says nothing: such a one waits a moment before its yes.
@@ -51,12 +51,12 @@
         self.folder.0.join(format!("clayshore-{user}-{listen}.sock"))
     }
     fn parts(&self) -> usize {
-        self.worker.parts() + self.other.parts()
+        self.worker.parts_received() + self.other.parts_received()
     }
 }
 
 fn ready(gatherer: &Gatherer) -> bool {
-    operate(&gatherer.operators, "GET", "/-/ready").0 == 200
+    call_operator_api(&gatherer.operators, "GET", "/-/ready").0 == 200
 }
 
 /// Asks once, on a connection of its own, and is answered.
@@ -105,7 +105,7 @@
 
 /// What a process counted under this name, as it said at its end.
 fn counted(gatherer: &Gatherer, name: &str) -> usize {
-    let line = gatherer.logged("counters: ");
+    let line = gatherer.wait_for_log("counters: ");
     let value = line.split(' ').find_map(|pair| pair.strip_prefix(&format!("{name}=")));
     value.expect("counted").parse().expect("a number")
 }
@@ -128,12 +128,12 @@
     let mut taken = 0;
     for _ in 0..3 {
         further(40);
-        let next = Gatherer::begin(&fleet.folder, &fleet.again());
-        next.logged(" serving on ");
-        until("ready", || ready(&next));
+        let next = Gatherer::start_without_waiting(&fleet.folder, &fleet.again());
+        next.wait_for_log(" serving on ");
+        wait_until("ready", || ready(&next));
         further(40);
         serving.signal("-TERM");
-        assert!(serving.ended());
+        assert!(serving.wait_for_exit());
         taken += counted(&serving, "taken");
         serving = next;
     }
@@ -141,14 +141,14 @@
     go.store(false, Ordering::Relaxed);
     let asked: usize = clients.into_iter().map(|client| client.join().expect("it lost nothing")).sum();
     serving.signal("-TERM");
-    assert!(serving.ended());
+    assert!(serving.wait_for_exit());
     taken += counted(&serving, "taken");
     // At the clients' end and at the gatherers': each query was taken once and answered once. At the workers' end: each
     // part that may not run twice came once.
     assert_eq!(taken, asked);
     assert!(fleet.parts() >= asked);
     for worker in [&fleet.worker, &fleet.other] {
-        let came = worker.came.lock().expect("sound");
+        let came = worker.received.lock().expect("sound");
         let twice = came.iter().filter(|(id, times)| {
             let number = id.split('.').nth(1).and_then(|number| number.parse::<usize>().ok());
             number.is_some_and(|number| number % 2 == 0) && **times > 1
@@ -161,50 +161,50 @@
 fn what_is_out_by_hand_stays_out_and_changes_reach_both() {
     let fleet = Fleet::new("handed");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    assert_eq!(operate(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
+    assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
     let second = Gatherer::start(&fleet.folder, &fleet.again());
-    second.logged("upgrade: taking over: 2 workers, 1 out by hand");
-    let ejected = |gatherer: &Gatherer| figure(&gatherer.operators, "gatherer.ejected");
-    until("ready", || ready(&second));
+    second.wait_for_log("upgrade: taking over: 2 workers, 1 out by hand");
+    let ejected = |gatherer: &Gatherer| metric_value(&gatherer.operators, "gatherer.ejected");
+    wait_until("ready", || ready(&second));
     assert_eq!(ejected(&second), 1);
     // While both run, a call to either holds for both.
-    assert_eq!(operate(&first.operators, "PUT", "/-/workers/w2/disable").0, 200);
-    until("out at both", || ejected(&second) == 2);
-    assert_eq!(operate(&second.operators, "PUT", "/-/workers/w1/enable").0, 200);
-    until("back at both", || ejected(&first) == 1);
+    assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w2/disable").0, 200);
+    wait_until("out at both", || ejected(&second) == 2);
+    assert_eq!(call_operator_api(&second.operators, "PUT", "/-/workers/w1/enable").0, 200);
+    wait_until("back at both", || ejected(&first) == 1);
     first.signal("-TERM");
-    assert!(first.ended());
+    assert!(first.wait_for_exit());
     let mut client = second.connect();
     // The one that is back counts as cold, so that some are refused.
     for at in 0.. {
         query(&mut client, &format!("a{at}"), "search").expect("written");
         let status = response(&mut client).expect("an answer").status;
         assert!(status == 200 || status == 503, "{status}");
-        if fleet.worker.parts() >= 5 {
+        if fleet.worker.parts_received() >= 5 {
             break;
         }
     }
-    assert_eq!(fleet.other.parts(), 0);
+    assert_eq!(fleet.other.parts_received(), 0);
     // A worker that is out and in no list is still known to the next process.
-    fleet.discovery.tell(&member("w1", &fleet.worker.address));
-    until("told", || figure(&second.operators, "gatherer.discovered") == 1);
+    fleet.discovery.publish(&member("w1", &fleet.worker.address));
+    wait_until("told", || metric_value(&second.operators, "gatherer.discovered") == 1);
     let third = Gatherer::start(&fleet.folder, &fleet.again());
-    assert_eq!(operate(&third.operators, "PUT", "/-/workers/w2/enable").0, 200);
-    assert_eq!(operate(&third.operators, "PUT", "/-/workers/w3/enable").0, 404);
+    assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w2/enable").0, 200);
+    assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w3/enable").0, 404);
 }
 
 #[test]
 fn a_drain_is_passed_on_and_does_not_hold_up_the_upgrade() {
     let fleet = Fleet::new("drained");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    assert_eq!(operate(&first.operators, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
     let second = Gatherer::start(&fleet.folder, &fleet.again());
-    until("ready", || ready(&second));
+    wait_until("ready", || ready(&second));
     first.signal("-TERM");
-    assert!(first.ended());
-    second.logged("upgrade: the process before has ended");
+    assert!(first.wait_for_exit());
+    second.wait_for_log("upgrade: the process before has ended");
     assert!(!ready(&second), "it is drained still");
-    assert_eq!(operate(&second.operators, "PUT", "/-/resume").0, 200);
+    assert_eq!(call_operator_api(&second.operators, "PUT", "/-/resume").0, 200);
     assert!(ready(&second));
 }
 
@@ -213,13 +213,15 @@
     let fleet = Fleet::new("both");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::begin(&fleet.folder, &unsure);
-    second.logged("upgrade: taking over");
-    second.logged(" serving on ");
-    assert_eq!(operate(&first.operators, "PUT", "/-/drain").0, 200);
-    until("both are drained", || operate(&second.operators, "GET", "/-/ready").1 == "ready, drained\n");
-    assert_eq!(operate(&second.operators, "PUT", "/-/resume").0, 200);
-    until("both serve", || ready(&first) && ready(&second));
+    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    second.wait_for_log("upgrade: taking over");
+    second.wait_for_log(" serving on ");
+    assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
+    wait_until("both are drained", || {
+        call_operator_api(&second.operators, "GET", "/-/ready").1 == "ready, drained\n"
+    });
+    assert_eq!(call_operator_api(&second.operators, "PUT", "/-/resume").0, 200);
+    wait_until("both serve", || ready(&first) && ready(&second));
 }
 
 #[test]
@@ -227,14 +229,14 @@
     let fleet = Fleet::new("undone");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let mut second = Gatherer::start(&fleet.folder, &fleet.again());
-    until("ready", || ready(&second));
+    wait_until("ready", || ready(&second));
     second.signal("-TERM");
-    assert!(second.ended());
-    first.logged("upgrade: the successor has ended, this process goes on");
+    assert!(second.wait_for_exit());
+    first.wait_for_log("upgrade: the successor has ended, this process goes on");
     served(&first, "seal");
     assert_eq!(counted(&second, "refused_stopping"), 0);
     // And it may be taken over from again.
-    Gatherer::start(&fleet.folder, &fleet.again()).logged("upgrade: taking over");
+    Gatherer::start(&fleet.folder, &fleet.again()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
@@ -242,16 +244,16 @@
     let fleet = Fleet::new("stillborn");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let (unsure, _silent) = fleet.unsure();
-    let mut second = Gatherer::begin(&fleet.folder, &unsure);
-    first.logged("upgrade: a successor has started");
+    let mut second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    first.wait_for_log("upgrade: a successor has started");
     second.signal("-KILL");
-    assert!(!second.ended());
-    first.logged("upgrade: the successor has ended, this process goes on");
+    assert!(!second.wait_for_exit());
+    first.wait_for_log("upgrade: the successor has ended, this process goes on");
     served(&first, "seal");
     // The next one may take over.
     let third = Gatherer::start(&fleet.folder, &fleet.again());
-    third.logged("upgrade: taking over");
-    until("ready", || ready(&third));
+    third.wait_for_log("upgrade: taking over");
+    wait_until("ready", || ready(&third));
 }
 
 #[test]
@@ -259,32 +261,32 @@
     let fleet = Fleet::new("hung");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::begin(&fleet.folder, &unsure);
-    second.logged("upgrade: taking over");
+    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    second.wait_for_log("upgrade: taking over");
     second.signal("-STOP");
     // SIGTERM before the yes: the first ends as it always did, and the queue of connections outlives it.
     first.signal("-TERM");
-    assert!(first.ended());
+    assert!(first.wait_for_exit());
     let mut client = first.connect();
     query(&mut client, "a1", "seal").expect("written");
     second.signal("-CONT");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
-    assert_eq!(fleet.worker.most().max(fleet.other.most()), 1);
+    assert_eq!(fleet.worker.max_deliveries_of_a_part().max(fleet.other.max_deliveries_of_a_part()), 1);
 }
 
 #[test]
 fn a_first_that_dies_midway_leaves_its_queue_and_its_bans() {
     let fleet = Fleet::new("midway");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    assert_eq!(operate(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
+    assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
     let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::begin(&fleet.folder, &unsure);
-    second.logged("upgrade: taking over");
+    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    second.wait_for_log("upgrade: taking over");
     first.signal("-KILL");
-    first.ended();
+    first.wait_for_exit();
     served(&first, "search");
-    second.logged("upgrade: the process before has ended");
-    assert_eq!((fleet.worker.parts(), figure(&second.operators, "gatherer.ejected")), (0, 1));
+    second.wait_for_log("upgrade: the process before has ended");
+    assert_eq!((fleet.worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")), (0, 1));
 }
 
 #[test]
@@ -293,19 +295,19 @@
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     first.signal("-STOP");
     let second = Gatherer::start(&fleet.folder, &fleet.again());
-    second.logged(
+    second.wait_for_log(
         "upgrade: nothing is taken over, and this process listens beside another: it does not answer",
     );
-    assert_eq!(figure(&second.operators, "gatherer.violations.started_alone"), 1, "and it is counted");
-    until("ready", || ready(&second));
+    assert_eq!(metric_value(&second.operators, "gatherer.violations.started_alone"), 1, "and it is counted");
+    wait_until("ready", || ready(&second));
     first.signal("-CONT");
-    first.logged("upgrade: a successor has started");
-    first.logged("upgrade: the successor has ended, this process goes on");
+    first.wait_for_log("upgrade: a successor has started");
+    first.wait_for_log("upgrade: the successor has ended, this process goes on");
     // The end of the first takes nothing from the second: a third still finds it.
     let mut first = first;
     first.signal("-TERM");
-    assert!(first.ended());
-    Gatherer::start(&fleet.folder, &fleet.again()).logged("upgrade: taking over");
+    assert!(first.wait_for_exit());
+    Gatherer::start(&fleet.folder, &fleet.again()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
@@ -314,10 +316,10 @@
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let _mute = UnixStream::connect(fleet.meeting()).expect("connected");
     let second = Gatherer::start(&fleet.folder, &fleet.again());
-    second.logged("upgrade: taking over");
+    second.wait_for_log("upgrade: taking over");
     let mute = first.log.0.lock().expect("sound").iter().any(|line| line.contains("says nothing"));
     assert!(!mute, "it was heard beside the mute one, not after it");
-    first.logged("upgrade: no successor: it says nothing");
+    first.wait_for_log("upgrade: no successor: it says nothing");
 }
 
 #[test]
@@ -325,34 +327,34 @@
     let fleet = Fleet::new("third");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     let mut second = Gatherer::start(&fleet.folder, &fleet.again());
-    until("ready", || ready(&second));
-    let third = Gatherer::begin(&fleet.folder, &fleet.again());
-    third.logged("upgrade: another one is under way");
-    let (status, text) = operate(&third.operators, "GET", "/-/ready");
+    wait_until("ready", || ready(&second));
+    let third = Gatherer::start_without_waiting(&fleet.folder, &fleet.again());
+    third.wait_for_log("upgrade: another one is under way");
+    let (status, text) = call_operator_api(&third.operators, "GET", "/-/ready");
     assert_eq!((status, text.as_str()), (503, "another upgrade is under way\n"));
     // What the state that it waits for would undo gets no yes.
-    assert_eq!(operate(&third.operators, "PUT", "/-/workers/w1/disable").0, 503);
+    assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w1/disable").0, 503);
     assert!(ready(&second));
     first.signal("-TERM");
-    assert!(first.ended());
-    third.logged("upgrade: taking over");
-    until("ready", || ready(&third));
+    assert!(first.wait_for_exit());
+    third.wait_for_log("upgrade: taking over");
+    wait_until("ready", || ready(&third));
     second.signal("-TERM");
-    assert!(second.ended());
+    assert!(second.wait_for_exit());
     served(&third, "seal");
 }
 
 #[test]
 fn a_folder_that_cannot_be_written_is_no_hindrance() {
     let fleet = Fleet::new("unwritable");
-    let missing = Folder(fleet.folder.0.join("missing"));
-    let mut first = Gatherer::start_with(&fleet.folder, &fleet.config, &missing);
-    first.logged("further starts find this one by name");
-    let second = Gatherer::start_with(&fleet.folder, &fleet.again(), &missing);
-    second.logged("upgrade: taking over");
-    until("ready", || ready(&second));
+    let missing = TempFolder(fleet.folder.0.join("missing"));
+    let mut first = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.config, &missing);
+    first.wait_for_log("further starts find this one by name");
+    let second = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.again(), &missing);
+    second.wait_for_log("upgrade: taking over");
+    wait_until("ready", || ready(&second));
     first.signal("-TERM");
-    assert!(first.ended());
+    assert!(first.wait_for_exit());
     served(&second, "seal");
 }
 
@@ -381,8 +383,8 @@
         let lines = gatherer.log.0.lock().expect("sound").clone();
         let told: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
         assert!(told.len() == 1 && told[0].contains(why), "{told:?}");
-        until("ready", || ready(&gatherer));
+        wait_until("ready", || ready(&gatherer));
         gatherer.signal("-TERM");
-        assert!(gatherer.ended());
+        assert!(gatherer.wait_for_exit());
     }
 }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -85,7 +85,7 @@
         let config = Config::from_json(&json, |_| None).expect("a configuration");
         let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-        broker.apply_endpoint_update(&config.known.expect("a list"), true);
+        broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
         let workers = Workers::new(broker.clone(), dial, places.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
         let driver = broker.clone();
@@ -225,7 +225,7 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let (broker, now) =
         (Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60))), Time(1 << 60));
-    let mut list = config.known.expect("a list");
+    let mut list = config.initial_workers.expect("a list");
     list.workers.truncate(1);
     broker.apply_endpoint_update(&list, true);
     let ask = ask("frames", "search", 5, &broker);
