--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -1,5 +1,6 @@
-//! An attempt to have one part of a query answered: its name, what a transport carries, and how it ended. Plain values,
-//! which hold no state of the broker.
+//! One attempt to have a part of a query answered: its identity, what a transport carries for it, and how it finished.
+//!
+//! These are plain values between the core and a transport. They hold no state of the broker and decide nothing.
 
 use super::invariants::SendPermit;
 use crate::policy::*;
@@ -7,59 +8,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Names one attempt of one part.
+/// Identifies one attempt of one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The part.
     pub part: RequestId,
-    /// The attempt.
+    /// The number of the attempt within its part; the first is 0.
     pub attempt: AttemptNo,
 }
 
-/// An attempt for a transport to carry.
+/// An attempt for a transport to carry to its worker.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// Comes back with its end.
+    /// The transport hands it back with the attempt's completion.
     pub attempt_id: AttemptId,
-    /// The query's label.
+    /// The query's label, which names it to the workers.
     pub label: Arc<str>,
-    /// The shard.
+    /// The shard that the part needs.
     pub shard: ShardId,
-    /// What it carries.
+    /// The body of the request to the worker.
     pub payload: Bytes,
-    /// It may not run a second time: what spoils the answers of others is not to spoil its own.
+    /// The attempt may not run a second time. A transport keeps it apart from attempts whose failure could take it along.
     pub at_most_once: bool,
-    /// The right to send it, with the time for which it is waited for.
+    /// The right to send the attempt, with its deadline.
     pub permit: SendPermit,
 }
 
 impl Dispatch {
-    /// How long it will be waited for from now on. What a worker is told is reckoned at the moment of writing: the wait
-    /// for a connection is over by then.
+    /// How long the attempt's response is awaited from `now` on. The transport computes it when it writes the frame, so
+    /// that the time spent on waiting for a connection is already subtracted.
     pub fn time_left(&self, now: Time) -> Duration {
         self.permit.deadline().since(now)
     }
 
-    /// For so long the last byte of its frame may be written; `None` where any time will do. It is a further attempt of
-    /// a part whose repeats are dropped only for a while after the first that may have run.
+    /// Time within which the last byte of the frame has to be written; `None` where there is no such bound. A retry of
+    /// a keyed part has one, because workers deduplicate by key only for a while after the first possible run.
     pub fn write_window(&self) -> Option<Duration> {
         self.permit.write_window()
     }
 }
 
-/// How an attempt ended, as a transport reports it.
+/// How an attempt finished, as its transport reports it.
 #[derive(Clone, Debug)]
 pub struct AttemptCompletion {
     /// The outcome.
     pub outcome: AttemptOutcome,
-    /// The value, with [`Outcome::Done`].
+    /// The value of the part, with [`AttemptOutcome::Succeeded`]; empty otherwise.
     pub value: Bytes,
-    /// The worker's load, in the order of the settings' fields.
+    /// The worker's load report, in the order of the settings' report fields.
     pub load_report: Option<LoadReport>,
 }
 
 impl AttemptCompletion {
-    /// An end that brings nothing but its outcome.
+    /// A completion with neither a value nor a load report.
     pub fn without_value(outcome: AttemptOutcome) -> AttemptCompletion {
         AttemptCompletion { outcome, value: Bytes::new(), load_report: None }
     }
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -1,4 +1,8 @@
-//! Hosts the [`Core`] on a clock: fronts ask it, a transport carries its calls, one task drives its turns.
+//! Hosts the [`Core`] on a clock: fronts submit queries, a transport carries their attempts, and one task drives the
+//! core's steps.
+//!
+//! It owns the process's clock and the channels on which the fronts await their outcomes. It decides nothing and does no
+//! I/O of its own: commands of the core go to a [`WorkerTransport`] or to the log.
 
 use super::attempt::{AttemptCompletion, AttemptId, Dispatch};
 use super::command::Command;
@@ -14,11 +18,14 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// Unix time that never steps back: read once at the start, and carried on from there.
+/// The driving task steps the core at least this often, also where nothing is due.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(3600);
+
+/// Unix time that never steps back: it is read once at the start and advances by the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Instant,
-    unix: Time,
+    started_at: Instant,
+    unix_at_start: Time,
 }
 
 impl Clock {
@@ -27,39 +34,41 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock::starting_at(Time(0).after(unix))
     }
-    /// A clock that shows this time now.
+    /// A clock that shows `unix` now.
     pub fn starting_at(unix: Time) -> Clock {
-        Clock { start: Instant::now(), unix }
+        Clock { started_at: Instant::now(), unix_at_start: unix }
     }
     /// The time.
     pub fn now(&self) -> Time {
-        self.unix.after(self.start.elapsed())
+        self.unix_at_start.after(self.started_at.elapsed())
     }
-    /// The moment at which it will show this time.
+    /// The monotonic instant at which this clock shows `at`.
     pub fn instant_of(&self, at: Time) -> Instant {
-        self.start + at.since(self.unix)
+        self.started_at + at.since(self.unix_at_start)
     }
 }
 
-/// Carries attempts to workers. Their ends come back through [`Broker::ended`].
+/// Carries attempts to workers. It reports their completions through [`Broker::on_attempt_finished`].
 pub trait WorkerTransport {
-    /// A worker is listed: its address, and whether it may be sent anything new.
-    fn upsert_worker(&self, worker: WorkerId, name: &str, address: &str, open: bool);
+    /// A worker is listed at this address. `accepts_work` is whether it may be sent anything new.
+    fn upsert_worker(&self, worker: WorkerId, name: &str, address: &str, accepts_work: bool);
     /// A worker is no longer listed.
     fn remove_worker(&self, worker: WorkerId);
-    /// Carry these attempts as one call.
+    /// Carries these attempts as one call.
     fn call(&self, worker: WorkerId, parts: Vec<Dispatch>);
-    /// Nobody waits for this attempt any longer.
-    fn cancel(&self, worker: WorkerId, ticket: AttemptId);
-    /// What this attempt brings is of no use, but it may not be called off: it is not to be sent, if nothing of it is sent
-    /// yet. A carrier whose attempts may always be called off never hears this.
-    fn cancel_if_unsent(&self, _worker: WorkerId, _ticket: AttemptId) {}
+    /// Nobody waits for this attempt any longer; its completion is already accounted for.
+    fn cancel(&self, worker: WorkerId, attempt_id: AttemptId);
+    /// Nobody waits for this attempt any longer, but an attempt that is sent may not be cancelled: only one of which no
+    /// byte is written yet is dropped. A transport whose attempts may always be cancelled never receives this.
+    fn cancel_if_unsent(&self, _worker: WorkerId, _attempt_id: AttemptId) {}
 }
 
 struct Inner {
     core: RefCell<Core>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<QueryOutcome>>>,
-    news: Notify,
+    /// Where each open query's outcome is awaited.
+    outcome_senders: RefCell<HashMap<RequestId, oneshot::Sender<QueryOutcome>>>,
+    /// Wakes the driving task when the core has something to do.
+    wake_up: Notify,
     clock: Clock,
 }
 
@@ -67,18 +76,18 @@
 #[derive(Clone)]
 pub struct Broker(Rc<Inner>);
 
-/// Tells the core that the client left, unless the query got its answer first.
-struct Asked<'a> {
+/// Reports the client's disconnect to the core when a submission is dropped before its outcome.
+struct DisconnectGuard<'a> {
     broker: &'a Broker,
     query: RequestId,
 }
 
-impl Drop for Asked<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.broker.0.waiting.borrow_mut().remove(&self.query).is_some() {
-            let now = self.broker.0.clock.now();
-            self.broker.0.core.borrow_mut().client_left(now, self.query);
-            self.broker.0.news.notify_one();
+        let inner = &self.broker.0;
+        if inner.outcome_senders.borrow_mut().remove(&self.query).is_some() {
+            inner.core.borrow_mut().client_left(inner.clock.now(), self.query);
+            inner.wake_up.notify_one();
         }
     }
 }
@@ -86,103 +95,111 @@
 impl Broker {
     /// A broker on this clock.
     pub fn new(core: Core, clock: Clock) -> Broker {
-        let (core, waiting) = (RefCell::new(core), RefCell::default());
-        Broker(Rc::new(Inner { core, waiting, news: Notify::new(), clock }))
+        Broker(Rc::new(Inner {
+            core: RefCell::new(core),
+            outcome_senders: RefCell::default(),
+            wake_up: Notify::new(),
+            clock,
+        }))
     }
 
-    /// The time, as all deadlines here have it.
+    /// The time on the clock by which all deadlines of this broker are set.
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// A rule was broken outside the core.
-    pub fn report_violation(&self, invariant: Invariant, concerns: &str) {
+    /// Counts and logs an invariant that was broken outside the core.
+    pub fn report_violation(&self, invariant: Invariant, subject: &str) {
         self.0.core.borrow_mut().count_violation(invariant);
-        log::error!("invariant {} is broken: {concerns}", invariant.name());
+        log::error!("{}", invariant.violation_message(subject));
     }
 
-    /// Reads or counts in the core; not to be held.
-    pub fn with_core<T>(&self, read: impl FnOnce(&mut Core) -> T) -> T {
-        read(&mut self.0.core.borrow_mut())
+    /// Reads or counts in the core. `access` must not call the broker again: the core is borrowed meanwhile.
+    pub fn with_core<T>(&self, access: impl FnOnce(&mut Core) -> T) -> T {
+        access(&mut self.0.core.borrow_mut())
     }
 
-    /// Sees a query through to its final answer. Dropped before that, it tells the core that the client left.
-    pub async fn submit(&self, ask: SearchRequest) -> QueryOutcome {
-        let offered = self.0.core.borrow_mut().submit(self.0.clock.now(), ask);
-        let query = match offered {
+    /// Submits a query and waits for its outcome. Where the returned future is dropped before that, the core is notified
+    /// that the client has disconnected.
+    pub async fn submit(&self, request: SearchRequest) -> QueryOutcome {
+        let submitted = self.0.core.borrow_mut().submit(self.0.clock.now(), request);
+        let query = match submitted {
             Ok(query) => query,
-            Err(verdict) => return verdict,
+            Err(rejected) => return rejected,
         };
-        let (tell, told) = oneshot::channel();
-        self.0.waiting.borrow_mut().insert(query, tell);
-        let _asked = Asked { broker: self, query };
-        self.0.news.notify_one();
-        told.await.unwrap_or(QueryOutcome::Failed)
+        let (sender, outcome) = oneshot::channel();
+        self.0.outcome_senders.borrow_mut().insert(query, sender);
+        let _disconnect_guard = DisconnectGuard { broker: self, query };
+        self.0.wake_up.notify_one();
+        outcome.await.unwrap_or(QueryOutcome::Failed)
     }
 
-    /// An attempt has ended.
-    pub fn on_attempt_finished(&self, ticket: AttemptId, end: AttemptCompletion) {
-        self.0.core.borrow_mut().on_attempt_finished(self.0.clock.now(), ticket, end);
-        self.0.news.notify_one();
+    /// An attempt has finished.
+    pub fn on_attempt_finished(&self, attempt_id: AttemptId, completion: AttemptCompletion) {
+        self.0.core.borrow_mut().on_attempt_finished(self.0.clock.now(), attempt_id, completion);
+        self.0.wake_up.notify_one();
     }
 
-    /// Discovery has news.
-    pub fn apply_endpoint_update(&self, listing: &WorkerListUpdate, cached: bool) {
-        self.0.core.borrow_mut().apply_endpoint_update(self.0.clock.now(), listing, cached);
-        self.0.news.notify_one();
+    /// Discovery has sent the list or changes of it; `cached` where it is the list of an earlier process.
+    pub fn apply_endpoint_update(&self, update: &WorkerListUpdate, cached: bool) {
+        self.0.core.borrow_mut().apply_endpoint_update(self.0.clock.now(), update, cached);
+        self.0.wake_up.notify_one();
     }
 
-    /// An operator takes a worker out by hand, or back; false if no list ever named it.
-    pub fn set_worker_disabled(&self, worker: &str, out: bool) -> bool {
+    /// An operator disables a worker or enables it again. Returns whether any list ever named it; where none did, nothing
+    /// changes.
+    pub fn set_worker_disabled(&self, worker: &str, disabled: bool) -> bool {
         let now = self.0.clock.now();
-        let known = self.with_core(|core| {
-            if out { core.disable_worker(now, worker) } else { core.enable_worker(now, worker) }
+        let is_known = self.with_core(|core| {
+            if disabled { core.disable_worker(now, worker) } else { core.enable_worker(now, worker) }
         });
-        self.0.news.notify_one();
-        known
+        self.0.wake_up.notify_one();
+        is_known
     }
 
-    /// The same, as another process of this gatherer was told it, which knew the worker.
-    pub fn set_worker_disabled_by_peer(&self, worker: &str, out: bool) {
+    /// Applies the same change where an operator made it at the gatherer's other process, which knew the worker.
+    pub fn set_worker_disabled_by_peer(&self, worker: &str, disabled: bool) {
         self.with_core(|core| core.register_worker(worker));
-        self.set_worker_disabled(worker, out);
+        self.set_worker_disabled(worker, disabled);
     }
 
-    /// Runs turns for as long as the process lives. Whatever tasks report while one is due goes into it together.
-    pub async fn drive(&self, carrier: &dyn WorkerTransport) {
+    /// Steps the core for as long as the process lives. Whatever tasks report while a step is due goes into that step.
+    pub async fn drive(&self, transport: &dyn WorkerTransport) {
         loop {
             let now = self.0.clock.now();
-            let due = self.0.core.borrow().next_due(now);
-            let wait = due.map_or(Duration::from_secs(3600), |due| due.since(now));
+            let next_step_at = self.0.core.borrow().next_step_at(now);
+            let wait = next_step_at.map_or(MAX_IDLE_TIME, |at| at.since(now));
             tokio::select! {
-                () = self.0.news.notified() => {}
+                () = self.0.wake_up.notified() => {}
                 () = tokio::time::sleep_until(self.0.clock.instant_of(now.after(wait))), if !wait.is_zero() => {}
                 () = tokio::task::yield_now(), if wait.is_zero() => {}
             }
-            let orders = self.0.core.borrow_mut().step(self.0.clock.now());
-            for order in orders {
-                self.deliver(order, carrier);
+            let commands = self.0.core.borrow_mut().step(self.0.clock.now());
+            for command in commands {
+                self.execute(command, transport);
             }
         }
     }
 
-    fn deliver(&self, order: Command, carrier: &dyn WorkerTransport) {
-        match order {
-            Command::UpsertWorker { worker, name, address, accepts_work: open } => {
-                carrier.upsert_worker(worker, &name, &address, open)
+    fn execute(&self, command: Command, transport: &dyn WorkerTransport) {
+        match command {
+            Command::UpsertWorker { worker, name, address, accepts_work } => {
+                transport.upsert_worker(worker, &name, &address, accepts_work);
+            }
+            Command::RemoveWorker { worker } => transport.remove_worker(worker),
+            Command::Call { worker, parts } if parts.is_empty() => {
+                log::debug!("call is empty: worker_id={}", worker.0);
             }
-            Command::RemoveWorker { worker } => carrier.remove_worker(worker),
-            Command::Call { worker, parts } if parts.is_empty() => log::debug!("empty call to {}", worker.0),
-            Command::Call { worker, parts } => carrier.call(worker, parts),
-            Command::Cancel { worker, attempt_id: ticket } => carrier.cancel(worker, ticket),
-            Command::CancelIfUnsent { worker, attempt_id: ticket } => {
-                carrier.cancel_if_unsent(worker, ticket)
+            Command::Call { worker, parts } => transport.call(worker, parts),
+            Command::Cancel { worker, attempt_id } => transport.cancel(worker, attempt_id),
+            Command::CancelIfUnsent { worker, attempt_id } => {
+                transport.cancel_if_unsent(worker, attempt_id);
             }
-            Command::Respond { query, outcome: verdict } => {
-                let waiting = self.0.waiting.borrow_mut().remove(&query);
-                if let Some(tell) = waiting {
-                    // The client may have left in this very moment; then nobody is there to be told.
-                    let _ = tell.send(verdict);
+            Command::Respond { query, outcome } => {
+                let sender = self.0.outcome_senders.borrow_mut().remove(&query);
+                if let Some(sender) = sender {
+                    // The client may have disconnected in this very moment; then nobody awaits the outcome.
+                    let _ = sender.send(outcome);
                 }
             }
             Command::Log(text) => log::info!("module: {text}"),
--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -1,13 +1,13 @@
-//! What the core asks of its host after a turn: the whole of its output.
+//! The whole output of the core: what its host is to carry out after a step.
 
 use super::attempt::{AttemptId, Dispatch};
 use super::query::QueryOutcome;
 use crate::policy::*;
 
-/// What the core asks of its host.
+/// One thing for the core's host to carry out.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// A worker is listed at this address; `open` is whether it may be sent anything new.
+    /// A worker is listed at this address, for the first time or with changes.
     UpsertWorker {
         /// The worker.
         worker: WorkerId,
@@ -15,7 +15,7 @@
         name: String,
         /// Its address.
         address: String,
-        /// It takes work.
+        /// It may be sent new attempts.
         accepts_work: bool,
     },
     /// A worker is no longer listed.
@@ -25,35 +25,35 @@
     },
     /// Carry these attempts as one call.
     Call {
-        /// To this worker.
+        /// The worker that receives them.
         worker: WorkerId,
         /// The attempts.
         parts: Vec<Dispatch>,
     },
-    /// Wait no longer for this attempt; its end is already booked.
+    /// Wait no longer for this attempt; its completion is already accounted for.
     Cancel {
-        /// At this worker.
+        /// The worker that the attempt was sent to.
         worker: WorkerId,
         /// The attempt.
         attempt_id: AttemptId,
     },
-    /// Nobody waits for what this attempt brings, but it may not be called off: do not send it, if nothing of it is sent
-    /// yet. Its end is told as ever.
+    /// Drop this attempt if no byte of it is written yet: nobody waits for it, but a written one may not be cancelled. Its
+    /// completion is reported as for any other attempt.
     CancelIfUnsent {
-        /// From this worker.
+        /// The worker that the attempt is for.
         worker: WorkerId,
         /// The attempt.
         attempt_id: AttemptId,
     },
-    /// Give a query its final answer.
+    /// Give a query its final outcome.
     Respond {
         /// The query.
         query: RequestId,
-        /// The answer.
+        /// Its outcome.
         outcome: QueryOutcome,
     },
-    /// Write a line for the people on call.
+    /// Write a line to the log.
     Log(String),
-    /// A rule is broken: a line of the log that nobody may overlook.
+    /// Write a line to the log as an error: an invariant is broken.
     LogViolation(String),
 }
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -1,57 +1,59 @@
-//! What the teams have agreed on, by name: classes with their contracts, tenants with their shares, zones, and the
+//! What the teams have agreed on, by name: classes with their contracts, tenants with their quotas, zones, and the
 //! limits within which the broker serves them.
+//!
+//! It owns the mapping from configured names to the decision module's ids and never changes after it was built.
 
 use crate::policy::*;
 use std::time::Duration;
 
-/// Limits of the broker itself and of the connections that carry its parts.
+/// Limits of the broker and of the connections that carry its attempts.
 #[derive(Clone, Debug)]
 pub struct BrokerLimits {
-    /// Queries and parts that may be open at once.
+    /// Queries and parts, added up, that may be open at once.
     pub max_open_requests: usize,
-    /// A connection that is not up by then counts as refused.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Duration,
     /// A server closes a connection that is idle for this long.
     pub connection_idle_timeout: Duration,
     /// Parts that one connection carries at once.
     pub max_parts_per_connection: usize,
-    /// Nothing new goes to a server so long after it is told of as draining or gone.
+    /// How long after a worker was listed as draining or gone it may still receive new attempts.
     pub drain_grace: Duration,
-    /// Gatherers may talk with each other.
+    /// Gatherers may exchange messages with each other.
     pub may_gossip: bool,
 }
 
-/// The names behind the module's numbers, and the settings that go with them.
+/// The names behind the decision module's ids, and the settings that go with them.
 #[derive(Clone, Debug)]
 pub struct Contracts {
-    /// What the module is told: contracts of the classes, budgets, layout, rules.
+    /// The decision module's settings: contracts of the classes, budgets, layout, rules.
     pub settings: Settings,
     /// Class names, in the order of `settings.classes`.
     pub classes: Vec<String>,
     /// Tenant names, in the order of `settings.tenants`.
     pub tenants: Vec<String>,
-    /// Zone names.
+    /// Zone names, in the order of their ids.
     pub zones: Vec<String>,
     /// Limits of the broker.
     pub limits: BrokerLimits,
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 impl Contracts {
     /// The class of this name, with its contract.
     pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
-        let at = place(&self.classes, name)?;
-        Some((ClassId(at), self.settings.classes.get(at)?))
+        let index = index_of(&self.classes, name)?;
+        Some((ClassId(index), self.settings.classes.get(index)?))
     }
     /// The tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
-        place(&self.tenants, name).map(TenantId)
+        index_of(&self.tenants, name).map(TenantId)
     }
-    /// The zone of this name; a zone that nobody listed is like none of the others.
+    /// The zone of this name. All names that are not configured share one id, which is no configured zone's.
     pub fn zone(&self, name: &str) -> ZoneId {
-        ZoneId(place(&self.zones, name).and_then(|at| u32::try_from(at).ok()).unwrap_or(u32::MAX))
+        ZoneId(index_of(&self.zones, name).and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX))
     }
 }
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -1,187 +1,191 @@
-//! What the core hears of workers and of other gatherers: discovery's lists, operators' calls, load reports, what another
-//! process of this gatherer knew; and what the records are told of it.
+//! What the core learns of workers and of other gatherers: discovery's lists, operators' commands, load reports, and the
+//! state of the gatherer's other process. It passes to the records what changes by it.
 
 use super::Core;
 use crate::policy::PolicySnapshot;
 use crate::policy::*;
 use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::command::Command;
-use crate::routing::worker_list::{MOST_NAMES, WorkerList};
+use crate::routing::worker_list::{MAX_REMEMBERED_WORKERS, WorkerList};
 use crate::routing::worker_registry::WorkerListUpdate;
 use crate::routing::worker_states::WorkerStates;
 use crate::service::DisabledWorkers;
 use std::time::Duration;
 
 impl Core {
-    /// Whether it knows of any worker.
+    /// Whether any worker is listed.
     pub fn has_workers(&self) -> bool {
         self.workers.len() > 0
     }
 
-    /// Workers in the list.
+    /// The number of listed workers.
     pub fn listed_workers(&self) -> usize {
         self.workers.len()
     }
 
-    /// Listed workers that are out by hand, or get nothing but trials.
+    /// The number of listed workers that are disabled or ejected.
     pub fn avoided_workers(&self) -> usize {
-        let suspects = self.module.ejected_workers().filter(|worker| self.workers.contains(*worker));
-        self.workers.count_out() + suspects.count()
+        let ejected = self.policy.ejected_workers().filter(|worker| self.workers.contains(*worker));
+        self.workers.count_disabled() + ejected.count()
     }
 
-    /// The name of a worker that was ever listed.
+    /// The name of a worker that was listed before.
     pub fn worker_name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.registry.name(worker)
     }
 
-    /// The list as discovery last told it.
+    /// The list as discovery last sent it.
     pub fn endpoint_list(&self) -> WorkerListUpdate {
-        self.workers.listing()
+        self.workers.to_update()
     }
 
-    /// Whether discovery itself has told a list.
+    /// Whether discovery itself has sent a list, as opposed to a cached one.
     pub fn has_discovery_list(&self) -> bool {
-        self.heard_discovery
+        self.has_discovery_list
     }
 
-    /// Who is out by hand.
+    /// The workers that operators have disabled.
     pub fn disabled_workers(&self) -> &DisabledWorkers {
-        &self.workers.bans
+        &self.workers.disabled
     }
 
-    /// News from discovery; `cached` for the list as last held.
-    pub fn apply_endpoint_update(&mut self, now: Time, listing: &WorkerListUpdate, cached: bool) {
+    /// Applies what discovery sent; `cached` where it is the list of an earlier process.
+    pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, cached: bool) {
         self.counters.listings += 1;
-        self.heard_discovery |= !cached;
-        let (entries, orders) = self.workers.take(now, &self.contracts, listing);
-        self.orders.extend(orders);
-        self.record_list(now, listing, &entries);
-        self.workers.forget_gone(&self.in_flight);
-        self.events.push(Event::EndpointUpdate(match (cached, listing.complete) {
-            (true, _) => EndpointUpdate::Cached(entries.into()),
-            (false, true) => EndpointUpdate::Full(entries.into()),
-            (false, false) => EndpointUpdate::Delta(entries.into()),
+        self.has_discovery_list |= !cached;
+        let change = self.workers.apply(now, &self.contracts, update);
+        self.pending_commands.extend(change.commands);
+        self.record_list(now, update, &change.endpoints);
+        self.workers.forget_removed(&self.in_flight);
+        let endpoints = change.endpoints.into();
+        self.pending_events.push(Event::EndpointUpdate(match (cached, update.complete) {
+            (true, _) => EndpointUpdate::Cached(endpoints),
+            (false, true) => EndpointUpdate::Full(endpoints),
+            (false, false) => EndpointUpdate::Delta(endpoints),
         }));
     }
 
-    /// A load report that came by itself, not with an answer.
+    /// A load report that arrived by itself, not with a response. Returns whether its worker was ever listed.
     pub fn on_load_report(&mut self, worker: &str, report: LoadReport) -> bool {
-        let Some(leaf) = self.workers.registry.known(worker) else { return false };
-        let (outcome, elapsed) = (AttemptOutcome::Succeeded, Duration::ZERO);
-        self.events.push(Event::HealthCheckFinished {
-            worker: leaf,
-            outcome,
-            elapsed,
+        let Some(worker) = self.workers.registry.get(worker) else { return false };
+        self.pending_events.push(Event::HealthCheckFinished {
+            worker,
+            outcome: AttemptOutcome::Succeeded,
+            elapsed: Duration::ZERO,
             load_report: Some(report),
         });
         true
     }
 
-    /// Takes a worker out by hand until [`Core::enable`], whatever the list says meanwhile; false if no list ever named
-    /// it, and then nothing changes.
+    /// Disables a worker until [`Core::enable_worker`], whatever discovery sends meanwhile. Returns whether any list ever
+    /// named it; where none did, nothing changes.
     pub fn disable_worker(&mut self, now: Time, name: &str) -> bool {
-        self.by_hand(now, name, |bans| bans.disable(name))
+        self.change_disabled(now, name, |disabled| disabled.disable(name))
     }
 
-    /// Takes a worker back that was taken out by hand; false if no list ever named it.
+    /// Enables a worker that was disabled. Returns whether any list ever named it.
     pub fn enable_worker(&mut self, now: Time, name: &str) -> bool {
-        self.by_hand(now, name, |bans| bans.enable(now, name))
+        self.change_disabled(now, name, |disabled| disabled.enable(now, name))
     }
 
-    fn by_hand(&mut self, now: Time, name: &str, change: impl FnOnce(&mut DisabledWorkers) -> bool) -> bool {
-        let Some(worker) = self.workers.registry.known(name) else { return false };
-        if !change(&mut self.workers.bans) {
+    fn change_disabled(
+        &mut self,
+        now: Time,
+        name: &str,
+        change: impl FnOnce(&mut DisabledWorkers) -> bool,
+    ) -> bool {
+        let Some(worker) = self.workers.registry.get(name) else { return false };
+        if !change(&mut self.workers.disabled) {
             return true;
         }
-        let place = if self.workers.bans.is_disabled(name) { "out" } else { "back" };
-        self.orders.push(Command::Log(format!("worker {name} is {place} by hand")));
-        if let Some(member) = self.workers.get(worker) {
-            let entry = self.workers.entry(&self.contracts, worker, member);
-            self.orders.push(WorkerList::order(&entry, member));
-            self.record_states(now, std::slice::from_ref(&entry), Vec::new());
-            self.events.push(Event::EndpointUpdate(EndpointUpdate::Delta([entry].into())));
+        let state = if self.workers.disabled.is_disabled(name) { "disabled" } else { "enabled" };
+        self.pending_commands.push(Command::Log(format!("worker is {state} by an operator: worker={name}")));
+        if let Some(listed) = self.workers.get(worker) {
+            let endpoint = self.workers.endpoint(&self.contracts, worker, listed);
+            self.pending_commands.push(WorkerList::upsert_command(&endpoint, listed));
+            self.record_states(now, std::slice::from_ref(&endpoint), Vec::new());
+            self.pending_events.push(Event::EndpointUpdate(EndpointUpdate::Delta([endpoint].into())));
         }
         true
     }
 
-    /// So many processes are this one gatherer, and share what it may hold and push.
+    /// Sets how many processes are this one gatherer and share its limits and its slow-start budget.
     pub fn set_process_count(&mut self, processes: u32) {
-        self.processes = processes.max(1);
-        let whole = self.contracts.settings.slow_start_budget_factor;
-        self.module.set_slow_start_budget_factor(whole / f64::from(self.processes));
+        self.process_count = processes.max(1);
+        let gatherer_factor = self.contracts.settings.slow_start_budget_factor;
+        self.policy.set_slow_start_budget_factor(gatherer_factor / f64::from(self.process_count));
     }
 
-    /// So many gatherers share the fleet: in place of the settings' number, for cold workers, trials of suspects, tenants'
-    /// quotas and calls to discovery.
+    /// Sets how many gatherers share the fleet, in place of the settings' number. Slow-start budgets, half-open attempts,
+    /// tenants' quotas and polls of discovery are divided by it.
     pub fn set_fleet_size(&mut self, gatherers: u32) {
         self.contracts.settings.fleet_size = gatherers.max(1);
-        self.module.set_fleet_size(gatherers);
+        self.policy.set_fleet_size(gatherers);
     }
 
-    /// How many share it.
+    /// How many gatherers share the fleet.
     pub fn fleet_size(&self) -> u32 {
         self.contracts.settings.fleet_size
     }
 
-    /// What the module has learned.
+    /// What the decision module knows of workers, for the process that takes over.
     pub fn policy_snapshot(&self) -> PolicySnapshot {
-        self.module.snapshot(|worker| self.workers.registry.name(worker))
+        self.policy.snapshot(|worker| self.workers.registry.name(worker))
     }
 
-    /// A worker that a list named to another process of this gatherer.
+    /// Assigns an id to a worker that a list named to the gatherer's other process.
     pub fn register_worker(&mut self, name: &str) {
-        self.workers.registry.id(name);
+        self.workers.registry.get_or_insert(name);
     }
 
-    /// Takes over what another process of this gatherer knew: its list, who is out by hand, what its module learned.
+    /// Takes over the state of the gatherer's other process: its list, the disabled workers, and the snapshot of its
+    /// decision module.
     pub fn take_over(
         &mut self,
         now: Time,
         list: &WorkerListUpdate,
-        bans: DisabledWorkers,
-        learned: PolicySnapshot,
+        disabled: DisabledWorkers,
+        snapshot: PolicySnapshot,
     ) {
-        learned
-            .worker_names()
-            .chain(bans.names())
-            .take(MOST_NAMES)
-            .for_each(|name| self.register_worker(name));
-        self.workers.bans = bans;
+        let names = snapshot.worker_names().chain(disabled.names());
+        names.take(MAX_REMEMBERED_WORKERS).for_each(|name| self.register_worker(name));
+        self.workers.disabled = disabled;
         self.apply_endpoint_update(now, list, true);
-        // The module has to know the leaves before it is told of them.
-        let orders = self.step(now);
-        self.module.restore(learned, |name| self.workers.registry.known(name));
-        self.orders.extend(orders);
+        // The module has to know the workers before it can restore what the snapshot says of them.
+        let commands = self.step(now);
+        self.policy.restore(snapshot, |name| self.workers.registry.get(name));
+        self.pending_commands.extend(commands);
     }
 
-    /// Tells the records what a list has changed.
-    fn record_list(&mut self, now: Time, listing: &WorkerListUpdate, entries: &[Endpoint]) {
+    /// Records what an update of the list has changed.
+    fn record_list(&mut self, now: Time, update: &WorkerListUpdate, endpoints: &[Endpoint]) {
         if self.metrics.is_none() {
             return;
         }
-        let (revision, complete, workers) = (listing.revision, listing.complete, self.workers.len());
+        let (revision, complete, workers) = (update.revision, update.complete, self.workers.len());
         self.record_events.push(RecordBody::EndpointList { revision, complete, workers });
-        let gone = self.states.missing(|worker| self.workers.contains(worker));
-        self.record_states(now, entries, gone);
+        let removed = self.recorded_states.removed(|worker| self.workers.contains(worker));
+        self.record_states(now, endpoints, removed);
     }
 
-    /// Tells the records how these workers are seen now, where that has changed, and which are gone.
-    fn record_states(&mut self, now: Time, entries: &[Endpoint], gone: Vec<WorkerId>) {
+    /// Records the states of these workers where they have changed, and the removed ones.
+    fn record_states(&mut self, now: Time, endpoints: &[Endpoint], removed: Vec<WorkerId>) {
         if self.metrics.is_none() {
             return;
         }
-        for entry in entries {
-            let out = self.workers.is_out(entry.worker);
+        for endpoint in endpoints {
+            let is_disabled = self.workers.is_disabled(endpoint.worker);
             let warm_up = self.contracts.settings.warm_up;
-            self.record_state(entry.worker, WorkerStates::of(entry, out, now, warm_up));
+            let state = WorkerStates::classify(endpoint, is_disabled, now, warm_up);
+            self.record_state(endpoint.worker, state);
         }
-        for worker in gone {
+        for worker in removed {
             self.record_state(worker, RecordedWorkerState::Removed);
         }
     }
 
     fn record_state(&mut self, worker: WorkerId, state: RecordedWorkerState) {
-        if self.states.update(worker, state)
+        if self.recorded_states.update(worker, state)
             && let Some(name) = self.workers.registry.name(worker)
         {
             self.record_events.push(RecordBody::Worker { worker: name.to_owned(), state });
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,4 +1,4 @@
-//! What the broker took in, sent and answered, counted since its start.
+//! Counts what the broker received, sent and answered since its start. They only ever grow; nothing is decided by them.
 
 use crate::policy::AttemptOutcome;
 use crate::records::metrics;
@@ -6,15 +6,15 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start, by name.
+        /// Counts since the start. The fields are named as the metrics of `GET /_counters`, whose names stay.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64,)* }
 
         impl fmt::Display for Counters {
             fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let all = [$((stringify!($name), self.$name)),*];
-                for (at, (name, count)) in all.iter().enumerate() {
-                    write!(out, "{}{name}={count}", if at == 0 { "" } else { " " })?;
+                for (index, (name, count)) in all.iter().enumerate() {
+                    write!(out, "{}{name}={count}", if index == 0 { "" } else { " " })?;
                 }
                 Ok(())
             }
@@ -23,85 +23,85 @@
 }
 
 counters! {
-    /// Queries offered by the fronts.
+    /// Queries that the fronts submitted.
     taken,
-    /// Requests that no query could be made of.
+    /// Requests that could not be parsed as a query.
     malformed,
-    /// Queries answered whole.
+    /// Queries with a complete answer.
     answered_whole,
-    /// Queries answered in part.
+    /// Queries with a partial answer.
     answered_part,
-    /// Queries that the module refused.
+    /// Queries that the decision module rejected.
     refused,
-    /// Queries refused because the broker holds as many as it may.
+    /// Queries rejected because as many as may be were open.
     refused_full,
-    /// Queries refused because the broker is stopping.
+    /// Queries rejected because the process was stopping.
     refused_stopping,
-    /// Queries failed.
+    /// Queries that failed.
     failed,
-    /// Queries whose client left first.
+    /// Queries whose client disconnected before the outcome.
     left,
     /// Attempts handed to the transport.
     sent,
-    /// Attempts beyond a part's first, of these.
+    /// Of these, retries and hedged requests: attempts beyond a part's first.
     resent,
-    /// Of these, attempts beside one that is out.
+    /// Of these, attempts while another one was in flight.
     resent_hedged,
-    /// Attempts after one that never ran: turned away, no connection, never sent.
+    /// Of these, attempts after one that proved not to have run: rejected, without a connection, or never sent.
     resent_unrun,
-    /// Attempts after one that failed and may have run.
+    /// Of these, attempts after one that failed and may have run.
     resent_failed,
-    /// Attempts of which the last byte was written.
+    /// Attempts whose last byte was written.
     written,
-    /// Attempts that ended with a value.
+    /// Attempts that succeeded.
     ended_done,
-    /// Attempts that ended with an error.
+    /// Attempts that failed with an error of the worker.
     ended_error,
-    /// Attempts turned away unseen.
+    /// Attempts that the worker rejected without running them.
     ended_busy,
-    /// Attempts without an answer in time.
+    /// Attempts without a response before their deadline.
     ended_timed_out,
-    /// Attempts that found no connection.
+    /// Attempts for which no connection could be established.
     ended_refused,
-    /// Attempts whose connection broke.
+    /// Attempts whose connection was reset.
     ended_reset,
-    /// Attempts called off.
+    /// Attempts that were cancelled.
     ended_cancelled,
     /// Attempts that were never sent.
     ended_skipped,
-    /// Lists and changes that discovery told.
+    /// Lists and changes that discovery sent.
     listings,
 }
 
-/// The queries of one class: all that came, and how they ended. What is in none of the ends is open.
+/// The queries of one class by their end. A query that is counted in none of the ends is open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueryCounts {
-    /// Queries offered, and those refused before they could be.
+    /// Queries that were submitted, and those that were rejected before they could be.
     pub received: u64,
-    /// Answered, whole or in part.
+    /// Queries with a complete or partial answer.
     pub succeeded: u64,
-    /// Refused.
+    /// Queries that were rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Queries that failed.
     pub failed: u64,
-    /// Left by their clients.
+    /// Queries whose client disconnected before the outcome.
     pub client_left: u64,
 }
 
 impl QueryCounts {
-    /// Those that have not ended.
+    /// Queries that have not ended.
     pub fn open(&self) -> u64 {
         self.received - self.succeeded - self.rejected - self.failed - self.client_left
     }
 }
 
-/// The queries of all classes, in the order of the contracts. A class that is in none of them counts nowhere.
-pub(super) struct ClassEnds(Vec<QueryCounts>);
+/// The queries of all classes, in the order of the contracts. A class that has no contract is not counted.
+pub(super) struct ClassCounts(Vec<QueryCounts>);
 
-impl ClassEnds {
-    /// Nothing yet, for so many classes.
-    pub fn new(classes: usize) -> ClassEnds {
-        ClassEnds(vec![QueryCounts::default(); classes])
+impl ClassCounts {
+    /// Counts of zero for this many classes.
+    pub fn new(classes: usize) -> ClassCounts {
+        ClassCounts(vec![QueryCounts::default(); classes])
     }
 
     /// All classes.
@@ -109,15 +109,15 @@
         &self.0
     }
 
-    /// A query of this class came.
-    pub fn came(&mut self, class: usize) {
+    /// A query of this class was received.
+    pub fn record_received(&mut self, class: usize) {
         if let Some(ends) = self.0.get_mut(class) {
             ends.received += 1;
         }
     }
 
-    /// A query of this class ended. Every end of a query passes here, once.
-    pub fn ended(&mut self, class: usize, end: metrics::QueryEnd) {
+    /// A query of this class ended. Every query that ends is counted here exactly once.
+    pub fn record_end(&mut self, class: usize, end: metrics::QueryEnd) {
         use metrics::QueryEnd;
         let Some(ends) = self.0.get_mut(class) else { return };
         *match end {
@@ -146,8 +146,8 @@
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: AttemptOutcome) {
+    /// Counts an attempt that finished.
+    pub fn record_attempt(&mut self, outcome: AttemptOutcome) {
         *match outcome {
             AttemptOutcome::Succeeded => &mut self.ended_done,
             AttemptOutcome::Failed => &mut self.ended_error,
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -1,127 +1,135 @@
-//! Idempotency keys of queries that must not run twice: who may run, who joins, and what is on record.
+//! Idempotency keys of queries that must not run twice: which request runs, which ones await its response, and which
+//! responses are cached.
 //!
-//! Only a key that this start issued and still holds ever runs, and it runs once. Whatever is unknown (issued
-//! before a restart, by another gatherer, or past retention) is told so and runs nothing.
+//! Only a key that this incarnation issued and still holds ever runs, and it runs once. A request with an unknown key
+//! (issued before a restart, by another gatherer, or past its retention) is answered so and never runs.
 
 use crate::policy::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How many keys are held, how many bytes of outcomes, and for how long.
+/// Bounds of an [`IdempotencyStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct IdempotencyLimits {
-    /// Keys.
+    /// Keys held at once.
     pub max_keys: usize,
-    /// Bytes of recorded outcomes.
+    /// Bytes of cached responses.
     pub max_bytes: usize,
-    /// Time from issue, or from the outcome, until a key is forgotten.
+    /// Time from a key's issue, or from its response, until the key is forgotten.
     pub retention: Duration,
 }
 
-enum State<T> {
+enum KeyState<T> {
     Issued,
-    Running { digest: u64, tell: watch::Sender<Option<T>> },
-    Recorded { digest: u64, outcome: T, size: usize },
+    Running { digest: u64, sender: watch::Sender<Option<T>> },
+    Recorded { digest: u64, response: T, size: usize },
 }
 
 struct Entry<T> {
     owner: String,
-    state: State<T>,
-    at: Time,
+    state: KeyState<T>,
+    /// When the key was issued or, once there is a response, when that was recorded.
+    updated_at: Time,
 }
 
 /// What a request with a key is to do.
 #[derive(Debug)]
 pub enum KeyClaim<T> {
-    /// Run, and [`IdempotencyStore::finish`]; wait for the outcome like those who join.
+    /// Run, and report the response by [`IdempotencyStore::finish`]; the receiver yields it as to those who join.
     Run(watch::Receiver<Option<T>>),
-    /// Wait for the outcome of the one that runs.
+    /// Wait for the response of the request that runs.
     Join(watch::Receiver<Option<T>>),
-    /// Give this answer again.
+    /// Return this cached response.
     Recorded(T),
     /// The key belongs to another request.
     Mismatch,
-    /// Nothing is known of the key: run nothing.
+    /// The key is unknown: do not run.
     Unknown,
 }
 
-/// No further key can be held now.
+/// No further key can be issued now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many idempotency keys as may be are held")]
 pub struct KeyLimitReached;
 
-/// The keys of one gatherer's start.
+/// The keys of one incarnation of a gatherer, with the responses of type `T`.
 pub struct IdempotencyStore<T> {
-    start: String,
+    incarnation: String,
     random: fastrand::Rng,
-    bounds: IdempotencyLimits,
+    limits: IdempotencyLimits,
     entries: HashMap<String, Entry<T>>,
-    bytes: usize,
+    /// Bytes of cached responses.
+    cached_bytes: usize,
 }
 
 impl<T: Clone> IdempotencyStore<T> {
-    /// No keys yet. `start` names this gatherer's start, and no other one ever.
-    pub fn new(start: String, random: fastrand::Rng, bounds: IdempotencyLimits) -> IdempotencyStore<T> {
-        IdempotencyStore { start, random, bounds, entries: HashMap::new(), bytes: 0 }
+    /// A store without keys. `incarnation` names this incarnation of the gatherer and never any other.
+    pub fn new(incarnation: String, random: fastrand::Rng, limits: IdempotencyLimits) -> IdempotencyStore<T> {
+        IdempotencyStore { incarnation, random, limits, entries: HashMap::new(), cached_bytes: 0 }
     }
 
-    /// The start that its keys name.
+    /// The incarnation that its keys name.
     pub fn incarnation(&self) -> &str {
-        &self.start
+        &self.incarnation
     }
 
     /// Issues a key to its owner.
+    ///
+    /// # Errors
+    /// [`KeyLimitReached`] where as many keys as may be are held.
     pub fn issue(&mut self, now: Time, owner: &str) -> Result<String, KeyLimitReached> {
         self.expire(now);
-        if self.entries.len() >= self.bounds.max_keys {
+        if self.entries.len() >= self.limits.max_keys {
             return Err(KeyLimitReached);
         }
-        let key = format!("{}-{:032x}", self.start, self.random.u128(..));
-        self.entries.insert(key.clone(), Entry { owner: owner.to_owned(), state: State::Issued, at: now });
+        let key = format!("{}-{:032x}", self.incarnation, self.random.u128(..));
+        self.entries
+            .insert(key.clone(), Entry { owner: owner.to_owned(), state: KeyState::Issued, updated_at: now });
         Ok(key)
     }
 
-    /// Claims a key for a request with this digest.
+    /// Claims a key for a request of this owner and digest.
     pub fn claim(&mut self, now: Time, key: &str, owner: &str, digest: u64) -> KeyClaim<T> {
         self.expire(now);
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.owner == owner) else {
             return KeyClaim::Unknown;
         };
         match &entry.state {
-            State::Issued => {
-                let (tell, told) = watch::channel(None);
-                entry.state = State::Running { digest, tell };
-                KeyClaim::Run(told)
+            KeyState::Issued => {
+                let (sender, receiver) = watch::channel(None);
+                entry.state = KeyState::Running { digest, sender };
+                KeyClaim::Run(receiver)
             }
-            State::Running { digest: first, .. } | State::Recorded { digest: first, .. }
+            KeyState::Running { digest: first, .. } | KeyState::Recorded { digest: first, .. }
                 if *first != digest =>
             {
                 KeyClaim::Mismatch
             }
-            State::Running { tell, .. } => KeyClaim::Join(tell.subscribe()),
-            State::Recorded { outcome, .. } => KeyClaim::Recorded(outcome.clone()),
+            KeyState::Running { sender, .. } => KeyClaim::Join(sender.subscribe()),
+            KeyState::Recorded { response, .. } => KeyClaim::Recorded(response.clone()),
         }
     }
 
-    /// Ends the run of a key. An outcome of which nothing has run goes to those who joined, and the key may run
-    /// again; any other is kept.
-    pub fn finish(&mut self, now: Time, key: &str, outcome: T, size: usize, ran: bool) {
+    /// Ends the run of a key: its response goes to all that joined. Where `may_have_run`, the response is cached and the
+    /// key never runs again; otherwise the key may be claimed to run once more.
+    pub fn finish(&mut self, now: Time, key: &str, response: T, size: usize, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        let State::Running { digest, tell } = &entry.state else { return };
+        let KeyState::Running { digest, sender } = &entry.state else { return };
         let digest = *digest;
-        tell.send_replace(Some(outcome.clone()));
-        entry.at = now;
-        entry.state = if ran {
-            self.bytes += size;
-            State::Recorded { digest, outcome, size }
+        sender.send_replace(Some(response.clone()));
+        entry.updated_at = now;
+        entry.state = if may_have_run {
+            self.cached_bytes += size;
+            KeyState::Recorded { digest, response, size }
         } else {
-            State::Issued
+            KeyState::Issued
         };
-        while self.bytes > self.bounds.max_bytes {
+        while self.cached_bytes > self.limits.max_bytes {
             let recorded =
-                self.entries.iter().filter(|(_, entry)| matches!(entry.state, State::Recorded { .. }));
-            let Some(oldest) = recorded.min_by_key(|(_, entry)| entry.at).map(|(key, _)| key.clone()) else {
+                self.entries.iter().filter(|(_, entry)| matches!(entry.state, KeyState::Recorded { .. }));
+            let Some(oldest) = recorded.min_by_key(|(_, entry)| entry.updated_at).map(|(key, _)| key.clone())
+            else {
                 return;
             };
             self.forget(&oldest);
@@ -129,18 +137,19 @@
     }
 
     fn forget(&mut self, key: &str) {
-        if let Some(Entry { state: State::Recorded { size, .. }, .. }) = self.entries.remove(key) {
-            self.bytes -= size;
+        if let Some(Entry { state: KeyState::Recorded { size, .. }, .. }) = self.entries.remove(key) {
+            self.cached_bytes -= size;
         }
     }
 
     fn expire(&mut self, now: Time) {
-        let old = |entry: &Entry<T>| {
-            !matches!(entry.state, State::Running { .. }) && now.since(entry.at) >= self.bounds.retention
+        let is_expired = |entry: &Entry<T>| {
+            !matches!(entry.state, KeyState::Running { .. })
+                && now.since(entry.updated_at) >= self.limits.retention
         };
-        let old: Vec<String> =
-            self.entries.iter().filter(|(_, e)| old(e)).map(|(key, _)| key.clone()).collect();
-        old.iter().for_each(|key| self.forget(key));
+        let expired: Vec<String> =
+            self.entries.iter().filter(|(_, entry)| is_expired(entry)).map(|(key, _)| key.clone()).collect();
+        expired.iter().for_each(|key| self.forget(key));
     }
 }
 
@@ -148,34 +157,34 @@
 mod tests {
     use super::*;
 
-    fn store(start: &str) -> IdempotencyStore<&'static str> {
-        let bounds = IdempotencyLimits { max_keys: 2, max_bytes: 10, retention: Duration::from_secs(60) };
-        IdempotencyStore::new(start.to_owned(), fastrand::Rng::with_seed(7), bounds)
+    fn store(incarnation: &str) -> IdempotencyStore<&'static str> {
+        let limits = IdempotencyLimits { max_keys: 2, max_bytes: 10, retention: Duration::from_secs(60) };
+        IdempotencyStore::new(incarnation.to_owned(), fastrand::Rng::with_seed(7), limits)
     }
 
     #[test]
-    fn a_key_runs_once_and_then_gives_what_is_on_record() {
+    fn a_key_runs_once_and_then_returns_the_cached_response() {
         let mut store = store("a");
-        let key = store.issue(Time(0), "bank").expect("there is room");
+        let key = store.issue(Time(0), "bank").expect("the limit is not reached");
         assert!(matches!(store.claim(Time(0), &key, "notary", 1), KeyClaim::Unknown));
         assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
         assert!(matches!(store.claim(Time(0), &key, "bank", 2), KeyClaim::Mismatch));
-        let KeyClaim::Join(told) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
+        let KeyClaim::Join(receiver) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
         store.finish(Time(0), &key, "sealed", 6, true);
-        assert_eq!(*told.borrow(), Some("sealed"));
+        assert_eq!(*receiver.borrow(), Some("sealed"));
         assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Recorded("sealed")));
     }
 
     #[test]
-    fn an_unknown_outcome_never_runs() {
-        // Guards against a second run after a restart, at another gatherer, past retention or for want of room.
+    fn an_unknown_key_never_runs() {
+        // Guards against a second run after a restart, at another gatherer, past its retention, or after its response was evicted.
         let (mut before, mut after) = (store("a"), store("b"));
-        let key = before.issue(Time(0), "bank").expect("there is room");
+        let key = before.issue(Time(0), "bank").expect("the limit is not reached");
         assert!(matches!(after.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
         assert!(matches!(before.claim(Time(60_000_000_000), &key, "bank", 1), KeyClaim::Unknown));
         let now = Time(70_000_000_000);
-        let keys =
-            [before.issue(now, "bank"), before.issue(now, "bank")].map(|key| key.expect("there is room"));
+        let keys = [before.issue(now, "bank"), before.issue(now, "bank")]
+            .map(|key| key.expect("the limit is not reached"));
         assert_eq!(before.issue(now, "bank"), Err(KeyLimitReached));
         for (at, key) in keys.iter().enumerate() {
             assert!(matches!(before.claim(now, key, "bank", 1), KeyClaim::Run(_)));
@@ -186,9 +195,9 @@
     }
 
     #[test]
-    fn a_refused_run_leaves_its_key_for_another_try() {
+    fn a_rejected_run_leaves_its_key_for_a_retry() {
         let mut store = store("a");
-        let key = store.issue(Time(0), "bank").expect("there is room");
+        let key = store.issue(Time(0), "bank").expect("the limit is not reached");
         assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
         store.finish(Time(0), &key, "refused", 7, false);
         assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -1,48 +1,48 @@
-//! The rules that no path may break, each checked in the one function that every path takes, and counted where it is
+//! The rules that no path may break. Each is checked in the one function that every path takes, and counted where it is
 //! broken.
 //!
-//! The decision module chooses; what is here knows nothing of choices. It sees each attempt before it is sent and each
-//! answer before it is given, and holds back what would break a promise to a client or a worker. A count over zero is a
-//! fault of the program, whatever the traffic.
+//! The decision module chooses; the checks here know nothing of its choices. They see each attempt before it is sent and
+//! each answer before it is given, and prevent whatever would break a promise to a client or a worker. A count over zero
+//! is a fault of the program, whatever the traffic.
 
 use super::open_queries::OpenPart;
 use crate::policy::*;
 use std::fmt;
 use std::time::Duration;
 
-/// Sums of weights may fall short by this much.
-const EPSILON: f64 = 1e-4;
+/// How much a sum of weights may fall short by rounding.
+const COVERAGE_EPSILON: f64 = 1e-4;
 
 /// A rule that holds for each attempt, answer and connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// An attempt goes only to a worker that is listed, serves, and is not out by hand.
+    /// An attempt goes only to a worker that is listed as active and not disabled.
     SentToActiveWorker,
-    /// An attempt begins only while its client waits.
+    /// An attempt is sent only before its client's deadline.
     SentBeforeDeadline,
-    /// What is not idempotent is sent again only if no attempt before can have run.
+    /// A non-idempotent part is retried only where no attempt before can have run.
     RetriedSafely,
-    /// What is idempotent by key is sent again only inside its window.
+    /// A keyed part is retried only within its repeat window.
     RetriedInWindow,
-    /// Two attempts of a part are out at once only where that is allowed.
+    /// Two attempts of a part are in flight at once only where hedging is allowed.
     HedgedWhereAllowed,
-    /// A part has no more attempts than the limit.
+    /// A part has at most as many attempts as its limit.
     AttemptsBounded,
-    /// An answer has the least share of its class.
+    /// An answer has at least the coverage that its class requires.
     MinCoverageMet,
-    /// An answer that is marked whole is.
+    /// An answer that is marked complete has the coverage of a complete one.
     CompleteMarkedTruly,
-    /// A refusal promises that a retry is harmless: nothing can have run that must not run twice.
+    /// A rejection promises that a retry is harmless: nothing can have run that must not run twice.
     RejectedUnexecuted,
-    /// A query ends before its client's time and the grace are over.
+    /// A query ends within the grace period after its client's deadline.
     EndedInTime,
-    /// A request that was read is answered before its connection is closed, unless its client has gone.
+    /// A request that was read is answered before its connection is closed, unless its client has disconnected.
     ClosedAfterResponse,
     /// One process listens for a gatherer's clients, or two that know of each other.
     SingleListeningProcess,
 }
 
-/// All of them, in the order in which they are counted.
+/// All invariants, in the order in which they are counted.
 pub const INVARIANTS: [Invariant; 12] = [
     Invariant::SentToActiveWorker,
     Invariant::SentBeforeDeadline,
@@ -59,7 +59,7 @@
 ];
 
 impl Invariant {
-    /// Its name in the metrics.
+    /// Its name in the metrics and the log. These are outer names, which stay where a variant is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SentToActiveWorker => "sent_to_serving",
@@ -76,24 +76,29 @@
             Invariant::SingleListeningProcess => "started_alone",
         }
     }
+
+    /// The line of the log for a violation; `subject` names what broke it.
+    pub fn violation_message(self, subject: &str) -> String {
+        format!("invariant {} is broken: {subject}", self.name())
+    }
 }
 
-/// How often each invariant was broken, since the start.
+/// How often each invariant was broken since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Violations([u64; INVARIANTS.len()]);
 
 impl Violations {
-    /// Counts a break.
+    /// Counts one violation.
     pub fn record(&mut self, broken: Invariant) {
         self.0[broken as usize] += 1;
     }
 
-    /// How often this one was broken.
+    /// How often this invariant was broken.
     pub fn count_of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize]
     }
 
-    /// How often any was.
+    /// How often any invariant was broken.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -109,26 +114,26 @@
     }
 }
 
-/// What is known of an attempt before it is sent.
+/// What is known of an attempt before it is sent: the input of the check that permits it.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck<'a> {
     /// The time.
     pub now: Time,
     /// The contract of its class.
     pub class: &'a Class,
-    /// How long its client waits.
+    /// Its client waits until then.
     pub valid_until: Time,
-    /// The worker is listed, serves, and is not out by hand.
-    pub worker_serves: bool,
-    /// Attempts of its part before.
+    /// The worker is listed as active and not disabled.
+    pub worker_accepts_work: bool,
+    /// How many attempts its part had before.
     pub previous_attempts: u32,
-    /// When the first of them was sent that may have run, or may yet.
+    /// When the first of them was sent that has run or may still run.
     pub first_possible_run: Option<Time>,
-    /// Any of them is out.
+    /// Any of them is in flight.
     pub has_attempt_in_flight: bool,
-    /// Two may be out at once.
+    /// Two attempts of a part may be in flight at once.
     pub may_hedge: bool,
-    /// The most attempts of a part.
+    /// The limit of attempts of a part; `None` where there is none.
     pub max_attempts: Option<u32>,
 }
 
@@ -140,22 +145,24 @@
 }
 
 impl SendPermit {
-    /// The attempt counts as timed out from then on: no later than its client waits.
+    /// The attempt counts as timed out from then on, which is never later than its client's deadline.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// For so long the last byte of its frame may be written, where its class bounds that.
+    /// Time from the permit within which the last byte of the frame has to be written, where the class bounds it.
     pub fn write_window(&self) -> Option<Duration> {
         self.window
     }
 }
 
 impl SendCheck<'_> {
-    /// The one guard on sending and repeating: a permit to wait for the attempt this long, or the rule that it would
-    /// break.
+    /// The one guard on sending and retrying: a permit to send the attempt and to wait for it for at most `timeout`.
+    ///
+    /// # Errors
+    /// The invariant that the attempt would break.
     pub fn permit(&self, timeout: Duration) -> Result<SendPermit, Invariant> {
-        if !self.worker_serves {
+        if !self.worker_accepts_work {
             return Err(Invariant::SentToActiveWorker);
         }
         if self.valid_until <= self.now {
@@ -172,7 +179,7 @@
         Ok(SendPermit { deadline, window })
     }
 
-    /// What is left of the window in which the part may be repeated; `None` where any time will do.
+    /// What is left of the window within which the part may be retried; `None` where it is not bounded.
     fn window(&self) -> Result<Option<Duration>, Invariant> {
         match (self.class.idempotency, self.first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => Ok(None),
@@ -185,24 +192,30 @@
     }
 }
 
-/// Whether an answer may be given, and marked whole, with parts of this weight in.
-pub fn check_answer(class: &Class, share: f64, whole: bool) -> Result<(), Invariant> {
-    if share < class.min_coverage.min(class.complete_coverage) - EPSILON {
+/// Checks whether an answer of this coverage may be given, and marked complete.
+///
+/// # Errors
+/// The invariant that it would break.
+pub fn check_answer(class: &Class, coverage: f64, complete: bool) -> Result<(), Invariant> {
+    if coverage < class.min_coverage.min(class.complete_coverage) - COVERAGE_EPSILON {
         return Err(Invariant::MinCoverageMet);
     }
-    if whole && share < class.complete_coverage - EPSILON {
+    if complete && coverage < class.complete_coverage - COVERAGE_EPSILON {
         return Err(Invariant::CompleteMarkedTruly);
     }
     Ok(())
 }
 
-/// Whether a refusal may be given: it promises that a retry is harmless.
+/// Checks whether a rejection may be given, which promises that a retry is harmless.
+///
+/// # Errors
+/// The invariant that it would break.
 pub fn check_rejection(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
     let harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
     if harmless { Ok(()) } else { Err(Invariant::RejectedUnexecuted) }
 }
 
-/// The share of a query's weight that is in.
-pub(super) fn share_in(parts: &[OpenPart]) -> f64 {
+/// The fraction of a query's weight for which there are values.
+pub(super) fn coverage(parts: &[OpenPart]) -> f64 {
     parts.iter().filter(|part| part.value.is_some()).map(|part| part.weight).sum()
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,7 @@
-//! The broker between fronts and servers. It knows no wire: it hosts one decision module with its clock and timers,
-//! maps names to the module's ids, delivers the module's actions, and sees each query through to its one answer.
+//! The broker between fronts and workers: it hosts the decision module with its clock and timers, maps names to the
+//! module's ids, carries out the module's actions, and gives each query its one final outcome.
+//!
+//! It owns the open queries, the attempts in flight and the worker list. It knows no wire format and does no I/O.
 
 pub mod attempt;
 pub mod broker;
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -1,5 +1,5 @@
-//! The queries that wait for their answer, with their parts and what has come in for them. It owns no attempt: those are
-//! in [`super::in_flight`].
+//! The queries that wait for their outcome, with their parts and the values that have arrived for them. It owns no
+//! attempt: those are in [`super::in_flight`].
 
 use crate::policy::*;
 use crate::records::metrics::QueryLabels;
@@ -8,39 +8,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A query that waits for its answer.
+/// A query that waits for its outcome.
 pub(super) struct OpenQuery {
     /// Names it to the workers.
     pub label: Arc<str>,
-    /// What each of its parts carries.
-    pub text: Bytes,
+    /// The body of the request to each worker.
+    pub payload: Bytes,
     /// It may not run a second time.
     pub at_most_once: bool,
-    /// How long its client will wait.
+    /// Its client waits until then.
     pub valid_until: Time,
     /// Its parts.
     pub parts: Vec<RequestId>,
-    /// Its class and tenant, as they are counted.
-    pub seen: QueryLabels,
-    /// When it was taken in.
-    pub taken: Time,
+    /// The class and tenant under which it is counted.
+    pub labels: QueryLabels,
+    /// When it was accepted.
+    pub accepted_at: Time,
 }
 
-/// A part of such a query.
+/// One part of an open query.
 pub(super) struct OpenPart {
     /// The query.
     pub query: RequestId,
     /// The shard that it needs.
     pub shard: ShardId,
-    /// Its share of the whole answer.
+    /// Its fraction of the complete answer.
     pub weight: f64,
     /// Attempts so far.
     pub attempts: u32,
-    /// When those of its attempts were sent that may have run, or may yet.
+    /// When those of its attempts were sent that have run or may still run.
     pub possible_runs: BTreeMap<AttemptNo, Time>,
-    /// How the latest attempt that has ended did.
+    /// The outcome of the attempt that finished last.
     pub last_outcome: Option<AttemptOutcome>,
-    /// The value, once one is in.
+    /// The value of the first attempt that succeeded.
     pub value: Option<Bytes>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// All queries that wait, and their parts.
+/// All open queries and their parts.
 #[derive(Default)]
 pub(super) struct OpenQueries {
     queries: HashMap<RequestId, OpenQuery>,
@@ -67,12 +67,12 @@
 }
 
 impl OpenQueries {
-    /// Queries.
+    /// The number of queries.
     pub fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// Queries and parts together, which the limits bound.
+    /// The number of queries and parts together, which the broker's limits bound.
     pub fn size(&self) -> usize {
         self.queries.len() + self.parts.len()
     }
@@ -82,17 +82,15 @@
         self.queries.values().any(|query| &*query.label == label)
     }
 
-    /// Takes a query in.
     pub fn insert(&mut self, id: RequestId, query: OpenQuery) {
         self.queries.insert(id, query);
     }
 
-    /// Takes a part in.
     pub fn insert_part(&mut self, id: RequestId, part: OpenPart) {
         self.parts.insert(id, part);
     }
 
-    /// A part of a query that is open.
+    /// A part of an open query.
     pub fn part(&mut self, id: RequestId) -> Option<&mut OpenPart> {
         self.parts.get_mut(&id)
     }
@@ -104,7 +102,7 @@
         Some((part, query))
     }
 
-    /// Lets go of a query and its parts; `None` if it has ended before.
+    /// Removes a query and its parts; `None` if it has ended before.
     pub fn remove(&mut self, id: RequestId) -> Option<(OpenQuery, Vec<OpenPart>)> {
         let query = self.queries.remove(&id)?;
         let parts = query.parts.iter().filter_map(|part| self.parts.remove(part)).collect();
@@ -116,9 +114,9 @@
         self.queries.values().map(|query| query.valid_until.after(grace)).min()
     }
 
-    /// The queries whose client has waited for its answer to the end, and then for `grace`.
+    /// The queries that are still open `grace` after their client's deadline.
     pub fn overdue(&self, now: Time, grace: Duration) -> Vec<RequestId> {
-        let late = self.queries.iter().filter(|(_, query)| query.valid_until.after(grace) <= now);
-        late.map(|(id, _)| *id).collect()
+        let overdue = self.queries.iter().filter(|(_, query)| query.valid_until.after(grace) <= now);
+        overdue.map(|(id, _)| *id).collect()
     }
 }
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -1,4 +1,5 @@
-//! Results held for further pages: bounded in number and bytes, each until its time is over.
+//! Scroll contexts: results that are held for further pages, bounded in number and bytes, each until it expires. It knows
+//! nothing of how a result is made or paged.
 
 use crate::policy::Time;
 use std::collections::HashMap;
@@ -9,74 +10,78 @@
     owner: String,
     value: Rc<T>,
     size: usize,
-    until: Time,
+    expires_at: Time,
 }
 
-/// Scroll contexts by id.
+/// Scroll contexts by id, with results of type `T`.
 pub struct ScrollContexts<T> {
     random: fastrand::Rng,
-    most: usize,
-    most_bytes: usize,
+    max_contexts: usize,
+    max_bytes: usize,
     bytes: usize,
     entries: HashMap<String, Entry<T>>,
 }
 
-/// No further result can be held now.
+/// No further scroll context can be created now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many results as may be are held")]
 pub struct ScrollLimitReached;
 
 impl<T> ScrollContexts<T> {
-    /// Room for so many results and bytes.
-    pub fn new(random: fastrand::Rng, most: usize, most_bytes: usize) -> ScrollContexts<T> {
-        ScrollContexts { random, most, most_bytes, bytes: 0, entries: HashMap::new() }
+    /// No contexts, and the limits of their number and their bytes.
+    pub fn new(random: fastrand::Rng, max_contexts: usize, max_bytes: usize) -> ScrollContexts<T> {
+        ScrollContexts { random, max_contexts, max_bytes, bytes: 0, entries: HashMap::new() }
     }
 
-    /// Holds a result for its owner; gives its name. A result that is held already is never dropped for a new one.
+    /// Holds a result for its owner and returns the id of its context. An existing context is never evicted for a new one.
+    ///
+    /// # Errors
+    /// [`ScrollLimitReached`] where the number of contexts or their bytes would exceed the limits.
     pub fn create(
         &mut self,
         now: Time,
         owner: &str,
-        keep: Duration,
+        keep_alive: Duration,
         value: T,
         size: usize,
     ) -> Result<String, ScrollLimitReached> {
         self.expire(now);
-        if self.entries.len() >= self.most || self.bytes + size > self.most_bytes {
+        if self.entries.len() >= self.max_contexts || self.bytes + size > self.max_bytes {
             return Err(ScrollLimitReached);
         }
-        let name = format!("{:032x}", self.random.u128(..));
-        let entry = Entry { owner: owner.to_owned(), value: Rc::new(value), size, until: now.after(keep) };
+        let id = format!("{:032x}", self.random.u128(..));
+        let entry =
+            Entry { owner: owner.to_owned(), value: Rc::new(value), size, expires_at: now.after(keep_alive) };
         self.bytes += size;
-        self.entries.insert(name.clone(), entry);
-        Ok(name)
+        self.entries.insert(id.clone(), entry);
+        Ok(id)
     }
 
-    /// A held result, for so much longer where that is said.
-    pub fn get(&mut self, now: Time, name: &str, owner: &str, keep: Option<Duration>) -> Option<Rc<T>> {
+    /// The result of a context, whose expiry moves to `keep_alive` from now where that is given.
+    pub fn get(&mut self, now: Time, id: &str, owner: &str, keep_alive: Option<Duration>) -> Option<Rc<T>> {
         self.expire(now);
-        let entry = self.entries.get_mut(name).filter(|entry| entry.owner == owner)?;
-        if let Some(keep) = keep {
-            entry.until = now.after(keep);
+        let entry = self.entries.get_mut(id).filter(|entry| entry.owner == owner)?;
+        if let Some(keep_alive) = keep_alive {
+            entry.expires_at = now.after(keep_alive);
         }
         Some(entry.value.clone())
     }
 
-    /// Lets go of a result; false if it was not held.
-    pub fn clear(&mut self, now: Time, name: &str, owner: &str) -> bool {
+    /// Drops a context; returns false if there was none of this id and owner.
+    pub fn clear(&mut self, now: Time, id: &str, owner: &str) -> bool {
         self.expire(now);
-        let ours = self.entries.get(name).is_some_and(|entry| entry.owner == owner);
-        if ours && let Some(entry) = self.entries.remove(name) {
+        let is_owned = self.entries.get(id).is_some_and(|entry| entry.owner == owner);
+        if is_owned && let Some(entry) = self.entries.remove(id) {
             self.bytes -= entry.size;
         }
-        ours
+        is_owned
     }
 
     fn expire(&mut self, now: Time) {
         self.entries.retain(|_, entry| {
-            let kept = entry.until > now;
-            self.bytes -= if kept { 0 } else { entry.size };
-            kept
+            let is_alive = entry.expires_at > now;
+            self.bytes -= if is_alive { 0 } else { entry.size };
+            is_alive
         });
     }
 }
@@ -86,18 +91,19 @@
     use super::*;
 
     #[test]
-    fn results_are_bounded_and_expire() {
+    fn scroll_contexts_are_bounded_and_expire() {
         let mut scrolls = ScrollContexts::new(fastrand::Rng::with_seed(7), 2, 10);
-        let keep = Duration::from_secs(1);
-        let name = scrolls.create(Time(0), "bank", keep, "page", 6).expect("there is room");
-        assert_eq!(scrolls.create(Time(0), "bank", keep, "page", 6), Err(ScrollLimitReached));
-        assert!(scrolls.get(Time(0), &name, "notary", None).is_none());
-        assert!(scrolls.get(Time(999_999_999), &name, "bank", Some(keep)).is_some());
-        assert!(scrolls.get(Time(1_999_999_998), &name, "bank", None).is_some());
-        assert!(scrolls.get(Time(1_999_999_999), &name, "bank", None).is_none());
-        let name =
-            scrolls.create(Time(2_000_000_000), "bank", keep, "page", 10).expect("the room is free again");
-        assert!(scrolls.clear(Time(2_000_000_000), &name, "bank"));
-        assert!(!scrolls.clear(Time(2_000_000_000), &name, "bank"));
+        let keep_alive = Duration::from_secs(1);
+        let id = scrolls.create(Time(0), "bank", keep_alive, "page", 6).expect("the limit is not reached");
+        assert_eq!(scrolls.create(Time(0), "bank", keep_alive, "page", 6), Err(ScrollLimitReached));
+        assert!(scrolls.get(Time(0), &id, "notary", None).is_none());
+        assert!(scrolls.get(Time(999_999_999), &id, "bank", Some(keep_alive)).is_some());
+        assert!(scrolls.get(Time(1_999_999_998), &id, "bank", None).is_some());
+        assert!(scrolls.get(Time(1_999_999_999), &id, "bank", None).is_none());
+        let id = scrolls
+            .create(Time(2_000_000_000), "bank", keep_alive, "page", 10)
+            .expect("the expired context is gone");
+        assert!(scrolls.clear(Time(2_000_000_000), &id, "bank"));
+        assert!(!scrolls.clear(Time(2_000_000_000), &id, "bank"));
     }
 }
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -1,42 +1,43 @@
-//! When workers are held to have started, where what discovery says of it cannot be: no worker starts in the future.
+//! Corrects start times of workers that lie in the future.
 //!
-//! Starts are told in Unix time. A wall clock that was stepped back, here before this process read it or at the worker,
-//! puts them after now. Such a start is held to have been as it was first told, so that its worker grows warm in its time.
+//! Discovery gives start times in Unix time. A wall clock that was stepped back, either here before this process read it
+//! or at the worker, places them after now. Such a start counts as having happened when discovery first sent it, so that
+//! the worker's warm-up begins and ends in its time.
 
 use crate::policy::{Time, WorkerId};
 use std::collections::HashMap;
 
-/// A start that was told before it could have been.
+/// A start time that lay in the future when discovery sent it.
 #[derive(Clone, Copy)]
-struct Early {
+struct FutureStart {
     listed: Time,
-    told: Time,
+    received_at: Time,
 }
 
-/// Such starts, by worker.
+/// The start times that lay in the future, by worker.
 #[derive(Default)]
-pub(super) struct StartTimes(HashMap<WorkerId, Early>);
+pub(super) struct StartTimes(HashMap<WorkerId, FutureStart>);
 
 impl StartTimes {
-    /// Discovery lists this start of a worker.
-    pub fn learn(&mut self, now: Time, worker: WorkerId, listed: Option<Time>) {
-        let known = self.0.get(&worker).is_some_and(|early| Some(early.listed) == listed);
+    /// Applies the start time that discovery lists for a worker.
+    pub fn update(&mut self, now: Time, worker: WorkerId, listed: Option<Time>) {
+        let is_known = self.0.get(&worker).is_some_and(|start| Some(start.listed) == listed);
         match listed.filter(|listed| *listed > now) {
-            _ if known => {}
-            Some(listed) => drop(self.0.insert(worker, Early { listed, told: now })),
+            _ if is_known => {}
+            Some(listed) => drop(self.0.insert(worker, FutureStart { listed, received_at: now })),
             None => drop(self.0.remove(&worker)),
         }
     }
 
-    /// When a worker is held to have started, of which the list says this.
-    pub fn held(&self, worker: WorkerId, listed: Option<Time>) -> Option<Time> {
+    /// The start time that counts for a worker that discovery lists with `listed`.
+    pub fn effective(&self, worker: WorkerId, listed: Option<Time>) -> Option<Time> {
         match self.0.get(&worker) {
-            Some(early) if Some(early.listed) == listed => Some(early.told),
+            Some(start) if Some(start.listed) == listed => Some(start.received_at),
             _ => listed,
         }
     }
 
-    /// Forgets workers that are no longer listed.
+    /// Drops the workers that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
         self.0.retain(|worker, _| is_listed(*worker));
     }
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -1,5 +1,5 @@
-//! The workers that discovery lists, and which of them operators have disabled, whatever it says. It turns news of either
-//! into orders for the transport and entries for the module.
+//! The workers that discovery lists, and which of them operators have disabled. It turns changes of either into commands
+//! for the transport and endpoints for the decision module.
 
 use super::command::Command;
 use super::contracts::Contracts;
@@ -10,23 +10,30 @@
 use crate::service::DisabledWorkers;
 use std::collections::{HashMap, HashSet};
 
-/// Workers that may be remembered after they have gone: far more than a day replaces.
-pub(super) const MOST_NAMES: usize = 4096;
+/// Names of workers that are remembered, listed or not. It is far more than a day of replacements adds.
+pub(super) const MAX_REMEMBERED_WORKERS: usize = 4096;
 
-/// The list as discovery tells it, and who is out by hand.
+/// What a change of the list leads to.
+pub(super) struct WorkerListChange {
+    /// An endpoint for each worker that the update names, for the decision module.
+    pub endpoints: Vec<Endpoint>,
+    /// What the transport is to carry out.
+    pub commands: Vec<Command>,
+}
+
+/// The list as discovery sent it, and which workers are disabled.
 #[derive(Default)]
 pub(super) struct WorkerList {
-    /// The ids of all that were ever listed.
+    /// The ids of all workers that were ever listed.
     pub registry: WorkerRegistry,
-    /// Who is out by hand.
-    pub bans: DisabledWorkers,
+    /// The workers that operators have disabled.
+    pub disabled: DisabledWorkers,
     listed: HashMap<WorkerId, ListedWorker>,
-    /// Starts that lie in the future.
-    starts: StartTimes,
+    start_times: StartTimes,
 }
 
 impl WorkerList {
-    /// Workers in the list.
+    /// The number of listed workers.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
@@ -41,94 +48,90 @@
         self.listed.get(&worker)
     }
 
-    /// Whether new work may go to a worker: it is listed, serves, and is not out by hand.
-    pub fn serves(&self, worker: WorkerId) -> bool {
-        let listed = self.listed.get(&worker);
-        listed.is_some_and(|member| {
-            self.bans.effective_status(&member.name, member.status) == EndpointStatus::Active
+    /// Whether new attempts may go to a worker: it is listed as active and not disabled.
+    pub fn accepts_work(&self, worker: WorkerId) -> bool {
+        self.listed.get(&worker).is_some_and(|listed| {
+            self.disabled.effective_status(&listed.name, listed.status) == EndpointStatus::Active
         })
     }
 
-    /// Whether a listed worker is out by hand.
-    pub fn is_out(&self, worker: WorkerId) -> bool {
-        self.listed.get(&worker).is_some_and(|member| self.bans.is_disabled(&member.name))
+    /// Whether a worker is listed and disabled.
+    pub fn is_disabled(&self, worker: WorkerId) -> bool {
+        self.listed.get(&worker).is_some_and(|listed| self.disabled.is_disabled(&listed.name))
     }
 
-    /// Listed workers that are out by hand.
-    pub fn count_out(&self) -> usize {
-        self.listed.values().filter(|member| self.bans.is_disabled(&member.name)).count()
+    /// The number of listed workers that are disabled.
+    pub fn count_disabled(&self) -> usize {
+        self.listed.values().filter(|listed| self.disabled.is_disabled(&listed.name)).count()
     }
 
-    /// The whole list, by name.
-    pub fn listing(&self) -> WorkerListUpdate {
-        let mut members: Vec<ListedWorker> = self.listed.values().cloned().collect();
-        members.sort_by(|a, b| a.name.cmp(&b.name));
-        WorkerListUpdate { revision: 0, complete: true, workers: members }
+    /// The whole list, in the order of names.
+    pub fn to_update(&self) -> WorkerListUpdate {
+        let mut workers: Vec<ListedWorker> = self.listed.values().cloned().collect();
+        workers.sort_by(|a, b| a.name.cmp(&b.name));
+        WorkerListUpdate { revision: 0, complete: true, workers }
     }
 
-    /// Takes news of discovery: an entry for each member that it names, and what the transport is to do.
-    pub fn take(
-        &mut self,
-        now: Time,
-        contracts: &Contracts,
-        listing: &WorkerListUpdate,
-    ) -> (Vec<Endpoint>, Vec<Command>) {
-        let mut entries = Vec::new();
-        let mut orders = Vec::new();
+    /// Applies what discovery sent.
+    pub fn apply(&mut self, now: Time, contracts: &Contracts, update: &WorkerListUpdate) -> WorkerListChange {
+        let mut endpoints = Vec::new();
+        let mut commands = Vec::new();
         let mut named = HashSet::new();
-        for member in &listing.workers {
-            let worker = self.registry.id(&member.name);
+        for listed in &update.workers {
+            let worker = self.registry.get_or_insert(&listed.name);
             named.insert(worker);
-            self.starts.learn(now, worker, member.started_at);
-            let entry = self.entry(contracts, worker, member);
-            if member.status == EndpointStatus::Gone {
+            self.start_times.update(now, worker, listed.started_at);
+            let endpoint = self.endpoint(contracts, worker, listed);
+            if listed.status == EndpointStatus::Gone {
                 self.listed.remove(&worker);
-                orders.push(Command::RemoveWorker { worker });
+                commands.push(Command::RemoveWorker { worker });
             } else {
-                self.listed.insert(worker, member.clone());
-                orders.push(WorkerList::order(&entry, member));
+                self.listed.insert(worker, listed.clone());
+                commands.push(WorkerList::upsert_command(&endpoint, listed));
             }
-            entries.push(entry);
+            endpoints.push(endpoint);
         }
-        if listing.complete {
-            let gone = self.listed.extract_if(|worker, _| !named.contains(worker));
-            orders.extend(gone.map(|(worker, _)| Command::RemoveWorker { worker }));
+        if update.complete {
+            let removed = self.listed.extract_if(|worker, _| !named.contains(worker));
+            commands.extend(removed.map(|(worker, _)| Command::RemoveWorker { worker }));
         }
-        self.starts.retain(|worker| self.listed.contains_key(&worker));
-        (entries, orders)
+        self.start_times.retain(|worker| self.listed.contains_key(&worker));
+        WorkerListChange { endpoints, commands }
     }
 
-    /// An entry as the module is told of it.
-    pub fn entry(&self, contracts: &Contracts, worker: WorkerId, member: &ListedWorker) -> Endpoint {
+    /// A worker as the decision module sees it.
+    pub fn endpoint(&self, contracts: &Contracts, worker: WorkerId, listed: &ListedWorker) -> Endpoint {
+        let started_at = self.start_times.effective(worker, listed.started_at);
         Endpoint {
-            worker: worker,
-            zone: contracts.zone(&member.zone),
-            cell: CellId(member.cell),
-            status: self.bans.effective_status(&member.name, member.status),
-            units: member.units,
-            started_at: self.bans.effective_start(&member.name, self.starts.held(worker, member.started_at)),
+            worker,
+            zone: contracts.zone(&listed.zone),
+            cell: CellId(listed.cell),
+            status: self.disabled.effective_status(&listed.name, listed.status),
+            units: listed.units,
+            started_at: self.disabled.effective_start(&listed.name, started_at),
         }
     }
 
-    /// What the transport is told of a listed worker.
-    pub fn order(entry: &Endpoint, member: &ListedWorker) -> Command {
+    /// A listed worker as the transport sees it.
+    pub fn upsert_command(endpoint: &Endpoint, listed: &ListedWorker) -> Command {
         Command::UpsertWorker {
-            worker: entry.worker,
-            name: member.name.clone(),
-            address: member.address.clone(),
-            accepts_work: entry.status == EndpointStatus::Active,
+            worker: endpoint.worker,
+            name: listed.name.clone(),
+            address: listed.address.clone(),
+            accepts_work: endpoint.status == EndpointStatus::Active,
         }
     }
 
-    /// Forgets the names of workers that are no longer listed and have no attempt out, once there are too many.
-    pub fn forget_gone(&mut self, in_flight: &InFlight) {
-        let known: Vec<WorkerId> = self.registry.all().collect();
-        if known.len() <= MOST_NAMES {
+    /// Forgets the workers that are no longer listed and have no attempt in flight, once more than
+    /// [`MAX_REMEMBERED_WORKERS`] are remembered.
+    pub fn forget_removed(&mut self, in_flight: &InFlight) {
+        let known: Vec<WorkerId> = self.registry.ids().collect();
+        if known.len() <= MAX_REMEMBERED_WORKERS {
             return;
         }
         let busy = in_flight.workers();
-        let idle = |worker: &WorkerId| !self.listed.contains_key(worker) && !busy.contains(worker);
-        self.registry.forget(known.into_iter().filter(idle));
-        self.bans.forget(|name| self.registry.known(name).is_some());
+        let is_unused = |worker: &WorkerId| !self.listed.contains_key(worker) && !busy.contains(worker);
+        self.registry.forget(known.into_iter().filter(is_unused));
+        self.disabled.retain_start_times(|name| self.registry.get(name).is_some());
     }
 }
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -1,4 +1,4 @@
-//! Workers by name, as discovery tells of them, and the ids under which the module knows them.
+//! Workers by name, as discovery lists them, and the ids under which the decision module knows them.
 
 use crate::policy::*;
 use serde::{Deserialize, Serialize};
@@ -10,36 +10,36 @@
 pub struct ListedWorker {
     /// Its name, the same at every gatherer.
     pub name: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: String,
-    /// Its zone, by name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its place in the layout.
+    /// Its cell in the layout of shards.
     pub cell: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub status: EndpointStatus,
-    /// Its listed size.
+    /// Its listed size, relative to that of others.
     pub units: f64,
     /// Its last start in Unix time; `None` for long ago.
-    // The hand-over's JSON keeps the first name of this field.
+    // Outer name: the hand-over message of an upgrade keeps the field's first name.
     #[serde(rename = "since")]
     pub started_at: Option<Time>,
 }
 
-/// News from discovery: the complete list, or the entries that changed.
+/// What discovery sends: the complete list, or the entries that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerListUpdate {
     /// The list's version.
     pub revision: u64,
-    /// Whether `members` is the whole list.
+    /// Whether `workers` is the complete list.
     pub complete: bool,
     /// The entries.
-    // The hand-over's JSON keeps the first name of this field.
+    // Outer name: the hand-over message of an upgrade keeps the field's first name.
     #[serde(rename = "members")]
     pub workers: Vec<ListedWorker>,
 }
 
-/// Names to ids. An id is a hash of the name, so that all gatherers prefer the same worker for a key.
+/// The ids of workers by name. An id is a hash of the name, so that all gatherers prefer the same replica for a key.
 #[derive(Debug, Default)]
 pub struct WorkerRegistry {
     ids: HashMap<String, WorkerId>,
@@ -47,8 +47,9 @@
 }
 
 impl WorkerRegistry {
-    /// The id of this worker, made up on first sight. Two names that hash alike take neighbouring ids.
-    pub fn id(&mut self, name: &str) -> WorkerId {
+    /// The id of this worker, which is assigned on first use. Where two names hash alike, the later one gets the next free
+    /// id.
+    pub fn get_or_insert(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -61,8 +62,8 @@
         id
     }
 
-    /// Whether this worker was ever listed.
-    pub fn known(&self, name: &str) -> Option<WorkerId> {
+    /// The id of a worker that was listed before.
+    pub fn get(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
@@ -71,14 +72,14 @@
         self.names.get(&worker).map(String::as_str)
     }
 
-    /// All workers ever listed.
-    pub fn all(&self) -> impl Iterator<Item = WorkerId> + '_ {
+    /// All ids that are assigned.
+    pub fn ids(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.names.keys().copied()
     }
 
-    /// Forgets workers that are gone, once there are more names than any fleet has.
-    pub fn forget(&mut self, gone: impl Iterator<Item = WorkerId>) {
-        for id in gone {
+    /// Forgets these workers.
+    pub fn forget(&mut self, workers: impl Iterator<Item = WorkerId>) {
+        for id in workers {
             if let Some(name) = self.names.remove(&id) {
                 self.ids.remove(&name);
             }
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -1,4 +1,4 @@
-//! How workers are seen, for the records: it remembers what was recorded of each, so that only changes are.
+//! The state of each worker as the records have it, so that only changes are recorded.
 
 use crate::policy::*;
 use crate::records::record::RecordedWorkerState;
@@ -10,25 +10,30 @@
 pub(super) struct WorkerStates(HashMap<WorkerId, RecordedWorkerState>);
 
 impl WorkerStates {
-    /// The state of a listed worker. `out` is whether it is out by hand, `warm_up` how long a start is held to be cold.
-    pub fn of(entry: &Endpoint, out: bool, now: Time, warm_up: Duration) -> RecordedWorkerState {
-        match entry.status {
+    /// The state of a listed worker. `warm_up` is how long a worker counts as warming up after its start.
+    pub fn classify(
+        endpoint: &Endpoint,
+        is_disabled: bool,
+        now: Time,
+        warm_up: Duration,
+    ) -> RecordedWorkerState {
+        let is_warming_up = || endpoint.started_at.is_some_and(|started_at| now.since(started_at) < warm_up);
+        match endpoint.status {
             EndpointStatus::Gone => RecordedWorkerState::Removed,
-            EndpointStatus::Draining if out => RecordedWorkerState::Disabled,
+            EndpointStatus::Draining if is_disabled => RecordedWorkerState::Disabled,
             EndpointStatus::Draining => RecordedWorkerState::Draining,
-            EndpointStatus::Active if entry.started_at.is_some_and(|since| now.since(since) < warm_up) => {
-                RecordedWorkerState::WarmingUp
-            }
+            EndpointStatus::Active if is_warming_up() => RecordedWorkerState::WarmingUp,
             EndpointStatus::Active => RecordedWorkerState::Active,
         }
     }
 
-    /// The recorded workers that are not listed any longer.
-    pub fn missing(&self, listed: impl Fn(WorkerId) -> bool) -> Vec<WorkerId> {
-        self.0.keys().copied().filter(|worker| !listed(*worker)).collect()
+    /// The recorded workers that are no longer listed.
+    pub fn removed(&self, is_listed: impl Fn(WorkerId) -> bool) -> Vec<WorkerId> {
+        self.0.keys().copied().filter(|worker| !is_listed(*worker)).collect()
     }
 
-    /// Books the state of a worker; whether that is news. The end of one that was never recorded is none.
+    /// Notes the state of a worker and returns whether it changed. The removal of a worker that was never recorded is no
+    /// change.
     pub fn update(&mut self, worker: WorkerId, state: RecordedWorkerState) -> bool {
         match state {
             RecordedWorkerState::Removed => self.0.remove(&worker).is_some(),
--- a/src/service/disabled_workers.rs
+++ b/src/service/disabled_workers.rs
@@ -1,52 +1,58 @@
-//! Workers that operators have taken out by hand: a fact beside discovery's list, which no news undoes.
+//! The workers that operators have disabled. It stands beside discovery's list, and nothing that discovery sends changes
+//! it. It owns names only: which workers exist, and what is sent to them, is decided elsewhere.
 
 use crate::policy::{EndpointStatus, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names of workers that are out by hand, and when others were last taken back.
+/// Names of the disabled workers, and when others were last enabled again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DisabledWorkers {
-    out: BTreeSet<String>,
-    back: BTreeMap<String, Time>,
+    // Outer name: the hand-over message of an upgrade keeps the field's first name.
+    #[serde(rename = "out")]
+    disabled: BTreeSet<String>,
+    // Outer name, as above.
+    #[serde(rename = "back")]
+    enabled_at: BTreeMap<String, Time>,
 }
 
 impl DisabledWorkers {
-    /// Takes a worker out; false if it is out already.
+    /// Disables a worker; returns false if it is disabled already.
     pub fn disable(&mut self, name: &str) -> bool {
-        self.back.remove(name);
-        self.out.insert(name.to_owned())
+        self.enabled_at.remove(name);
+        self.disabled.insert(name.to_owned())
     }
-    /// Takes a worker back, however often it was taken out; false if it was not out.
+    /// Enables a worker, however often it was disabled; returns false if it was not.
     pub fn enable(&mut self, now: Time, name: &str) -> bool {
-        let was = self.out.remove(name);
-        if was {
-            self.back.insert(name.to_owned(), now);
+        let was_disabled = self.disabled.remove(name);
+        if was_disabled {
+            self.enabled_at.insert(name.to_owned(), now);
         }
-        was
+        was_disabled
     }
-    /// Whether a worker is out.
+    /// Whether a worker is disabled.
     pub fn is_disabled(&self, name: &str) -> bool {
-        self.out.contains(name)
+        self.disabled.contains(name)
     }
-    /// All that are out.
+    /// The names of the disabled workers, in order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.out.iter().map(String::as_str)
+        self.disabled.iter().map(String::as_str)
     }
-    /// What holds for a worker of which the list says this.
+    /// The status that counts for a worker that discovery lists with `listed`: a disabled one counts as draining.
     pub fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
             EndpointStatus::Active if self.is_disabled(name) => EndpointStatus::Draining,
             listed => listed,
         }
     }
-    /// When a worker is held to have started, of which the list says this. Guards against a worker that was restarted
-    /// while it was out: the list says so seconds late, and until then it would be taken for warm.
+    /// The start time that counts for a worker that discovery lists with `listed`: not before it was last enabled. It may
+    /// have been restarted while it was disabled; discovery lists that seconds late, and until then the worker would count
+    /// as warm.
     pub fn effective_start(&self, name: &str, listed: Option<Time>) -> Option<Time> {
-        listed.max(self.back.get(name).copied())
+        listed.max(self.enabled_at.get(name).copied())
     }
-    /// Forgets when workers were taken back that no list names any longer.
-    pub fn forget(&mut self, known: impl Fn(&str) -> bool) {
-        self.back.retain(|name, _| known(name));
+    /// Drops the times at which workers were enabled that are no longer known.
+    pub fn retain_start_times(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.enabled_at.retain(|name, _| is_known(name));
     }
 }
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -1,31 +1,33 @@
-//! Where a gatherer is in its life, and what leads on: operators' calls, SIGTERM, a successor, time.
+//! The lifecycle of a gatherer's process: serving, draining, and the graceful shutdown. Requests of operators, SIGTERM, a
+//! successor and time move it on. It decides what each state permits; connections and the process's end are the callers'.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// For so long after the first no to health the front layer may still send clients here, and they are served. After
-/// SIGTERM it has to be under 0.7 s: what comes later and is unanswered at SIGKILL is lost, and that may follow by the
-/// longest deadline (3 s where that is longer) and 0.7 s. What comes inside it may have its whole deadline.
+/// How long the process still serves as before after its health check has first failed, because the front layer may send
+/// clients here until it notices. After SIGTERM it has to be under 0.7 s: what arrives later and is unanswered at SIGKILL
+/// is lost, and SIGKILL may follow after the longest deadline (or 3 s where that is longer) and 0.7 s. What arrives within
+/// it may have its whole deadline.
 pub const GRACE_PERIOD: Duration = Duration::from_millis(600);
 
-/// A stage of a gatherer's life.
+/// A state of the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
     /// It serves.
     Serving,
-    /// Told to drain: no longer healthy, but all else is as before, for the front layer takes a moment to notice.
+    /// An operator drains it: it is no longer healthy, but serves as before until the front layer has noticed.
     Draining,
-    /// Drained: it serves whoever still calls and closes each connection behind its answer, or once it is idle.
+    /// It is drained: it serves whoever still calls, and closes each connection after its response or once it is idle.
     Drained,
-    /// On SIGTERM: no longer healthy, but it serves who still comes.
+    /// SIGTERM was received: it is no longer healthy, but serves whoever still comes.
     Stopping,
-    /// On SIGTERM, where a successor serves: the gatherer goes on in that one. This one accepts nobody, is healthy for
-    /// whoever asks on a connection of before, unless it was drained, and closes each behind its answer.
+    /// SIGTERM was received while a successor serves, which continues the gatherer. It accepts no connection, is healthy
+    /// for whoever checks on an open one (unless it was drained), and closes each connection after its response.
     HandedOver {
-        /// An operator had it drained.
+        /// An operator had drained it.
         drained: bool,
     },
-    /// The last: it takes nothing new, closes idle connections, and others behind their answers.
+    /// The last state: it accepts no query, closes idle connections, and others after their responses.
     Closing,
 }
 
@@ -34,27 +36,27 @@
     pub fn healthy(self) -> bool {
         matches!(self, LifecycleState::Serving | LifecycleState::HandedOver { drained: false })
     }
-    /// Connections are let in.
+    /// New connections are accepted.
     pub fn accepts_connections(self) -> bool {
         !matches!(self, LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// Connections end behind their next answer.
+    /// Each connection is closed after its next response.
     pub fn closes_after_response(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// Connections end as soon as nothing is open on them.
+    /// Connections without a pending response are closed.
     pub fn closes_idle_connections(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::Closing)
     }
-    /// SIGTERM has come.
+    /// SIGTERM was received.
     pub fn is_stopping(self) -> bool {
         matches!(self, LifecycleState::Stopping | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// New queries are taken.
+    /// New queries are accepted.
     pub fn accepts_queries(self) -> bool {
         self != LifecycleState::Closing
     }
-    /// In words, for whoever asks.
+    /// Its name in responses to operators. These are outer names, of which several states share one.
     pub fn name(self) -> &'static str {
         match self {
             LifecycleState::Serving => "serving",
@@ -66,90 +68,95 @@
     }
 }
 
-/// What may happen to a gatherer.
+/// What is requested of the process from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleRequest {
-    /// An operator has it drained.
+    /// An operator drains it.
     Drain,
-    /// An operator has it take clients again.
+    /// An operator lets it serve again.
     Resume,
-    /// SIGTERM or SIGINT has come.
+    /// SIGTERM or SIGINT was received.
     Stop,
-    /// It has come, and a successor serves.
+    /// SIGTERM or SIGINT was received while a successor serves.
     HandOver,
 }
 
-/// Why a call changes nothing.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LifecycleError {
-    /// Nothing leads back from SIGTERM.
+    /// A process that has received SIGTERM neither drains nor resumes.
     #[error("this process is stopping")]
     ShuttingDown,
 }
 
-/// The stages of one gatherer, moved on by calls and by time. The same call twice is the same as once: a second drain
-/// does not begin the first anew, and SIGTERM during a drain has the stop's own times.
+/// The lifecycle of one process. Requests are idempotent: a second drain does not restart the first one's grace period.
+/// SIGTERM during a drain starts a grace period of its own.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    stage: LifecycleState,
-    since: Time,
+    state: LifecycleState,
+    entered_at: Time,
 }
 
 impl Lifecycle {
-    /// It serves.
+    /// The lifecycle of a process that serves.
     pub fn new(now: Time) -> Lifecycle {
-        Lifecycle { stage: LifecycleState::Serving, since: now }
+        Lifecycle { state: LifecycleState::Serving, entered_at: now }
     }
-    /// Where it is.
+    /// The current state.
     pub fn stage(&self) -> LifecycleState {
-        self.stage
+        self.state
     }
 
-    /// Takes a call.
-    pub fn apply(&mut self, now: Time, call: LifecycleRequest) -> Result<(), LifecycleError> {
+    /// Applies a request.
+    ///
+    /// # Errors
+    /// [`LifecycleError::ShuttingDown`] for a drain or a resume after SIGTERM; nothing changes then.
+    pub fn apply(&mut self, now: Time, request: LifecycleRequest) -> Result<(), LifecycleError> {
         self.advance(now);
-        let next = match (call, self.stage) {
-            // A successor that serves only now still takes over what comes; the end is due when it was.
+        let next = match (request, self.state) {
+            // A successor that serves only now still takes over new connections. The grace period goes on as it began.
             (LifecycleRequest::HandOver, LifecycleState::Stopping) => {
-                self.stage = LifecycleState::HandedOver { drained: false };
+                self.state = LifecycleState::HandedOver { drained: false };
                 return Ok(());
             }
-            (LifecycleRequest::Stop | LifecycleRequest::HandOver, stage) if stage.is_stopping() => {
+            (LifecycleRequest::Stop | LifecycleRequest::HandOver, state) if state.is_stopping() => {
                 return Ok(());
             }
-            (_, stage) if stage.is_stopping() => return Err(LifecycleError::ShuttingDown),
+            (_, state) if state.is_stopping() => return Err(LifecycleError::ShuttingDown),
             (LifecycleRequest::Drain, LifecycleState::Serving) => LifecycleState::Draining,
             (LifecycleRequest::Drain, _) => return Ok(()),
             (LifecycleRequest::Resume, _) => LifecycleState::Serving,
             (LifecycleRequest::Stop, _) => LifecycleState::Stopping,
-            (LifecycleRequest::HandOver, stage) => {
-                LifecycleState::HandedOver { drained: stage != LifecycleState::Serving }
+            (LifecycleRequest::HandOver, state) => {
+                LifecycleState::HandedOver { drained: state != LifecycleState::Serving }
             }
         };
-        (self.stage, self.since) = (next, now);
+        (self.state, self.entered_at) = (next, now);
         Ok(())
     }
 
-    /// When time alone leads on.
+    /// When the grace period of the current state ends, where it has one.
     pub fn next_deadline(&self) -> Option<Time> {
-        match self.stage {
+        match self.state {
             LifecycleState::Draining | LifecycleState::Stopping | LifecycleState::HandedOver { .. } => {
-                Some(self.since.after(GRACE_PERIOD))
+                Some(self.entered_at.after(GRACE_PERIOD))
             }
             LifecycleState::Serving | LifecycleState::Drained | LifecycleState::Closing => None,
         }
     }
 
-    /// Lets time lead on; true if it did.
+    /// Moves to the next state where the grace period is over; returns whether it did.
     pub fn advance(&mut self, now: Time) -> bool {
-        let next = match (self.next_deadline(), self.stage) {
-            (Some(due), LifecycleState::Draining) if due <= now => LifecycleState::Drained,
-            (Some(due), LifecycleState::Stopping | LifecycleState::HandedOver { .. }) if due <= now => {
+        let next = match (self.next_deadline(), self.state) {
+            (Some(deadline), LifecycleState::Draining) if deadline <= now => LifecycleState::Drained,
+            (Some(deadline), LifecycleState::Stopping | LifecycleState::HandedOver { .. })
+                if deadline <= now =>
+            {
                 LifecycleState::Closing
             }
             _ => return false,
         };
-        (self.stage, self.since) = (next, now);
+        (self.state, self.entered_at) = (next, now);
         true
     }
 }
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The stages alone, under a clock that is handed in.
+//! The lifecycle alone, with times as arguments.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,64 +6,67 @@
 const MS: u64 = 1_000_000;
 
 #[test]
-fn a_drain_lingers_then_parts_and_resume_leads_back_at_once() {
-    let mut stages = Lifecycle::new(Time(0));
-    assert_eq!(stages.apply(Time(0), LifecycleRequest::Drain), Ok(()));
-    // Guards against a second call that begins the linger anew: the 4 s count from the first.
-    assert_eq!(stages.apply(Time(500 * MS), LifecycleRequest::Drain), Ok(()));
-    assert_eq!((stages.stage(), stages.next_deadline()), (LifecycleState::Draining, Some(Time(600 * MS))));
-    assert!(!stages.advance(Time(599 * MS)) && stages.advance(Time(600 * MS)));
-    assert!(stages.stage().closes_after_response() && stages.stage().accepts_queries());
-    assert_eq!(stages.apply(Time(5000 * MS), LifecycleRequest::Resume), Ok(()));
-    assert_eq!((stages.stage(), stages.next_deadline()), (LifecycleState::Serving, None));
+fn a_drain_serves_on_for_its_grace_period_and_resume_ends_it_at_once() {
+    let mut lifecycle = Lifecycle::new(Time(0));
+    assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
+    // A second request does not restart the grace period: it counts from the first.
+    assert_eq!(lifecycle.apply(Time(500 * MS), LifecycleRequest::Drain), Ok(()));
+    assert_eq!(
+        (lifecycle.stage(), lifecycle.next_deadline()),
+        (LifecycleState::Draining, Some(Time(600 * MS)))
+    );
+    assert!(!lifecycle.advance(Time(599 * MS)) && lifecycle.advance(Time(600 * MS)));
+    assert!(lifecycle.stage().closes_after_response() && lifecycle.stage().accepts_queries());
+    assert_eq!(lifecycle.apply(Time(5000 * MS), LifecycleRequest::Resume), Ok(()));
+    assert_eq!((lifecycle.stage(), lifecycle.next_deadline()), (LifecycleState::Serving, None));
 }
 
 #[test]
-fn sigterm_has_its_own_time_also_during_a_drain() {
-    let mut stages = Lifecycle::new(Time(0));
-    assert_eq!(stages.apply(Time(0), LifecycleRequest::Drain), Ok(()));
-    assert_eq!(stages.apply(Time(1000 * MS), LifecycleRequest::Stop), Ok(()));
-    // Guards against taking what SIGKILL may find unanswered: that is lost where it came 0.7 s after SIGTERM.
-    assert_eq!(stages.next_deadline(), Some(Time(1600 * MS)));
-    assert!(stages.advance(Time(1600 * MS)) && stages.stage() == LifecycleState::Closing);
+fn sigterm_during_a_drain_starts_a_grace_period_of_its_own() {
+    let mut lifecycle = Lifecycle::new(Time(0));
+    assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
+    assert_eq!(lifecycle.apply(Time(1000 * MS), LifecycleRequest::Stop), Ok(()));
+    // What arrives 0.7 s after SIGTERM or later may be unanswered at SIGKILL, and would be lost.
+    assert_eq!(lifecycle.next_deadline(), Some(Time(1600 * MS)));
+    assert!(lifecycle.advance(Time(1600 * MS)) && lifecycle.stage() == LifecycleState::Closing);
 }
 
 #[test]
-fn a_gatherer_that_is_succeeded_stays_healthy_and_lets_nobody_in() {
-    let mut stages = Lifecycle::new(Time(0));
-    assert_eq!(stages.apply(Time(0), LifecycleRequest::Stop), Ok(()));
-    assert!(!stages.stage().healthy() && stages.stage().accepts_connections());
-    assert_eq!(stages.apply(Time(400 * MS), LifecycleRequest::HandOver), Ok(()));
-    let stage = stages.stage();
+fn a_gatherer_that_is_handed_over_stays_healthy_and_accepts_no_connections() {
+    let mut lifecycle = Lifecycle::new(Time(0));
+    assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Stop), Ok(()));
+    assert!(!lifecycle.stage().healthy() && lifecycle.stage().accepts_connections());
+    assert_eq!(lifecycle.apply(Time(400 * MS), LifecycleRequest::HandOver), Ok(()));
+    let state = lifecycle.stage();
     assert!(
-        stage.healthy()
-            && !stage.accepts_connections()
-            && stage.closes_after_response()
-            && !stage.closes_idle_connections()
-            && stage.accepts_queries()
+        state.healthy()
+            && !state.accepts_connections()
+            && state.closes_after_response()
+            && !state.closes_idle_connections()
+            && state.accepts_queries()
     );
-    assert_eq!(stages.next_deadline(), Some(Time(600 * MS)));
-    assert!(stages.advance(Time(600 * MS)) && !stages.stage().accepts_queries());
-    // One that is drained does not become healthy by that.
-    let mut stages = Lifecycle::new(Time(0));
-    assert_eq!(stages.apply(Time(0), LifecycleRequest::Drain), Ok(()));
-    assert_eq!(stages.apply(Time(0), LifecycleRequest::HandOver), Ok(()));
-    assert!(!stages.stage().healthy() && !stages.stage().accepts_connections());
+    assert_eq!(lifecycle.next_deadline(), Some(Time(600 * MS)));
+    assert!(lifecycle.advance(Time(600 * MS)) && !lifecycle.stage().accepts_queries());
+    // One that is drained does not become healthy by a hand-over.
+    let mut lifecycle = Lifecycle::new(Time(0));
+    assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
+    assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::HandOver), Ok(()));
+    assert!(!lifecycle.stage().healthy() && !lifecycle.stage().accepts_connections());
 }
 
 proptest! {
     #[test]
-    fn nothing_leads_back_from_sigterm(calls in prop::collection::vec((0..4_u8, 0..2000_u64), 1..40)) {
-        let (mut stages, mut now, mut stopped) = (Lifecycle::new(Time(0)), 0, false);
-        for (call, gap) in calls {
+    fn no_request_undoes_sigterm(requests in prop::collection::vec((0..4_u8, 0..2000_u64), 1..40)) {
+        let (mut lifecycle, mut now, mut stopped) = (Lifecycle::new(Time(0)), 0, false);
+        for (request, gap) in requests {
             now += gap * MS;
-            let call = [LifecycleRequest::Drain, LifecycleRequest::Resume, LifecycleRequest::Stop, LifecycleRequest::HandOver][usize::from(call)];
-            let done = stages.apply(Time(now), call);
-            let stops = matches!(call, LifecycleRequest::Stop | LifecycleRequest::HandOver);
-            prop_assert_eq!(done.is_err(), stopped && !stops);
-            stopped |= stops;
-            prop_assert_eq!(stopped, stages.stage().is_stopping());
-            prop_assert_eq!(stages.stage() == LifecycleState::Serving, !stopped && call == LifecycleRequest::Resume);
+            let request = [LifecycleRequest::Drain, LifecycleRequest::Resume, LifecycleRequest::Stop, LifecycleRequest::HandOver][usize::from(request)];
+            let result = lifecycle.apply(Time(now), request);
+            let is_stop = matches!(request, LifecycleRequest::Stop | LifecycleRequest::HandOver);
+            prop_assert_eq!(result.is_err(), stopped && !is_stop);
+            stopped |= is_stop;
+            prop_assert_eq!(stopped, lifecycle.stage().is_stopping());
+            prop_assert_eq!(lifecycle.stage() == LifecycleState::Serving, !stopped && request == LifecycleRequest::Resume);
         }
     }
 }
--- a/src/service/takeover.rs
+++ b/src/service/takeover.rs
@@ -1,30 +1,32 @@
-//! The two processes of an upgrade, as one of them sees it: who may join, what each may use, what SIGTERM means.
+//! The two processes of a hot restart, as one of them sees it: whether another one may join, how many share the
+//! gatherer's limits, and what SIGTERM means. It owns that knowledge only; the messages between the two and their sockets
+//! are the callers'.
 
 use super::lifecycle::LifecycleRequest;
 
-/// Where the other process is.
+/// The state of the gatherer's other process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Other {
-    /// There is none.
+enum PeerState {
+    /// There is no other process.
     #[default]
     None,
-    /// It has begun, and serves nobody yet.
+    /// It has started and serves nobody yet.
     Joining,
     /// It serves.
     Serving,
-    /// It has been told to stop.
+    /// It has received SIGTERM.
     Stopping,
 }
 
 /// What one process of a gatherer knows of the other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Takeover {
-    predecessor: Other,
-    successor: Other,
-    serving: bool,
+    predecessor: PeerState,
+    successor: PeerState,
+    is_serving: bool,
 }
 
-/// Why a further start has to wait.
+/// Why a further process may not join now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("another upgrade is under way")]
 pub struct TakeoverInProgress;
@@ -32,58 +34,62 @@
 impl Takeover {
     /// Another process hands over to this one.
     pub fn begin_as_successor(&mut self) {
-        self.predecessor = Other::Serving;
+        self.predecessor = PeerState::Serving;
     }
-    /// That one has ended.
+    /// The predecessor has exited.
     pub fn on_predecessor_exited(&mut self) {
-        self.predecessor = Other::None;
+        self.predecessor = PeerState::None;
     }
-    /// This one takes clients.
+    /// This process begins to accept clients.
     pub fn start_serving(&mut self) {
-        self.serving = true;
+        self.is_serving = true;
     }
-    /// Whether it does.
+    /// Whether this process accepts clients.
     pub fn is_serving(&self) -> bool {
-        self.serving
+        self.is_serving
     }
     /// Whether another process still hands over to this one.
     pub fn has_predecessor(&self) -> bool {
-        self.predecessor != Other::None
+        self.predecessor != PeerState::None
     }
-    /// A further process has started. One at a time: a third would share limits that are halved already.
+    /// A further process has started and asks to join.
+    ///
+    /// # Errors
+    /// [`TakeoverInProgress`] where this process does not serve yet or there is another one already: a third would share
+    /// limits that are halved as it is.
     pub fn admit_successor(&mut self) -> Result<(), TakeoverInProgress> {
-        if !self.serving || self.predecessor != Other::None || self.successor != Other::None {
+        if !self.is_serving || self.predecessor != PeerState::None || self.successor != PeerState::None {
             return Err(TakeoverInProgress);
         }
-        self.successor = Other::Joining;
+        self.successor = PeerState::Joining;
         Ok(())
     }
-    /// The other process has been told to stop: the gatherer does not go on in that one.
+    /// The other process has received SIGTERM, so the gatherer does not continue in that one.
     pub fn on_peer_stopping(&mut self) {
-        for other in [&mut self.predecessor, &mut self.successor] {
-            if *other != Other::None {
-                *other = Other::Stopping;
+        for peer in [&mut self.predecessor, &mut self.successor] {
+            if *peer != PeerState::None {
+                *peer = PeerState::Stopping;
             }
         }
     }
-    /// The successor takes clients.
+    /// The successor accepts clients.
     pub fn on_successor_serving(&mut self) {
-        if self.successor == Other::Joining {
-            self.successor = Other::Serving;
+        if self.successor == PeerState::Joining {
+            self.successor = PeerState::Serving;
         }
     }
-    /// The successor has ended; this one goes on alone.
+    /// The successor has exited; this process continues alone.
     pub fn on_successor_exited(&mut self) {
-        self.successor = Other::None;
+        self.successor = PeerState::None;
     }
-    /// Processes that share what the gatherer may use.
+    /// The number of processes that share the gatherer's limits.
     pub fn process_count(&self) -> u32 {
-        1 + u32::from(self.predecessor != Other::None) + u32::from(self.successor != Other::None)
+        1 + u32::from(self.predecessor != PeerState::None) + u32::from(self.successor != PeerState::None)
     }
-    /// What SIGTERM means now: the end, or that the gatherer goes on in the other process.
+    /// What SIGTERM means now: the end of the gatherer, or that it continues in the other process.
     pub fn on_stop_signal(&self) -> LifecycleRequest {
-        let goes_on = [self.predecessor, self.successor].contains(&Other::Serving);
-        if goes_on { LifecycleRequest::HandOver } else { LifecycleRequest::Stop }
+        let continues_in_peer = [self.predecessor, self.successor].contains(&PeerState::Serving);
+        if continues_in_peer { LifecycleRequest::HandOver } else { LifecycleRequest::Stop }
     }
 }
 
@@ -93,7 +99,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn an_upgrade_goes_on_in_the_successor_and_one_that_fails_changes_nothing() {
+    fn sigterm_hands_over_only_to_a_serving_process_and_a_failed_upgrade_changes_nothing() {
         let (mut first, mut second) = (Takeover::default(), Takeover::default());
         assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "it does not serve itself yet");
         first.start_serving();
@@ -101,14 +107,14 @@
         second.begin_as_successor();
         assert_eq!((first.process_count(), second.process_count()), (2, 2));
         assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "a third start while two run");
-        // SIGTERM before the yes is an end like any other; a successor that died leaves no trace.
+        // SIGTERM before the successor serves ends the gatherer; a successor that exits changes nothing.
         assert_eq!(first.on_stop_signal(), LifecycleRequest::Stop);
         first.on_successor_exited();
         assert_eq!(
             (first.process_count(), first.on_stop_signal(), first.admit_successor()),
             (1, LifecycleRequest::Stop, Ok(()))
         );
-        // The second may be told to stop instead: the first goes on.
+        // SIGTERM may go to the second instead: the gatherer continues in the first.
         assert_eq!(second.on_stop_signal(), LifecycleRequest::HandOver);
         second.start_serving();
         first.on_successor_serving();
@@ -118,32 +124,32 @@
         assert_eq!(
             (both.on_stop_signal(), other.on_stop_signal()),
             (LifecycleRequest::Stop, LifecycleRequest::Stop),
-            "nobody goes on"
+            "neither continues"
         );
         assert_eq!(first.on_stop_signal(), LifecycleRequest::HandOver);
-        assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first has not ended");
+        assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first has not exited");
         second.on_predecessor_exited();
         assert_eq!((second.process_count(), second.admit_successor()), (1, Ok(())));
     }
 
     proptest! {
         #[test]
-        fn no_more_than_two_processes_ever_share(steps in prop::collection::vec(0..7_u8, 1..60)) {
-            let mut one = Takeover::default();
+        fn at_most_two_processes_share_a_gatherer(steps in prop::collection::vec(0..7_u8, 1..60)) {
+            let mut takeover = Takeover::default();
             for step in steps {
-                let before = one.clone();
+                let before = takeover.clone();
                 match step {
-                    0 if before == Takeover::default() => one.begin_as_successor(),
-                    1 => one.on_predecessor_exited(),
-                    2 => one.start_serving(),
-                    3 => drop(one.admit_successor()),
-                    4 => one.on_successor_serving(),
-                    5 => one.on_successor_exited(),
-                    6 => one.on_peer_stopping(),
+                    0 if before == Takeover::default() => takeover.begin_as_successor(),
+                    1 => takeover.on_predecessor_exited(),
+                    2 => takeover.start_serving(),
+                    3 => drop(takeover.admit_successor()),
+                    4 => takeover.on_successor_serving(),
+                    5 => takeover.on_successor_exited(),
+                    6 => takeover.on_peer_stopping(),
                     _ => {}
                 }
-                prop_assert!((1..=2).contains(&one.process_count()));
-                prop_assert!(one.on_stop_signal() == LifecycleRequest::Stop || one.process_count() == 2);
+                prop_assert!((1..=2).contains(&takeover.process_count()));
+                prop_assert!(takeover.on_stop_signal() == LifecycleRequest::Stop || takeover.process_count() == 2);
             }
         }
     }
--- /dev/null
+++ b/tests/disabled_workers.rs
@@ -0,0 +1,142 @@
+//! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled again.
+
+use gatherer::policy::*;
+use gatherer::program::config::Config;
+use gatherer::records::record::{RecordBody, RecordedWorkerState};
+use gatherer::routing::{
+    AttemptCompletion, Command, Core, ListedWorker, QueryPart, SearchRequest, WorkerListUpdate,
+};
+use proptest::prelude::*;
+use std::time::Duration;
+
+const START: Time = Time(1_700_000_000_000_000_000);
+
+fn core() -> Core {
+    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    let config = Config::from_json(&json, |_| None).expect("a configuration");
+    let mut core = Core::new(config.contracts);
+    core.apply_endpoint_update(START, &config.initial_workers.expect("a list"), true);
+    core.step(START);
+    core
+}
+
+fn apply_status(core: &mut Core, now: Time, name: &str, status: EndpointStatus, started_at: Option<Time>) {
+    let (address, zone) = (name.to_owned(), String::new());
+    let worker =
+        ListedWorker { name: name.to_owned(), address, zone, cell: 0, status, units: 1.0, started_at };
+    core.apply_endpoint_update(
+        now,
+        &WorkerListUpdate { revision: 2, complete: false, workers: vec![worker] },
+        false,
+    );
+}
+
+/// Submits a query with one part of 0.2 s and completes it at once. Returns the names of the workers that received it.
+fn submit(core: &mut Core, now: Time) -> Vec<String> {
+    let cost_hint = Some(Duration::from_millis(200));
+    let part = QueryPart { shard: ShardId(0), weight: 1.0, cost_hint, key: None };
+    let request = SearchRequest {
+        label: "a".into(),
+        class: ClassId(0),
+        tenant: None,
+        time_left: Duration::from_secs(5),
+        retry: false,
+        payload: Default::default(),
+        parts: vec![part],
+    };
+    core.submit(now, request).expect("it is accepted");
+    let mut sent = Vec::new();
+    for command in core.step(now) {
+        if let Command::Call { worker, parts } = command {
+            sent.push(worker);
+            parts.iter().for_each(|part| {
+                core.on_attempt_finished(
+                    now,
+                    part.attempt_id,
+                    AttemptCompletion::without_value(AttemptOutcome::Succeeded),
+                )
+            });
+        }
+    }
+    core.step(now);
+    sent.iter().map(|worker| core.worker_name(*worker).expect("a name").to_owned()).collect()
+}
+
+#[test]
+fn an_enabled_worker_counts_as_just_started() {
+    // A worker may have been restarted while it was disabled, which discovery lists only seconds later.
+    let mut core = core();
+    let warm = (0..200)
+        .filter(|at| submit(&mut core, START.after(Duration::from_millis(at * 20))) == ["w1"])
+        .count();
+    let now = START.after(Duration::from_secs(5));
+    assert!(core.disable_worker(now, "w1") && core.disable_worker(now, "w1"));
+    assert!((0..50).all(|_| submit(&mut core, now) == ["w2"]));
+    assert!(core.enable_worker(now, "w1"));
+    let enabled = (0..50_u64)
+        .filter(|at| submit(&mut core, now.after(Duration::from_millis(at * 20))) == ["w1"])
+        .count();
+    // The module assumes four cores at most, of which a worker that warms up carries a fifth to a fourth; 0.6 x 2.5 times
+    // that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker receives 27.
+    assert!(
+        warm > 60 && (1..=11).contains(&enabled),
+        "{warm} of 200 while warm, {enabled} of 50 in the first second after it was enabled"
+    );
+}
+
+#[test]
+fn the_records_show_what_operators_disable_and_enable() {
+    let mut core = core();
+    core.metrics = Some(Default::default());
+    let recorded = |core: &mut Core| {
+        let states = std::mem::take(&mut core.record_events).into_iter().filter_map(|body| match body {
+            RecordBody::Worker { worker, state } => Some((worker, state)),
+            _ => None,
+        });
+        states.collect::<Vec<_>>()
+    };
+    let state = |state| vec![("w1".to_owned(), state)];
+    assert!(core.disable_worker(START, "w1") && core.disable_worker(START, "w1"));
+    assert_eq!(
+        recorded(&mut core),
+        state(RecordedWorkerState::Disabled),
+        "once, however often it is requested"
+    );
+    // What discovery sends meanwhile changes nothing.
+    apply_status(&mut core, START, "w1", EndpointStatus::Active, Some(START));
+    assert_eq!(recorded(&mut core), []);
+    assert!(core.enable_worker(START, "w1"));
+    assert_eq!(recorded(&mut core), state(RecordedWorkerState::WarmingUp));
+}
+
+proptest! {
+    #[test]
+    fn only_an_operator_enables_a_disabled_worker(
+        steps in prop::collection::vec((0..2_usize, 0..6_u8, 0..2000_u64), 1..60),
+    ) {
+        let (mut core, mut now) = (core(), START);
+        let mut disabled = [false; 2];
+        for (worker, action, gap) in steps {
+            now = now.after(Duration::from_millis(gap));
+            let name = ["w1", "w2"][worker];
+            match action {
+                0 | 1 => {
+                    prop_assert!(core.disable_worker(now, name));
+                    disabled[worker] = true;
+                }
+                2 => {
+                    prop_assert!(core.enable_worker(now, name));
+                    disabled[worker] = false;
+                }
+                3 => apply_status(&mut core, now, name, EndpointStatus::Active, Some(now)),
+                4 => apply_status(&mut core, now, name, EndpointStatus::Gone, None),
+                _ => apply_status(&mut core, now, name, EndpointStatus::Draining, None),
+            }
+            prop_assert!(!core.disable_worker(now, "w3") && !core.enable_worker(now, "w3"));
+            let sent = submit(&mut core, now);
+            prop_assert!(sent.iter().all(|name| !disabled[usize::from(name == "w2")]), "{sent:?}, disabled: {disabled:?}");
+            let listed: Vec<&str> = ["w1", "w2"].into_iter().filter(|name| core.disabled_workers().is_disabled(name)).collect();
+            prop_assert_eq!(listed.len(), disabled.iter().filter(|disabled| **disabled).count());
+        }
+    }
+}
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant's own proof that it can fail: what breaks it is seen, counted, and held back where it can be.
+//! Proves of each invariant that its check can fail: what breaks it is detected, counted, and prevented where it can be.
 
 mod common;
 
@@ -18,13 +18,13 @@
 
 const NOW: Time = Time(1 << 40);
 
-/// An attempt that breaks nothing.
-fn sound(class: &Class) -> SendCheck<'_> {
+/// An attempt that breaks no invariant.
+fn valid(class: &Class) -> SendCheck<'_> {
     SendCheck {
         now: NOW,
         class,
         valid_until: NOW.after(ms(500)),
-        worker_serves: true,
+        worker_accepts_work: true,
         previous_attempts: 0,
         first_possible_run: None,
         has_attempt_in_flight: false,
@@ -34,33 +34,33 @@
 }
 
 #[test]
-fn each_rule_of_sending_holds_back_what_breaks_it() {
+fn each_invariant_of_sending_rejects_what_breaks_it() {
     let (search, seal, stamp) =
         (class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(Idempotency::Keyed));
     let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
-    let permit = sound(&search).permit(ms(900)).expect("sound");
+    let permit = valid(&search).permit(ms(900)).expect("it breaks no invariant");
     assert_eq!(permit.deadline(), NOW.after(ms(500)), "never longer than the client waits");
-    let broken = |sending: SendCheck<'_>| sending.permit(ms(100)).expect_err("it breaks a rule");
-    let serves = SendCheck { worker_serves: false, ..sound(&search) };
-    assert_eq!(broken(serves), Invariant::SentToActiveWorker);
-    let over = SendCheck { valid_until: NOW, ..sound(&search) };
+    let broken = |check: SendCheck<'_>| check.permit(ms(100)).expect_err("it breaks an invariant");
+    let not_active = SendCheck { worker_accepts_work: false, ..valid(&search) };
+    assert_eq!(broken(not_active), Invariant::SentToActiveWorker);
+    let over = SendCheck { valid_until: NOW, ..valid(&search) };
     assert_eq!(broken(over), Invariant::SentBeforeDeadline);
-    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..sound(&search) };
+    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..valid(&search) };
     assert_eq!(broken(hedged), Invariant::HedgedWhereAllowed);
-    let many = SendCheck { previous_attempts: 3, ..sound(&search) };
+    let many = SendCheck { previous_attempts: 3, ..valid(&search) };
     assert_eq!(broken(many), Invariant::AttemptsBounded);
-    let twice = SendCheck { previous_attempts: 1, first_possible_run: after(10), ..sound(&seal) };
+    let twice = SendCheck { previous_attempts: 1, first_possible_run: after(10), ..valid(&seal) };
     assert_eq!(broken(twice), Invariant::RetriedSafely);
-    let late = SendCheck { previous_attempts: 1, first_possible_run: after(1000), ..sound(&stamp) };
+    let late = SendCheck { previous_attempts: 1, first_possible_run: after(1000), ..valid(&stamp) };
     assert_eq!(broken(late), Invariant::RetriedInWindow);
-    let inside = SendCheck { previous_attempts: 1, first_possible_run: after(400), ..sound(&stamp) };
+    let inside = SendCheck { previous_attempts: 1, first_possible_run: after(400), ..valid(&stamp) };
     assert_eq!(inside.permit(ms(100)).map(|permit| permit.write_window()), Ok(Some(ms(600))));
-    let unrun = SendCheck { previous_attempts: 1, ..sound(&seal) };
-    assert!(unrun.permit(ms(100)).is_ok(), "no attempt before can have run");
+    let unrun = SendCheck { previous_attempts: 1, ..valid(&seal) };
+    assert!(unrun.permit(ms(100)).is_ok(), "no previous attempt can have run");
 }
 
 #[test]
-fn each_rule_of_ending_holds_back_what_breaks_it() {
+fn each_invariant_of_completion_rejects_what_breaks_it() {
     let half = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
     assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::MinCoverageMet));
     assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::CompleteMarkedTruly));
@@ -86,11 +86,11 @@
     assert!(text.starts_with(&format!("total={} ", INVARIANTS.len())));
 }
 
-/// Never answers, and keeps what is told of broken rules.
+/// A front that never responds and keeps the violations that are reported to it.
 #[derive(Default)]
-struct Mute(RefCell<Vec<Invariant>>);
+struct SilentFront(RefCell<Vec<Invariant>>);
 
-impl Front for Mute {
+impl Front for SilentFront {
     async fn respond(&self, _: Request) -> Response {
         std::future::pending().await
     }
@@ -111,20 +111,21 @@
     }
 }
 
-/// Serves one connection on which a request comes, until `leaves`: by the client, or by this side.
-async fn left(leaves: bool) -> Vec<Invariant> {
-    let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
-    let gate = ConnectionManager::new(places.clone());
+/// Serves one connection on which a request arrives, until the client disconnects or this side closes it. Returns the
+/// violations.
+async fn violations_on_close(client_disconnects: bool) -> Vec<Invariant> {
+    let descriptors = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+    let connections = ConnectionManager::new(descriptors.clone());
     let source = gatherer::limits::client_connections::Source(1);
-    let pass = gate.admit(source, Duration::ZERO).await.expect("room");
+    let permit = connections.admit(source, Duration::ZERO).await.expect("a permit");
     let (near, mut far) = tokio::io::duplex(1 << 12);
-    let front = Rc::new(Mute::default());
+    let front = Rc::new(SilentFront::default());
     far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("written");
     let from = "127.0.0.1:1".parse().expect("an address");
-    let serving = serve(near, from, &*front, pass);
+    let serving = serve(near, from, &*front, permit);
     let closing = async move {
         tokio::time::sleep(ms(10)).await;
-        if leaves {
+        if client_disconnects {
             drop(far);
             std::future::pending::<()>().await;
         }
@@ -133,15 +134,15 @@
         () = serving => {}
         () = closing => {}
     }
-    assert_eq!(places.descriptors(|all| all.held(DescriptorClass::Clients)), 0);
+    assert_eq!(descriptors.descriptors(|all| all.held(DescriptorClass::Clients)), 0);
     front.0.borrow().clone()
 }
 
 #[test]
-fn a_connection_closed_over_a_request_that_was_read_is_counted() {
+fn closing_a_connection_over_an_unanswered_request_is_counted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
-        assert_eq!(left(false).await, [Invariant::ClosedAfterResponse]);
-        assert_eq!(left(true).await, [], "its client has gone");
+        assert_eq!(violations_on_close(false).await, [Invariant::ClosedAfterResponse]);
+        assert_eq!(violations_on_close(true).await, [], "its client has disconnected");
     });
 }
