--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -5,6 +5,7 @@
 //! I/O of its own: commands of the core go to a [`WorkerTransport`] or to the log.
 
 use super::attempt::{AttemptCompletion, AttemptId, Dispatch};
+use super::clock::Clock;
 use super::command::Command;
 use super::core::Core;
 use super::invariants::Invariant;
@@ -14,40 +15,12 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
-use tokio::time::Instant;
 
 /// The driving task steps the core at least this often, also where nothing is due.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(3600);
 
-/// Unix time that never steps back: it is read once at the start and advances by the monotonic clock.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    started_at: Instant,
-    unix_at_start: Time,
-}
-
-impl Clock {
-    /// A clock that shows the system's time now.
-    pub fn system() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock::starting_at(Time(0).after(unix))
-    }
-    /// A clock that shows `unix` now.
-    pub fn starting_at(unix: Time) -> Clock {
-        Clock { started_at: Instant::now(), unix_at_start: unix }
-    }
-    /// The time.
-    pub fn now(&self) -> Time {
-        self.unix_at_start.after(self.started_at.elapsed())
-    }
-    /// The monotonic instant at which this clock shows `at`.
-    pub fn instant_of(&self, at: Time) -> Instant {
-        self.started_at + at.since(self.unix_at_start)
-    }
-}
-
 /// Carries attempts to workers. It reports their completions through [`Broker::on_attempt_finished`].
 pub trait WorkerTransport {
     /// A worker is listed at this address. `accepts_work` is whether it may be sent anything new.
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -1,9 +1,11 @@
 //! The life of queries without any I/O: events go in, commands come out, and the time is an argument.
 //!
 //! [`Core`] owns the open queries, the attempts in flight, the worker list, the counts, and the decision module. What the
-//! fronts and the transport report is accepted here, what concerns workers and other gatherers in `core/workers.rs`;
-//! `core/step.rs` hands all of it to the module and carries out what the module decides.
+//! fronts and the transport report is accepted here, what concerns workers and other gatherers in `core/workers.rs`.
+//! `core/step.rs` hands all of it to the module, whose actions `core/dispatch.rs` and `core/completion.rs` carry out.
 
+mod completion;
+mod dispatch;
 mod step;
 mod workers;
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -5,6 +5,7 @@
 
 pub mod attempt;
 pub mod broker;
+pub mod clock;
 pub mod command;
 pub mod contracts;
 pub mod core;
@@ -21,7 +22,8 @@
 mod worker_states;
 
 pub use attempt::{AttemptCompletion, AttemptId, Dispatch};
-pub use broker::{Broker, Clock, WorkerTransport};
+pub use broker::{Broker, WorkerTransport};
+pub use clock::Clock;
 pub use command::Command;
 pub use contracts::{BrokerLimits, Contracts};
 pub use core::Core;
