--- /dev/null
+++ b/src/routing/idempotency/tests.rs
@@ -0,0 +1,49 @@
+//! Idempotency keys with times as arguments.
+
+use super::*;
+
+fn store(incarnation: &str) -> IdempotencyStore<&'static str> {
+    let limits = IdempotencyLimits { max_keys: 2, max_bytes: 10, retention: Duration::from_secs(60) };
+    IdempotencyStore::new(incarnation.to_owned(), fastrand::Rng::with_seed(7), limits)
+}
+
+#[test]
+fn a_key_runs_once_and_then_returns_the_cached_response() {
+    let mut store = store("a");
+    let key = store.issue(Time(0), "bank").expect("the limit is not reached");
+    assert!(matches!(store.claim(Time(0), &key, "notary", 1), KeyClaim::Unknown));
+    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
+    assert!(matches!(store.claim(Time(0), &key, "bank", 2), KeyClaim::Mismatch));
+    let KeyClaim::Join(receiver) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
+    store.finish(Time(0), &key, "sealed", 6, true);
+    assert_eq!(*receiver.borrow(), Some("sealed"));
+    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Recorded("sealed")));
+}
+
+#[test]
+fn an_unknown_key_never_runs() {
+    // Guards against a second run after a restart, at another gatherer, past its retention, or after its response was evicted.
+    let (mut before, mut after) = (store("a"), store("b"));
+    let key = before.issue(Time(0), "bank").expect("the limit is not reached");
+    assert!(matches!(after.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
+    assert!(matches!(before.claim(Time(60_000_000_000), &key, "bank", 1), KeyClaim::Unknown));
+    let now = Time(70_000_000_000);
+    let keys = [before.issue(now, "bank"), before.issue(now, "bank")]
+        .map(|key| key.expect("the limit is not reached"));
+    assert_eq!(before.issue(now, "bank"), Err(KeyLimitReached));
+    for (at, key) in keys.iter().enumerate() {
+        assert!(matches!(before.claim(now, key, "bank", 1), KeyClaim::Run(_)));
+        before.finish(Time(now.0 + at as u64), key, "sealed", 6, true);
+    }
+    assert!(matches!(before.claim(now, &keys[0], "bank", 1), KeyClaim::Unknown));
+    assert!(matches!(before.claim(now, &keys[1], "bank", 1), KeyClaim::Recorded("sealed")));
+}
+
+#[test]
+fn a_rejected_run_leaves_its_key_for_a_retry() {
+    let mut store = store("a");
+    let key = store.issue(Time(0), "bank").expect("the limit is not reached");
+    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
+    store.finish(Time(0), &key, "refused", 7, false);
+    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
+}
--- /dev/null
+++ b/src/service/takeover/tests.rs
@@ -0,0 +1,60 @@
+//! Both processes of a hot restart, without sockets.
+
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn sigterm_hands_over_only_to_a_serving_process_and_a_failed_upgrade_changes_nothing() {
+    let (mut first, mut second) = (Takeover::default(), Takeover::default());
+    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "it does not serve itself yet");
+    first.start_serving();
+    assert_eq!(first.admit_successor(), Ok(()));
+    second.begin_as_successor();
+    assert_eq!((first.process_count(), second.process_count()), (2, 2));
+    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "a third start while two run");
+    // SIGTERM before the successor serves ends the gatherer; a successor that exits changes nothing.
+    assert_eq!(first.on_stop_signal(), LifecycleRequest::Stop);
+    first.on_successor_exited();
+    assert_eq!(
+        (first.process_count(), first.on_stop_signal(), first.admit_successor()),
+        (1, LifecycleRequest::Stop, Ok(()))
+    );
+    // SIGTERM may go to the second instead: the gatherer continues in the first.
+    assert_eq!(second.on_stop_signal(), LifecycleRequest::HandOver);
+    second.start_serving();
+    first.on_successor_serving();
+    let (mut both, mut other) = (first.clone(), second.clone());
+    both.on_peer_stopping();
+    other.on_peer_stopping();
+    assert_eq!(
+        (both.on_stop_signal(), other.on_stop_signal()),
+        (LifecycleRequest::Stop, LifecycleRequest::Stop),
+        "neither continues"
+    );
+    assert_eq!(first.on_stop_signal(), LifecycleRequest::HandOver);
+    assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first has not exited");
+    second.on_predecessor_exited();
+    assert_eq!((second.process_count(), second.admit_successor()), (1, Ok(())));
+}
+
+proptest! {
+    #[test]
+    fn at_most_two_processes_share_a_gatherer(steps in prop::collection::vec(0..7_u8, 1..60)) {
+        let mut takeover = Takeover::default();
+        for step in steps {
+            let before = takeover.clone();
+            match step {
+                0 if before == Takeover::default() => takeover.begin_as_successor(),
+                1 => takeover.on_predecessor_exited(),
+                2 => takeover.start_serving(),
+                3 => drop(takeover.admit_successor()),
+                4 => takeover.on_successor_serving(),
+                5 => takeover.on_successor_exited(),
+                6 => takeover.on_peer_stopping(),
+                _ => {}
+            }
+            prop_assert!((1..=2).contains(&takeover.process_count()));
+            prop_assert!(takeover.on_stop_signal() == LifecycleRequest::Stop || takeover.process_count() == 2);
+        }
+    }
+}
