--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -3,7 +3,7 @@
 //! These are plain values between the core and a transport. They hold no state of the broker and decide nothing.
 
 use super::invariants::SendPermit;
-use crate::policy::*;
+use crate::policy::{AttemptNo, AttemptOutcome, LoadReport, RequestId, ShardId, Time};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -11,7 +11,7 @@
 use super::invariants::Invariant;
 use super::query::{QueryOutcome, SearchRequest};
 use super::worker_registry::WorkerListUpdate;
-use crate::policy::*;
+use crate::policy::{RequestId, Time, WorkerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{AttemptId, Dispatch};
 use super::query::QueryOutcome;
-use crate::policy::*;
+use crate::policy::{RequestId, WorkerId};
 
 /// One thing for the core's host to carry out.
 #[derive(Clone, Debug)]
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -3,7 +3,7 @@
 //!
 //! It owns the mapping from configured names to the decision module's ids and never changes after it was built.
 
-use crate::policy::*;
+use crate::policy::{Class, ClassId, Settings, TenantId, ZoneId};
 use std::time::Duration;
 
 /// Limits of the broker and of the connections that carry its attempts.
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -20,7 +20,10 @@
 use super::worker_list::WorkerList;
 use super::worker_states::WorkerStates;
 use crate::Aggregator;
-use crate::policy::*;
+use crate::policy::{
+    AttemptOutcome, AttemptResult, ClassId, Event, Idempotency, JobId, NewPart, NewQuery, RequestId,
+    TenantId, Time, TimerId,
+};
 use crate::records::metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
 use crate::records::record::RecordBody;
 use std::collections::BTreeMap;
--- a/src/routing/core/completion.rs
+++ b/src/routing/core/completion.rs
@@ -1,7 +1,7 @@
 //! Completes queries: every outcome passes its check of the invariants and is counted here, once for each query.
 
 use super::Core;
-use crate::policy::*;
+use crate::policy::{RequestId, Time};
 use crate::records::metrics::QueryEnd;
 use crate::routing::command::Command;
 use crate::routing::invariants::{Invariant, check_answer, check_rejection, coverage};
--- a/src/routing/core/dispatch.rs
+++ b/src/routing/core/dispatch.rs
@@ -2,7 +2,7 @@
 //! here; which worker it goes to is the decision module's choice.
 
 use super::Core;
-use crate::policy::*;
+use crate::policy::{AttemptNo, AttemptOutcome, RequestId, Time, WorkerId};
 use crate::routing::attempt::{AttemptCompletion, AttemptId, Dispatch};
 use crate::routing::command::Command;
 use crate::routing::in_flight::SentAttempt;
--- a/src/routing/core/step.rs
+++ b/src/routing/core/step.rs
@@ -3,7 +3,7 @@
 use super::Core;
 use super::completion::Completion;
 use super::dispatch::Calls;
-use crate::policy::*;
+use crate::policy::{Action, AttemptOutcome, Event, Time};
 use crate::routing::attempt::{AttemptCompletion, AttemptId};
 use crate::routing::command::Command;
 use std::time::Duration;
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -2,8 +2,9 @@
 //! state of the gatherer's other process. It passes to the records what changes by it.
 
 use super::Core;
-use crate::policy::PolicySnapshot;
-use crate::policy::*;
+use crate::policy::{
+    AttemptOutcome, Endpoint, EndpointUpdate, Event, LoadReport, PolicySnapshot, Time, WorkerId,
+};
 use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::command::Command;
 use crate::routing::worker_list::{MAX_REMEMBERED_WORKERS, WorkerList};
--- a/src/routing/in_flight.rs
+++ b/src/routing/in_flight.rs
@@ -1,7 +1,7 @@
 //! The attempts that were sent and have not finished: the worker of each, when it was sent, and its deadline.
 
 use super::attempt::AttemptId;
-use crate::policy::*;
+use crate::policy::{AttemptNo, RequestId, Time, WorkerId};
 use std::collections::{BTreeMap, HashSet};
 
 /// One attempt that was sent.
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -6,7 +6,7 @@
 //! is a fault of the program, whatever the traffic.
 
 use super::open_queries::OpenPart;
-use crate::policy::*;
+use crate::policy::{Class, Idempotency, Time};
 use std::fmt;
 use std::time::Duration;
 
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -1,7 +1,7 @@
 //! The queries that wait for their outcome, with their parts and the values that have arrived for them. It owns no
 //! attempt: those are in [`super::in_flight`].
 
-use crate::policy::*;
+use crate::policy::{AttemptNo, AttemptOutcome, RequestId, ShardId, Time};
 use crate::records::metrics::QueryLabels;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
--- a/src/routing/query.rs
+++ b/src/routing/query.rs
@@ -1,6 +1,6 @@
 //! A query as a front submits it, and its one final outcome. Plain values, which hold no state of the broker.
 
-use crate::policy::*;
+use crate::policy::{ClassId, ShardId, TenantId};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -6,7 +6,7 @@
 use super::in_flight::InFlight;
 use super::start_times::StartTimes;
 use super::worker_registry::{ListedWorker, WorkerListUpdate, WorkerRegistry};
-use crate::policy::*;
+use crate::policy::{CellId, Endpoint, EndpointStatus, Time, WorkerId};
 use crate::service::DisabledWorkers;
 use std::collections::{HashMap, HashSet};
 
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -1,6 +1,6 @@
 //! Workers by name, as discovery lists them, and the ids under which the decision module knows them.
 
-use crate::policy::*;
+use crate::policy::{EndpointStatus, Time, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -1,6 +1,6 @@
 //! The state of each worker as the records have it, so that only changes are recorded.
 
-use crate::policy::*;
+use crate::policy::{Endpoint, EndpointStatus, Time, WorkerId};
 use crate::records::record::RecordedWorkerState;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -1,6 +1,6 @@
 //! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled again.
 
-use gatherer::policy::*;
+use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, ShardId, Time};
 use gatherer::program::config::Config;
 use gatherer::records::record::{RecordBody, RecordedWorkerState};
 use gatherer::routing::{
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -3,7 +3,7 @@
 
 use bytes::BytesMut;
 use gatherer::limits::{DescriptorAllocator, DescriptorBudget, DescriptorClass};
-use gatherer::policy::*;
+use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, ShardId, Time};
 use gatherer::program::config::Config;
 use gatherer::protocol::handover::{self, Message, TakeoverState};
 use gatherer::routing::{
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -4,7 +4,7 @@
 
 use common::{class, ms};
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
-use gatherer::policy::*;
+use gatherer::policy::{Class, Idempotency, Time};
 use gatherer::protocol::http::{Malformed, Request, Response};
 use gatherer::routing::invariants::{INVARIANTS, SendCheck, check_answer, check_rejection};
 use gatherer::routing::{Invariant, Violations};
