--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -32,7 +32,7 @@
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
     fn on_fleet_size(&self, count: u32) {
-        log::info!("members: {count} on_fleet_size share the fleet");
+        log::info!("members: {count} gatherers share the fleet");
         self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -110,16 +110,16 @@
         Node::next_due(self)
     }
     fn hear(&mut self, now: Time, message: Message) {
-        Node::hear(self, now, message);
+        Node::receive(self, now, message);
     }
     fn knocked(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult) {
-        Node::knocked(self, now, name, start, end);
+        Node::on_probe_result(self, now, name, start, end);
     }
     fn table(&self) -> Message {
         self.table_message()
     }
     fn exchanged(&mut self, now: Time, message: Message) {
-        Node::exchanged(self, now, message);
+        Node::receive_table(self, now, message);
     }
     fn acts(&mut self) -> Vec<Act<Message>> {
         self.take_commands().into_iter().filter_map(act).collect()
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -47,7 +47,7 @@
 fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0,"price":9000}],"predicate":"c41e"}"#;
     let head = format!(
-        "POST /api HTTP/1.1\r\nX-LifecycleRequest-Id: {id}\r\nX-LifecycleRequest-Class: {class}\r\nX-Caller: bank\r\nX-Budget-Ms: 60000\r\n"
+        "POST /api HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: bank\r\nX-Budget-Ms: 60000\r\n"
     );
     stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
@@ -75,7 +75,7 @@
         query(client, &format!("b{at}"), "seal").expect("written");
     }
     for client in half.iter_mut() {
-        client.write_all(b"POST /api HTTP/1.1\r\nX-LifecycleRequest").expect("written");
+        client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("written");
     }
     // Some have only just connected: nobody has let them in yet.
     let mut new: Vec<_> = (0..4).map(|_| gatherer.connect()).collect();
