--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -3,7 +3,7 @@
 use super::settings::{Faulty, Pairs};
 use crate::limits::descriptors;
 use crate::protocol::discovery;
-use crate::routing::{Contracts, Listing};
+use crate::routing::{Contracts, WorkerListUpdate};
 use crate::transport::failure::may_pass;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
     /// Memory that it may use, in MB.
     pub memory_mb: u64,
     /// The list of workers as it was last held.
-    pub known: Option<Listing>,
+    pub known: Option<WorkerListUpdate>,
     /// Where discovery has to be asked: the time in which it must be.
     pub ask_in: Option<Duration>,
     /// The platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
@@ -116,7 +116,7 @@
                 Faulty::new(&format!("limits.{key}"), format!("{count}: {least} at least are needed"))
             }),
         };
-        let sockets = limit("sockets", SOCKETS, descriptors::LEAST as u64)?;
+        let sockets = limit("sockets", SOCKETS, descriptors::MIN_DESCRIPTORS as u64)?;
         let memory_mb = limit("memory_mb", MEMORY_MB, LEAST_MEMORY_MB)?;
         let known = match json.get("known") {
             None | Some(Value::Null) => None,
@@ -135,11 +135,11 @@
             return Err(Faulty::new("settings.categories", "there must be one at least"));
         }
         // Neither has a form on the platform's wires: an answer ends a query, and nothing is probed or asked for.
-        contracts.settings.classes.iter_mut().for_each(|class| class.follow_up = 0);
-        contracts.settings.may_probe = false;
-        let asked = contracts.settings.ask_discovery;
-        let ask_in = asked.then_some(contracts.settings.must_ask_in);
-        contracts.settings.ask_discovery = false;
+        contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
+        contracts.settings.may_health_check = false;
+        let asked = contracts.settings.poll_discovery;
+        let ask_in = asked.then_some(contracts.settings.poll_within);
+        contracts.settings.poll_discovery = false;
         Ok(Config {
             name: text("name", "LB_NAME")?,
             listen,
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -3,10 +3,10 @@
 
 use super::operator::Membership;
 use super::recording::Recording;
-use crate::membership::{Change, Claim, Node, Standing};
+use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
 use crate::protocol::gossip::Seal;
 use crate::protocol::http;
-use crate::records::line::Body;
+use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock};
 use crate::transport::members::{Listener, Members};
 use bytes::BytesMut;
@@ -26,14 +26,14 @@
 }
 
 impl Listener for Told {
-    fn changed(&self, change: &Change) {
+    fn changed(&self, change: &MemberChange) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
-        self.recording.record(Body::Member { member, process, state: change.state });
+        self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
     fn gatherers(&self, count: u32) {
         log::info!("members: {count} gatherers share the fleet");
-        self.broker.core(|core| core.among(count));
+        self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
 
@@ -48,10 +48,10 @@
     recording: &Recording,
 ) -> Option<Rc<Members>> {
     let wanted = wanted?;
-    let (stated, zone, may_tell) = broker.core(|core| {
+    let (stated, zone, may_tell) = broker.with_core(|core| {
         let contracts = core.contracts();
         let zone = contracts.zones.get(contracts.settings.zone.0 as usize).cloned();
-        (contracts.settings.roots, zone.unwrap_or_default(), contracts.limits.may_tell)
+        (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_gossip)
     });
     if !may_tell {
         log::warn!("membership stays off: the settings do not allow gatherers to talk (allowed.may-tell)");
@@ -64,13 +64,13 @@
         );
         return None;
     }
-    let own = Claim {
+    let own = MemberUpdate {
         name: name.to_owned(),
         start: clock.now().0,
         incarnation: 0,
         address: wanted.advertise.unwrap_or(wanted.listen),
         zone,
-        standing: Standing::Alive,
+        state: MemberState::Alive,
     };
     let (seeds, most) = (wanted.seeds.clone(), wanted.most);
     let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -2,10 +2,10 @@
 
 use super::config::Error;
 use super::settings::Faulty;
-use crate::api::*;
 use crate::fronts::opensearch::Names;
 use crate::limits::descriptors;
-use crate::routing::{Contracts, Limits, Listing, Member};
+use crate::policy::*;
+use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -138,7 +138,7 @@
     /// Indexes and callers.
     pub names: Names,
     /// The index servers.
-    pub servers: Listing,
+    pub servers: WorkerListUpdate,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Memory that it may use, in MB.
@@ -176,8 +176,8 @@
             return Err(Faulty::new("limits", "1 at least; max_open over layout.shards"));
         }
         let FileLimits { sockets, memory_mb, .. } = self.limits;
-        if sockets < descriptors::LEAST {
-            let what = format!("{sockets}: {} at least are needed", descriptors::LEAST);
+        if sockets < descriptors::MIN_DESCRIPTORS {
+            let what = format!("{sockets}: {} at least are needed", descriptors::MIN_DESCRIPTORS);
             return Err(Faulty::new("limits.sockets", what));
         }
         if memory_mb < LEAST_MEMORY_MB {
@@ -203,20 +203,20 @@
                 return Err(Faulty::new(&key("floor"), "a share over 0 and up to 1"));
             }
             classes.push(Class {
-                aim: Duration::from_millis(class.wanted_ms),
-                aim_stretch: 0.0,
+                latency_objective: Duration::from_millis(class.wanted_ms),
+                objective_stretch: 0.0,
                 deadline: Duration::from_millis(class.deadline_ms),
-                effect: match class.effect {
-                    FileEffect::Repeatable => Effect::Repeatable,
-                    FileEffect::Once => Effect::Once,
+                idempotency: match class.effect {
+                    FileEffect::Repeatable => Idempotency::Idempotent,
+                    FileEffect::Once => Idempotency::NonIdempotent,
                 },
-                window: Duration::ZERO,
-                worth: class.worth,
-                late_worth: class.late_worth,
-                min_share: class.floor,
-                whole_at: 1.0,
-                short_worth: 1.0,
-                follow_up: 0,
+                repeat_window: Duration::ZERO,
+                priority_weight: class.worth,
+                late_weight: class.late_worth,
+                min_coverage: class.floor,
+                complete_coverage: 1.0,
+                partial_weight: 1.0,
+                second_step_parts: 0,
             });
         }
         let mut zones = vec![self.zone];
@@ -228,20 +228,20 @@
             if !zones.contains(&server.zone) {
                 zones.push(server.zone.clone());
             }
-            members.push(Member {
+            members.push(ListedWorker {
                 name: server.name,
                 address: server.address,
                 zone: server.zone,
                 cell: server.cell,
-                status: Status::Active,
+                status: EndpointStatus::Active,
                 units: 1.0,
-                since: None,
+                started_at: None,
             });
         }
         let contracts = Contracts {
             settings: Settings {
                 seed,
-                roots: self.gatherers.max(1),
+                fleet_size: self.gatherers.max(1),
                 zone: ZoneId(0),
                 classes,
                 tenants: self
@@ -249,32 +249,32 @@
                     .iter()
                     .map(|tenant| Tenant { quota_per_s: tenant.quota_per_s })
                     .collect(),
-                quantum: Duration::from_millis(5),
+                min_step_interval: Duration::from_millis(5),
                 may_cancel: true,
-                second_copies: true,
-                most_attempts: Some(attempts),
-                longest_pause: Some(Duration::from_millis(self.limits.longest_pause_ms)),
+                hedging_allowed: true,
+                max_attempts: Some(attempts),
+                max_retry_after: Some(Duration::from_millis(self.limits.longest_pause_ms)),
                 cells,
-                span,
+                cells_per_shard: span,
                 shards,
-                per_call: 1,
-                warm_keys: true,
-                cold_share: 1.0,
-                fall_multiple: 1.0,
-                answer_grace: Duration::from_millis(20),
+                parts_per_call: 1,
+                keys_are_cached: true,
+                cold_capacity_fraction: 1.0,
+                slow_start_budget_factor: 1.0,
+                response_grace: Duration::from_millis(20),
                 ..Settings::default()
             },
             classes: self.class.iter().map(|class| class.name.clone()).collect(),
             tenants: self.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
             zones,
-            limits: Limits {
-                max_open,
+            limits: BrokerLimits {
+                max_open_requests: max_open,
                 connect_timeout: Duration::from_millis(self.limits.connect_timeout_ms),
-                conn_idle: Duration::from_millis(self.limits.idle_ms),
-                multiplex: searches_per_server,
+                connection_idle_timeout: Duration::from_millis(self.limits.idle_ms),
+                max_parts_per_connection: searches_per_server,
                 // The file is its list: no grace is stated, and nothing waits for one.
                 drain_grace: Duration::ZERO,
-                may_tell: true,
+                may_gossip: true,
             },
         };
         let mut names = Names { window, ..Names::default() };
@@ -291,7 +291,7 @@
             callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
         }
         names.callers = callers;
-        let servers = Listing { revision: 0, complete: true, members };
+        let servers = WorkerListUpdate { revision: 0, complete: true, workers: members };
         Ok(FrontFile { listen, contracts, names, servers, sockets, memory_mb })
     }
 }
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,7 +1,7 @@
 //! What the broker took in, sent and answered, counted since its start.
 
-use crate::api::Outcome;
-use crate::records::figures;
+use crate::policy::AttemptOutcome;
+use crate::records::metrics;
 use std::fmt;
 
 macro_rules! counters {
@@ -75,86 +75,88 @@
 
 /// The queries of one class: all that came, and how they ended. What is in none of the ends is open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct QueryCounts {
     /// Queries offered, and those refused before they could be.
-    pub came: u64,
+    pub received: u64,
     /// Answered, whole or in part.
     pub succeeded: u64,
     /// Refused.
-    pub declined: u64,
+    pub rejected: u64,
     /// Failed.
-    pub aborted: u64,
+    pub failed: u64,
     /// Left by their clients.
-    pub left: u64,
+    pub client_left: u64,
 }
 
-impl Ends {
+impl QueryCounts {
     /// Those that have not ended.
     pub fn open(&self) -> u64 {
-        self.came - self.succeeded - self.declined - self.aborted - self.left
+        self.received - self.succeeded - self.rejected - self.failed - self.client_left
     }
 }
 
 /// The queries of all classes, in the order of the contracts. A class that is in none of them counts nowhere.
-pub(super) struct ClassEnds(Vec<Ends>);
+pub(super) struct ClassEnds(Vec<QueryCounts>);
 
 impl ClassEnds {
     /// Nothing yet, for so many classes.
     pub fn new(classes: usize) -> ClassEnds {
-        ClassEnds(vec![Ends::default(); classes])
+        ClassEnds(vec![QueryCounts::default(); classes])
     }
 
     /// All classes.
-    pub fn all(&self) -> &[Ends] {
+    pub fn all(&self) -> &[QueryCounts] {
         &self.0
     }
 
     /// A query of this class came.
     pub fn came(&mut self, class: usize) {
         if let Some(ends) = self.0.get_mut(class) {
-            ends.came += 1;
+            ends.received += 1;
         }
     }
 
     /// A query of this class ended. Every end of a query passes here, once.
-    pub fn ended(&mut self, class: usize, end: figures::End) {
-        use figures::End;
+    pub fn ended(&mut self, class: usize, end: metrics::QueryEnd) {
+        use metrics::QueryEnd;
         let Some(ends) = self.0.get_mut(class) else { return };
         *match end {
-            End::WholeInTime | End::WholeLate | End::Partial => &mut ends.succeeded,
-            End::RefusedDeclined | End::RefusedFull | End::RefusedStopping => &mut ends.declined,
-            End::FailedGivenUp | End::FailedOverdue => &mut ends.aborted,
-            End::Left => &mut ends.left,
+            QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial => &mut ends.succeeded,
+            QueryEnd::RejectedByPolicy | QueryEnd::RejectedAtCapacity | QueryEnd::RejectedShuttingDown => {
+                &mut ends.rejected
+            }
+            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.failed,
+            QueryEnd::ClientDisconnected => &mut ends.client_left,
         } += 1;
     }
 }
 
 /// The name of an outcome in the records.
-pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
+pub(super) fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Done => figures::DONE,
-        Outcome::Error => "error",
-        Outcome::Busy => "busy",
-        Outcome::TimedOut => "timed_out",
-        Outcome::Refused => "refused",
-        Outcome::Reset => "reset",
-        Outcome::Cancelled => "cancelled",
-        Outcome::Skipped => "skipped",
+        AttemptOutcome::Succeeded => metrics::ATTEMPT_DONE,
+        AttemptOutcome::Failed => "error",
+        AttemptOutcome::Rejected => "busy",
+        AttemptOutcome::TimedOut => "timed_out",
+        AttemptOutcome::ConnectFailed => "refused",
+        AttemptOutcome::ConnectionReset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "skipped",
     }
 }
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn ended(&mut self, outcome: AttemptOutcome) {
         *match outcome {
-            Outcome::Done => &mut self.ended_done,
-            Outcome::Error => &mut self.ended_error,
-            Outcome::Busy => &mut self.ended_busy,
-            Outcome::TimedOut => &mut self.ended_timed_out,
-            Outcome::Refused => &mut self.ended_refused,
-            Outcome::Reset => &mut self.ended_reset,
-            Outcome::Cancelled => &mut self.ended_cancelled,
-            Outcome::Skipped => &mut self.ended_skipped,
+            AttemptOutcome::Succeeded => &mut self.ended_done,
+            AttemptOutcome::Failed => &mut self.ended_error,
+            AttemptOutcome::Rejected => &mut self.ended_busy,
+            AttemptOutcome::TimedOut => &mut self.ended_timed_out,
+            AttemptOutcome::ConnectFailed => &mut self.ended_refused,
+            AttemptOutcome::ConnectionReset => &mut self.ended_reset,
+            AttemptOutcome::Cancelled => &mut self.ended_cancelled,
+            AttemptOutcome::NotSent => &mut self.ended_skipped,
         } += 1;
     }
 }
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -1,8 +1,8 @@
 //! The queries that wait for their answer, with their parts and what has come in for them. It owns no attempt: those are
 //! in [`super::in_flight`].
 
-use crate::api::*;
-use crate::records::figures::Seen;
+use crate::policy::*;
+use crate::records::metrics::QueryLabels;
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     /// Its parts.
     pub parts: Vec<RequestId>,
     /// Its class and tenant, as they are counted.
-    pub seen: Seen,
+    pub seen: QueryLabels,
     /// When it was taken in.
     pub taken: Time,
 }
@@ -39,7 +39,7 @@
     /// When those of its attempts were sent that may have run, or may yet.
     pub possible_runs: BTreeMap<AttemptNo, Time>,
     /// How the latest attempt that has ended did.
-    pub last_outcome: Option<Outcome>,
+    pub last_outcome: Option<AttemptOutcome>,
     /// The value, once one is in.
     pub value: Option<Bytes>,
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,14 +4,14 @@
 
 use common::fleet::{Fleet, ROOTS, Worker, ZONES, served};
 use common::ms;
-use gatherer::api::*;
 use gatherer::limits::Backoff;
+use gatherer::policy::*;
 
 #[test]
 fn a_lost_zone_is_learned_from_few_of_its_workers_and_trusted_again_at_one_answer() {
     let zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Effect::Repeatable);
+        let mut fleet = Fleet::new(seed, Idempotency::Idempotent);
         fleet.pass(3000, zone);
         fleet.make(zone, Worker::Lost);
         let (first, later) = (fleet.pass(1000, zone).0, fleet.pass(2000, zone).0);
@@ -29,7 +29,7 @@
 fn what_runs_once_is_kept_from_workers_that_err() {
     let bad = |id| id % 10 == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Effect::Once);
+        let mut fleet = Fleet::new(seed, Idempotency::NonIdempotent);
         fleet.pass(2000, bad);
         fleet.make(bad, Worker::Errs);
         fleet.pass(4000, bad);
@@ -46,8 +46,8 @@
     for seed in [1, 2] {
         let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), ROOTS, ms(10_000));
         let mut callers: Vec<Backoff> = (0..ROOTS).map(caller).collect();
-        let starts = callers.iter_mut().map(|caller| caller.start().as_millis() as u64).collect();
-        let (done, most) = served(starts, |id| callers[id].pause(true).as_millis() as u64);
+        let starts = callers.iter_mut().map(|caller| caller.initial_delay().as_millis() as u64).collect();
+        let (done, most) = served(starts, |id| callers[id].next_delay(true).as_millis() as u64);
         assert!(done == all && most < 20, "seed {seed}: {done} served, up to {most} calls in a second");
     }
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -2,16 +2,16 @@
 //! still until all is quiet. The transcript tells everything that each party received, and when.
 
 use bytes::{BufMut, BytesMut};
-use gatherer::api::{Status, Time};
 use gatherer::fronts::opensearch::OpenSearch;
 use gatherer::fronts::platform::Platform;
-use gatherer::limits::crowd::Source;
-use gatherer::limits::{Backoff, Plan};
+use gatherer::limits::client_connections::Source;
+use gatherer::limits::{Backoff, DescriptorBudget};
+use gatherer::policy::{EndpointStatus, Time};
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::protocol::http;
-use gatherer::routing::{Broker, Carrier, Clock, Contracts, Core, Listing, Member};
-use gatherer::service::stage::Call;
+use gatherer::routing::{Broker, Clock, Contracts, Core, ListedWorker, WorkerListUpdate, WorkerTransport};
+use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::gate::Gate;
 use gatherer::transport::index_servers::IndexServers;
 use gatherer::transport::listener::{self, Front};
@@ -170,8 +170,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (first, rest) = script.split_once('\n').expect("a first line");
-        let places = Places::new(Plan::new(256, 16, 0).expect("enough"), 1 << 20);
-        let (clock, gate, pipes) = (Clock::at(UNIX), Gate::new(places.clone()), Pipes::default());
+        let places = Places::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
+        let (clock, gate, pipes) = (Clock::starting_at(UNIX), Gate::new(places.clone()), Pipes::default());
         let agent = tokio::sync::watch::Sender::new("agent".to_owned());
         match first {
             "front platform"
@@ -192,7 +192,7 @@
                     let (dial, watcher, address) = (pipes.clone(), broker.clone(), agent.subscribe());
                     let (held, backoff) = match first.contains("asking") {
                         true => (Some(known.revision), Backoff::new(1, 48, Duration::from_secs(10))),
-                        false => (None, Backoff::pushed(1, Duration::from_millis(250))),
+                        false => (None, Backoff::for_local_agent(1, Duration::from_millis(250))),
                     };
                     spawn_local(async move {
                         watch::follow(&dial, address, held, &watcher, &places, backoff).await
@@ -214,10 +214,10 @@
     })
 }
 
-fn broker(contracts: Contracts, list: &Listing, clock: Clock, pipes: &Pipes, form: Form) -> Broker {
+fn broker(contracts: Contracts, list: &WorkerListUpdate, clock: Clock, pipes: &Pipes, form: Form) -> Broker {
     let broker = Broker::new(Core::new(contracts), clock);
-    broker.learn(list, true);
-    for member in &list.members {
+    broker.apply_endpoint_update(list, true);
+    for member in &list.workers {
         pipes.0.borrow_mut().insert(member.address.clone(), Party::new(form));
     }
     broker
@@ -226,7 +226,7 @@
 async fn run<F: Front + 'static>(
     script: &str,
     broker: Broker,
-    carrier: impl Carrier + 'static,
+    carrier: impl WorkerTransport + 'static,
     front: F,
     gate: Rc<Gate>,
     pipes: Pipes,
@@ -316,26 +316,27 @@
         if who == "discovery" {
             let (status, name) = what.split_once(' ').expect("a status and a worker");
             let (status, since) = match status {
-                "SERVING" => (Status::Active, None),
-                "RESTARTED" => (Status::Active, Some(UNIX.after(self.start.elapsed()))),
-                "DRAINING" => (Status::Draining, None),
-                _ => (Status::Gone, None),
+                "SERVING" => (EndpointStatus::Active, None),
+                "RESTARTED" => (EndpointStatus::Active, Some(UNIX.after(self.start.elapsed()))),
+                "DRAINING" => (EndpointStatus::Draining, None),
+                _ => (EndpointStatus::Gone, None),
             };
             let (name, address, zone) = (name.to_owned(), name.to_owned(), String::new());
-            let member = Member { name, address, zone, cell: 0, status, units: 1.0, since };
-            return self
-                .broker
-                .learn(&Listing { revision: 2, complete: false, members: vec![member] }, false);
+            let member = ListedWorker { name, address, zone, cell: 0, status, units: 1.0, started_at: since };
+            return self.broker.apply_endpoint_update(
+                &WorkerListUpdate { revision: 2, complete: false, workers: vec![member] },
+                false,
+            );
         }
         if who == "SIGHUP" {
             self.agent.send_replace(what.to_owned());
             return;
         }
         if who == "SIGTERM" {
-            return self.gate.call(Call::Stop).expect("taken");
+            return self.gate.call(LifecycleRequest::Stop).expect("taken");
         }
         if who == "operator" {
-            let call = if what == "drain" { Call::Drain } else { Call::Resume };
+            let call = if what == "drain" { LifecycleRequest::Drain } else { LifecycleRequest::Resume };
             return self.gate.call(call).expect("taken");
         }
         // `NAME.N` speaks on the party's Nth connection, `NAME` on the one that is next.
@@ -400,9 +401,9 @@
                 }
             }
         }
-        let counters = self.broker.core(|core| core.counters.to_string());
+        let counters = self.broker.with_core(|core| core.counters.to_string());
         let counted = counters.split(' ').filter(|pair| !pair.ends_with("=0")).collect::<Vec<_>>().join(" ");
-        let open = self.broker.core(|core| core.open());
+        let open = self.broker.with_core(|core| core.open_queries());
         format!("{}counted: {counted}\nopen: {open}\n", self.transcript)
     }
 }
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{Root, Sent, class, entry, ms, settings};
-use gatherer::api::*;
-use gatherer::lab::world::World;
 use gatherer::membership::{Node, Timing};
+use gatherer::policy::*;
+use gatherer::simulation::engine::Simulation;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 }
 
 struct Fleet {
-    world: World<Node>,
+    world: Simulation<Node>,
     /// Each with what is due to come back to it, and whose its queries are.
     roots: Vec<(Root, Due, Asks)>,
     workers: Vec<Worker>,
@@ -54,10 +54,17 @@
 
 impl Fleet {
     fn new(seed: u64, told: bool) -> Fleet {
-        let classes = vec![Class { aim: ms(1500), ..class(Effect::Repeatable) }];
+        let classes = vec![Class { latency_objective: ms(1500), ..class(Idempotency::Idempotent) }];
         let tenants = vec![Tenant { quota_per_s: Some(QUOTA) }; 2];
         let (roots, over_share_worth) = (GATHERERS as u32, Some(0.1));
-        let rules = Settings { roots, classes, tenants, over_share_worth, may_probe: false, ..settings() };
+        let rules = Settings {
+            fleet_size: roots,
+            classes,
+            tenants,
+            over_quota_weight: over_share_worth,
+            may_health_check: false,
+            ..settings()
+        };
         let root = |id: usize| {
             let all: Vec<u32> = (0..WORKERS).collect();
             (
@@ -68,7 +75,7 @@
         };
         let worker = |_| Worker { since: None, free_at: Time(0), came: VecDeque::new() };
         Fleet {
-            world: World::of_nodes(GATHERERS, seed, Timing::default()),
+            world: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
             roots: (0..GATHERERS).map(root).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
@@ -81,9 +88,9 @@
         let now = self.roots[0].0.now;
         for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM as usize) {
             worker.since = Some(now);
-            let news = [entry(id as u32, Status::Active, Some(now))];
+            let news = [entry(id as u32, EndpointStatus::Active, Some(now))];
             for (root, _, _) in &mut self.roots {
-                root.turn(vec![Event::Membership(Membership::Delta(news.to_vec().into()))]);
+                root.turn(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
             }
         }
     }
@@ -96,7 +103,7 @@
     fn pass(&mut self, span: u64) -> Played {
         let mut played = Played { answered: [0; 2], refused: [0; 2], pushed: 0.0 };
         for _ in 0..span / STEP {
-            self.world.pass(Duration::from_millis(STEP));
+            self.world.advance(Duration::from_millis(STEP));
             let living: Vec<usize> = self.world.living().collect();
             let asked = QUERIES.map(|rate| {
                 // More than one a step is not needed: a tenth of a second's queries come in ten steps.
@@ -106,16 +113,16 @@
                 let (root, due, asks) = &mut self.roots[id];
                 root.now = root.now.after(ms(STEP));
                 if self.told {
-                    root.module.among(self.world.gatherers(id).expect("it lives"));
+                    root.module.set_fleet_size(self.world.gatherers(id).expect("it lives"));
                 }
                 let now = root.now;
                 let ready: Vec<_> = due.extract_if(.., |(at, _)| *at <= now).collect();
                 let mut events: Vec<Event> = Vec::new();
                 for (_, sent) in ready {
                     let queue = self.workers[sent.leaf.0 as usize].free_at.since(now).as_secs_f64();
-                    events.push(root.end(sent, Outcome::Done, Some((queue * 2.0).min(1.0))));
+                    events.push(root.end(sent, AttemptOutcome::Succeeded, Some((queue * 2.0).min(1.0))));
                 }
-                events.push(Event::Due { handle: Handle(0) });
+                events.push(Event::TimerFired { timer: TimerId(0) });
                 for (tenant, to) in asked.into_iter().enumerate() {
                     if to != Some(at) {
                         continue;
@@ -123,7 +130,7 @@
                     let shards = [self.random.u32(..8), self.random.u32(..8)];
                     let key = format!("k{}", self.random.u32(..40));
                     let (id, _, mut query) = root.query(Some(&key), &shards);
-                    if let Some(Event::Query(asked)) = query.first_mut() {
+                    if let Some(Event::QueryReceived(asked)) = query.first_mut() {
                         asked.tenant = Some(TenantId(tenant));
                     }
                     events.extend(query);
@@ -137,8 +144,8 @@
                 root.turn(events);
                 for action in &root.actions {
                     match action {
-                        Action::Answer { id, .. } => played.answered[asks[id]] += 1,
-                        Action::Refuse { id, .. } | Action::Fail { id } => played.refused[asks[id]] += 1,
+                        Action::Respond { id, .. } => played.answered[asks[id]] += 1,
+                        Action::Reject { id, .. } | Action::Fail { id } => played.refused[asks[id]] += 1,
                         _ => {}
                     }
                 }
@@ -164,7 +171,7 @@
 }
 
 /// Half of the gatherers meet this; then most workers start cold if that is wanted, and ten seconds pass.
-fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut World<Node>)) -> Played {
+fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
     let mut fleet = Fleet::new(seed, told);
     fleet.pass(3000);
     fault(&mut fleet.world);
@@ -175,14 +182,14 @@
     fleet.pass(10_000)
 }
 
-fn half_die(world: &mut World<Node>) {
+fn half_die(world: &mut Simulation<Node>) {
     (0..GATHERERS / 2).for_each(|id| world.kill(id));
 }
 
 #[test]
 fn when_half_die_a_tenant_inside_its_share_keeps_all_of_it() {
     // Single plays vary; the sum over eight does not hang on one.
-    let served = |told: bool, fault: &dyn Fn(&mut World<Node>)| {
+    let served = |told: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
         let plays = (1..9).map(|seed| play(seed, told, false, fault));
         let (answered, refused) =
             plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.refused[0]));
@@ -196,11 +203,11 @@
 #[test]
 fn no_cold_worker_is_pushed_over_whoever_dies_and_whatever_is_cut() {
     for seed in [1, 2, 3] {
-        let cut = |world: &mut World<Node>| {
+        let cut = |world: &mut Simulation<Node>| {
             world.cut(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
             world.cut(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
             // Longer than any wait.
-            world.pass(Duration::from_secs(120));
+            world.advance(Duration::from_secs(120));
         };
         let (whole, halves) = (play(seed, true, true, |_| {}), play(seed, true, true, cut));
         assert!(halves.pushed <= 1.0, "seed {seed}: {halves:?}");
