--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -5,7 +5,7 @@
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
 use crate::service::LifecycleState;
-use crate::transport::gate::Gate;
+use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::listener::Front;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,33 +18,33 @@
     /// Whom it asks.
     pub broker: Broker,
     /// Tells whether the process still takes queries.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<ConnectionManager>,
 }
 
 impl Platform {
     async fn query(&self, request: &Request) -> Response {
-        let ask = match self.broker.with_core(|core| platform::ask(request, core.contracts())) {
+        let ask = match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
             Ok(ask) => ask,
             Err(invalid) => {
                 self.broker.with_core(|core| core.counters.malformed += 1);
                 return Response::text(400, invalid.to_string());
             }
         };
-        if !self.gate.stage().accepts_queries() {
+        if !self.gate.lifecycle_state().accepts_queries() {
             self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
             let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
-            return platform::refusal(longest.map(|longest| longest.min(STOPPING_PAUSE)));
+            return platform::rejection_response(longest.map(|longest| longest.min(STOPPING_PAUSE)));
         }
         if self.broker.with_core(|core| core.has_open_query(&ask.label)) {
             // Guards the parts of the query that has this id: the two could not be told apart at the workers.
             self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
-        platform::answer(&self.broker.submit(ask).await)
+        platform::outcome_response(&self.broker.submit(ask).await)
     }
 
     fn health(&self) -> Response {
-        match self.gate.stage() {
+        match self.gate.lifecycle_state() {
             LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
@@ -59,8 +59,8 @@
             ("POST", "/api") => self.query(&request).await,
             ("GET", "/_health") => self.health(),
             ("GET", "/_counters") => Response::text(200, counts(&self.broker, &self.gate)),
-            (_, "/api") => Response::text(405, "only POST").with("Allow", "POST"),
-            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with("Allow", "GET"),
+            (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
+            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with_header("Allow", "GET"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
         }
     }
@@ -70,7 +70,7 @@
         Response::text(error.status(), error.to_string())
     }
 
-    fn crowded(&self, request: Option<&Request>) -> Response {
+    fn overloaded(&self, request: Option<&Request>) -> Response {
         let asked = request.filter(|request| request.path == "/api");
         self.broker.with_core(|core| {
             let class =
@@ -79,7 +79,7 @@
                 core.reject_unread(class);
             }
         });
-        platform::refusal(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
+        platform::rejection_response(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -4,11 +4,11 @@
 use super::operator::Membership;
 use super::recording::Recording;
 use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
-use crate::protocol::gossip::Seal;
+use crate::protocol::gossip::ClusterKey;
 use crate::protocol::http;
 use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock};
-use crate::transport::members::{Listener, Members};
+use crate::transport::membership::{MembershipObserver, MembershipTransport};
 use bytes::BytesMut;
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -25,14 +25,14 @@
     recording: Recording,
 }
 
-impl Listener for Told {
-    fn changed(&self, change: &MemberChange) {
+impl MembershipObserver for Told {
+    fn on_member_change(&self, change: &MemberChange) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
-    fn gatherers(&self, count: u32) {
-        log::info!("members: {count} gatherers share the fleet");
+    fn on_fleet_size(&self, count: u32) {
+        log::info!("members: {count} on_fleet_size share the fleet");
         self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
@@ -46,7 +46,7 @@
     broker: &Broker,
     clock: Clock,
     recording: &Recording,
-) -> Option<Rc<Members>> {
+) -> Option<Rc<MembershipTransport>> {
     let wanted = wanted?;
     let (stated, zone, may_tell) = broker.with_core(|core| {
         let contracts = core.contracts();
@@ -74,19 +74,19 @@
     };
     let (seeds, most) = (wanted.seeds.clone(), wanted.most);
     let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
-    let seal = Seal::new(&wanted.cluster, &wanted.secret);
+    let seal = ClusterKey::new(&wanted.cluster, &wanted.secret);
     let told = Told { broker: broker.clone(), recording: recording.clone() };
-    Some(Members::new(node, seal, clock, wanted.listen, most, Box::new(told)))
+    Some(MembershipTransport::new(node, seal, clock, wanted.listen, most, Box::new(told)))
 }
 
 /// Asks a gatherer's operators' address who is there; the answer as it came, or as a table.
 pub fn ask(operator: SocketAddr, json: bool) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&operator, CALL)?;
     stream.set_read_timeout(Some(CALL))?;
-    stream.write_all(&http::request("GET", "/-/members", &operator.to_string(), None))?;
+    stream.write_all(&http::encode_request("GET", "/-/members", &operator.to_string(), None))?;
     let (mut buffer, mut bytes) = (BytesMut::new(), [0; 4096]);
     let response = loop {
-        let taken = http::take_response(&mut buffer, 64 * http::MOST_BODY)
+        let taken = http::take_response(&mut buffer, 64 * http::MAX_BODY_BYTES)
             .map_err(|error| io::Error::other(error.to_string()))?;
         if let Some(response) = taken {
             break response;
