--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -1,11 +1,12 @@
-//! Clients of the gatherers: most ask and wait; some leave early, rest, write slowly, or stop in the middle of a request.
+//! Clients of the gatherers: most send a request and wait; some disconnect early, stay idle, write slowly, or stall in the
+//! middle of a request.
 
-use crate::time;
-use crate::worker;
+use crate::monotonic::now_us;
+use crate::stand_in_worker;
 use bytes::BytesMut;
 use fastrand::Rng;
 use gatherer::protocol::http::{self, ReceivedResponse};
-use gatherer::soak::judge::{Observations, Request, RequestEnd, Stopped};
+use gatherer::soak::checker::{Observations, Request, RequestOutcome, StalledClient};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,67 +14,93 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Shards of the layout.
+/// Shards of the index.
 pub const SHARDS: u32 = 8;
-/// How long after its time a client still looks for its answer.
-const LOOK: Duration = Duration::from_millis(1500);
-/// How long a client that has stopped is looked after.
-const STOPPED: Duration = Duration::from_millis(5000);
+/// How long after its budget a client still waits for its response.
+const EXTRA_WAIT: Duration = Duration::from_millis(1500);
+/// How long a stalled client is observed.
+const STALL_OBSERVED_FOR: Duration = Duration::from_millis(5000);
+/// The pause of a client that could not connect.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A gatherer as the front layer sees it.
-pub struct Door {
+pub struct GathererEndpoint {
     /// Where clients connect.
     pub address: String,
-    /// New connections may be sent there.
-    pub open: Cell<bool>,
-    /// The process that takes them, as far as is known.
-    pub start: Cell<usize>,
+    /// New connections may be opened.
+    pub accepts_connections: Cell<bool>,
+    /// The number of the process that accepts them, as far as is known.
+    pub process: Cell<usize>,
+}
+
+/// How many requests had which kind of response.
+#[derive(Default)]
+pub struct ResponseCounts {
+    /// Status 200.
+    pub served: Cell<u64>,
+    /// Status 429 or 503.
+    pub rejected: Cell<u64>,
+    /// Any other status.
+    pub failed: Cell<u64>,
 }
 
 /// What all clients share.
-pub struct Shared {
+pub struct ClientContext {
     /// The gatherers.
-    pub doors: Vec<Rc<Door>>,
-    /// What was seen.
-    pub seen: Rc<RefCell<Observations>>,
-    /// No client asks anything new.
-    pub over: Cell<bool>,
-    /// Requests answered 200, refused, and failed.
-    pub counts: [Cell<u64>; 3],
+    pub gatherers: Vec<Rc<GathererEndpoint>>,
+    /// Where clients note what they observe.
+    pub observations: Rc<RefCell<Observations>>,
+    /// No client sends anything new.
+    pub finished: Cell<bool>,
+    /// The responses so far.
+    pub responses: ResponseCounts,
 }
 
 struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    start: usize,
-    asked: u64,
+    process: usize,
+    requests: u64,
+}
+
+/// A class as clients use it.
+struct ClientClass {
+    name: &'static str,
+    non_idempotent: bool,
+    budget_ms: u64,
 }
 
-/// A class as clients use it: its name, whether it must not run twice, and its budget.
-const CLASSES: [(&str, bool, u64); 2] = [("search", false, 2500), ("seal", true, 2500)];
+const SEARCH: ClientClass = ClientClass { name: "search", non_idempotent: false, budget_ms: 2500 };
+const SEAL: ClientClass = ClientClass { name: "seal", non_idempotent: true, budget_ms: 2500 };
+
+/// A request's bytes, and the shards whose parts it consists of.
+struct EncodedRequest {
+    bytes: Vec<u8>,
+    shards: Vec<u32>,
+}
 
-/// The life of one client.
-pub async fn live(shared: Rc<Shared>, mut random: Rng) {
+/// Sends requests, one after the other, until the soak test has finished.
+pub async fn run_client(context: Rc<ClientContext>, mut random: Rng) {
     let mut connection: Option<Connection> = None;
-    while !shared.over.get() {
+    while !context.finished.get() {
         let open = match connection.take() {
             Some(open) => open,
-            None => match connect(&shared, &mut random).await {
+            None => match connect(&context, &mut random).await {
                 Some(open) => open,
                 None => {
-                    tokio::time::sleep(Duration::from_millis(20)).await;
+                    tokio::time::sleep(RECONNECT_PAUSE).await;
                     continue;
                 }
             },
         };
-        let mood = random.f64();
-        if mood < 0.02 {
-            stop_midway(&shared, open, &mut random).await;
+        let behaviour = random.f64();
+        if behaviour < 0.02 {
+            stall_mid_request(&context, open, &mut random).await;
             continue;
         }
-        connection = ask(&shared, open, &mut random).await;
-        // Some rest until the gatherer ends their connection.
-        let pause = if mood > 0.98 { random.u64(1000..4000) } else { random.u64(0..60) };
+        connection = send_request(&context, open, &mut random).await;
+        // Some stay idle until the gatherer closes their connection.
+        let pause = if behaviour > 0.98 { random.u64(1000..4000) } else { random.u64(0..60) };
         tokio::time::sleep(Duration::from_millis(pause)).await;
         if random.f64() < 0.2 {
             connection = None;
@@ -81,80 +108,90 @@
     }
 }
 
-async fn connect(shared: &Shared, random: &mut Rng) -> Option<Connection> {
-    let door = shared.doors[random.usize(..shared.doors.len())].clone();
-    if !door.open.get() {
+async fn connect(context: &ClientContext, random: &mut Rng) -> Option<Connection> {
+    let gatherer = context.gatherers[random.usize(..context.gatherers.len())].clone();
+    if !gatherer.accepts_connections.get() {
         return None;
     }
-    let start = door.start.get();
-    let stream = TcpStream::connect(&door.address).await.ok()?;
+    let process = gatherer.process.get();
+    let stream = TcpStream::connect(&gatherer.address).await.ok()?;
     stream.set_nodelay(true).ok()?;
-    Some(Connection { stream, buffer: BytesMut::new(), start, asked: 0 })
+    Some(Connection { stream, buffer: BytesMut::new(), process, requests: 0 })
 }
 
-/// A request's bytes, and the parts that it asks for.
-fn request(id: &str, class: &str, budget: u64, random: &mut Rng) -> (Vec<u8>, Vec<u32>) {
+fn encode_request(id: &str, class: &ClientClass, random: &mut Rng) -> EncodedRequest {
     let first = random.u32(..SHARDS);
-    let parts: Vec<u32> = (0..random.u32(1..5)).map(|at| (first + at) % SHARDS).collect();
-    let share = 1.0 / parts.len() as f64;
+    let shards: Vec<u32> = (0..random.u32(1..5)).map(|at| (first + at) % SHARDS).collect();
+    let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> =
-        parts.iter().map(|shard| json!({"range": shard, "portion": share, "price": 8000})).collect();
+        shards.iter().map(|shard| json!({"range": shard, "portion": portion, "price": 8000})).collect();
     let body = json!({"ranges": ranges, "predicate": "c41e".repeat(random.usize(1..200))}).to_string();
+    let ClientClass { name, budget_ms, .. } = class;
     let head = format!(
-        "POST /api HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: bank\r\nX-Budget-Ms: {budget}\r\nContent-Length: {}\r\n\r\n",
+        "POST /api HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {id}\r\nX-Call-Class: {name}\r\nX-Caller: bank\r\nX-Budget-Ms: {budget_ms}\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    ([head.into_bytes(), body.into_bytes()].concat(), parts)
+    EncodedRequest { bytes: [head.into_bytes(), body.into_bytes()].concat(), shards }
 }
 
-async fn ask(shared: &Shared, mut open: Connection, random: &mut Rng) -> Option<Connection> {
-    let (class, once, budget) = CLASSES[usize::from(random.f64() < 0.3)];
+/// Sends a request and waits for its end; returns the connection if it can be used again.
+async fn send_request(context: &ClientContext, mut open: Connection, random: &mut Rng) -> Option<Connection> {
+    let class = if random.f64() < 0.3 { SEAL } else { SEARCH };
     let id = format!("{:016x}", random.u64(..));
-    let (bytes, parts) = request(&id, class, budget, random);
-    // Some write slowly.
-    let cut = if random.f64() < 0.05 { random.usize(1..bytes.len()) } else { 0 };
-    if cut > 0 {
-        if open.stream.write_all(&bytes[..cut]).await.is_err() {
-            return None;
-        }
-        tokio::time::sleep(Duration::from_millis(random.u64(1..300))).await;
-    }
-    if open.stream.write_all(&bytes[cut..]).await.is_err() {
-        // Its last byte was not written: it was not taken.
+    let request = encode_request(&id, &class, random);
+    if !write_request(&mut open, &request.bytes, random).await {
+        // Its last byte was not written: it was not accepted.
         return None;
     }
-    let sent = time::now();
-    let patience = if random.f64() < 0.06 {
+    let sent_at = now_us();
+    let disconnects_early = random.f64() < 0.06;
+    let wait = if disconnects_early {
         Duration::from_millis(random.u64(2..60))
     } else {
-        Duration::from_millis(budget) + LOOK
+        Duration::from_millis(class.budget_ms) + EXTRA_WAIT
     };
-    let leaves = patience < LOOK;
-    let answer = tokio::time::timeout(patience, response(&mut open)).await;
-    let (end, keep) = match answer {
-        Ok(Ok(answer)) => {
-            let keep = answer.keep_alive;
-            (judged(shared, &answer, &id, &parts), keep)
-        }
-        Ok(Err(_)) => (RequestEnd::Closed, false),
-        Err(_) if leaves => (RequestEnd::Left, false),
-        Err(_) => (RequestEnd::Silent, false),
+    let response = tokio::time::timeout(wait, read_response(&mut open)).await;
+    let (outcome, keep_alive) = match response {
+        Ok(Ok(response)) => (context.outcome(&response, &id, &request.shards), response.keep_alive),
+        Ok(Err(_)) => (RequestOutcome::ConnectionClosed, false),
+        Err(_) if disconnects_early => (RequestOutcome::ClientDisconnected, false),
+        Err(_) => (RequestOutcome::NoResponse, false),
     };
-    let (start, fresh) = (open.start, open.asked == 0);
-    open.asked += 1;
-    let kept = keep.then_some(open);
-    let ended = time::now();
-    let budget = budget * 1000;
-    shared.seen.borrow_mut().requests.push(Request { id, once, start, fresh, sent, budget, ended, end });
-    kept
+    let (process, first_on_connection) = (open.process, open.requests == 0);
+    open.requests += 1;
+    // A connection that is not used again is closed before the end of the request is noted.
+    let reusable = keep_alive.then_some(open);
+    context.observations.borrow_mut().requests.push(Request {
+        id,
+        non_idempotent: class.non_idempotent,
+        process,
+        first_on_connection,
+        sent_at,
+        budget_us: class.budget_ms * 1000,
+        ended_at: now_us(),
+        outcome,
+    });
+    reusable
+}
+
+/// Writes a request, sometimes slowly; whether its last byte was written.
+async fn write_request(open: &mut Connection, bytes: &[u8], random: &mut Rng) -> bool {
+    let cut = if random.f64() < 0.05 { random.usize(1..bytes.len()) } else { 0 };
+    if cut > 0 {
+        if open.stream.write_all(&bytes[..cut]).await.is_err() {
+            return false;
+        }
+        tokio::time::sleep(Duration::from_millis(random.u64(1..300))).await;
+    }
+    open.stream.write_all(&bytes[cut..]).await.is_ok()
 }
 
-async fn response(open: &mut Connection) -> std::io::Result<ReceivedResponse> {
+async fn read_response(open: &mut Connection) -> std::io::Result<ReceivedResponse> {
     loop {
-        if let Some(answer) =
+        if let Some(response) =
             http::take_response(&mut open.buffer, http::MAX_BODY_BYTES).map_err(std::io::Error::other)?
         {
-            return Ok(answer);
+            return Ok(response);
         }
         if open.stream.read_buf(&mut open.buffer).await? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -162,40 +199,44 @@
     }
 }
 
-fn judged(shared: &Shared, answer: &ReceivedResponse, id: &str, parts: &[u32]) -> RequestEnd {
-    let kind = match answer.status {
-        200 => 0,
-        429 | 503 => 1,
-        _ => 2,
-    };
-    shared.counts[kind].set(shared.counts[kind].get() + 1);
-    let honest = kind != 0 || is_honest(&answer.body, id, parts);
-    RequestEnd::Answered { status: answer.status, honest }
+impl ClientContext {
+    /// Counts a response and checks what it holds.
+    fn outcome(&self, response: &ReceivedResponse, id: &str, shards: &[u32]) -> RequestOutcome {
+        let count = match response.status {
+            200 => &self.responses.served,
+            429 | 503 => &self.responses.rejected,
+            _ => &self.responses.failed,
+        };
+        count.set(count.get() + 1);
+        let correct = response.status != 200 || is_correct(&response.body, id, shards);
+        RequestOutcome::Response { status: response.status, correct }
+    }
 }
 
-/// Whether an answer holds what workers make for this request, and all parts of it.
-fn is_honest(body: &[u8], id: &str, parts: &[u32]) -> bool {
-    let Ok(answer) = serde_json::from_slice::<Value>(body) else { return false };
-    let hits = answer["answers"].as_array().cloned().unwrap_or_default();
-    let sound = |hit: &Value| {
+/// Whether a response holds the values that workers make for this request, and all of its parts.
+fn is_correct(body: &[u8], id: &str, shards: &[u32]) -> bool {
+    let Ok(response) = serde_json::from_slice::<Value>(body) else { return false };
+    let hits = response["answers"].as_array().cloned().unwrap_or_default();
+    let is_expected = |hit: &Value| {
         let shard = hit["range"].as_u64().and_then(|shard| u32::try_from(shard).ok());
         shard.is_some_and(|shard| {
-            parts.contains(&shard) && hit["blob"].as_str() == Some(&worker::value(&format!("{id}.{shard}")))
+            let expected = stand_in_worker::value(&format!("{id}.{shard}"));
+            shards.contains(&shard) && hit["blob"].as_str() == Some(&expected)
         })
     };
-    // Every class of a soak needs all its parts.
-    answer["total"].as_bool() == Some(true) && hits.len() == parts.len() && hits.iter().all(sound)
+    // Every class of a soak test needs all its parts.
+    response["total"].as_bool() == Some(true) && hits.len() == shards.len() && hits.iter().all(is_expected)
 }
 
-/// Sends a part of a request, and stays.
-async fn stop_midway(shared: &Shared, mut open: Connection, random: &mut Rng) {
-    let (bytes, _) = request("stopped", "search", 2500, random);
-    let cut = random.usize(1..bytes.len() - 1);
-    if open.stream.write_all(&bytes[..cut]).await.is_err() {
+/// Sends the beginning of a request, and keeps the connection open.
+async fn stall_mid_request(context: &ClientContext, mut open: Connection, random: &mut Rng) {
+    let request = encode_request("stopped", &SEARCH, random);
+    let cut = random.usize(1..request.bytes.len() - 1);
+    if open.stream.write_all(&request.bytes[..cut]).await.is_err() {
         return;
     }
-    let since = time::now();
-    let ended = tokio::time::timeout(STOPPED, response(&mut open)).await;
-    let ended = ended.is_ok().then(time::now);
-    shared.seen.borrow_mut().stopped.push(Stopped { since, ended });
+    let stalled_at = now_us();
+    let closed = tokio::time::timeout(STALL_OBSERVED_FOR, read_response(&mut open)).await;
+    let closed_at = closed.is_ok().then(now_us);
+    context.observations.borrow_mut().stalled_clients.push(StalledClient { stalled_at, closed_at });
 }
--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -1,10 +1,10 @@
-//! Discovery: one list for all, and an agent beside each gatherer, which can be silent or reset its watches.
+//! Discovery: one endpoint list for all, and an agent beside each gatherer, which can be unresponsive or reset its
+//! connections.
 
-use crate::time;
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, Response};
 use serde_json::{Value, json};
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,53 +15,60 @@
 
 /// A worker as it is listed.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     /// Where it listens.
     pub address: String,
     /// Its cell.
     pub cell: u32,
-    /// Its phase.
+    /// Its phase, in the words of discovery.
     pub phase: &'static str,
     /// Its start, in Unix milliseconds; 0 for long ago.
     pub up_since_ms: u64,
 }
 
-/// The list, by name.
-pub type List = BTreeMap<String, Listed>;
+/// The endpoint list, by the worker's name.
+pub type EndpointList = BTreeMap<String, Endpoint>;
 
-fn member(id: &str, listed: &Listed) -> Value {
-    json!({
-        "id": id, "host_port": listed.address, "locality": "a", "flavor": "m", "cell": listed.cell,
-        "phase": listed.phase, "size": 1.0, "up_since_ms": listed.up_since_ms,
-    })
+/// A revision of the endpoint list.
+#[derive(Clone)]
+struct Revision {
+    number: u64,
+    list: EndpointList,
 }
 
-/// What an agent holds: a revision and the list of then.
-type Held = (u64, List);
+impl Revision {
+    fn to_json(&self) -> Value {
+        let member = |(id, endpoint): (&String, &Endpoint)| {
+            json!({
+                "id": id, "host_port": endpoint.address, "locality": "a", "flavor": "m", "cell": endpoint.cell,
+                "phase": endpoint.phase, "size": 1.0, "up_since_ms": endpoint.up_since_ms,
+            })
+        };
+        let members: Vec<Value> = self.list.iter().map(member).collect();
+        json!({"revision": self.number, "complete": true, "members": members})
+    }
+}
 
-/// The agent beside one gatherer.
-pub struct Agent {
-    /// Where it answers; the second address is for a configuration that moves it.
+/// The discovery agent beside one gatherer.
+pub struct DiscoveryAgent {
+    /// Where it responds; the second address is for a configuration that moves it.
     pub addresses: [String; 2],
-    held: watch::Sender<Held>,
-    pending: RefCell<Option<Held>>,
-    silent: watch::Sender<bool>,
+    current: watch::Sender<Revision>,
+    pending: RefCell<Option<Revision>>,
+    unresponsive: watch::Sender<bool>,
     resets: watch::Sender<u64>,
-    /// When it last got something new.
-    pub told: Cell<u64>,
 }
 
-impl Agent {
-    /// An agent that holds this list.
-    pub async fn start(list: &List) -> Rc<Agent> {
+impl DiscoveryAgent {
+    /// Starts an agent that has this list.
+    pub async fn start(list: &EndpointList) -> Rc<DiscoveryAgent> {
         let (first, second) = (listen().await, listen().await);
-        let agent = Rc::new(Agent {
+        let agent = Rc::new(DiscoveryAgent {
             addresses: [first.1, second.1],
-            held: watch::Sender::new((1, list.clone())),
+            current: watch::Sender::new(Revision { number: 1, list: list.clone() }),
             pending: RefCell::default(),
-            silent: watch::Sender::new(false),
+            unresponsive: watch::Sender::new(false),
             resets: watch::Sender::new(0),
-            told: Cell::new(time::now()),
         });
         for listener in [first.0, second.0] {
             spawn_local(agent.clone().accept(listener));
@@ -69,43 +76,42 @@
         agent
     }
 
-    /// The list as it holds it.
+    /// The list as it has it.
     pub fn list(&self) -> Value {
-        whole(&self.held.borrow())
+        self.current.borrow().to_json()
     }
 
-    /// There is a new list; it learns of it now, or when it is no longer silent. True if it knows now.
-    pub fn learn(&self, list: &List) -> bool {
-        let revision = self.pending.borrow().as_ref().unwrap_or(&self.held.borrow()).0 + 1;
-        self.pending.replace(Some((revision, list.clone())));
-        self.flush()
+    /// Gives it a new list, which it serves now, or once it responds again. Whether it serves it now.
+    pub fn update(&self, list: &EndpointList) -> bool {
+        let number = self.pending.borrow().as_ref().unwrap_or(&self.current.borrow()).number + 1;
+        self.pending.replace(Some(Revision { number, list: list.clone() }));
+        self.apply_pending()
     }
 
-    fn flush(&self) -> bool {
-        if *self.silent.borrow() {
+    fn apply_pending(&self) -> bool {
+        if *self.unresponsive.borrow() {
             return false;
         }
-        if let Some(held) = self.pending.take() {
-            self.told.set(time::now());
-            self.held.send_replace(held);
+        if let Some(revision) = self.pending.take() {
+            self.current.send_replace(revision);
         }
         true
     }
 
-    /// Says nothing and learns nothing for so long.
-    pub async fn be_silent(&self, lasts: Duration) {
-        self.silent.send_replace(true);
+    /// Neither responds nor applies updates for so long.
+    pub async fn be_unresponsive(&self, lasts: Duration) {
+        self.unresponsive.send_replace(true);
         tokio::time::sleep(lasts).await;
-        self.silent.send_replace(false);
-        self.flush();
+        self.unresponsive.send_replace(false);
+        self.apply_pending();
     }
 
     /// Ends all connections to it.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
-    async fn accept(self: Rc<Agent>, listener: TcpListener) {
+    async fn accept(self: Rc<DiscoveryAgent>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let agent = self.clone();
@@ -113,14 +119,14 @@
                 let mut resets = agent.resets.subscribe();
                 resets.mark_unchanged();
                 tokio::select! {
-                    _ = agent.answer(stream) => {}
+                    _ = agent.serve(stream) => {}
                     _ = resets.changed() => {}
                 }
             });
         }
     }
 
-    async fn answer(&self, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut buffer = BytesMut::new();
         loop {
             let request = loop {
@@ -134,27 +140,22 @@
                 }
             };
             let after = request.parameter("index").and_then(|index| index.parse::<u64>().ok());
-            let wait = request.parameter("wait").and_then(|wait| wait.parse().ok()).unwrap_or(0);
-            let mut held = self.held.subscribe();
+            let wait_ms = request.parameter("wait").and_then(|wait| wait.parse().ok()).unwrap_or(0);
+            let mut current = self.current.subscribe();
             if let Some(after) = after {
-                let newer = held.wait_for(|held| held.0 > after);
-                // Past its wait it answers with what there is.
-                let _ = tokio::time::timeout(Duration::from_millis(wait), newer).await;
+                let newer = current.wait_for(|revision| revision.number > after);
+                // Past its wait it responds with the revision that it has.
+                let _ = tokio::time::timeout(Duration::from_millis(wait_ms), newer).await;
             }
-            let mut silent = self.silent.subscribe();
+            let mut unresponsive = self.unresponsive.subscribe();
             // The sender lives as long as the agent.
-            let _ = silent.wait_for(|silent| !*silent).await;
-            let text = whole(&self.held.borrow()).to_string();
+            let _ = unresponsive.wait_for(|unresponsive| !*unresponsive).await;
+            let text = self.list().to_string();
             stream.write_all(&Response::json(200, text).encode(false)).await?;
         }
     }
 }
 
-fn whole(held: &Held) -> Value {
-    let members: Vec<Value> = held.1.iter().map(|(id, listed)| member(id, listed)).collect();
-    json!({"revision": held.0, "complete": true, "members": members})
-}
-
 async fn listen() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
--- a/src/bin/soak-test/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -1,12 +1,12 @@
-//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping troubles
-//! drawn from a seed, judged by invariants. It says which invariant fell and how to play the run again.
+//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping faults drawn from
+//! a seed, checked by invariants. It reports which invariant was violated and how to repeat the run.
 
 mod clients;
 mod discovery;
-mod fleet;
-mod stage;
-mod time;
-mod worker;
+mod harness;
+mod monotonic;
+mod processes;
+mod stand_in_worker;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -22,9 +22,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a soak, and judge it: status 1 if an invariant fell.
-    Run(Run),
-    /// Be one worker; started by a soak.
+    /// Run a soak test and check its invariants: status 1 if one was violated.
+    Run(RunOptions),
+    /// Be one worker; started by a soak test.
     Worker {
         /// Draws its misbehaviour.
         #[arg(long)]
@@ -35,13 +35,13 @@
     },
 }
 
-/// How a soak is played.
+/// The options of one run.
 #[derive(clap::Args, Clone, Debug)]
-pub struct Run {
+pub struct RunOptions {
     /// Draws everything.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long troubles come, in seconds.
+    /// How long faults are injected, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     /// Gatherers.
@@ -53,7 +53,7 @@
     /// Clients.
     #[arg(long, default_value_t = 24)]
     clients: usize,
-    /// Only these troubles, by name; all if none is named.
+    /// Only these faults, by name; all if none is named.
     #[arg(long)]
     only: Vec<String>,
     /// Let no system call fail.
@@ -62,7 +62,7 @@
     /// The gatherer's program.
     #[arg(long, default_value = "target/release/gatherer")]
     program: PathBuf,
-    /// The library of faults; it is built from `tools/faults/faults.c` where this is not given.
+    /// The fault library; it is built from `tools/faults/faults.c` where this is not given.
     #[arg(long)]
     library: Option<PathBuf>,
     /// Keep logs of the gatherers there.
@@ -72,7 +72,7 @@
 
 fn main() -> ExitCode {
     match Arguments::parse().command {
-        Command::Run(run) => stage::play(&run),
-        Command::Worker { seed, listen } => worker::serve(seed, &listen),
+        Command::Run(options) => harness::run(&options),
+        Command::Worker { seed, listen } => stand_in_worker::serve(seed, &listen),
     }
 }
--- /dev/null
+++ b/src/bin/soak-test/processes.rs
@@ -0,0 +1,378 @@
+//! The processes of a soak test: gatherers with what they log, and workers with the parts that they report.
+
+use crate::clients::{GathererEndpoint, SHARDS};
+use crate::discovery::DiscoveryAgent;
+use crate::monotonic::now_us;
+use gatherer::soak::checker::{Observations, Part, Process, ProcessExit};
+use rustix::process::{Pid, Signal, kill_process};
+use serde_json::{Value, json};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{Ipv4Addr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+/// Sends a signal. A process that has ended by itself receives none.
+fn send_signal(child: &Child, signal: Signal) {
+    if let Some(process) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
+        // It may have ended in this moment.
+        let _ = kill_process(process, signal);
+    }
+}
+
+/// Kills a process and waits for its end.
+fn kill_and_wait(child: &mut Child) {
+    // It may have ended by itself, and been waited for.
+    let _ = child.kill();
+    let _ = child.wait();
+}
+
+/// A free address, drawn from all of loopback so that no stand-in and no client uses it.
+pub fn free_address() -> String {
+    let [a, b, c, ..] = fastrand::u32(..).to_le_bytes();
+    let listener = TcpListener::bind((Ipv4Addr::new(127, a.max(1), b, c), 0)).expect("a port");
+    listener.local_addr().expect("an address").to_string()
+}
+
+/// A worker's process.
+pub struct WorkerProcess {
+    /// Its name.
+    pub name: String,
+    /// Where it listens.
+    pub address: String,
+    child: RefCell<Child>,
+    parts: Arc<Mutex<Vec<Part>>>,
+    seed: Cell<u64>,
+}
+
+impl WorkerProcess {
+    /// Starts a worker.
+    pub fn start(name: &str, seed: u64) -> Rc<WorkerProcess> {
+        let address = free_address();
+        let parts = Arc::default();
+        let child = RefCell::new(spawn_worker(name, &address, seed, &parts));
+        Rc::new(WorkerProcess { name: name.to_owned(), address, child, parts, seed: Cell::new(seed) })
+    }
+
+    /// Kills it.
+    pub fn kill(&self) {
+        kill_and_wait(&mut self.child.borrow_mut());
+    }
+
+    /// Starts it anew at its address.
+    pub fn restart(&self) {
+        self.seed.set(self.seed.get() + 1);
+        let new = spawn_worker(&self.name, &self.address, self.seed.get(), &self.parts);
+        let mut before = self.child.replace(new);
+        kill_and_wait(&mut before);
+    }
+
+    /// Sends it a signal.
+    pub fn signal(&self, signal: Signal) {
+        send_signal(&self.child.borrow(), signal);
+    }
+
+    /// Moves the parts that it has reported to the observations.
+    pub fn collect(&self, observations: &mut Observations) {
+        observations.parts.append(&mut self.parts.lock().expect("no reader panics"));
+    }
+}
+
+fn spawn_worker(name: &str, address: &str, seed: u64, parts: &Arc<Mutex<Vec<Part>>>) -> Child {
+    let own = std::env::current_exe().expect("the path of this program");
+    let mut command = Command::new(own);
+    command.args(["worker", "--seed", &seed.to_string(), "--listen", address]);
+    let mut child = command.stdout(Stdio::piped()).spawn().expect("a worker starts");
+    let lines = BufReader::new(child.stdout.take().expect("piped")).lines();
+    let (name, parts) = (name.to_owned(), parts.clone());
+    thread::spawn(move || {
+        for line in lines.map_while(Result::ok) {
+            if let Some(part) = parse_part(&line, &name) {
+                parts.lock().expect("no reader panics").push(part);
+            }
+        }
+    });
+    child
+}
+
+/// Parses a line that `stand_in_worker` writes for a part.
+fn parse_part(line: &str, worker: &str) -> Option<Part> {
+    let words: Vec<&str> = line.split(' ').collect();
+    let ["part", received_at, request, shard, time_left_ms, executed] = words[..] else { return None };
+    Some(Part {
+        request: request.to_owned(),
+        shard: shard.parse().ok()?,
+        worker: worker.to_owned(),
+        received_at: received_at.parse().ok()?,
+        time_left_us: time_left_ms.parse::<u64>().ok()? * 1000,
+        executed: executed == "true",
+    })
+}
+
+/// What is checked of the lines that a gatherer's process has logged.
+#[derive(Default)]
+struct LogFindings {
+    panic: Option<String>,
+    invariant_counters: Option<String>,
+}
+
+/// A running process of a gatherer.
+pub struct GathererProcess {
+    /// Its number among all processes.
+    pub number: usize,
+    /// Where its operators connect.
+    pub operator_address: String,
+    child: Child,
+    log: Arc<Mutex<LogFindings>>,
+}
+
+/// A span in which a gatherer need not know of a drain or removal at once.
+struct Exemption {
+    from: u64,
+    until: u64,
+}
+
+/// A gatherer: where its clients connect, its discovery agent, and its processes.
+pub struct Gatherer {
+    /// Its number.
+    pub number: usize,
+    /// Where its clients connect.
+    pub endpoint: Rc<GathererEndpoint>,
+    /// Its discovery.
+    pub agent: Rc<DiscoveryAgent>,
+    /// Which of its agent's addresses its configuration names.
+    pub agent_address: Cell<usize>,
+    /// Its process; while there are two of them, the newer.
+    pub process: RefCell<Option<GathererProcess>>,
+    /// A fault is being injected into its processes; no other may be.
+    pub in_transition: Cell<bool>,
+    exemptions: RefCell<Vec<Exemption>>,
+    environment: Rc<Environment>,
+}
+
+/// Where files and programs are, and how large the fleet is.
+pub struct Environment {
+    /// A folder of the soak test's own.
+    pub folder: PathBuf,
+    /// The gatherer's program.
+    pub program: PathBuf,
+    /// The fault library.
+    pub library: Option<PathBuf>,
+    /// Where logs are kept.
+    pub logs: Option<PathBuf>,
+    /// Where each gatherer takes part in membership.
+    pub membership_addresses: Vec<String>,
+    /// Gatherers of the fleet.
+    pub gatherers: usize,
+    /// Workers of the fleet.
+    pub workers: usize,
+}
+
+impl Gatherer {
+    /// A gatherer of which no process runs yet.
+    pub fn new(number: usize, agent: Rc<DiscoveryAgent>, environment: Rc<Environment>) -> Rc<Gatherer> {
+        let endpoint = Rc::new(GathererEndpoint {
+            address: free_address(),
+            accepts_connections: Cell::new(false),
+            process: Cell::new(0),
+        });
+        Rc::new(Gatherer {
+            number,
+            endpoint,
+            agent,
+            agent_address: Cell::new(0),
+            process: RefCell::default(),
+            in_transition: Cell::new(false),
+            exemptions: RefCell::default(),
+            environment,
+        })
+    }
+
+    /// The file that switches failing system calls on: they fail while it exists.
+    pub fn fault_switch(&self) -> PathBuf {
+        self.environment.folder.join(format!("faults-{}", self.number))
+    }
+
+    fn configuration_file(&self, operator_address: &str) -> PathBuf {
+        let name = format!("g{}-{}.json", self.number, operator_address.replace(':', "-"));
+        self.environment.folder.join(name)
+    }
+
+    fn configuration(&self, operator_address: &str) -> Value {
+        let environment = &self.environment;
+        json!({
+            "name": format!("g{}", self.number), "listen": self.endpoint.address, "operator": operator_address,
+            "discovery": self.agent.addresses[self.agent_address.get()],
+            "seed": format!("{:x}", self.number + 7),
+            "limits": {"sockets": 256, "memory_mb": 64}, "known": self.agent.list(),
+            "settings": settings(environment.gatherers, environment.workers),
+        })
+    }
+
+    /// Writes the operator's file, which makes the gatherer keep records and take part in membership.
+    fn write_operator_file(&self) -> PathBuf {
+        let environment = &self.environment;
+        let folder = environment.folder.join(format!("records-{}", self.number));
+        let seeds: Vec<String> =
+            environment.membership_addresses.iter().map(|address| format!("{address:?}")).collect();
+        let text = format!(
+            "[records]\nfolder = {folder:?}\nsegment_kb = 64\nall_kb = 256\n[membership]\nlisten = {:?}\ncluster = \"soak\"\nsecret = \"sixteen bytes or more\"\nseeds = [{}]\n",
+            environment.membership_addresses[self.number],
+            seeds.join(", ")
+        );
+        let file = environment.folder.join(format!("operator-{}.toml", self.number));
+        std::fs::write(&file, text).expect("written");
+        file
+    }
+
+    /// Starts a process beside those that run. `faults` says which of its system calls fail.
+    pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
+        let environment = &self.environment;
+        let operator_address = free_address();
+        let file = self.configuration_file(&operator_address);
+        std::fs::write(&file, self.configuration(&operator_address).to_string()).expect("written");
+        let mut command = Command::new(&environment.program);
+        command.args(["serve", "--operator"]).arg(self.write_operator_file());
+        command.env_clear().env("LB_CONFIG", &file).env("TMPDIR", &environment.folder);
+        command.stderr(Stdio::piped());
+        if let Some(library) = &environment.library {
+            command.env("LD_PRELOAD", library).env("FAULTS", faults);
+            command.env("FAULTS_SWITCH", self.fault_switch());
+        }
+        let number = observations.borrow().processes.len();
+        let started_at = now_us();
+        let mut child = command.spawn().expect("the program is there");
+        let process = Process { gatherer: self.number, started_at, ..Process::default() };
+        observations.borrow_mut().processes.push(process);
+        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let log: Arc<Mutex<LogFindings>> = Arc::default();
+        let findings = log.clone();
+        let file = environment.logs.as_ref().map(|logs| create_log_file(logs, self.number, number));
+        thread::spawn(move || read_log(lines.map_while(Result::ok), &findings, file));
+        GathererProcess { number, operator_address, child, log }
+    }
+
+    /// Writes the configuration of the running process anew.
+    pub fn write_configuration(&self) {
+        if let Some(process) = &*self.process.borrow() {
+            let text = self.configuration(&process.operator_address).to_string();
+            std::fs::write(self.configuration_file(&process.operator_address), text).expect("written");
+        }
+    }
+
+    /// Writes half of the configuration of the running process, and has the process read it (SIGHUP).
+    pub fn reload_half_written(&self) {
+        if let Some(process) = &*self.process.borrow() {
+            let text = self.configuration(&process.operator_address).to_string();
+            let half = &text[..text.len() / 2];
+            std::fs::write(self.configuration_file(&process.operator_address), half).expect("written");
+            process.signal(Signal::HUP);
+        }
+    }
+
+    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls fail.
+    pub fn exempt(&self, from: u64, until: u64) {
+        self.exemptions.borrow_mut().push(Exemption { from, until });
+    }
+
+    /// From when on it has to know of a drain or removal that was announced at this time.
+    pub fn effective_at(&self, announced_at: u64) -> u64 {
+        let exemptions = self.exemptions.borrow();
+        let covering = exemptions.iter().filter(|span| (span.from..span.until).contains(&announced_at));
+        covering.map(|span| span.until).fold(announced_at, u64::max)
+    }
+}
+
+impl GathererProcess {
+    /// Sends it a signal.
+    pub fn signal(&self, signal: Signal) {
+        send_signal(&self.child, signal);
+    }
+
+    /// Whether it has ended; its end and its log are noted if so.
+    pub fn has_ended(&mut self, observations: &RefCell<Observations>) -> bool {
+        let Ok(Some(status)) = self.child.try_wait() else { return false };
+        let mut observations = observations.borrow_mut();
+        let process = &mut observations.processes[self.number];
+        process.exit.get_or_insert(ProcessExit { at: now_us(), success: status.success() });
+        let log = self.log.lock().expect("no reader panics");
+        process.panic.clone_from(&log.panic);
+        if let Some(line) = &log.invariant_counters {
+            process.invariant_counters = parse_invariant_counters(line);
+        }
+        true
+    }
+}
+
+impl Drop for GathererProcess {
+    fn drop(&mut self) {
+        // No process outlives the soak test.
+        kill_and_wait(&mut self.child);
+    }
+}
+
+fn parse_invariant_counters(line: &str) -> BTreeMap<String, u64> {
+    let pairs = line.split(' ').filter_map(|pair| pair.split_once('='));
+    let counts = pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?)));
+    counts.filter(|(name, _)| name != "total").collect()
+}
+
+fn create_log_file(logs: &Path, gatherer: usize, process: usize) -> std::fs::File {
+    std::fs::create_dir_all(logs).expect("a folder");
+    std::fs::File::create(logs.join(format!("g{gatherer}-{process}.log"))).expect("a file")
+}
+
+fn read_log(
+    lines: impl Iterator<Item = String>,
+    findings: &Mutex<LogFindings>,
+    mut file: Option<std::fs::File>,
+) {
+    for line in lines {
+        if let Some(file) = &mut file {
+            writeln!(file, "{} {line}", now_us()).expect("written");
+        }
+        let mut findings = findings.lock().expect("no reader panics");
+        if line.contains("panicked at") {
+            findings.panic.get_or_insert(line);
+        } else if let Some((_, counters)) = line.split_once("violations: ") {
+            findings.invariant_counters = Some(counters.to_owned());
+        }
+    }
+}
+
+/// Replicas of a shard.
+const REPLICAS: usize = 3;
+/// The grace period of a drain, in milliseconds.
+pub const DRAIN_GRACE_MS: u64 = 250;
+/// The deadline of each class, in milliseconds.
+pub const DEADLINE_MS: u64 = 3000;
+
+/// The settings of a gatherer, under the keys of its deployment.
+fn settings(gatherers: usize, workers: usize) -> Value {
+    let class = |name: &str, semantics: &str| {
+        json!({"name": name, "promise": 1_500_000_000, "deadline": DEADLINE_MS * 1_000_000, "semantics": semantics,
+            "worth": 1.0, "late-worth": 0.5})
+    };
+    json!({
+        "allowed": {"cancel": true, "second-copies": true, "most-tries": 4, "retry-after": true,
+            "max-retry-after": 200_000_000, "max-open": 600, "may-tell": true, "connect-timeout": 250_000_000,
+            "conn-idle": 2_000_000_000, "multiplex": 32},
+        "categories": [class("search", "repeatable"), class("seal", "once")],
+        "tenants": [{"name": "bank", "quota-per-s": 10_000.0}],
+        "balancers": gatherers, "quantum": 5_000_000, "localities": ["a"], "az": 0,
+        "domain": {"cells": cells(workers), "span": REPLICAS, "slices": SHARDS, "per-call": 4,
+            "min-share": [1.0, 1.0], "whole-at": [1.0, 1.0]},
+        "report": {"source": "piggyback", "fields": ["busy", "q"]},
+        "rules": {"grace-to-answer": 20_000_000, "drain-grace": DRAIN_GRACE_MS * 1_000_000, "cold-share": 0.5,
+            "warm-up": 1_000_000_000, "fall": 1_000_000_000, "fall-multiple": 10.0},
+    })
+}
+
+/// How many cells the workers form, of a few workers each.
+pub fn cells(workers: usize) -> usize {
+    (workers / 2).clamp(REPLICAS, 6)
+}
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -1,6 +1,8 @@
-//! The soak test: real processes on real sockets under overlapping troubles, judged by invariants. What is decided
-//! without input or output stands here, so that tests can prove that each invariant can fail; the processes and sockets
-//! are those of `soak-test`. Nothing of it runs in a gatherer.
+//! The soak test without its processes and sockets: the faults that it injects, and the checker of its invariants.
+//!
+//! It owns the fault schedule, drawn from a seed, and the rules by which observations are checked. It never reads, writes
+//! or starts anything, so that tests can prove that each invariant can be violated; processes and sockets are those of the
+//! `soak-test` program. Nothing here runs in a gatherer.
 
-pub mod judge;
-pub mod plan;
+pub mod checker;
+pub mod fault_schedule;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,137 +1,189 @@
-//! The soak's judge: each invariant's own proof that it can fail, and that what is allowed is no failure.
+//! The soak test's checker: each invariant can be violated, and what the specification permits violates none.
 
 mod common;
 
-use gatherer::soak::judge::*;
-use gatherer::soak::plan;
+use gatherer::soak::checker::{
+    EndpointRemoval, Observations, Part, Process, ProcessExit, Request, RequestOutcome, StalledClient,
+    ViolationKind, WorkerPause, check,
+};
+use gatherer::soak::fault_schedule::{ScheduledFault, fault_schedule, system_call_faults};
 use std::time::Duration;
 
-const S: u64 = 1_000_000;
+/// A second, in the microseconds of the observations.
+const SECOND: u64 = 1_000_000;
 
-/// One request that was served by one part, at a gatherer that was started, told to end, and ended.
-fn sound() -> Observations {
+/// One request that was served by one part, at a gatherer that was started, got SIGTERM, and ended.
+fn valid_observations() -> Observations {
     Observations {
         requests: vec![Request {
             id: "a".to_owned(),
-            once: true,
-            start: 0,
-            fresh: true,
-            sent: 10 * S,
-            budget: 2 * S,
-            ended: 10 * S + 20_000,
-            end: RequestEnd::Answered { status: 200, honest: true },
+            non_idempotent: true,
+            process: 0,
+            first_on_connection: true,
+            sent_at: 10 * SECOND,
+            budget_us: 2 * SECOND,
+            ended_at: 10 * SECOND + 20_000,
+            outcome: RequestOutcome::Response { status: 200, correct: true },
         }],
-        parts: vec![part(10 * S + 5000)],
+        parts: vec![part(10 * SECOND + 5000)],
         processes: vec![Process {
-            started: S,
-            ready: Some(S + 100_000),
-            told_to_end: Some(30 * S),
-            ended: Some((31 * S, true)),
+            started_at: SECOND,
+            ready_at: Some(SECOND + 100_000),
+            terminated_at: Some(30 * SECOND),
+            exit: Some(exit(31 * SECOND, true)),
             ..Process::default()
         }],
-        drain_grace: 250_000,
-        longest: 3 * S,
-        lag: 1000,
+        drain_grace_us: 250_000,
+        longest_deadline_us: 3 * SECOND,
+        observer_lag_us: 1000,
         ..Observations::default()
     }
 }
 
-fn part(came: u64) -> Part {
+fn exit(at: u64, success: bool) -> ProcessExit {
+    ProcessExit { at, success }
+}
+
+fn part(received_at: u64) -> Part {
     let (request, worker) = ("a".to_owned(), "w0".to_owned());
-    Part { request, shard: 3, worker, came, told: S, ran: true }
+    Part { request, shard: 3, worker, received_at, time_left_us: SECOND, executed: true }
 }
 
-/// What falls once this is changed.
-fn falls(change: impl FnOnce(&mut Observations)) -> Vec<Broken> {
-    let mut seen = sound();
-    change(&mut seen);
-    judge(&seen).into_iter().map(|finding| finding.broken).collect()
+/// What is violated once this is changed.
+fn violated_by(change: impl FnOnce(&mut Observations)) -> Vec<ViolationKind> {
+    let mut observations = valid_observations();
+    change(&mut observations);
+    check(&observations).into_iter().map(|violation| violation.kind).collect()
 }
 
-fn ends(end: RequestEnd) -> impl FnOnce(&mut Observations) {
-    move |seen| seen.requests[0].end = end
+fn ends_with(outcome: RequestOutcome) -> impl FnOnce(&mut Observations) {
+    move |observations| observations.requests[0].outcome = outcome
 }
 
 #[test]
-fn each_invariant_of_requests_and_parts_can_fall() {
-    assert_eq!(falls(|_| {}), []);
-    assert_eq!(falls(ends(RequestEnd::Silent)), [Broken::Lost]);
-    assert_eq!(falls(ends(RequestEnd::Closed)), [Broken::Lost]);
-    assert_eq!(falls(|seen| seen.requests[0].ended = 12 * S + 600_000), [Broken::Lost]);
-    let dishonest = RequestEnd::Answered { status: 200, honest: false };
-    assert_eq!(falls(ends(dishonest)), [Broken::Dishonest]);
-    assert_eq!(falls(|seen| seen.parts.push(part(10 * S + 9000))), [Broken::Duplicate]);
-    assert_eq!(falls(|seen| seen.parts[0].told = 2 * S + 200_000), [Broken::Deadline]);
-    let left = |seen: &mut Observations| {
-        (seen.requests[0].end, seen.requests[0].ended) = (RequestEnd::Left, 10 * S + 1000);
-        seen.parts[0].came = 10 * S + 150_000;
+fn each_invariant_of_requests_and_parts_can_be_violated() {
+    assert_eq!(violated_by(|_| {}), []);
+    assert_eq!(violated_by(ends_with(RequestOutcome::NoResponse)), [ViolationKind::LostRequest]);
+    assert_eq!(violated_by(ends_with(RequestOutcome::ConnectionClosed)), [ViolationKind::LostRequest]);
+    assert_eq!(
+        violated_by(|observations| observations.requests[0].ended_at = 12 * SECOND + 600_000),
+        [ViolationKind::LostRequest]
+    );
+    let incorrect = RequestOutcome::Response { status: 200, correct: false };
+    assert_eq!(violated_by(ends_with(incorrect)), [ViolationKind::IncorrectResponse]);
+    assert_eq!(
+        violated_by(|observations| observations.parts.push(part(10 * SECOND + 9000))),
+        [ViolationKind::DuplicateExecution]
+    );
+    assert_eq!(
+        violated_by(|observations| observations.parts[0].time_left_us = 2 * SECOND + 200_000),
+        [ViolationKind::DeadlineExtended]
+    );
+    let disconnected = |observations: &mut Observations| {
+        (observations.requests[0].outcome, observations.requests[0].ended_at) =
+            (RequestOutcome::ClientDisconnected, 10 * SECOND + 1000);
+        observations.parts[0].received_at = 10 * SECOND + 150_000;
+    };
+    assert_eq!(violated_by(disconnected), [ViolationKind::SentAfterDisconnect]);
+    let removal = EndpointRemoval {
+        gatherer: 0,
+        worker: "w0".to_owned(),
+        effective_at: 9 * SECOND,
+        relisted_at: 12 * SECOND,
     };
-    assert_eq!(falls(left), [Broken::AfterLeaving]);
-    let change = Change { gatherer: 0, worker: "w0".to_owned(), told: 9 * S, until: 12 * S };
-    assert_eq!(falls(|seen| seen.changes.push(change)), [Broken::Drain]);
+    assert_eq!(
+        violated_by(|observations| observations.removals.push(removal)),
+        [ViolationKind::SentToDrainedWorker]
+    );
 }
 
 #[test]
-fn each_invariant_of_processes_and_bad_clients_can_fall() {
-    assert_eq!(falls(|seen| seen.processes[0].panic = Some("panicked".to_owned())), [Broken::Crash]);
-    assert_eq!(falls(|seen| seen.processes[0].ended = Some((31 * S, false))), [Broken::Crash]);
-    assert_eq!(falls(|seen| seen.processes[0].ended = Some((20 * S, true))), [Broken::Crash]);
-    assert_eq!(falls(|seen| seen.processes[0].ready = Some(20 * S)), [Broken::Start]);
-    let failed = |seen: &mut Observations| {
-        (seen.processes[0].ready, seen.processes[0].ended) = (None, Some((2 * S, false)));
+fn each_invariant_of_processes_and_stalled_clients_can_be_violated() {
+    assert_eq!(
+        violated_by(|observations| observations.processes[0].panic = Some("panicked".to_owned())),
+        [ViolationKind::Crash]
+    );
+    assert_eq!(
+        violated_by(|observations| observations.processes[0].exit = Some(exit(31 * SECOND, false))),
+        [ViolationKind::Crash]
+    );
+    assert_eq!(
+        violated_by(|observations| observations.processes[0].exit = Some(exit(20 * SECOND, true))),
+        [ViolationKind::Crash]
+    );
+    assert_eq!(
+        violated_by(|observations| observations.processes[0].ready_at = Some(20 * SECOND)),
+        [ViolationKind::FailedStart]
+    );
+    let failed = |observations: &mut Observations| {
+        (observations.processes[0].ready_at, observations.processes[0].exit) =
+            (None, Some(exit(2 * SECOND, false)));
     };
-    assert_eq!(falls(failed), [Broken::Start]);
-    assert_eq!(falls(|seen| seen.processes[0].ended = None), [Broken::End]);
-    assert_eq!(falls(|seen| seen.processes[0].ended = Some((36 * S, true))), [Broken::End]);
-    let counted = |seen: &mut Observations| {
-        seen.processes[0].violations.insert("sent_in_time".to_owned(), 1);
+    assert_eq!(violated_by(failed), [ViolationKind::FailedStart]);
+    assert_eq!(violated_by(|observations| observations.processes[0].exit = None), [ViolationKind::LateExit]);
+    assert_eq!(
+        violated_by(|observations| observations.processes[0].exit = Some(exit(36 * SECOND, true))),
+        [ViolationKind::LateExit]
+    );
+    let counted = |observations: &mut Observations| {
+        observations.processes[0].invariant_counters.insert("sent_in_time".to_owned(), 1);
     };
-    assert_eq!(falls(counted), [Broken::Counted]);
-    let held = |ended| Stopped { since: 10 * S, ended };
-    assert_eq!(falls(|seen| seen.stopped.push(held(None))), [Broken::BadClient]);
-    assert_eq!(falls(|seen| seen.stopped.push(held(Some(14 * S)))), [Broken::BadClient]);
+    assert_eq!(violated_by(counted), [ViolationKind::CountedByGatherer]);
+    let held = |closed_at| StalledClient { stalled_at: 10 * SECOND, closed_at };
+    assert_eq!(
+        violated_by(|observations| observations.stalled_clients.push(held(None))),
+        [ViolationKind::StalledClientHeld]
+    );
+    assert_eq!(
+        violated_by(|observations| observations.stalled_clients.push(held(Some(14 * SECOND)))),
+        [ViolationKind::StalledClientHeld]
+    );
 }
 
 #[test]
-fn what_the_pages_allow_is_no_failure() {
-    // A close that crosses an unread request on a kept connection; a process that was killed; a worker that stood still.
-    let crossed = |seen: &mut Observations| {
-        (seen.requests[0].end, seen.requests[0].fresh) = (RequestEnd::Closed, false);
-        seen.parts.clear();
+fn what_the_specification_permits_violates_no_invariant() {
+    // A close that crosses an unread request on a reused connection; a killed process; a paused worker.
+    let crossed = |observations: &mut Observations| {
+        (observations.requests[0].outcome, observations.requests[0].first_on_connection) =
+            (RequestOutcome::ConnectionClosed, false);
+        observations.parts.clear();
     };
-    assert_eq!(falls(crossed), []);
-    let killed = |seen: &mut Observations| {
-        seen.requests[0].end = RequestEnd::Closed;
-        (seen.processes[0].killed, seen.processes[0].told_to_end) = (Some(10 * S), None);
-        seen.processes[0].ended = Some((10 * S + 1000, false));
+    assert_eq!(violated_by(crossed), []);
+    let killed = |observations: &mut Observations| {
+        observations.requests[0].outcome = RequestOutcome::ConnectionClosed;
+        (observations.processes[0].killed_at, observations.processes[0].terminated_at) =
+            (Some(10 * SECOND), None);
+        observations.processes[0].exit = Some(exit(10 * SECOND + 1000, false));
     };
-    assert_eq!(falls(killed), []);
-    let paused = |seen: &mut Observations| {
-        seen.parts[0].came = 11 * S + 900_000;
-        seen.pauses.push(WorkerPause { worker: "w0".to_owned(), from: 10 * S, to: 11 * S + 890_000 });
+    assert_eq!(violated_by(killed), []);
+    let paused = |observations: &mut Observations| {
+        observations.parts[0].received_at = 11 * SECOND + 900_000;
+        let (paused_at, resumed_at) = (10 * SECOND, 11 * SECOND + 890_000);
+        observations.worker_pauses.push(WorkerPause { worker: "w0".to_owned(), paused_at, resumed_at });
     };
-    assert_eq!(falls(paused), []);
-    // What was turned away did not run.
-    let turned_away = |seen: &mut Observations| {
-        seen.parts[0].ran = false;
-        seen.parts.push(part(10 * S + 9000));
+    assert_eq!(violated_by(paused), []);
+    // A rejected part was not executed.
+    let rejected = |observations: &mut Observations| {
+        observations.parts[0].executed = false;
+        observations.parts.push(part(10 * SECOND + 9000));
     };
-    assert_eq!(falls(turned_away), []);
+    assert_eq!(violated_by(rejected), []);
 }
 
 #[test]
-fn a_seed_draws_the_same_soak_again_and_its_troubles_overlap() {
+fn a_seed_draws_the_same_schedule_again_and_its_faults_overlap() {
     let length = Duration::from_secs(20);
-    let troubles = plan::troubles(7, length);
-    assert_eq!(troubles, plan::troubles(7, length));
-    assert_ne!(troubles, plan::troubles(8, length));
-    assert_ne!(plan::faults(7, 1), plan::faults(7, 2));
-    let overlaps = troubles.windows(2).filter(|two| two[0].at + two[0].lasts > two[1].at).count();
-    assert!(overlaps * 2 > troubles.len(), "{overlaps} of {}", troubles.len());
+    let schedule = fault_schedule(7, length);
+    assert_eq!(schedule, fault_schedule(7, length));
+    assert_ne!(schedule, fault_schedule(8, length));
+    assert_ne!(system_call_faults(7, 1), system_call_faults(7, 2));
+    let overlaps = |pair: &&[ScheduledFault]| pair[0].begins_after + pair[0].lasts > pair[1].begins_after;
+    let overlapping = schedule.windows(2).filter(overlaps).count();
+    assert!(overlapping * 2 > schedule.len(), "{overlapping} of {}", schedule.len());
 }
 
 #[test]
-fn a_short_soak_of_real_processes_breaks_no_invariant() {
+fn a_short_soak_test_of_real_processes_violates_no_invariant() {
     let library = common::process::faults_library();
     let logs = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("soak");
     let mut soak = std::process::Command::new(env!("CARGO_BIN_EXE_soak-test"));
@@ -149,8 +201,8 @@
         "8",
     ]);
     soak.arg("--program").arg(env!("CARGO_BIN_EXE_gatherer")).arg("--library").arg(library);
-    let played = soak.arg("--logs").arg(logs).output().expect("it is played");
-    let said = String::from_utf8_lossy(&played.stdout);
-    assert!(played.status.success(), "{said}{}", String::from_utf8_lossy(&played.stderr));
-    assert!(said.contains("no invariant fell"), "{said}");
+    let run = soak.arg("--logs").arg(logs).output().expect("the soak test runs");
+    let output = String::from_utf8_lossy(&run.stdout);
+    assert!(run.status.success(), "{output}{}", String::from_utf8_lossy(&run.stderr));
+    assert!(output.contains("no invariant was violated"), "{output}");
 }
--- a/tools/faults/faults.c
+++ b/tools/faults/faults.c
@@ -5,7 +5,7 @@
  * FAULTS        NAME=VALUE,... : what happens and how often (see `struct plan`); probabilities lie between 0 and 1
  * FAULTS_SWITCH a path: faults happen only while that file is there
  *
- * Draws come from the seed alone, so that a run with one thread can be played again.
+ * Draws come from the seed alone, so that a run with one thread can be repeated.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -123,7 +123,7 @@
     return -1;
 }
 
-/* One of these, by lot. */
+/* One of these error codes, drawn at random. */
 static int one_of(const int *codes, int count) {
     return codes[(int)(draw() * count) % count];
 }
