--- a/src/bin/soak-test/processes.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -1,118 +1,23 @@
-//! The processes of a soak test: gatherers with what they log, and workers with the parts that they report.
+//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process starts or ends:
+//! `gatherer_lifecycle` does.
 
-use crate::clients::{GathererEndpoint, SHARDS};
+use crate::clients::GathererEndpoint;
 use crate::discovery::DiscoveryAgent;
+use crate::gatherer_settings::settings;
 use crate::monotonic::now_us;
-use gatherer::soak::checker::{Observations, Part, Process, ProcessExit};
-use rustix::process::{Pid, Signal, kill_process};
+use crate::process::{free_address, kill_and_wait, send_signal};
+use gatherer::soak::checker::{Observations, Process, ProcessExit};
+use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
-use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Sends a signal. A process that has ended by itself receives none.
-fn send_signal(child: &Child, signal: Signal) {
-    if let Some(process) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
-        // It may have ended in this moment.
-        let _ = kill_process(process, signal);
-    }
-}
-
-/// Kills a process and waits for its end.
-fn kill_and_wait(child: &mut Child) {
-    // It may have ended by itself, and been waited for.
-    let _ = child.kill();
-    let _ = child.wait();
-}
-
-/// A free address, drawn from all of loopback so that no stand-in and no client uses it.
-pub fn free_address() -> String {
-    let [a, b, c, ..] = fastrand::u32(..).to_le_bytes();
-    let listener = TcpListener::bind((Ipv4Addr::new(127, a.max(1), b, c), 0)).expect("a port");
-    listener.local_addr().expect("an address").to_string()
-}
-
-/// A worker's process.
-pub struct WorkerProcess {
-    /// Its name.
-    pub name: String,
-    /// Where it listens.
-    pub address: String,
-    child: RefCell<Child>,
-    parts: Arc<Mutex<Vec<Part>>>,
-    seed: Cell<u64>,
-}
-
-impl WorkerProcess {
-    /// Starts a worker.
-    pub fn start(name: &str, seed: u64) -> Rc<WorkerProcess> {
-        let address = free_address();
-        let parts = Arc::default();
-        let child = RefCell::new(spawn_worker(name, &address, seed, &parts));
-        Rc::new(WorkerProcess { name: name.to_owned(), address, child, parts, seed: Cell::new(seed) })
-    }
-
-    /// Kills it.
-    pub fn kill(&self) {
-        kill_and_wait(&mut self.child.borrow_mut());
-    }
-
-    /// Starts it anew at its address.
-    pub fn restart(&self) {
-        self.seed.set(self.seed.get() + 1);
-        let new = spawn_worker(&self.name, &self.address, self.seed.get(), &self.parts);
-        let mut before = self.child.replace(new);
-        kill_and_wait(&mut before);
-    }
-
-    /// Sends it a signal.
-    pub fn signal(&self, signal: Signal) {
-        send_signal(&self.child.borrow(), signal);
-    }
-
-    /// Moves the parts that it has reported to the observations.
-    pub fn collect(&self, observations: &mut Observations) {
-        observations.parts.append(&mut self.parts.lock().expect("no reader panics"));
-    }
-}
-
-fn spawn_worker(name: &str, address: &str, seed: u64, parts: &Arc<Mutex<Vec<Part>>>) -> Child {
-    let own = std::env::current_exe().expect("the path of this program");
-    let mut command = Command::new(own);
-    command.args(["worker", "--seed", &seed.to_string(), "--listen", address]);
-    let mut child = command.stdout(Stdio::piped()).spawn().expect("a worker starts");
-    let lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-    let (name, parts) = (name.to_owned(), parts.clone());
-    thread::spawn(move || {
-        for line in lines.map_while(Result::ok) {
-            if let Some(part) = parse_part(&line, &name) {
-                parts.lock().expect("no reader panics").push(part);
-            }
-        }
-    });
-    child
-}
-
-/// Parses a line that `stand_in_worker` writes for a part.
-fn parse_part(line: &str, worker: &str) -> Option<Part> {
-    let words: Vec<&str> = line.split(' ').collect();
-    let ["part", received_at, request, shard, time_left_ms, executed] = words[..] else { return None };
-    Some(Part {
-        request: request.to_owned(),
-        shard: shard.parse().ok()?,
-        worker: worker.to_owned(),
-        received_at: received_at.parse().ok()?,
-        time_left_us: time_left_ms.parse::<u64>().ok()? * 1000,
-        executed: executed == "true",
-    })
-}
-
 /// What is checked of the lines that a gatherer's process has logged.
 #[derive(Default)]
 struct LogFindings {
@@ -343,36 +248,3 @@
         }
     }
 }
-
-/// Replicas of a shard.
-const REPLICAS: usize = 3;
-/// The grace period of a drain, in milliseconds.
-pub const DRAIN_GRACE_MS: u64 = 250;
-/// The deadline of each class, in milliseconds.
-pub const DEADLINE_MS: u64 = 3000;
-
-/// The settings of a gatherer, under the keys of its deployment.
-fn settings(gatherers: usize, workers: usize) -> Value {
-    let class = |name: &str, semantics: &str| {
-        json!({"name": name, "promise": 1_500_000_000, "deadline": DEADLINE_MS * 1_000_000, "semantics": semantics,
-            "worth": 1.0, "late-worth": 0.5})
-    };
-    json!({
-        "allowed": {"cancel": true, "second-copies": true, "most-tries": 4, "retry-after": true,
-            "max-retry-after": 200_000_000, "max-open": 600, "may-tell": true, "connect-timeout": 250_000_000,
-            "conn-idle": 2_000_000_000, "multiplex": 32},
-        "categories": [class("search", "repeatable"), class("seal", "once")],
-        "tenants": [{"name": "bank", "quota-per-s": 10_000.0}],
-        "balancers": gatherers, "quantum": 5_000_000, "localities": ["a"], "az": 0,
-        "domain": {"cells": cells(workers), "span": REPLICAS, "slices": SHARDS, "per-call": 4,
-            "min-share": [1.0, 1.0], "whole-at": [1.0, 1.0]},
-        "report": {"source": "piggyback", "fields": ["busy", "q"]},
-        "rules": {"grace-to-answer": 20_000_000, "drain-grace": DRAIN_GRACE_MS * 1_000_000, "cold-share": 0.5,
-            "warm-up": 1_000_000_000, "fall": 1_000_000_000, "fall-multiple": 10.0},
-    })
-}
-
-/// How many cells the workers form, of a few workers each.
-pub fn cells(workers: usize) -> usize {
-    (workers / 2).clamp(REPLICAS, 6)
-}
--- a/src/bin/soak-test/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -3,10 +3,15 @@
 
 mod clients;
 mod discovery;
+mod fault_injection;
+mod gatherer_lifecycle;
+mod gatherer_process;
+mod gatherer_settings;
 mod harness;
 mod monotonic;
-mod processes;
+mod process;
 mod stand_in_worker;
+mod worker_process;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of tests that are known to fail: what is no such list passes nothing over.
+//! The list of tests that are known to fail: a malformed list is rejected, so that it excludes no test.
 
 use std::process::{Command, Output};
 
