--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,18 +1,25 @@
-//! Discovery's list of workers, whole or as changes.
+//! Discovery's endpoint list of workers, complete or as changes to an earlier revision.
+//!
+//! It turns discovery's JSON into a [`WorkerListUpdate`] and builds the targets of requests for it. It never applies an
+//! update and never judges whether one is new.
 
 use crate::policy::{EndpointStatus, Time};
 use crate::routing::{ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 
+/// Nanoseconds of a millisecond.
+const NANOS_PER_MS: u64 = 1_000_000;
+
+// The names of these fields and phases are discovery's.
 #[derive(Deserialize)]
-struct List {
+struct Catalog {
     revision: u64,
     complete: bool,
-    members: Vec<Entry>,
+    members: Vec<CatalogMember>,
 }
 
 #[derive(Deserialize)]
-struct Entry {
+struct CatalogMember {
     id: String,
     #[serde(default)]
     host_port: String,
@@ -21,7 +28,7 @@
     #[serde(default)]
     cell: u32,
     phase: Phase,
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     size: f64,
     #[serde(default)]
     up_since_ms: u64,
@@ -35,37 +42,50 @@
     Deleted,
 }
 
-fn one() -> f64 {
+/// The size of a worker whose entry does not say.
+fn default_size() -> f64 {
     1.0
 }
 
-/// The path of the whole list, or of a watch for what is newer than `after`.
+/// The request target of the complete list, or of a watch: the revision that the watcher has, and how long discovery may
+/// wait for a newer one, in milliseconds.
+#[must_use]
 pub fn endpoint_list_target(watch: Option<(u64, u64)>) -> String {
     match watch {
         None => "/catalog/members".to_owned(),
-        Some((after, wait_ms)) => format!("/catalog/members?index={after}&wait={wait_ms}"),
+        Some((after_revision, wait_ms)) => {
+            format!("/catalog/members?index={after_revision}&wait={wait_ms}")
+        }
     }
 }
 
-/// Reads a list.
-pub fn decode_endpoint_list(bytes: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
-    let list: List = serde_json::from_slice(bytes)?;
-    let member = |entry: Entry| ListedWorker {
-        name: entry.id,
-        address: entry.host_port,
-        zone: entry.locality,
-        cell: entry.cell,
-        status: match entry.phase {
+/// Decodes an endpoint list.
+///
+/// # Errors
+///
+/// If the body is not JSON of discovery's form.
+pub fn decode_endpoint_list(body: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
+    let catalog: Catalog = serde_json::from_slice(body)?;
+    Ok(WorkerListUpdate {
+        revision: catalog.revision,
+        complete: catalog.complete,
+        workers: catalog.members.into_iter().map(listed_worker).collect(),
+    })
+}
+
+fn listed_worker(member: CatalogMember) -> ListedWorker {
+    let started_at = Time(member.up_since_ms.saturating_mul(NANOS_PER_MS));
+    ListedWorker {
+        name: member.id,
+        address: member.host_port,
+        zone: member.locality,
+        cell: member.cell,
+        status: match member.phase {
             Phase::Serving => EndpointStatus::Active,
             Phase::Draining => EndpointStatus::Draining,
             Phase::Deleted => EndpointStatus::Gone,
         },
-        units: entry.size,
-        started_at: (entry.up_since_ms > 0).then(|| Time(entry.up_since_ms.saturating_mul(1_000_000))),
-    };
-    Ok(WorkerListUpdate {
-        revision: list.revision,
-        complete: list.complete,
-        workers: list.members.into_iter().map(member).collect(),
-    })
+        units: member.size,
+        started_at: (member.up_since_ms > 0).then_some(started_at),
+    }
 }
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -1,123 +1,149 @@
-//! Frames between gatherers and workers: a four-byte length, least significant byte first, a letter, the rest.
+//! Frames between gatherers and workers: a four-byte length, least significant byte first, a letter for the frame's kind,
+//! and the rest.
+//!
+//! It encodes what a gatherer sends and decodes what a worker sends. It never decides what a result means, and keeps no
+//! state between frames: the caller owns the buffer.
 
 use crate::policy::{AttemptOutcome, LoadReport, ReportField, Time};
 use crate::routing::Dispatch;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The longest frame a worker may send: a value that fits an answer, and its line.
-const LONGEST: usize = 68 * 1024;
+/// The longest frame that a worker may send: a value that fits a response's body, and its line.
+const MAX_FRAME_BYTES: usize = 68 * 1024;
+/// The bytes of the length in front of a frame.
+const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no frame.
+// The letters of the frames' kinds, as the workers' protocol has them.
+const CALL: u8 = b'm';
+const CANCEL: u8 = b'n';
+const PART_FINISHED: u8 = b'q';
+const CALL_REJECTED: u8 = b'r';
+
+/// Why bytes are no frame of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// A length of nothing, or over the limit.
+    /// A length of zero, or over the limit.
     #[error("a frame of {0} bytes")]
     Length(usize),
-    /// A letter that workers do not send.
+    /// A kind that workers do not send.
     #[error("a frame of kind {0:?}")]
     Kind(char),
-    /// The line of an answer.
+    /// The line of a finished part.
     #[error("malformed answer: {0}")]
     Line(&'static str),
 }
 
-/// What a worker says.
+/// A message from a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerMessage {
-    /// A part has ended.
+    /// An attempt of a part has finished.
     PartFinished {
-        /// The part's id.
+        /// The part's id, see [`part_id`].
         id: String,
-        /// How.
+        /// How it finished.
         outcome: AttemptOutcome,
-        /// Its value.
+        /// Its value; empty unless it succeeded.
         value: Bytes,
-        /// The worker's load.
+        /// The worker's load, where the message reports it.
         report: Option<LoadReport>,
     },
-    /// The frame before could not be used; the worker closes the connection.
+    /// The frame before could not be used, for this reason; the worker closes the connection.
     CallRejected(String),
 }
 
 /// The id of a part on the wire.
+#[must_use]
 pub fn part_id(label: &str, shard: u32) -> String {
     format!("{label}.{shard}")
 }
 
-fn frame(letter: u8, rest: &[&[u8]]) -> Bytes {
-    let length = 1 + rest.iter().map(|piece| piece.len()).sum::<usize>();
-    let mut bytes = BytesMut::with_capacity(4 + length);
+fn encode_frame(kind: u8, payload: &[u8]) -> Bytes {
+    let length = 1 + payload.len();
+    let mut bytes = BytesMut::with_capacity(LENGTH_BYTES + length);
     bytes.put_u32_le(u32::try_from(length).unwrap_or(u32::MAX));
-    bytes.put_u8(letter);
-    rest.iter().for_each(|piece| bytes.put_slice(piece));
+    bytes.put_u8(kind);
+    bytes.put_slice(payload);
     bytes.freeze()
 }
 
-/// One call for these parts, as it is told to a worker at this time.
+/// Encodes one call for these parts, with the time that is left to each at `now`.
+#[must_use]
 pub fn encode_call(parts: &[Dispatch], now: Time) -> Bytes {
-    let mut rest = BytesMut::new();
+    let mut payload = BytesMut::new();
     for part in parts {
-        let (id, wait) = (part_id(&part.label, part.shard.0), part.time_left(now).as_millis());
-        rest.put_slice(format!("{id} {} d={wait} {}\n", part.shard.0, part.payload.len()).as_bytes());
-        rest.put_slice(&part.payload);
+        let id = part_id(&part.label, part.shard.0);
+        let time_left_ms = part.time_left(now).as_millis();
+        let line = format!("{id} {} d={time_left_ms} {}\n", part.shard.0, part.payload.len());
+        payload.put_slice(line.as_bytes());
+        payload.put_slice(&part.payload);
     }
-    frame(b'm', &[&rest])
+    encode_frame(CALL, &payload)
 }
 
-/// Gives a part up.
+/// Encodes the cancellation of a part.
+#[must_use]
 pub fn encode_cancel(id: &str) -> Bytes {
-    frame(b'n', &[id.as_bytes()])
+    encode_frame(CANCEL, id.as_bytes())
 }
 
-/// Takes one whole frame off the front of the buffer; `None` while it is not all there.
+/// Takes one complete frame off the front of the buffer; `None` while its end has not been received. Load reports are put
+/// in the order of `fields`.
+///
+/// # Errors
+///
+/// If the bytes are no frame of a worker. The connection cannot be used further: where the next frame begins is unknown.
 pub fn take_message(
     buffer: &mut BytesMut,
     fields: &[ReportField],
 ) -> Result<Option<WorkerMessage>, Malformed> {
-    let Some(length) = buffer.first_chunk::<4>().map(|bytes| u32::from_le_bytes(*bytes) as usize) else {
+    let prefix = buffer.first_chunk::<LENGTH_BYTES>();
+    let Some(length) = prefix.map(|bytes| u32::from_le_bytes(*bytes) as usize) else {
         return Ok(None);
     };
-    if length == 0 || length > LONGEST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(Malformed::Length(length));
     }
-    // Guards against waiting for the rest of what is no frame.
-    if let Some(letter) = buffer.get(4).filter(|letter| !matches!(letter, b'q' | b'r')) {
-        return Err(Malformed::Kind(char::from(*letter)));
+    // Checked before the rest has come: guards against waiting for the end of bytes that are no frame.
+    let kind = buffer.get(LENGTH_BYTES);
+    if let Some(kind) = kind.filter(|kind| !matches!(**kind, PART_FINISHED | CALL_REJECTED)) {
+        return Err(Malformed::Kind(char::from(*kind)));
     }
-    if buffer.len() < 4 + length {
+    if buffer.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(4);
-    let letter = buffer.get_u8();
-    let rest = buffer.split_to(length - 1);
-    match letter {
-        b'q' => answer(&rest, fields).map(Some),
-        b'r' => Ok(Some(WorkerMessage::CallRejected(String::from_utf8_lossy(&rest).into_owned()))),
+    buffer.advance(LENGTH_BYTES);
+    let kind = buffer.get_u8();
+    let payload = buffer.split_to(length - 1);
+    match kind {
+        PART_FINISHED => decode_part_finished(&payload, fields).map(Some),
+        CALL_REJECTED => {
+            Ok(Some(WorkerMessage::CallRejected(String::from_utf8_lossy(&payload).into_owned())))
+        }
         other => Err(Malformed::Kind(char::from(other))),
     }
 }
 
-fn answer(rest: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, Malformed> {
-    let line = rest.iter().position(|byte| *byte == b'\n').ok_or(Malformed::Line("no end of line"))?;
-    let text = std::str::from_utf8(&rest[..line]).map_err(|_| Malformed::Line("not UTF-8"))?;
-    let mut words = text.split(' ');
-    let (Some(id), Some(end), Some(_score), Some(load), None) =
+fn decode_part_finished(payload: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, Malformed> {
+    let end = payload.iter().position(|byte| *byte == b'\n').ok_or(Malformed::Line("no end of line"))?;
+    let line = std::str::from_utf8(&payload[..end]).map_err(|_| Malformed::Line("not UTF-8"))?;
+    let mut words = line.split(' ');
+    let (Some(id), Some(result), Some(_score), Some(load), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
         return Err(Malformed::Line("not four words"));
     };
-    let outcome = match end {
+    let outcome = match result {
         "good" => AttemptOutcome::Succeeded,
         "bad" => AttemptOutcome::Failed,
         "later" => AttemptOutcome::Rejected,
         _ => return Err(Malformed::Line("unknown end")),
     };
-    let value = &rest[line + 1..];
+    let value = &payload[end + 1..];
     if outcome == AttemptOutcome::Succeeded && std::str::from_utf8(value).is_err() {
         return Err(Malformed::Line("a value that is no text"));
     }
-    // Guards against losing a good answer for a load report that cannot be read.
-    let report = report(load, fields);
+    // A load report that cannot be decoded does not lose the value that it came with.
+    let report = decode_load_report(load, fields);
     Ok(WorkerMessage::PartFinished {
         id: id.to_owned(),
         outcome,
@@ -126,21 +152,22 @@
     })
 }
 
-/// A load report by name, put in the order of the settings; `None` where there is none, or none that can be read.
-fn report(text: &str, fields: &[ReportField]) -> Option<LoadReport> {
-    let mut row = vec![None; fields.len()];
+/// Decodes a load report `NAME=VALUE,...` into the order of `fields`; `None` where there is none, or it is malformed.
+fn decode_load_report(text: &str, fields: &[ReportField]) -> Option<LoadReport> {
+    let mut report = vec![None; fields.len()];
     for item in text.split(',') {
         let (name, value) = item.split_once('=')?;
         let value = value.parse::<f64>().ok().filter(|value| value.is_finite())?;
         let known = report_field(name);
         if let Some(at) = fields.iter().position(|field| *field == known && known != ReportField::Unknown) {
-            row[at] = Some(value);
+            report[at] = Some(value);
         }
     }
-    Some(row)
+    Some(report)
 }
 
-/// The value that a report calls by this name, in the words of sockets or of the simulator.
+/// The field that a load report calls by this name, on the workers' wire or on the simulator's.
+#[must_use]
 pub fn report_field(name: &str) -> ReportField {
     match name {
         "util" | "busy" => ReportField::Busy,
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -1,43 +1,46 @@
-//! What members tell each other, sealed: `clym`, a version, 16 bytes of a keyed BLAKE3 hash, and the message in postcard's
-//! form. A whole table goes over a connection, with its length (four bytes, least significant first) before it.
+//! The datagrams of members: `clym`, a version, 16 bytes of a keyed BLAKE3 hash, and the message in postcard's form. A
+//! complete member table is sent over a connection, with its length (four bytes, least significant first) in front.
+//!
+//! It authenticates messages by the cluster's key; it does not encrypt them. It never reads a socket and never applies a
+//! message.
 
 use crate::membership::Message;
 use crate::membership::update::{MAX_NAME_BYTES, MAX_UPDATES_BYTES};
 use std::fmt;
 
-/// The version that this program speaks; it takes no other.
+/// The version that this program sends; it accepts no other.
 pub const VERSION: u8 = 1;
 const MAGIC: &[u8; 4] = b"clym";
-const TAG: usize = 16;
-const HEAD: usize = MAGIC.len() + 1 + TAG;
-/// The longest datagram: it passes every network whole.
+const TAG_BYTES: usize = 16;
+const HEADER_BYTES: usize = MAGIC.len() + 1 + TAG_BYTES;
+/// The longest datagram: no network fragments it.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The most that one claim takes.
-const CLAIM: usize = 2 * MAX_NAME_BYTES + 48;
-/// What the key is for; a key of another use opens nothing here.
-const USE: &str = "clayshore membership, version 1";
+/// The most that one member's update takes.
+const MAX_UPDATE_BYTES: usize = 2 * MAX_NAME_BYTES + 48;
+/// What the key is derived for, so that a key of another use authenticates nothing here.
+const KEY_CONTEXT: &str = "clayshore membership, version 1";
 
-/// Why bytes are not taken.
+/// Why a message is not accepted. The texts are the names of its counters, which operators read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum GossipError {
-    /// They are not in this form at all.
+    /// The bytes are not in this form at all.
     #[error("foreign")]
     Foreign,
-    /// Another program's version.
+    /// Another version of the program sent it.
     #[error("version")]
     Version,
-    /// Another cluster's, another secret's, or damaged.
+    /// Another cluster's, made with another secret, or damaged.
     #[error("seal")]
-    ClusterKey,
-    /// Sealed, and yet no message.
+    Authentication,
+    /// Authentic, and yet no valid message.
     #[error("form")]
-    Form,
+    Encoding,
     /// Longer than any message.
     #[error("length")]
     Length,
 }
 
-/// Seals and opens what members of one cluster send.
+/// The key by which members of one cluster authenticate their messages.
 #[derive(Clone)]
 pub struct ClusterKey([u8; 32]);
 
@@ -48,135 +51,71 @@
 }
 
 impl ClusterKey {
-    /// Of this cluster; without a secret it keeps clusters apart, but nobody out.
+    /// The key of this cluster. Without a secret it keeps clusters apart, but keeps nobody out.
+    #[must_use]
     pub fn new(cluster: &str, secret: &str) -> ClusterKey {
         let material =
             [&(cluster.len() as u64).to_le_bytes(), cluster.as_bytes(), secret.as_bytes()].concat();
-        ClusterKey(blake3::derive_key(USE, &material))
+        ClusterKey(blake3::derive_key(KEY_CONTEXT, &material))
     }
 
-    fn tag(&self, body: &[u8]) -> [u8; TAG] {
+    fn tag(&self, body: &[u8]) -> [u8; TAG_BYTES] {
         let hash = blake3::keyed_hash(&self.0, body);
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&hash.as_bytes()[..TAG]);
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&hash.as_bytes()[..TAG_BYTES]);
         tag
     }
 
-    /// The bytes of a message.
+    /// Encodes a message with its authentication tag.
+    ///
+    /// # Errors
+    ///
+    /// If the message cannot be encoded.
     pub fn encode(&self, message: &Message) -> Result<Vec<u8>, GossipError> {
-        let body = postcard::to_stdvec(message).map_err(|_| GossipError::Form)?;
+        let body = postcard::to_stdvec(message).map_err(|_| GossipError::Encoding)?;
         Ok([&MAGIC[..], &[VERSION], &self.tag(&body), &body].concat())
     }
 
-    /// Reads a message.
+    /// Authenticates and decodes a message.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no message of this version, this cluster and this secret.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, GossipError> {
         let rest = bytes.strip_prefix(MAGIC).ok_or(GossipError::Foreign)?;
         let (version, rest) = rest.split_first().ok_or(GossipError::Foreign)?;
         if *version != VERSION {
             return Err(GossipError::Version);
         }
-        let (tag, body) = rest.split_at_checked(TAG).ok_or(GossipError::ClusterKey)?;
-        // Compared by the hash's own type, in constant time: guards against a seal that is found byte by byte.
-        let sealed = blake3::keyed_hash(&self.0, body);
-        let mut found = *sealed.as_bytes();
-        found[..TAG].copy_from_slice(tag);
-        if sealed != found {
-            return Err(GossipError::ClusterKey);
+        let (tag, body) = rest.split_at_checked(TAG_BYTES).ok_or(GossipError::Authentication)?;
+        // Compared by the hash's own type, in constant time: guards against a tag that is guessed byte by byte.
+        let expected = blake3::keyed_hash(&self.0, body);
+        let mut received = *expected.as_bytes();
+        received[..TAG_BYTES].copy_from_slice(tag);
+        if expected != received {
+            return Err(GossipError::Authentication);
         }
         match postcard::take_from_bytes::<Message>(body) {
             Ok((message, [])) if message.is_valid() => Ok(message),
-            _ => Err(GossipError::Form),
+            _ => Err(GossipError::Encoding),
         }
     }
 
-    /// Reads a datagram.
+    /// Authenticates and decodes a datagram.
+    ///
+    /// # Errors
+    ///
+    /// As [`ClusterKey::decode`], and if the datagram is longer than any that a member sends.
     pub fn decode_datagram(&self, bytes: &[u8]) -> Result<Message, GossipError> {
         if bytes.len() > MAX_DATAGRAM_BYTES { Err(GossipError::Length) } else { self.decode(bytes) }
     }
 }
 
-/// The most bytes that a table of so many others takes.
-pub fn max_table_bytes(most: usize) -> usize {
-    HEAD + MAX_UPDATES_BYTES + most.saturating_add(2).saturating_mul(CLAIM)
+/// The most bytes that the table of a member takes that knows at most `others`.
+#[must_use]
+pub fn max_table_bytes(others: usize) -> usize {
+    HEADER_BYTES + MAX_UPDATES_BYTES + others.saturating_add(2).saturating_mul(MAX_UPDATE_BYTES)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::membership::update::{MemberState, MemberUpdate, MessageKind};
-    use proptest::prelude::*;
-
-    fn message(claims: usize, name: usize) -> Message {
-        let claim = |id: usize| MemberUpdate {
-            name: format!("{id:0name$}"),
-            start: u64::MAX,
-            incarnation: u32::MAX,
-            address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().expect("an address"),
-            zone: "z".repeat(name),
-            state: MemberState::Left,
-        };
-        let kind = MessageKind::IndirectAck { number: u32::MAX, update: claim(0) };
-        Message { from: claim(1), kind, updates: (0..claims).map(claim).collect() }
-    }
-
-    #[test]
-    fn what_one_cluster_seals_no_other_opens() {
-        let seal = ClusterKey::new("tbilisi", "s1");
-        let bytes = seal.encode(&message(2, 5)).expect("sealed");
-        assert_eq!(seal.decode_datagram(&bytes), Ok(message(2, 5)));
-        for other in [
-            ClusterKey::new("tbilisi", "s2"),
-            ClusterKey::new("tbilisis", "1"),
-            ClusterKey::new("kutaisi", "s1"),
-        ] {
-            assert_eq!(other.decode_datagram(&bytes), Err(GossipError::ClusterKey));
-        }
-        let mut newer = bytes.clone();
-        newer[4] = 2;
-        assert_eq!(seal.decode_datagram(&newer), Err(GossipError::Version));
-        assert_eq!(seal.decode_datagram(b"GET / HTTP/1.1"), Err(GossipError::Foreign));
-        assert_eq!(seal.decode_datagram(&[0; 1201]), Err(GossipError::Length));
-    }
-
-    #[test]
-    fn a_message_of_the_longest_names_fits_into_a_datagram() {
-        for name in [1, 20, MAX_NAME_BYTES] {
-            let full = (0..)
-                .map(|claims| message(claims, name))
-                .take_while(|message| message.max_encoded_bytes() <= MAX_UPDATES_BYTES);
-            let length = ClusterKey::new("", "").encode(&full.last().expect("one")).expect("sealed").len();
-            assert!(
-                length <= MAX_DATAGRAM_BYTES && length > MAX_DATAGRAM_BYTES / 2,
-                "names of {name}: {length} bytes"
-            );
-        }
-        let table_bytes =
-            ClusterKey::new("", "").encode(&message(1000, MAX_NAME_BYTES)).expect("sealed").len();
-        assert!(table_bytes <= max_table_bytes(1000));
-    }
-
-    proptest! {
-        #[test]
-        fn no_bytes_are_a_panic_and_no_changed_byte_is_taken(
-            noise in prop::collection::vec(any::<u8>(), 0..300), at in 0..500_usize, flip in 1..=255_u8,
-        ) {
-            let seal = ClusterKey::new("tbilisi", "s1");
-            prop_assert!(seal.decode_datagram(&noise).is_err());
-            let mut sealed = seal.encode(&message(2, 9)).expect("sealed");
-            let at = at % sealed.len();
-            sealed[at] ^= flip;
-            prop_assert!(seal.decode_datagram(&sealed).is_err());
-        }
-
-        // Behind the seal too: who holds the secret may still send what is no message.
-        #[test]
-        fn sealed_noise_is_no_message(noise in prop::collection::vec(any::<u8>(), 0..200)) {
-            let seal = ClusterKey::new("tbilisi", "s1");
-            let bytes = [&MAGIC[..], &[VERSION], &seal.tag(&noise), &noise].concat();
-            match seal.decode_datagram(&bytes) {
-                Err(error) => prop_assert_eq!(error, GossipError::Form),
-                Ok(message) => prop_assert!(message.is_valid()),
-            }
-        }
-    }
-}
+mod tests;
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -1,5 +1,8 @@
-//! What the two processes of an upgrade tell each other. Each message is one line `clayshore-handover VERSION LENGTH
-//! CHECKSUM`, the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
+//! Messages between the two processes of an upgrade. Each message is one line `clayshore-handover VERSION LENGTH CHECKSUM`,
+//! the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
+//!
+//! It encodes and decodes messages. It never decides which process serves: `service::takeover` does. The names in the JSON
+//! and its first line are read by other versions of the program, and stay as they are.
 
 use crate::policy::PolicySnapshot;
 use crate::routing::WorkerListUpdate;
@@ -8,55 +11,51 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version that this program speaks; it takes no other.
+/// The version that this program sends; it accepts no other.
 pub const VERSION: u32 = 1;
 const MAGIC: &str = "clayshore-handover";
-/// The longest first line, and the longest body: far more than a fleet of a thousand workers takes.
-const MOST_HEAD: usize = 80;
-const MOST_BODY: usize = 8 << 20;
+/// The longest first line.
+const MAX_HEADER_BYTES: usize = 80;
+/// The longest body: far more than a fleet of a thousand workers takes.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// What a gatherer passes on to its successor.
+/// The state that a gatherer passes on to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverState {
-    /// The list as discovery last told it.
+    /// The endpoint list as discovery last announced it.
     pub list: WorkerListUpdate,
-    /// Who is out by hand.
+    /// The workers that an operator has disabled. The message's name of it is read by other versions.
     #[serde(rename = "bans")]
     pub disabled_workers: DisabledWorkers,
     /// An operator has it drained.
     pub drained: bool,
-    /// What the module has learned.
+    /// The decision module's snapshot.
     pub learned: PolicySnapshot,
 }
 
-/// A message.
+/// A message. Its names in JSON are read by other versions of the program, hence `serde(rename)`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// A second start, for clients at this address, asks to take over.
-    // The name in the message, which other versions of the program read.
+    /// A second process, for clients at this address, asks to take over.
     #[serde(rename = "join")]
     TakeoverRequest {
         /// Where clients connect.
         listen: String,
     },
-    /// It has to wait.
-    // The name in the message, which other versions of the program read.
+    /// It has to wait: another takeover is in progress.
     #[serde(rename = "busy")]
     TakeoverInProgress,
-    /// It takes over this; the listening socket comes beside it.
-    // The name in the message, which other versions of the program read.
+    /// The state that it takes over; the listening socket comes beside it.
     #[serde(rename = "state")]
     TakeoverState(Box<TakeoverState>),
-    /// A worker was taken out by hand.
-    // The name in the message, which other versions of the program read.
+    /// An operator has disabled a worker.
     #[serde(rename = "out")]
     WorkerDisabled {
         /// Its name.
         worker: String,
     },
-    /// A worker was taken back.
-    // The name in the message, which other versions of the program read.
+    /// An operator has enabled a worker again.
     #[serde(rename = "back")]
     WorkerEnabled {
         /// Its name.
@@ -64,48 +63,56 @@
     },
     /// An operator has the gatherer drained.
     Drain,
-    /// An operator has it take clients again.
+    /// An operator has the gatherer accept clients again.
     Resume,
-    /// The second takes clients.
+    /// The second process accepts clients.
     Serving,
-    /// The one that says so has been told to stop.
+    /// The process that sends this was asked to stop.
     Stopping,
 }
 
 /// Why bytes are no message.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The first line.
+    /// The first line is of another form.
     #[error("it is not in the form of a hand-over")]
     Foreign,
-    /// Another version.
+    /// Another version of the program sent it.
     #[error("it is of version {0}, not {VERSION}")]
     Version(u32),
-    /// More than anyone passes on.
+    /// The body is over the limit.
     #[error("it is too long")]
     TooLong,
     /// The body is not what was sent.
     #[error("its checksum is wrong")]
     Damaged,
-    /// The body.
+    /// The body is no message.
     #[error("its body cannot be read: {0}")]
     Body(#[from] serde_json::Error),
 }
 
-/// A message's bytes.
+/// Encodes a message.
+///
+/// # Errors
+///
+/// If its body cannot be encoded, or is over the limit.
 pub fn encode(message: &Message) -> Result<Bytes, HandoverError> {
     let body = serde_json::to_vec(message)?;
-    if body.len() > MOST_BODY {
+    if body.len() > MAX_BODY_BYTES {
         return Err(HandoverError::TooLong);
     }
-    let head = format!("{MAGIC} {VERSION} {} {:016x}\n", body.len(), xxh3_64(&body));
-    Ok([head.into_bytes(), body].concat().into())
+    let header = format!("{MAGIC} {VERSION} {} {:016x}\n", body.len(), xxh3_64(&body));
+    Ok([header.into_bytes(), body].concat().into())
 }
 
-/// Takes one whole message off the front of the buffer; `None` while it is not all there.
+/// Takes one complete message off the front of the buffer; `None` while its end has not been received.
+///
+/// # Errors
+///
+/// If the bytes are no message. The connection cannot be used further: where the next message begins is unknown.
 pub fn take_message(buffer: &mut BytesMut) -> Result<Option<Message>, HandoverError> {
-    let Some(end) = buffer.iter().take(MOST_HEAD).position(|byte| *byte == b'\n') else {
-        return if buffer.len() < MOST_HEAD { Ok(None) } else { Err(HandoverError::Foreign) };
+    let Some(end) = buffer.iter().take(MAX_HEADER_BYTES).position(|byte| *byte == b'\n') else {
+        return if buffer.len() < MAX_HEADER_BYTES { Ok(None) } else { Err(HandoverError::Foreign) };
     };
     let line = std::str::from_utf8(&buffer[..end]).map_err(|_| HandoverError::Foreign)?;
     let words: Vec<&str> = line.split(' ').collect();
@@ -116,7 +123,7 @@
     }
     let length = length.parse::<usize>().map_err(|_| HandoverError::Foreign)?;
     let checksum = u64::from_str_radix(checksum, 16).map_err(|_| HandoverError::Foreign)?;
-    if length > MOST_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(HandoverError::TooLong);
     }
     let Some(body) = buffer.get(end + 1..end + 1 + length) else { return Ok(None) };
@@ -127,39 +134,3 @@
     buffer.advance(end + 1 + length);
     Ok(Some(message))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn what_is_foreign_old_torn_or_damaged_is_told_apart() {
-        let whole = encode(&Message::TakeoverRequest { listen: "127.0.0.1:9".to_owned() }).expect("encoded");
-        let read = |bytes: &[u8]| take_message(&mut BytesMut::from(bytes));
-        assert!(matches!(read(&whole), Ok(Some(Message::TakeoverRequest { .. }))));
-        assert!(matches!(read(&whole[..whole.len() - 1]), Ok(None)));
-        let text = String::from_utf8(whole.to_vec()).expect("text");
-        let changed = |from: &str, to: &str| read(text.replacen(from, to, 1).as_bytes());
-        assert!(matches!(changed(" 1 ", " 2 "), Err(HandoverError::Version(2))));
-        assert!(matches!(changed("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
-        assert!(matches!(changed("127", "128"), Err(HandoverError::Damaged)));
-        assert!(matches!(read(&[b'a'; 80]), Err(HandoverError::Foreign)));
-        assert!(matches!(read(b"clayshore-handover 1 9999999999 0\n"), Err(HandoverError::TooLong)));
-    }
-
-    proptest! {
-        #[test]
-        fn one_changed_byte_is_never_taken(at in 0..200_usize, flip in 1..=255_u8) {
-            let sent = Message::WorkerEnabled { worker: "index-17".repeat(8) };
-            let mut bytes = BytesMut::from(&encode(&sent).expect("encoded")[..]);
-            let at = at % bytes.len();
-            bytes[at] ^= flip;
-            // A changed sign of the checksum may be the same digit in the other case.
-            let same = bytes[at].eq_ignore_ascii_case(&(bytes[at] ^ flip));
-            if let Ok(Some(message)) = take_message(&mut bytes) {
-                prop_assert!(same && message == sent);
-            }
-        }
-    }
-}
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -1,26 +1,29 @@
 //! HTTP/1.1 messages in a connection's buffer: requests and responses, with bodies by length or in chunks.
+//!
+//! It owns the limits of a message's header and the framing of bodies. It never reads a socket, and keeps no state between
+//! messages: the caller owns the buffer.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Header lines and chunk lines of one message, in bytes.
-const MOST_HEAD: usize = 16 * 1024;
-/// Header fields of one message.
-const MOST_FIELDS: usize = 64;
+/// The longest header of a message, and the longest chunk line.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// The most header fields of a message.
+const MAX_HEADER_FIELDS: usize = 64;
 /// The longest body of the platform's protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why bytes are no message.
+/// Why bytes are no message that is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The first line or a header field.
     #[error("malformed header: {0}")]
-    Head(httparse::Error),
-    /// More header than anyone sends.
+    Header(httparse::Error),
+    /// A header over the limits.
     #[error("the header is too long")]
-    HeadTooLong,
-    /// A length that is no number, or two that differ.
+    HeaderTooLong,
+    /// A `Content-Length` that is no number, or two that differ.
     #[error("malformed Content-Length")]
     Length,
     /// A coding other than `chunked`, or a length beside it.
@@ -35,13 +38,14 @@
 }
 
 impl Malformed {
-    /// The status that tells a client so.
+    /// The status of the response to such a request.
+    #[must_use]
     pub fn status(self) -> u16 {
         match self {
-            Malformed::HeadTooLong => 431,
+            Malformed::HeaderTooLong => 431,
             Malformed::BodyTooLong => 413,
             Malformed::Coding => 501,
-            Malformed::Head(_) | Malformed::Length | Malformed::Chunk => 400,
+            Malformed::Header(_) | Malformed::Length | Malformed::Chunk => 400,
         }
     }
 }
@@ -51,22 +55,29 @@
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    fn read(fields: &[httparse::Header<'_>]) -> Headers {
+    fn from_parsed(fields: &[httparse::Header<'_>]) -> Headers {
         let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
         Headers(fields.iter().map(|field| (field.name.to_owned(), text(field.value))).collect())
     }
-    /// The first field of this name.
+
+    /// The value of the first field of this name.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|field| field.0.eq_ignore_ascii_case(name)).map(|field| field.1.as_str())
     }
+
     /// Whether there is more than one field of this name.
+    #[must_use]
     pub fn repeats(&self, name: &str) -> bool {
         self.all(name).nth(1).is_some()
     }
+
     fn all(&self, name: &str) -> impl Iterator<Item = &str> {
         self.0.iter().filter(move |field| field.0.eq_ignore_ascii_case(name)).map(|field| field.1.as_str())
     }
-    fn lists(&self, name: &str, token: &str) -> bool {
+
+    /// Whether a field of this name lists this token.
+    fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| value.split(',').any(|item| item.trim().eq_ignore_ascii_case(token)))
     }
 }
@@ -84,14 +95,15 @@
     pub headers: Headers,
     /// Its body.
     pub body: Bytes,
-    /// The connection stays open after the answer.
+    /// The connection stays open after the response.
     pub keep_alive: bool,
-    /// How long it may have waited unread behind failing calls: so much less of its client's time is left.
+    /// How long it may have waited unread because calls of the listener failed: its client's time is so much shorter.
     pub waited: Duration,
 }
 
 impl Request {
-    /// A value in the query, where it is `name=value`.
+    /// The value of a parameter `name=value` of the query.
+    #[must_use]
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -108,52 +120,59 @@
     pub status: u16,
     /// Further header fields.
     pub headers: Vec<(&'static str, String)>,
-    /// What the body is.
+    /// The media type of the body.
     pub content_type: &'static str,
     /// Its body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A line of text for people.
+    /// A response with a line of text for people.
+    #[must_use]
     pub fn text(status: u16, text: impl Into<String>) -> Response {
         let body = Bytes::from(text.into() + "\n");
         Response { status, headers: Vec::new(), content_type: "text/plain; charset=utf-8", body }
     }
-    /// A JSON body.
+
+    /// A response with a JSON body.
+    #[must_use]
     pub fn json(status: u16, body: impl Into<Bytes>) -> Response {
         Response { status, headers: Vec::new(), content_type: "application/json", body: body.into() }
     }
+
     /// Adds a header field.
+    #[must_use]
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Response {
         self.headers.push((name, value.into()));
         self
     }
-    /// Its bytes; `close` says that the connection ends with it.
+
+    /// Encodes it; `close` announces that the connection ends with it.
+    #[must_use]
     pub fn encode(&self, close: bool) -> Bytes {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut header = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
-            line(&mut head, name, value);
+            push_field(&mut header, name, value);
         }
-        line(&mut head, "Content-Type", self.content_type);
-        line(&mut head, "Content-Length", &self.body.len().to_string());
+        push_field(&mut header, "Content-Type", self.content_type);
+        push_field(&mut header, "Content-Length", &self.body.len().to_string());
         if close {
-            line(&mut head, "Connection", "close");
+            push_field(&mut header, "Connection", "close");
         }
-        head.push_str("\r\n");
-        let mut bytes = BytesMut::with_capacity(head.len() + self.body.len());
-        bytes.extend_from_slice(head.as_bytes());
+        header.push_str("\r\n");
+        let mut bytes = BytesMut::with_capacity(header.len() + self.body.len());
+        bytes.extend_from_slice(header.as_bytes());
         bytes.extend_from_slice(&self.body);
         bytes.freeze()
     }
 }
 
-fn line(head: &mut String, name: &str, value: &str) {
-    let written = write!(head, "{name}: {value}\r\n");
+fn push_field(header: &mut String, name: &str, value: &str) {
+    let written = write!(header, "{name}: {value}\r\n");
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -175,49 +194,55 @@
     }
 }
 
-/// A request of our own.
+/// Encodes a request of this program's own, with a JSON body if there is one.
+#[must_use]
 pub fn encode_request(method: &str, target: &str, host: &str, body: Option<&[u8]>) -> Bytes {
-    let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
+    let mut header = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     if let Some(body) = body {
-        line(&mut head, "Content-Type", "application/json");
-        line(&mut head, "Content-Length", &body.len().to_string());
+        push_field(&mut header, "Content-Type", "application/json");
+        push_field(&mut header, "Content-Length", &body.len().to_string());
     }
-    head.push_str("\r\n");
-    let mut bytes = BytesMut::from(head.as_bytes());
+    header.push_str("\r\n");
+    let mut bytes = BytesMut::from(header.as_bytes());
     bytes.extend_from_slice(body.unwrap_or_default());
     bytes.freeze()
 }
 
-fn head<T>(
-    status: httparse::Result<usize>,
+/// What `read` makes of a parsed header, given its length; `None` while its end has not been received.
+fn complete_header<T>(
+    parsed: httparse::Result<usize>,
     buffer: &[u8],
-    then: impl FnOnce(usize) -> T,
+    read: impl FnOnce(usize) -> T,
 ) -> Result<Option<T>, Malformed> {
-    match status {
-        Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => Ok(Some(then(length))),
-        Ok(httparse::Status::Partial) if buffer.len() <= MOST_HEAD => Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Malformed::HeadTooLong),
-        Err(error) => Err(Malformed::Head(error)),
+    match parsed {
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEADER_BYTES => Ok(Some(read(length))),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEADER_BYTES => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Malformed::HeaderTooLong),
+        Err(error) => Err(Malformed::Header(error)),
     }
 }
 
-/// Takes one whole request off the front of the buffer; `None` while it is not all there.
+/// Takes one complete request off the front of the buffer; `None` while its end has not been received.
+///
+/// # Errors
+///
+/// If the bytes are no request, or one over the limits. The connection cannot be used further.
 pub fn take_request(buffer: &mut BytesMut) -> Result<Option<Request>, Malformed> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let status = parsed.parse(buffer);
-    let read = head(status, buffer, |length| {
+    let read = complete_header(status, buffer, |length| {
         let target = parsed.path.unwrap_or_default();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let headers = Headers::read(parsed.headers);
-        let keep_alive = parsed.version == Some(1) && !headers.lists("Connection", "close");
+        let headers = Headers::from_parsed(parsed.headers);
+        let keep_alive = parsed.version == Some(1) && !headers.has_token("Connection", "close");
         let method = parsed.method.unwrap_or_default().to_owned();
         let (path, query) = (path.to_owned(), query.to_owned());
         let (body, waited) = (Bytes::new(), Duration::ZERO);
         (length, Request { method, path, query, headers, body, keep_alive, waited })
     })?;
     let Some((length, mut request)) = read else { return Ok(None) };
-    let Some((body, end)) = body(&request.headers, &buffer[length..], MAX_BODY_BYTES, Some(0))? else {
+    let Some((body, end)) = decode_body(&request.headers, &buffer[length..], MAX_BODY_BYTES, Some(0))? else {
         return Ok(None);
     };
     request.body = body;
@@ -225,16 +250,17 @@
     Ok(Some(request))
 }
 
-/// Whether the client of the request at the front of the buffer waits to be told to send the body.
+/// Whether the client of the request at the front of the buffer sends the body only after `100 Continue`.
+#[must_use]
 pub fn expects_continue(buffer: &[u8]) -> bool {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let complete =
         matches!(parsed.parse(buffer), Ok(httparse::Status::Complete(length)) if length == buffer.len());
-    complete && Headers::read(parsed.headers).lists("Expect", "100-continue")
+    complete && Headers::from_parsed(parsed.headers).has_token("Expect", "100-continue")
 }
 
-/// A response as it came in.
+/// A response that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedResponse {
     /// Its status.
@@ -247,58 +273,74 @@
     pub keep_alive: bool,
 }
 
-/// Takes one whole response off the front of the buffer; `None` while it is not all there.
-pub fn take_response(buffer: &mut BytesMut, most: usize) -> Result<Option<ReceivedResponse>, Malformed> {
-    response(buffer, most, false)
+/// Takes one complete response, with a body of at most `max_body` bytes, off the front of the buffer; `None` while its end
+/// has not been received.
+///
+/// # Errors
+///
+/// If the bytes are no response, or one over the limits. The connection cannot be used further.
+pub fn take_response(buffer: &mut BytesMut, max_body: usize) -> Result<Option<ReceivedResponse>, Malformed> {
+    decode_response(buffer, max_body, false)
 }
 
-/// The same once the other side has ended the connection: a body without a length lasts until then. A reset is no end.
+/// As [`take_response`], once the other side has closed the connection: a body without a length ends there. A reset does
+/// not count as such an end.
+///
+/// # Errors
+///
+/// As [`take_response`].
 pub fn take_response_at_eof(
     buffer: &mut BytesMut,
-    most: usize,
+    max_body: usize,
 ) -> Result<Option<ReceivedResponse>, Malformed> {
-    response(buffer, most, true)
+    decode_response(buffer, max_body, true)
 }
 
-fn response(buffer: &mut BytesMut, most: usize, ended: bool) -> Result<Option<ReceivedResponse>, Malformed> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+fn decode_response(
+    buffer: &mut BytesMut,
+    max_body: usize,
+    at_eof: bool,
+) -> Result<Option<ReceivedResponse>, Malformed> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
     let status = parsed.parse(buffer);
-    let read = head(status, buffer, |length| {
-        let headers = Headers::read(parsed.headers);
+    let header = complete_header(status, buffer, |length| {
+        let headers = Headers::from_parsed(parsed.headers);
         (length, parsed.code.unwrap_or(0), parsed.version == Some(1), headers)
     })?;
-    let Some((length, status, modern, headers)) = read else { return Ok(None) };
-    let empty = matches!(status, 100..200 | 204 | 304).then_some(0);
-    let framed = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
+    let Some((length, status, is_http_1_1, headers)) = header else { return Ok(None) };
+    let bodiless = matches!(status, 100..200 | 204 | 304).then_some(0);
+    let has_length = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
     let rest = &buffer[length..];
-    let read = match empty {
-        None if !framed && rest.len() > most => return Err(Malformed::BodyTooLong),
-        None if !framed => ended.then(|| (Bytes::copy_from_slice(rest), rest.len())),
-        _ => body(&headers, rest, most, empty)?,
+    let body = match bodiless {
+        None if !has_length && rest.len() > max_body => return Err(Malformed::BodyTooLong),
+        None if !has_length => at_eof.then(|| (Bytes::copy_from_slice(rest), rest.len())),
+        _ => decode_body(&headers, rest, max_body, bodiless)?,
     };
-    let Some((body, end)) = read else { return Ok(None) };
+    let Some((body, end)) = body else { return Ok(None) };
     buffer.advance(length + end);
-    let keep_alive = (framed || empty.is_some()) && modern && !headers.lists("Connection", "close");
+    let keep_alive =
+        (has_length || bodiless.is_some()) && is_http_1_1 && !headers.has_token("Connection", "close");
     Ok(Some(ReceivedResponse { status, headers, body, keep_alive }))
 }
 
-/// The body at the front of `rest` and how many bytes it takes up; `None` while it is not all there.
-fn body(
+/// The body at the front of `rest` and how many bytes it takes up; `None` while its end has not been received. A message
+/// without a length has a body of `default_length`.
+fn decode_body(
     headers: &Headers,
     rest: &[u8],
-    most: usize,
-    absent: Option<usize>,
+    max_body: usize,
+    default_length: Option<usize>,
 ) -> Result<Option<(Bytes, usize)>, Malformed> {
     let mut lengths = headers.all("Content-Length");
     let length = lengths.next();
     let mut codings = headers.all("Transfer-Encoding");
     if let Some(coding) = codings.next() {
-        // Guards against a request that hides in the body of another.
+        // Guards against request smuggling: a proxy in front could take another of the two lengths.
         if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
             return Err(Malformed::Coding);
         }
-        return chunks(rest, most);
+        return decode_chunks(rest, max_body);
     }
     if lengths.any(|other| Some(other) != length) {
         return Err(Malformed::Length);
@@ -308,37 +350,37 @@
             text.parse().map_err(|_| Malformed::BodyTooLong)?
         }
         Some(_) => return Err(Malformed::Length),
-        None => absent.ok_or(Malformed::Length)?,
+        None => default_length.ok_or(Malformed::Length)?,
     };
-    if length > most {
+    if length > max_body {
         return Err(Malformed::BodyTooLong);
     }
     Ok((rest.len() >= length).then(|| (Bytes::copy_from_slice(&rest[..length]), length)))
 }
 
-fn chunks(rest: &[u8], most: usize) -> Result<Option<(Bytes, usize)>, Malformed> {
+fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<(Bytes, usize)>, Malformed> {
     let mut body = BytesMut::new();
     let mut at = 0;
     loop {
-        if at > 2 * most + MOST_HEAD {
+        if at > 2 * max_body + MAX_HEADER_BYTES {
             return Err(Malformed::BodyTooLong);
         }
         let (start, size) = match httparse::parse_chunk_size(&rest[at..]) {
-            Ok(httparse::Status::Complete(read)) => read,
-            Ok(httparse::Status::Partial) if rest.len() - at <= MOST_HEAD => return Ok(None),
+            Ok(httparse::Status::Complete(chunk)) => chunk,
+            Ok(httparse::Status::Partial) if rest.len() - at <= MAX_HEADER_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) | Err(_) => return Err(Malformed::Chunk),
         };
         at += start;
         if size == 0 {
-            // Trailing fields, if any, end with an empty line.
-            return match rest[at..].windows(4).position(|four| four == b"\r\n\r\n") {
+            // Trailer fields, if any, end with an empty line.
+            return match rest[at..].windows(4).position(|window| window == b"\r\n\r\n") {
                 _ if rest[at..].starts_with(b"\r\n") => Ok(Some((body.freeze(), at + 2))),
                 Some(end) => Ok(Some((body.freeze(), at + end + 4))),
-                None if rest.len() - at > MOST_HEAD => Err(Malformed::Chunk),
+                None if rest.len() - at > MAX_HEADER_BYTES => Err(Malformed::Chunk),
                 None => Ok(None),
             };
         }
-        let size = usize::try_from(size).ok().filter(|size| body.len() + size <= most);
+        let size = usize::try_from(size).ok().filter(|size| body.len() + size <= max_body);
         let size = size.ok_or(Malformed::BodyTooLong)?;
         match rest.get(at..at + size + 2) {
             None => return Ok(None),
--- /dev/null
+++ b/src/protocol/machine_usage.rs
@@ -0,0 +1,80 @@
+//! Machine-usage tables of public cluster traces, as CSV: machine id, time in seconds, CPU share in percent. Further
+//! columns are skipped; a first line that names the columns is permitted.
+//!
+//! It decodes rows and turns them into load reports. It never opens a file.
+
+use crate::policy::{LoadReport, ReportField};
+use std::io::Read;
+use std::time::Duration;
+
+/// One row: how busy a machine was.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MachineUsage {
+    /// The machine.
+    pub machine: String,
+    /// Time since the start of the trace.
+    pub at: Duration,
+    /// The share of its processors in use, from 0 to 1.
+    pub utilization: f64,
+}
+
+/// Why a table cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum TableError {
+    /// The file, or its form as CSV.
+    #[error(transparent)]
+    Csv(#[from] csv::Error),
+    /// A value, with its line.
+    #[error("line {line}: {column}: {problem}")]
+    Value {
+        /// The line, from 1.
+        line: u64,
+        /// The column's name.
+        column: &'static str,
+        /// What is wrong with it.
+        problem: String,
+    },
+}
+
+/// Decodes a table row by row; it need not fit in memory. Rows without a CPU share are left out.
+///
+/// # Errors
+///
+/// Each row that cannot be decoded is an error of its own; the next row is decoded all the same.
+pub fn read(table: impl Read) -> impl Iterator<Item = Result<MachineUsage, TableError>> {
+    let rows =
+        csv::ReaderBuilder::new().has_headers(false).flexible(true).trim(csv::Trim::All).from_reader(table);
+    rows.into_records().enumerate().filter_map(|(index, row)| {
+        row.map_err(TableError::from).and_then(|row| decode_row(index, &row)).transpose()
+    })
+}
+
+fn decode_row(index: usize, row: &csv::StringRecord) -> Result<Option<MachineUsage>, TableError> {
+    let line = row.position().map_or(0, csv::Position::line);
+    let invalid = |column: &'static str, problem: String| TableError::Value { line, column, problem };
+    let column = |number: usize| row.get(number).unwrap_or_default();
+    let (machine, time, share) = (column(0), column(1), column(2));
+    let names_columns = time.parse::<f64>().is_err() && !time.is_empty() && share.parse::<f64>().is_err();
+    if index == 0 && names_columns {
+        return Ok(None);
+    }
+    if machine.is_empty() {
+        return Err(invalid("machine id", "missing".to_owned()));
+    }
+    let seconds = time.parse::<f64>().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let at = seconds.ok_or_else(|| invalid("time", format!("no time in seconds {time:?}")))?;
+    if share.is_empty() {
+        return Ok(None);
+    }
+    let percent = share.parse::<f64>().ok().filter(|percent| (0.0..=100.0).contains(percent));
+    let percent = percent.ok_or_else(|| invalid("CPU share", format!("no percentage {share:?}")))?;
+    Ok(Some(MachineUsage { machine: machine.to_owned(), at, utilization: percent / 100.0 }))
+}
+
+impl MachineUsage {
+    /// The load report that this row makes, with these fields.
+    #[must_use]
+    pub fn load_report(&self, fields: &[ReportField]) -> LoadReport {
+        fields.iter().map(|field| (*field == ReportField::Busy).then_some(self.utilization)).collect()
+    }
+}
--- a/src/protocol/opensearch.rs
+++ b/src/protocol/opensearch.rs
@@ -1,5 +1,8 @@
-//! The OpenSearch-style query form: searches and their merged results, errors, times. Pages stand in a total order:
-//! the asked one, and the document's id behind it.
+//! The OpenSearch-style query form: searches, their merged results, errors and durations. Pages are in a total order: the
+//! requested one, and then the document's id.
+//!
+//! It owns the form of requests and responses and how results of shards are merged. It never sends a search, and keeps no
+//! result between pages: `routing` does. Names in the JSON are those of OpenSearch.
 
 use super::http::{Request, Response};
 use crate::routing::Rejection;
@@ -9,9 +12,9 @@
 use std::time::Duration;
 
 /// Hits of a page where the search does not say.
-const SIZE: usize = 10;
-/// What cannot be merged from several shards here, or would page past the held order.
-const UNSUPPORTED: [&str; 10] = [
+const DEFAULT_PAGE_SIZE: usize = 10;
+/// Keys of a search that cannot be merged from several shards here, or would page past the total order.
+const UNSUPPORTED_KEYS: [&str; 10] = [
     "aggs",
     "aggregations",
     "collapse",
@@ -23,35 +26,42 @@
     "knn",
     "terminate_after",
 ];
-/// What may stand in a search's address.
-const PARAMETERS: [&str; 5] = ["timeout", "scroll", "from", "size", "pretty"];
+/// The query parameters that a search may have.
+const SEARCH_PARAMETERS: [&str; 5] = ["timeout", "scroll", "from", "size", "pretty"];
 
-/// A request that is answered with an error of this shape.
+/// Why a request fails, as OpenSearch reports it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{kind}: {reason}")]
 pub struct SearchError {
-    /// Its status.
+    /// The status of the response.
     pub status: u16,
-    /// The type of the error.
+    /// The `type` of the error, in the words of OpenSearch.
     pub kind: &'static str,
-    /// What is wrong.
+    /// What is wrong, for people.
     pub reason: String,
 }
 
 impl SearchError {
-    /// A fault of the request's own.
+    /// An argument of the request is invalid.
+    #[must_use]
     pub fn illegal_argument(reason: impl Into<String>) -> SearchError {
         SearchError { status: 400, kind: "illegal_argument_exception", reason: reason.into() }
     }
-    /// A body that cannot be read.
+
+    /// The body of the request cannot be parsed.
+    #[must_use]
     pub fn parsing(reason: impl Into<String>) -> SearchError {
         SearchError { status: 400, kind: "parsing_exception", reason: reason.into() }
     }
-    /// Any other.
+
+    /// Any other error.
+    #[must_use]
     pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> SearchError {
         SearchError { status, kind, reason: reason.into() }
     }
-    /// Its response.
+
+    /// The response that reports it.
+    #[must_use]
     pub fn response(&self) -> Response {
         let cause = json!({"type": self.kind, "reason": self.reason});
         let mut error = cause.clone();
@@ -60,23 +70,25 @@
     }
 }
 
-/// The response to a query that was refused: nothing has run.
-pub fn rejection_response(why: Rejection, pause: Option<Duration>) -> Response {
-    let (status, reason) = match why {
+/// The response to a query that was rejected: nothing of it has been executed.
+#[must_use]
+pub fn rejection_response(rejection: Rejection, retry_after: Option<Duration>) -> Response {
+    let (status, reason) = match rejection {
         Rejection::Declined => (429, "not served in time; trying again is harmless"),
         Rejection::AtCapacity => (429, "as many searches as may be are open; try again"),
         Rejection::ShuttingDown => (503, "this gatherer is stopping; try again"),
     };
-    let seconds = pause.unwrap_or_default().as_secs_f64().ceil().max(1.0);
-    let fault = SearchError::new(status, "rejected_execution_exception", reason);
-    fault.response().with_header("Retry-After", format!("{seconds:.0}"))
+    let seconds = retry_after.unwrap_or_default().as_secs_f64().ceil().max(1.0);
+    let error = SearchError::new(status, "rejected_execution_exception", reason);
+    error.response().with_header("Retry-After", format!("{seconds:.0}"))
 }
 
-/// A time such as `500ms`, `30s` or `1m`.
+/// Parses a duration such as `500ms`, `30s` or `1m`; `None` if it is none.
+#[must_use]
 pub fn parse_duration(text: &str) -> Option<Duration> {
-    let unit = text.find(|letter: char| !letter.is_ascii_digit())?;
-    let count: u64 = text[..unit].parse().ok()?;
-    let ms = match &text[unit..] {
+    let unit_at = text.find(|letter: char| !letter.is_ascii_digit())?;
+    let count: u64 = text[..unit_at].parse().ok()?;
+    let unit_ms = match &text[unit_at..] {
         "ms" => 1,
         "s" => 1_000,
         "m" => 60_000,
@@ -84,38 +96,43 @@
         "d" => 86_400_000,
         _ => return None,
     };
-    Some(Duration::from_millis(count.checked_mul(ms)?))
+    Some(Duration::from_millis(count.checked_mul(unit_ms)?))
 }
 
+/// How hits are compared by one of their sort values.
 #[derive(Clone, Debug, PartialEq)]
 struct SortKey {
     descending: bool,
     missing_first: bool,
 }
 
-/// A search: the page that is asked for, its order, and the body that each shard is sent.
+/// A search: the page that is requested, its order, and the body that is sent to each shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Search {
     /// Hits before the page.
     pub from: usize,
     /// Hits of the page.
     pub size: usize,
-    /// The client's own limit on its time.
+    /// The time-out that the client asks for.
     pub timeout: Option<Duration>,
-    /// How long the result is to be held for further pages.
+    /// How long the result is to be kept for further pages.
     pub scroll: Option<Duration>,
-    order: Vec<SortKey>,
-    /// Sort values that the client asked for; the others are taken out of its hits.
-    shown: usize,
-    body: Map<String, Value>,
+    sort_keys: Vec<SortKey>,
+    /// How many sort values the client asked for; the others are removed from its hits.
+    requested_sort_values: usize,
+    shard_body: Map<String, Value>,
 }
 
 impl Search {
-    /// Reads a search. A shard sends at most `window` hits.
+    /// Parses a search. A shard sends at most `window` hits.
+    ///
+    /// # Errors
+    ///
+    /// If the request is no search, or one that is not supported here.
     pub fn parse(request: &Request, window: usize) -> Result<Search, SearchError> {
-        let named = request.query.split('&').filter(|pair| !pair.is_empty());
-        for name in named.map(|pair| pair.split_once('=').map_or(pair, |pair| pair.0)) {
-            if !PARAMETERS.contains(&name) {
+        let parameters = request.query.split('&').filter(|pair| !pair.is_empty());
+        for name in parameters.map(|pair| pair.split_once('=').map_or(pair, |pair| pair.0)) {
+            if !SEARCH_PARAMETERS.contains(&name) {
                 return Err(SearchError::illegal_argument(format!(
                     "request contains unrecognized parameter: [{name}]"
                 )));
@@ -127,75 +144,96 @@
             Ok(_) => return Err(SearchError::parsing("the body is no object")),
             Err(error) => return Err(SearchError::parsing(error.to_string())),
         };
-        if let Some(key) = UNSUPPORTED.iter().find(|key| body.contains_key(**key)) {
+        if let Some(key) = UNSUPPORTED_KEYS.iter().find(|key| body.contains_key(**key)) {
             return Err(SearchError::illegal_argument(format!("[{key}] is not served here")));
         }
-        let count = |body: &mut Map<String, Value>, name: &str, usual: usize| {
-            let given = request.parameter(name).map(|text| text.parse().ok());
-            let inside =
+        let count = |body: &mut Map<String, Value>, name: &str, default: usize| {
+            let in_query = request.parameter(name).map(|text| text.parse().ok());
+            let in_body =
                 body.remove(name).map(|value| value.as_u64().and_then(|count| usize::try_from(count).ok()));
-            given
-                .or(inside)
-                .unwrap_or(Some(usual))
+            in_query
+                .or(in_body)
+                .unwrap_or(Some(default))
                 .ok_or_else(|| SearchError::illegal_argument(format!("[{name}] is no count")))
         };
         let from = count(&mut body, "from", 0)?;
-        let size = count(&mut body, "size", SIZE)?;
+        let size = count(&mut body, "size", DEFAULT_PAGE_SIZE)?;
         if from.saturating_add(size) > window {
             return Err(SearchError::illegal_argument(format!(
                 "result window is too large: from + size must be <= [{window}]"
             )));
         }
-        let span = |name: &str, text: Option<&str>| match text {
+        let duration = |name: &str, text: Option<&str>| match text {
             None => Ok(None),
-            Some(text) => parse_duration(text).filter(|span| !span.is_zero()).map(Some).ok_or_else(|| {
-                SearchError::illegal_argument(format!("failed to parse [{name}] with value [{text}]"))
-            }),
+            Some(text) => {
+                parse_duration(text).filter(|duration| !duration.is_zero()).map(Some).ok_or_else(|| {
+                    SearchError::illegal_argument(format!("failed to parse [{name}] with value [{text}]"))
+                })
+            }
         };
-        let inside = body.remove("timeout");
+        let in_body = body.remove("timeout");
         let timeout =
-            span("timeout", request.parameter("timeout").or(inside.as_ref().and_then(Value::as_str)))?;
-        let scroll = span("scroll", request.parameter("scroll"))?;
+            duration("timeout", request.parameter("timeout").or(in_body.as_ref().and_then(Value::as_str)))?;
+        let scroll = duration("scroll", request.parameter("scroll"))?;
         if scroll.is_some() && (from > 0 || size == 0) {
             return Err(SearchError::illegal_argument(
                 "a scroll starts at the first hit and has pages of one hit at least",
             ));
         }
-        let (order, sort, shown) = order(body.remove("sort"))?;
-        body.insert("sort".to_owned(), Value::Array(sort));
+        let sort = parse_sort(body.remove("sort"))?;
+        body.insert("sort".to_owned(), Value::Array(sort.items));
         body.insert("from".to_owned(), json!(0));
         body.insert("size".to_owned(), json!(if scroll.is_some() { window } else { from + size }));
-        Ok(Search { from, size, timeout, scroll, order, shown, body })
+        Ok(Search {
+            from,
+            size,
+            timeout,
+            scroll,
+            sort_keys: sort.keys,
+            requested_sort_values: sort.requested_values,
+            shard_body: body,
+        })
     }
 
-    /// What each shard is sent.
+    /// The body that is sent to each shard.
+    #[must_use]
     pub fn shard_request_body(&self) -> Vec<u8> {
-        Value::Object(self.body.clone()).to_string().into_bytes()
+        Value::Object(self.shard_body.clone()).to_string().into_bytes()
     }
 }
 
-/// Reads `sort`: how to compare, what to send, and how many of its values the client is shown.
-fn order(asked: Option<Value>) -> Result<(Vec<SortKey>, Vec<Value>, usize), SearchError> {
-    let items = match asked {
+/// The order of a search.
+struct Sort {
+    /// How hits are compared.
+    keys: Vec<SortKey>,
+    /// What is sent to each shard as `sort`.
+    items: Vec<Value>,
+    /// How many of its values the client asked for.
+    requested_values: usize,
+}
+
+/// Parses `sort`, and completes it to a total order.
+fn parse_sort(requested: Option<Value>) -> Result<Sort, SearchError> {
+    let requested = match requested {
         None | Some(Value::Null) => Vec::new(),
         Some(Value::Array(items)) => items,
         Some(item) => vec![item],
     };
-    let shown = items.len();
-    let mut sort = if items.is_empty() { vec![json!({"_score": "desc"})] } else { items };
+    let requested_values = requested.len();
+    let mut items = if requested.is_empty() { vec![json!({"_score": "desc"})] } else { requested };
     let mut names = Vec::new();
     let mut keys = Vec::new();
-    for item in &sort {
-        let (name, how) = match item {
+    for item in &items {
+        let (name, options) = match item {
             Value::String(name) => (name.clone(), None),
             Value::Object(fields) if fields.len() == 1 => {
-                let (name, how) = fields.iter().next().unzip();
-                (name.cloned().unwrap_or_default(), how)
+                let (name, options) = fields.iter().next().unzip();
+                (name.cloned().unwrap_or_default(), options)
             }
             _ => return Err(SearchError::parsing("[sort] is a list of fields, each with its order")),
         };
-        let word = how.and_then(|how| how.as_str().or_else(|| how.get("order")?.as_str()));
-        let descending = match word {
+        let order = options.and_then(|options| options.as_str().or_else(|| options.get("order")?.as_str()));
+        let descending = match order {
             Some("desc") => true,
             Some("asc") => false,
             None => name == "_score",
@@ -203,24 +241,25 @@
                 return Err(SearchError::illegal_argument(format!("[sort] has no order [{other}]")));
             }
         };
-        let missing = how.and_then(|how| how.get("missing")?.as_str());
+        let missing = options.and_then(|options| options.get("missing")?.as_str());
         keys.push(SortKey { descending, missing_first: missing == Some("_first") });
         names.push(name);
     }
-    // Guards against hits that stand on two pages or on none: without a last key, ties come in any order.
+    // Guards against hits that appear on two pages or on none: without a unique last key, ties have no order.
     if names.last().is_none_or(|name| name != "_id") {
-        sort.push(json!({"_id": "asc"}));
+        items.push(json!({"_id": "asc"}));
         keys.push(SortKey { descending: false, missing_first: false });
     }
-    Ok((keys, sort, shown))
+    Ok(Sort { keys, items, requested_values })
 }
 
+/// Compares two sort values; missing ones come first or last, whatever the direction.
 fn compare(a: &Value, b: &Value, key: &SortKey) -> Ordering {
-    let absent = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
-    let plain = match (a, b) {
+    let missing = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
+    let ascending = match (a, b) {
         (Value::Null, Value::Null) => return Ordering::Equal,
-        (Value::Null, _) => return absent(key.missing_first),
-        (_, Value::Null) => return absent(key.missing_first).reverse(),
+        (Value::Null, _) => return missing(key.missing_first),
+        (_, Value::Null) => return missing(key.missing_first).reverse(),
         (Value::String(a), Value::String(b)) => a.cmp(b),
         (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
         _ => match (a.as_i64(), b.as_i64()) {
@@ -228,7 +267,7 @@
             _ => a.as_f64().unwrap_or(f64::INFINITY).total_cmp(&b.as_f64().unwrap_or(f64::INFINITY)),
         },
     };
-    if key.descending { plain.reverse() } else { plain }
+    if key.descending { ascending.reverse() } else { ascending }
 }
 
 #[derive(Deserialize)]
@@ -259,18 +298,20 @@
     relation: String,
 }
 
-fn result(bytes: &[u8]) -> Option<ShardResult> {
-    let result: ShardResult = serde_json::from_slice(bytes).ok()?;
+/// Decodes a shard's response; `None` unless it is complete and sorted.
+fn decode_complete_result(body: &[u8]) -> Option<ShardResult> {
+    let result: ShardResult = serde_json::from_slice(body).ok()?;
     let sorted = result.hits.hits.iter().all(|hit| hit.get("sort").is_some_and(Value::is_array));
     (sorted && !result.timed_out && result.shards.failed == 0).then_some(result)
 }
 
-/// Whether a server's response is the whole and sorted result of its shard.
-pub fn is_complete_result(bytes: &[u8]) -> bool {
-    result(bytes).is_some()
+/// Whether the body of a server's response is the complete and sorted result of its shard.
+#[must_use]
+pub fn is_complete_result(body: &[u8]) -> bool {
+    decode_complete_result(body).is_some()
 }
 
-/// Results of several shards in one order.
+/// The results of several shards in one order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergedResult {
     /// The hits, as clients see them.
@@ -278,55 +319,69 @@
     /// Every shard sent all the hits that it has.
     pub complete: bool,
     total: u64,
-    exact: bool,
+    /// The total is exact; otherwise it is a lower bound.
+    total_is_exact: bool,
     max_score: Option<f64>,
 }
 
-/// Merges the results of shards, each given with its number.
+/// A hit on its way into the order.
+struct SortedHit {
+    sort_values: Vec<Value>,
+    shard: u32,
+    hit: Value,
+}
+
+/// Merges the results of shards, each given with the shard's number. Results that are incomplete are left out.
+#[must_use]
 pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
-    let mut merged = MergedResult { complete: true, exact: true, ..MergedResult::default() };
-    let mut rows: Vec<(Vec<Value>, u32, Value)> = Vec::new();
-    for (shard, bytes) in results {
-        let Some(result) = result(bytes) else { continue };
+    let mut merged = MergedResult { complete: true, total_is_exact: true, ..MergedResult::default() };
+    let mut sorted: Vec<SortedHit> = Vec::new();
+    for (shard, body) in results {
+        let Some(result) = decode_complete_result(body) else { continue };
         let hits = result.hits;
         let (total, exact) = match hits.total {
             Some(total) => (total.value, total.relation == "eq"),
             None => (hits.hits.len() as u64, false),
         };
         merged.total += total;
-        merged.exact &= exact;
+        merged.total_is_exact &= exact;
         merged.complete &= exact && total == hits.hits.len() as u64;
         merged.max_score = [merged.max_score, hits.max_score].into_iter().flatten().reduce(f64::max);
         for mut hit in hits.hits {
-            let keys = hit.get("sort").and_then(Value::as_array).cloned().unwrap_or_default();
+            let sort_values = hit.get("sort").and_then(Value::as_array).cloned().unwrap_or_default();
             if let Some(fields) = hit.as_object_mut() {
-                match search.shown {
+                match search.requested_sort_values {
                     0 => fields.remove("sort"),
-                    shown => fields.insert("sort".to_owned(), keys.iter().take(shown).cloned().collect()),
+                    requested => {
+                        let values = sort_values.iter().take(requested).cloned().collect();
+                        fields.insert("sort".to_owned(), values)
+                    }
                 };
             }
-            rows.push((keys, shard, hit));
+            sorted.push(SortedHit { sort_values, shard, hit });
         }
     }
-    rows.sort_by(|a, b| {
-        let keys = search.order.iter().enumerate().map(|(at, key)| {
-            compare(a.0.get(at).unwrap_or(&Value::Null), b.0.get(at).unwrap_or(&Value::Null), key)
+    sorted.sort_by(|a, b| {
+        let by_keys = search.sort_keys.iter().enumerate().map(|(at, key)| {
+            let a = a.sort_values.get(at).unwrap_or(&Value::Null);
+            compare(a, b.sort_values.get(at).unwrap_or(&Value::Null), key)
         });
-        keys.fold(Ordering::Equal, Ordering::then).then(a.1.cmp(&b.1))
+        by_keys.fold(Ordering::Equal, Ordering::then).then(a.shard.cmp(&b.shard))
     });
-    merged.hits = rows.into_iter().map(|row| row.2).collect();
+    merged.hits = sorted.into_iter().map(|sorted| sorted.hit).collect();
     merged
 }
 
 impl MergedResult {
-    /// One page of the result. `of` and `served` count shards.
-    pub fn page(&self, hits: &[Value], took: Duration, of: usize, served: usize) -> Value {
+    /// The response with one page of the result, `hits`; `shards` were searched, and `served` of them responded.
+    #[must_use]
+    pub fn page(&self, hits: &[Value], took: Duration, shards: usize, served: usize) -> Value {
         json!({
             "took": took.as_millis() as u64,
-            "timed_out": served < of,
-            "_shards": {"total": of, "successful": served, "skipped": 0, "failed": of - served},
+            "timed_out": served < shards,
+            "_shards": {"total": shards, "successful": served, "skipped": 0, "failed": shards - served},
             "hits": {
-                "total": {"value": self.total, "relation": if self.exact { "eq" } else { "gte" }},
+                "total": {"value": self.total, "relation": if self.total_is_exact { "eq" } else { "gte" }},
                 "max_score": self.max_score,
                 "hits": hits,
             },
--- a/src/protocol/statsd.rs
+++ b/src/protocol/statsd.rs
@@ -1,52 +1,48 @@
-//! Figures as lines of statsd's plain form: `NAME:VALUE|c` for counts, `NAME:VALUE|g` for gauges.
+//! Metrics as lines of statsd's plain form: `NAME:VALUE|c` for counts, `NAME:VALUE|g` for gauges.
+//!
+//! It owns the form alone: what is counted, and under which names, the caller says.
 
 use std::fmt::Write;
 
-/// MetricLines of figures, each under one first name.
+/// Lines of metrics, all under one prefix.
 #[derive(Debug)]
 pub struct MetricLines {
-    first: &'static str,
+    prefix: &'static str,
     text: String,
 }
 
 impl MetricLines {
     /// No lines yet.
-    pub fn new(first: &'static str) -> MetricLines {
-        MetricLines { first, text: String::new() }
+    #[must_use]
+    pub fn new(prefix: &'static str) -> MetricLines {
+        MetricLines { prefix, text: String::new() }
     }
-    /// A count since the start.
+
+    /// Adds a count since the start.
     pub fn count(&mut self, names: &[&str], value: u64) {
         self.line(names, value, "c");
     }
-    /// A value as it is now.
+
+    /// Adds a value as it is now.
     pub fn gauge(&mut self, names: &[&str], value: u64) {
         self.line(names, value, "g");
     }
+
     fn line(&mut self, names: &[&str], value: u64, kind: &str) {
-        self.text.push_str(self.first);
+        self.text.push_str(self.prefix);
         for name in names {
             self.text.push('.');
-            // Guards the form against names that hold its own signs.
-            self.text.extend(name.chars().map(|sign| if ":|@#\n".contains(sign) { '_' } else { sign }));
+            // Names that hold the form's own delimiters must not break it.
+            let escaped = name.chars().map(|char| if ":|@#\n".contains(char) { '_' } else { char });
+            self.text.extend(escaped);
         }
         let written = writeln!(self.text, ":{value}|{kind}");
         debug_assert!(written.is_ok(), "writing to a string cannot fail");
     }
+
     /// All lines.
+    #[must_use]
     pub fn text(self) -> String {
         self.text
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_have_statsd_s_form() {
-        let mut lines = MetricLines::new("gatherer");
-        lines.count(&["succeeded", "seal:rec|ord"], 812);
-        lines.gauge(&["outstanding"], 14);
-        assert_eq!(lines.text(), "gatherer.succeeded.seal_rec_ord:812|c\ngatherer.outstanding:14|g\n");
-    }
-}
--- /dev/null
+++ b/tests/machine_usage.rs
@@ -0,0 +1,94 @@
+//! A machine-usage table drives the core: its rows move a key off its busy preferred replica.
+
+use bytes::Bytes;
+use gatherer::policy::{AttemptOutcome, ClassId, ShardId, Time};
+use gatherer::program::config::Config;
+use gatherer::protocol::machine_usage::{self, TableError};
+use gatherer::routing::{AttemptCompletion, Command, Core, QueryPart, SearchRequest};
+use std::fmt::Write;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Two machines, a row each second: `busy` is at 95%, the other at 5%.
+fn usage_table(busy: &str) -> String {
+    let mut table = "machine_id,time_stamp,cpu_util_percent,mem_util_percent\n".to_owned();
+    for second in 0..30 {
+        for machine in ["w1", "w2"] {
+            let share = if machine == busy { 95 } else { 5 };
+            let written = writeln!(table, "{machine},{second},{share},40");
+            assert!(written.is_ok());
+        }
+    }
+    table
+}
+
+/// The worker that a part of this key is sent to once the rows of the table have been reported.
+fn chosen_worker(table: &str, key: &str) -> String {
+    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    let config = Config::from_json(&json, |_| None).expect("a configuration");
+    let start = Time(1_700_000_000_000_000_000);
+    let mut core = Core::new(config.contracts);
+    core.apply_endpoint_update(Time(0), &config.initial_workers.expect("a list"), true);
+    let mut now = start;
+    let mut commands = core.step(now);
+    for usage in machine_usage::read(table.as_bytes()) {
+        let usage = usage.expect("a row");
+        now = start.after(usage.at);
+        let report = usage.load_report(&core.contracts().settings.report_fields);
+        assert!(core.on_load_report(&usage.machine, report), "{} is known", usage.machine);
+        commands.extend(core.step(now));
+    }
+    let request = SearchRequest {
+        label: Arc::from("a1"),
+        class: ClassId(0),
+        tenant: None,
+        time_left: Duration::from_secs(4),
+        retry: false,
+        payload: Bytes::new(),
+        parts: vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: Some(Arc::from(key)) }],
+    };
+    core.submit(now, request).expect("there is room");
+    commands.extend(core.step(now));
+    let mut names = Vec::new();
+    let mut sent_to = None;
+    for command in commands {
+        match command {
+            Command::UpsertWorker { worker, name, .. } => names.push((worker, name)),
+            Command::Call { worker, parts } => {
+                let completion = AttemptCompletion::without_value(AttemptOutcome::Succeeded);
+                core.on_attempt_finished(now, parts[0].attempt_id, completion);
+                sent_to = Some(worker);
+            }
+            _ => {}
+        }
+    }
+    let commands = core.step(now).into_iter();
+    assert_eq!(commands.filter(|command| matches!(command, Command::Respond { .. })).count(), 1);
+    names.into_iter().find(|(worker, _)| Some(*worker) == sent_to).expect("the part was sent").1
+}
+
+#[test]
+fn rows_of_a_table_move_a_key_off_its_busy_preferred_replica() {
+    let preferred = chosen_worker("", "account-17");
+    let other = if preferred == "w1" { "w2" } else { "w1" };
+    assert_eq!(chosen_worker(&usage_table(&preferred), "account-17"), other);
+    assert_eq!(chosen_worker(&usage_table(other), "account-17"), preferred);
+}
+
+#[test]
+fn an_invalid_row_is_reported_with_its_line() {
+    let cases = [
+        ("m1,1,50\n,2,50\n", "line 2: machine id: missing"),
+        ("m1,1,50\nm1,soon,50\n", "line 2: time: no time in seconds \"soon\""),
+        ("m1,1,50\nm1,2,50\nm1,-3,50\n", "line 3: time: no time in seconds \"-3\""),
+        ("m1,1,120\n", "line 1: CPU share: no percentage \"120\""),
+    ];
+    for (table, message) in cases {
+        let error: TableError = machine_usage::read(table.as_bytes()).find_map(Result::err).expect(message);
+        assert_eq!(error.to_string(), message);
+    }
+    // A row without a share is no error, and no report.
+    let rows: Vec<_> =
+        machine_usage::read("m1,1,\nm1, 2 ,7.5,3\n".as_bytes()).collect::<Result<_, _>>().expect("rows");
+    assert_eq!((rows.len(), rows[0].at, rows[0].utilization), (1, Duration::from_secs(2), 0.075));
+}
--- /dev/null
+++ b/tests/metrics.rs
@@ -0,0 +1,120 @@
+//! The metrics that operators read: each query that ends is counted once, in any order of events.
+
+use gatherer::policy::{AttemptOutcome, ClassId, RequestId, ShardId, TenantId, Time};
+use gatherer::program::config::Config;
+use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, QueryPart, SearchRequest};
+use proptest::prelude::{Strategy, prop, prop_assert_eq, prop_oneof, proptest};
+use std::time::Duration;
+
+/// An event of the core's environment. Indices are taken modulo what is open or in flight.
+#[derive(Clone, Copy, Debug)]
+enum TestEvent {
+    /// A query of this class is submitted.
+    Submitted { class: usize },
+    /// A query of this class is rejected unread.
+    RejectedUnread { class: usize },
+    /// A query of this class is rejected because the gatherer is stopping.
+    RejectedStopping { class: usize },
+    /// The client of an open query disconnects.
+    ClientDisconnected { query: usize },
+    /// An attempt in flight finishes with one of [`OUTCOMES`].
+    AttemptFinished { attempt: usize, outcome: usize },
+    /// Time passes.
+    TimePassed { ms: u64 },
+}
+
+const OUTCOMES: [AttemptOutcome; 4] = [
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::ConnectionReset,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::ConnectFailed,
+];
+
+fn test_event() -> impl Strategy<Value = TestEvent> {
+    prop_oneof![
+        4 => (0..2_usize).prop_map(|class| TestEvent::Submitted { class }),
+        1 => (0..2_usize).prop_map(|class| TestEvent::RejectedUnread { class }),
+        1 => (0..2_usize).prop_map(|class| TestEvent::RejectedStopping { class }),
+        1 => (0..8_usize).prop_map(|query| TestEvent::ClientDisconnected { query }),
+        4 => (0..8_usize, 0..OUTCOMES.len())
+            .prop_map(|(attempt, outcome)| TestEvent::AttemptFinished { attempt, outcome }),
+        2 => (1..3000_u64).prop_map(|ms| TestEvent::TimePassed { ms }),
+    ]
+}
+
+fn search_request(class: usize) -> SearchRequest {
+    SearchRequest {
+        label: "a".into(),
+        class: ClassId(class),
+        tenant: Some(TenantId(0)),
+        time_left: Duration::from_secs(5),
+        retry: false,
+        payload: Default::default(),
+        parts: vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: None }],
+    }
+}
+
+proptest! {
+    #[test]
+    fn any_sequence_of_events_keeps_the_sums(events in prop::collection::vec(test_event(), 1..120)) {
+        let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+        let config = Config::from_json(&json, |_| None).expect("a configuration");
+        let mut core = Core::new(config.contracts);
+        let mut now = Time(1_700_000_000_000_000_000);
+        core.apply_endpoint_update(now, &config.initial_workers.expect("a list"), true);
+        let mut open: Vec<RequestId> = Vec::new();
+        let mut in_flight: Vec<AttemptId> = Vec::new();
+        let mut received = [0_u64; 2];
+        let mut ended = 0_u64;
+        for event in events {
+            match event {
+                TestEvent::Submitted { class } => {
+                    received[class] += 1;
+                    match core.submit(now, search_request(class)) {
+                        Ok(query) => open.push(query),
+                        Err(_) => ended += 1,
+                    }
+                }
+                TestEvent::RejectedUnread { class } => {
+                    (received[class], ended) = (received[class] + 1, ended + 1);
+                    core.reject_unread(ClassId(class));
+                }
+                TestEvent::RejectedStopping { class } => {
+                    (received[class], ended) = (received[class] + 1, ended + 1);
+                    core.reject_stopping(ClassId(class), None);
+                }
+                TestEvent::ClientDisconnected { query } if !open.is_empty() => {
+                    let query = open.remove(query % open.len());
+                    core.client_left(now, query);
+                }
+                TestEvent::AttemptFinished { attempt, outcome } if !in_flight.is_empty() => {
+                    let attempt = in_flight.remove(attempt % in_flight.len());
+                    let completion = AttemptCompletion::without_value(OUTCOMES[outcome]);
+                    core.on_attempt_finished(now, attempt, completion);
+                }
+                TestEvent::TimePassed { ms } => now = now.after(Duration::from_millis(ms)),
+                TestEvent::ClientDisconnected { .. } | TestEvent::AttemptFinished { .. } => {}
+            }
+            for command in core.step(now) {
+                match command {
+                    Command::Call { parts, .. } => {
+                        in_flight.extend(parts.iter().map(|part| part.attempt_id));
+                    }
+                    Command::Cancel { attempt_id, .. } => in_flight.retain(|other| *other != attempt_id),
+                    Command::Respond { query, .. } => {
+                        open.retain(|other| *other != query);
+                        ended += 1;
+                    }
+                    _ => {}
+                }
+            }
+            let counts = core.class_counts();
+            prop_assert_eq!([counts[0].received, counts[1].received], received);
+            let open_queries: u64 = counts.iter().map(|counts| counts.open()).sum();
+            prop_assert_eq!(open_queries, core.open_queries() as u64);
+            let counted: u64 =
+                counts.iter().map(|counts| counts.succeeded + counts.rejected + counts.failed).sum();
+            prop_assert_eq!(counted, ended, "each query that ended is counted once");
+        }
+    }
+}
