--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -1,92 +1,113 @@
-//! When a service that many ask is asked again: pauses by lot that grow with each failure and with the number of
-//! those who ask, so that all together ask no more than it may bear, and never in step.
+//! Backoff of calls to a service that many gatherers call: when the next call is made, and how long it may wait.
+//!
+//! Delays are drawn at random. Their bound grows with each failure and with the number of callers, so that all callers
+//! together stay within what the service bears, and never call in step. A [`Backoff`] owns one caller's state; it
+//! makes no call and never sleeps.
 
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Calls a second that all callers together may make.
-const CALLS: u32 = 5;
-/// The longest first pause after a failure that tells of no overload: the agent is on the own machine.
-const SHORT: Duration = Duration::from_millis(100);
-/// The longest pause, where being told is not counted in calls.
-const LONGEST: Duration = Duration::from_secs(1);
-/// The longest pause of callers so few that the service bears them all within it. What changes counts as told 6 s after the
-/// service can be reached again, however the calls before ended: of that, a call may wait 2 s for its turn.
-const AGAIN: Duration = Duration::from_secs(3);
-/// Share of the time in which it must ask that a caller takes.
-const CARE: f64 = 0.8;
-/// How many calls for changes a call for the whole list costs the service, at least.
-const CHEAPER: u32 = 2;
-/// Part of the grace after news that a pause takes at most, where calls cost nothing: the answer has to come inside it.
-const PAUSE_SHARE: u32 = 5;
-/// Most doublings of a pause.
-const DOUBLINGS: u32 = 3;
-/// The shortest and the longest time that one call may wait for news.
-const WAIT: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(50));
+/// Calls per second that all callers together may make.
+const MAX_CALLS_PER_SECOND: u32 = 5;
+/// Bound of the first delay after a failure that is no sign of overload: the agent is on the same machine.
+const BASE_DELAY: Duration = Duration::from_millis(100);
+/// Least bound of the longest delay, however short the time within which the caller has to poll.
+const MIN_LONGEST_DELAY: Duration = Duration::from_secs(1);
+/// Bound of the longest delay for callers that are so few that the service bears them all within it. A change counts as
+/// received 6 s after the service becomes reachable again, however earlier calls ended; of these 6 s, a call may wait
+/// 2 s for its turn.
+const RECOVERY_DELAY: Duration = Duration::from_secs(3);
+/// Share of the time within which the caller has to poll that a delay may take.
+const POLL_TIME_SHARE: f64 = 0.8;
+/// A call for the complete list costs the service at least as much as this number of calls for changes.
+const COMPLETE_LIST_COST: u32 = 2;
+/// Fraction of the time to react to a change that one delay takes at most, where calls cost nothing: the response has
+/// to arrive within that time.
+const REACTION_TIME_FRACTION: u32 = 5;
+/// Largest number of times that the bound of a delay doubles.
+const MAX_DOUBLINGS: u32 = 3;
+/// Bounds of the time that one call may wait for a change.
+const LONG_POLL_TIMEOUT: RangeInclusive<Duration> = Duration::from_secs(5)..=Duration::from_secs(50);
 
-/// The pauses of one of so many callers.
+/// The delays of one of many callers.
 #[derive(Debug)]
 pub struct Backoff {
     random: fastrand::Rng,
     callers: u32,
-    ask_in: Duration,
+    poll_within: Duration,
     failures: u32,
-    /// The longest pause of one whose calls cost the service nothing.
-    free: Option<Duration>,
+    /// Bound of every delay of a caller whose calls cost the service nothing; `None` where calls are limited.
+    unlimited_delay: Option<Duration>,
 }
 
 impl Backoff {
-    /// For one of so many callers, who each have a seed of their own. Who has not asked for `ask_in`, or for four
-    /// times as long after a failed call, is held to know what it would have been told.
-    pub fn new(seed: u64, callers: u32, ask_in: Duration) -> Backoff {
+    /// Returns the delays of one of `callers`; each caller needs a seed of its own. A caller that has not polled for
+    /// `poll_within`, or for four times as long after a failed call, is assumed to know what it would have received.
+    pub fn new(seed: u64, callers: u32, poll_within: Duration) -> Backoff {
         let random = fastrand::Rng::with_seed(seed);
-        Backoff { random, callers: callers.max(1), ask_in, failures: 0, free: None }
+        Backoff { random, callers: callers.max(1), poll_within, failures: 0, unlimited_delay: None }
     }
-    /// For one whose calls cost the service nothing: it is told by itself, and an agent beside the caller answers. What the
-    /// agent has counts as told at once, and `grace` later nothing may go to who drains: pauses leave most of that.
-    pub fn for_local_agent(seed: u64, grace: Duration) -> Backoff {
-        Backoff { free: Some((grace / PAUSE_SHARE).min(SHORT)), ..Backoff::new(seed, 1, Duration::ZERO) }
+
+    /// Returns the delays of a caller whose calls cost the service nothing, because an agent on the same machine
+    /// responds. What the agent has counts as received at once, and after `reaction_time` nothing may be sent to a
+    /// draining worker: delays leave most of that time.
+    pub fn for_local_agent(seed: u64, reaction_time: Duration) -> Backoff {
+        let delay = (reaction_time / REACTION_TIME_FRACTION).min(BASE_DELAY);
+        Backoff { unlimited_delay: Some(delay), ..Backoff::new(seed, 1, Duration::ZERO) }
     }
-    /// So many callers there are now. Who calls at no cost is alone, however many others do the same.
+
+    /// Sets the number of callers. It has no effect on a caller of a local agent, which shares the agent with nobody.
     pub fn set_callers(&mut self, callers: u32) {
-        if self.free.is_none() {
+        if self.unlimited_delay.is_none() {
             self.callers = callers.max(1);
         }
     }
-    /// The service has answered.
+
+    /// Resets the delays, because the service has responded.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
-    /// The time in which every caller may call once.
+
+    /// Time in which each caller may make one call.
     fn round(&self) -> Duration {
-        Duration::from_secs(1) * self.callers / CALLS
+        Duration::from_secs(1) * self.callers / MAX_CALLS_PER_SECOND
     }
-    /// How long to wait before the next call, after one that failed; where the service is overbooked, so long that
-    /// all callers together stay under what it bears.
-    pub fn next_delay(&mut self, overbooked: bool) -> Duration {
-        if let Some(longest) = self.free {
+
+    /// Returns the delay before the next call, after one that failed. Where the service is `overloaded`, delays are so
+    /// long that all callers together stay within what it bears.
+    #[must_use]
+    pub fn next_delay(&mut self, overloaded: bool) -> Duration {
+        if let Some(longest) = self.unlimited_delay {
             return longest.mul_f64(self.random.f64());
         }
-        let first = if overbooked { self.first_overbooked() } else { SHORT };
-        let most = (first * (1 << self.failures.min(DOUBLINGS))).min(self.longest());
+        let first = if overloaded { self.first_delay_when_overloaded() } else { BASE_DELAY };
+        let bound = (first * (1 << self.failures.min(MAX_DOUBLINGS))).min(self.longest_delay());
         self.failures += 1;
-        most.mul_f64(self.random.f64())
+        bound.mul_f64(self.random.f64())
     }
-    /// The longest first pause after a failure that tells of overload.
-    fn first_overbooked(&self) -> Duration {
-        SHORT + self.round()
+
+    /// Bound of the first delay after a failure that is a sign of overload.
+    fn first_delay_when_overloaded(&self) -> Duration {
+        BASE_DELAY + self.round()
     }
-    /// The longest pause of all: with pauses of up to twice a round, all callers together make the calls that they may.
-    fn longest(&self) -> Duration {
-        let borne = AGAIN.max(self.first_overbooked() * 2);
-        borne.min((self.ask_in * 4).mul_f64(CARE)).max(LONGEST)
+
+    /// Bound of all delays: with delays of up to twice a round, all callers together make the calls that they may.
+    fn longest_delay(&self) -> Duration {
+        let bearable = RECOVERY_DELAY.max(self.first_delay_when_overloaded() * 2);
+        bearable.min((self.poll_within * 4).mul_f64(POLL_TIME_SHARE)).max(MIN_LONGEST_DELAY)
     }
-    /// How long to wait before the first call, which asks for changes of a list that is held. Guards against all that
-    /// start together asking together.
+
+    /// Returns the delay before the first call, which polls for changes of a list that is already cached. It keeps
+    /// callers that start together from calling together.
+    #[must_use]
     pub fn initial_delay(&mut self) -> Duration {
-        (self.round() / CHEAPER).min(self.ask_in.mul_f64(CARE)).mul_f64(self.random.f64())
+        let bound = (self.round() / COMPLETE_LIST_COST).min(self.poll_within.mul_f64(POLL_TIME_SHARE));
+        bound.mul_f64(self.random.f64())
     }
-    /// How long a call may wait for news: it is a call again when the wait is over.
+
+    /// Returns how long a call may wait for a change. The next call follows at its end.
+    #[must_use]
     pub fn long_poll_timeout(&self) -> Duration {
-        (self.round() + self.round() / 2).clamp(WAIT.0, WAIT.1)
+        (self.round() + self.round() / 2).clamp(*LONG_POLL_TIMEOUT.start(), *LONG_POLL_TIMEOUT.end())
     }
 }
--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -1,16 +1,21 @@
-//! The clients' connections as plain values: how long each may stay as it is, and which one leaves first.
+//! The clients' connections as plain values: how long each may stay as it is, and which one is evicted first.
 //!
-//! A connection is *firm* while a query is open on it: it is then in no order and never chosen. All others are loose,
-//! and stand in this order, the first to leave in front:
+//! Owns each connection's state and the eviction order; sockets report what happened and carry out evictions. It
+//! never closes a socket and never reads a clock.
 //!
-//! 1. silent: it never sent a byte. Nothing of value can be lost with it.
-//! 2. slow: its request is behind its pace. A request's bytes buy it time, so that dribbling does not.
-//! 3. asked once: it had its answer and stays. Few who come back do so late, and one who does only asks again.
-//! 4. marked: what it last sent was rubbish.
-//! 5. idle: it has come back before. First the one that has been away the longest by its own habit.
+//! A connection is *busy* while a query is open on it: it then stands in no order and is never evicted. All others
+//! are *evictable* and stand in this order, the first to evict in front:
 //!
-//! Those who came only a moment ago are passed over in 1 to 3, and where sources can be told apart, one that holds
-//! more than its share gives before a well-behaved one of another does.
+//! 1. silent: it never sent a byte. Nothing of value is lost with it.
+//! 2. slow: its request is behind the minimum receive rate. The bytes of a request extend its time limit, so that a
+//!    client gains nothing by dribbling.
+//! 3. single request: it got one response and stays. Few such clients come back late, and one that does only has to
+//!    connect again.
+//! 4. penalised: what it last sent was malformed.
+//! 5. idle: it has sent several requests. The one that exceeds its usual idle interval most goes first.
+//!
+//! Connections within their minimum residence are passed over in 1 to 3. Where sources can be distinguished, a
+//! well-behaved connection of a source over its quota goes before one of another source.
 
 use super::resource_pressure::ResourcePressure;
 use crate::policy::Time;
@@ -18,24 +23,25 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Whom a connection belongs to, as far as that can be told: a hash of its address, or of what it says of itself.
+/// The client that a connection belongs to, as far as that can be known: a hash of its address, or of the name that it
+/// gives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source(pub u64);
 
-/// Why a connection is made to leave.
+/// Why a connection is evicted. The order is that of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EvictionReason {
     /// It never sent a byte.
     Silent,
-    /// Its request does not come in time.
+    /// Its request is not received in time.
     Slow,
-    /// It asked once, and stays.
+    /// It sent one request, and stays.
     SingleRequest,
-    /// It sent rubbish before.
+    /// It sent malformed input before.
     Penalised,
-    /// It has not come back.
+    /// It has not sent another request.
     Idle,
-    /// Its source holds more than its share.
+    /// Its source holds more connections than its quota.
     OverQuota,
 }
 
@@ -50,6 +56,7 @@
 ];
 
 impl fmt::Display for EvictionReason {
+    /// Writes the reason as it stands in names of counters, which operators' tools match: these words stay as they are.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             EvictionReason::Silent => "silent",
@@ -62,309 +69,364 @@
     }
 }
 
-/// How a request ended, for the record of its connection.
+/// What a connection sent, as far as its own record is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestValidity {
-    /// It was a request, whatever came of it.
+    /// A request, whatever came of it.
     Valid,
-    /// It was none, or none that anyone serves.
+    /// No request, or none that this process serves.
     Invalid,
 }
 
-/// Time limits of a loose connection where there is room, and where there is none.
-struct Patience {
-    calm: Duration,
+/// Time limits of an evictable connection.
+struct TimeLimits {
+    /// The limit without pressure.
+    relaxed: Duration,
+    /// The limit under full pressure.
     tight: Duration,
-    /// For so long it is passed over when another's place is needed.
-    grace: Duration,
+    /// For this long, the connection is passed over when another needs its descriptor.
+    min_residence: Duration,
 }
 
-const fn patience(calm: u64, tight: u64, grace: u64) -> Patience {
+const fn time_limits_ms(relaxed: u64, tight: u64, min_residence: u64) -> TimeLimits {
     let ms = Duration::from_millis;
-    Patience { calm: ms(calm), tight: ms(tight), grace: ms(grace) }
+    TimeLimits { relaxed: ms(relaxed), tight: ms(tight), min_residence: ms(min_residence) }
 }
 
-/// In the order of [`Why`]. What calm clients get is what they always got. 2.5 s keeps the answer owed to a bad
-/// client within 3 s. Tight limits are some times what a fair client needs on a busy machine: a request follows its
-/// connection at once, and a kept connection of a busy client its last answer in well under 150 ms.
-const PATIENCE: [Patience; 5] = [
-    patience(2500, 200, 100),
-    patience(2500, 300, 200),
-    patience(10_000, 150, 100),
-    patience(2000, 50, 0),
-    patience(10_000, 1000, 0),
+/// Time limits by [`EvictionReason`], in its order. The relaxed limits are those that clients always had; 2.5 s gets
+/// the response to a bad client out within 3 s. The tight limits are a multiple of what a well-behaved client needs on
+/// a loaded machine: a request follows its connection at once, and on a kept connection of a busy client the next
+/// request follows the last response in well under 150 ms.
+const TIME_LIMITS: [TimeLimits; 5] = [
+    time_limits_ms(2500, 200, 100),
+    time_limits_ms(2500, 300, 200),
+    time_limits_ms(10_000, 150, 100),
+    time_limits_ms(2000, 50, 0),
+    time_limits_ms(10_000, 1000, 0),
 ];
-/// The longest that a request may take to come in, however well it gets on.
-const LONGEST: Duration = Duration::from_millis(2500);
-/// A request that gets on at so many bytes a second is not slow: one of 64 kB has a second more.
-const PACE: f64 = 64_000.0;
-/// An idle connection is expected back within so many times its usual gap, but no later than this.
-const HABIT: u32 = 4;
-const LONGEST_HABIT: Duration = Duration::from_secs(4);
-/// Weight of the last gap in a connection's habit.
-const LAST_GAP: u32 = 4;
-/// Sources whose rubbish is remembered after they left, and for how long.
-const MOST_REMEMBERED: usize = 1024;
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// The longest time in which a request may be received, at whatever rate.
+const MAX_RECEIVE_TIME: Duration = Duration::from_millis(2500);
+/// A request received at this rate is not slow: one of 64 kB has one second more.
+const MIN_RECEIVE_BYTES_PER_SECOND: f64 = 64_000.0;
+/// An idle connection is expected to be used again within this multiple of its usual idle interval...
+const IDLE_INTERVAL_FACTOR: u32 = 4;
+/// ...but no later than this.
+const MAX_EXPECTED_IDLE: Duration = Duration::from_secs(4);
+/// The usual idle interval is a moving average in which the last interval has the weight of one in this number.
+const IDLE_AVERAGE_INTERVALS: u32 = 4;
+/// Sources of malformed input that are remembered after they disconnected.
+const MAX_PENALISED_SOURCES: usize = 1024;
+/// How long such a source is remembered.
+const PENALTY_TIME: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    Loose(EvictionReason),
-    Firm,
-    Leaving,
+enum ConnectionState {
+    /// It may be evicted, for this reason.
+    Evictable(EvictionReason),
+    /// A query is open on it.
+    Busy,
+    /// It is about to be closed.
+    Closing,
+}
+
+/// The position of a connection in the eviction order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    reason: EvictionReason,
+    /// The moment that counts against the connection: the earlier, the sooner it is evicted.
+    counted_from: Time,
+    id: u64,
 }
 
 #[derive(Debug)]
-struct Member {
+struct Connection {
     source: Source,
-    state: State,
+    state: ConnectionState,
     /// When its state began.
-    since: Time,
-    /// Its place in the order: the moment that counts against it.
-    key: Time,
-    /// Bytes of the request that is coming in.
-    bytes: usize,
-    answers: u32,
-    /// Usual time between an answer and the next request.
-    gap: Duration,
-    marked: bool,
+    state_since: Time,
+    /// See [`EvictionRank::counted_from`].
+    counted_from: Time,
+    /// Bytes of the request that is being received.
+    request_bytes: usize,
+    /// Responses sent on it.
+    responses: u32,
+    /// Average time between a response and the next request.
+    usual_idle: Duration,
+    penalised: bool,
+}
+
+impl Connection {
+    fn rank(&self, id: u64) -> Option<EvictionRank> {
+        let ConnectionState::Evictable(reason) = self.state else { return None };
+        Some(EvictionRank { reason, counted_from: self.counted_from, id })
+    }
+
+    /// Returns until when it may stay as it is under this pressure. A busy connection has no deadline.
+    fn deadline(&self, pressure: ResourcePressure) -> Option<Time> {
+        let ConnectionState::Evictable(reason) = self.state else { return None };
+        let limit = |reason: EvictionReason| {
+            let TimeLimits { relaxed, tight, .. } = TIME_LIMITS[reason as usize];
+            pressure.limit(relaxed, tight)
+        };
+        Some(match reason {
+            EvictionReason::Slow => {
+                self.counted_from.after(limit(reason)).min(self.state_since.after(MAX_RECEIVE_TIME))
+            }
+            // Its usual idle interval applies where that is longer.
+            EvictionReason::Idle => self.counted_from.max(self.state_since.after(limit(reason))),
+            // A source that reconnects after malformed input gets the time limit of malformed input.
+            EvictionReason::Silent if self.penalised => {
+                self.state_since.after(limit(EvictionReason::Penalised).min(limit(reason)))
+            }
+            reason => self.state_since.after(limit(reason)),
+        })
+    }
 }
 
-/// Clients' connections by the order in which they would leave.
+/// The clients' connections, in the order in which they would be evicted.
 #[derive(Debug, Default)]
 pub struct ClientConnections {
-    members: HashMap<u64, Member>,
-    order: BTreeSet<(EvictionReason, Time, u64)>,
-    by_source: HashMap<Source, BTreeSet<(EvictionReason, Time, u64)>>,
-    held: HashMap<Source, usize>,
-    sizes: BTreeSet<(usize, Source)>,
-    /// Sources that sent rubbish lately.
-    marks: HashMap<Source, Time>,
-    next: u64,
+    connections: HashMap<u64, Connection>,
+    eviction_order: BTreeSet<EvictionRank>,
+    eviction_order_by_source: HashMap<Source, BTreeSet<EvictionRank>>,
+    open_by_source: HashMap<Source, usize>,
+    /// Sources by the number of their connections.
+    sources_by_size: BTreeSet<(usize, Source)>,
+    /// When sources last sent malformed input, for those that did so lately.
+    penalised_sources: HashMap<Source, Time>,
+    last_id: u64,
 }
 
 impl ClientConnections {
-    /// Connections, firm and leaving ones among them.
+    /// Number of connections, including busy and closing ones.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.connections.len()
     }
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.connections.is_empty()
     }
-    /// Whether any could be made to leave.
+    /// Whether any connection may be evicted.
     pub fn has_evictable(&self) -> bool {
-        !self.order.is_empty()
+        !self.eviction_order.is_empty()
     }
     /// Whether a query is open on this connection.
     pub fn is_busy(&self, id: u64) -> bool {
-        self.members.get(&id).is_some_and(|member| member.state == State::Firm)
+        self.connections.get(&id).is_some_and(|connection| connection.state == ConnectionState::Busy)
     }
-    /// Whether it is held loosely and has not been told to leave.
+    /// Whether no query is open on it and it is not about to be closed.
     pub fn is_evictable(&self, id: u64) -> bool {
-        self.members.get(&id).is_some_and(|member| matches!(member.state, State::Loose(_)))
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| matches!(connection.state, ConnectionState::Evictable(_)))
     }
-    /// What a source holds.
+    /// Number of connections of a source.
     pub fn open_from(&self, source: Source) -> usize {
-        self.held.get(&source).copied().unwrap_or(0)
+        self.open_by_source.get(&source).copied().unwrap_or(0)
     }
 
-    /// A connection has come.
+    /// Adds a connection that was accepted, and returns its id.
     pub fn accept(&mut self, now: Time, source: Source) -> u64 {
-        self.next += 1;
-        let id = self.next;
-        // Guards against those who send rubbish, are closed, and are back at once: they come in as they left.
-        let marked = self.marks.get(&source).is_some_and(|at| now.since(*at) < REMEMBERED)
-            && self.held.keys().any(|other| *other != source);
-        let state = State::Loose(EvictionReason::Silent);
-        let member =
-            Member { source, state, since: now, key: now, bytes: 0, answers: 0, gap: Duration::ZERO, marked };
-        self.count(source, true);
-        self.members.insert(id, member);
-        self.place(id, state, now, now);
+        self.last_id += 1;
+        let id = self.last_id;
+        // A source that sends malformed input, is closed and reconnects at once keeps its penalty. Where all connections
+        // come from one address, clients cannot be distinguished, and none is penalised for another.
+        let penalised = self.penalised_sources.get(&source).is_some_and(|at| now.since(*at) < PENALTY_TIME)
+            && self.open_by_source.keys().any(|other| *other != source);
+        let state = ConnectionState::Evictable(EvictionReason::Silent);
+        let connection = Connection {
+            source,
+            state,
+            state_since: now,
+            counted_from: now,
+            request_bytes: 0,
+            responses: 0,
+            usual_idle: Duration::ZERO,
+            penalised,
+        };
+        self.count_for_source(source, true);
+        self.connections.insert(id, connection);
+        self.set_state(id, state, now, now);
         id
     }
 
-    fn count(&mut self, source: Source, more: bool) {
-        let held = self.held.entry(source).or_default();
-        let before = *held;
-        *held = if more { before + 1 } else { before - 1 };
-        let after = *held;
-        self.sizes.remove(&(before, source));
+    /// Adds a connection to the counts of a source, or removes it.
+    fn count_for_source(&mut self, source: Source, added: bool) {
+        let open = self.open_by_source.entry(source).or_default();
+        let before = *open;
+        *open = if added { before + 1 } else { before - 1 };
+        let after = *open;
+        self.sources_by_size.remove(&(before, source));
         if after > 0 {
-            self.sizes.insert((after, source));
+            self.sources_by_size.insert((after, source));
         } else {
-            self.held.remove(&source);
+            self.open_by_source.remove(&source);
         }
     }
 
-    /// Moves a connection to another state.
-    fn place(&mut self, id: u64, state: State, since: Time, key: Time) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        let own = self.by_source.entry(member.source).or_default();
-        if let State::Loose(why) = member.state {
-            self.order.remove(&(why, member.key, id));
-            own.remove(&(why, member.key, id));
+    /// Moves a connection to another state, and so to another position in the eviction order.
+    fn set_state(&mut self, id: u64, state: ConnectionState, state_since: Time, counted_from: Time) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let of_source = self.eviction_order_by_source.entry(connection.source).or_default();
+        if let Some(rank) = connection.rank(id) {
+            self.eviction_order.remove(&rank);
+            of_source.remove(&rank);
         }
-        (member.state, member.since, member.key) = (state, since, key);
-        if let State::Loose(why) = state {
-            self.order.insert((why, key, id));
-            own.insert((why, key, id));
+        connection.state = state;
+        connection.state_since = state_since;
+        connection.counted_from = counted_from;
+        if let Some(rank) = connection.rank(id) {
+            self.eviction_order.insert(rank);
+            of_source.insert(rank);
         }
-        if own.is_empty() {
-            self.by_source.remove(&member.source);
+        if of_source.is_empty() {
+            self.eviction_order_by_source.remove(&connection.source);
         }
     }
 
-    /// Bytes have come on it, of a request that is not all there. One that was told to leave stays after all.
+    /// Records bytes of a request that is not complete. A connection that is about to be closed becomes evictable again.
     pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        let arriving = member.state == State::Loose(EvictionReason::Slow);
-        if member.state == State::Firm {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let receiving = connection.state == ConnectionState::Evictable(EvictionReason::Slow);
+        if connection.state == ConnectionState::Busy {
             return;
         }
-        if !arriving && member.answers > 0 {
-            let gap = now.since(member.since);
-            let before = if member.answers == 1 { gap } else { member.gap };
-            member.gap = (before * (LAST_GAP - 1) + gap) / LAST_GAP;
+        if !receiving && connection.responses > 0 {
+            let idle = now.since(connection.state_since);
+            let before = if connection.responses == 1 { idle } else { connection.usual_idle };
+            connection.usual_idle = (before * (IDLE_AVERAGE_INTERVALS - 1) + idle) / IDLE_AVERAGE_INTERVALS;
         }
-        member.bytes = if arriving { member.bytes + bytes } else { bytes };
-        // The first request of a connection has the connection's own time: guards against bytes sent late and slowly.
-        let begun = if arriving || member.answers == 0 { member.since } else { now };
-        let bought = Duration::from_secs_f64(member.bytes as f64 / PACE);
-        self.place(id, State::Loose(EvictionReason::Slow), begun, begun.after(bought));
+        connection.request_bytes = if receiving { connection.request_bytes + bytes } else { bytes };
+        // The time of the first request runs from the accept, so that sending its first byte late gains nothing.
+        let began_at = if receiving || connection.responses == 0 { connection.state_since } else { now };
+        let extension =
+            Duration::from_secs_f64(connection.request_bytes as f64 / MIN_RECEIVE_BYTES_PER_SECOND);
+        let state = ConnectionState::Evictable(EvictionReason::Slow);
+        self.set_state(id, state, began_at, began_at.after(extension));
     }
 
-    /// Its request is all there: it is firm from now on.
+    /// Records that the request is complete: the connection is busy from now on.
     pub fn start_query(&mut self, now: Time, id: u64) {
-        self.place(id, State::Firm, now, now);
+        self.set_state(id, ConnectionState::Busy, now, now);
     }
 
-    /// It has had its answer.
-    pub fn finish_query(&mut self, now: Time, id: u64, record: RequestValidity) {
-        let Some(member) = self.members.get_mut(&id) else { return };
-        (member.answers, member.bytes) = (member.answers.saturating_add(1), 0);
-        member.marked = record == RequestValidity::Invalid;
-        let (answers, source) = (member.answers, member.source);
-        let habit = (member.gap * HABIT).min(LONGEST_HABIT);
-        if record == RequestValidity::Invalid {
-            self.mark(now, source);
-            self.place(id, State::Loose(EvictionReason::Penalised), now, now);
-        } else if answers == 1 {
-            self.place(id, State::Loose(EvictionReason::SingleRequest), now, now);
-        } else {
-            self.place(id, State::Loose(EvictionReason::Idle), now, now.after(habit));
-        }
+    /// Records that the response was sent.
+    pub fn finish_query(&mut self, now: Time, id: u64, validity: RequestValidity) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.responses = connection.responses.saturating_add(1);
+        connection.request_bytes = 0;
+        connection.penalised = validity == RequestValidity::Invalid;
+        let (responses, source) = (connection.responses, connection.source);
+        let expected_idle = (connection.usual_idle * IDLE_INTERVAL_FACTOR).min(MAX_EXPECTED_IDLE);
+        let (reason, counted_from) = match validity {
+            RequestValidity::Invalid => {
+                self.penalise(now, source);
+                (EvictionReason::Penalised, now)
+            }
+            RequestValidity::Valid if responses == 1 => (EvictionReason::SingleRequest, now),
+            RequestValidity::Valid => (EvictionReason::Idle, now.after(expected_idle)),
+        };
+        self.set_state(id, ConnectionState::Evictable(reason), now, counted_from);
     }
 
-    /// What it sent was no request; it is answered and closed.
+    /// Records malformed input: the connection gets an error response and is closed.
     pub fn reject_malformed(&mut self, now: Time, id: u64) {
-        let Some(member) = self.members.get(&id) else { return };
-        let source = member.source;
-        self.mark(now, source);
-        self.place(id, State::Leaving, now, now);
+        let Some(connection) = self.connections.get(&id) else { return };
+        let source = connection.source;
+        self.penalise(now, source);
+        self.set_state(id, ConnectionState::Closing, now, now);
     }
 
-    fn mark(&mut self, now: Time, source: Source) {
-        if self.marks.len() >= MOST_REMEMBERED {
-            self.marks.retain(|_, at| now.since(*at) < REMEMBERED);
+    fn penalise(&mut self, now: Time, source: Source) {
+        if self.penalised_sources.len() >= MAX_PENALISED_SOURCES {
+            self.penalised_sources.retain(|_, at| now.since(*at) < PENALTY_TIME);
         }
-        // Guards against a crowd of addresses that would fill the memory with its marks.
-        if self.marks.len() < MOST_REMEMBERED {
-            self.marks.insert(source, now);
+        // Bounds the memory that a flood from many addresses can fill.
+        if self.penalised_sources.len() < MAX_PENALISED_SOURCES {
+            self.penalised_sources.insert(source, now);
         }
     }
 
-    /// It says who it is: it counts as that source from now on.
+    /// Counts a connection as of this source from now on, because it says whose it is.
     pub fn set_source(&mut self, id: u64, source: Source) {
-        let Some(member) = self.members.get(&id) else { return };
-        let (before, state, since, key) = (member.source, member.state, member.since, member.key);
+        let Some(connection) = self.connections.get(&id) else { return };
+        let (before, state) = (connection.source, connection.state);
+        let (state_since, counted_from) = (connection.state_since, connection.counted_from);
         if before == source {
             return;
         }
-        self.place(id, State::Leaving, since, key);
-        self.count(before, false);
-        if let Some(member) = self.members.get_mut(&id) {
-            member.source = source;
+        // Out of the old source's order and into the new one's.
+        self.set_state(id, ConnectionState::Closing, state_since, counted_from);
+        self.count_for_source(before, false);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.source = source;
         }
-        self.count(source, true);
-        self.place(id, state, since, key);
+        self.count_for_source(source, true);
+        self.set_state(id, state, state_since, counted_from);
     }
 
-    /// It is closed.
+    /// Removes a connection that is closed.
     pub fn close(&mut self, id: u64) {
-        let Some(member) = self.members.get(&id) else { return };
-        let source = member.source;
-        self.place(id, State::Leaving, member.since, member.key);
-        self.members.remove(&id);
-        self.count(source, false);
+        let Some(connection) = self.connections.get(&id) else { return };
+        let source = connection.source;
+        self.set_state(id, ConnectionState::Closing, connection.state_since, connection.counted_from);
+        self.connections.remove(&id);
+        self.count_for_source(source, false);
     }
 
-    /// Until when it may stay as it is, where places are so scarce. Nothing is due on a firm one.
-    fn due(&self, member: &Member, pressure: ResourcePressure) -> Option<Time> {
-        let State::Loose(why) = member.state else { return None };
-        let limit = |why: EvictionReason| {
-            let Patience { calm, tight, .. } = PATIENCE[why as usize];
-            pressure.limit(calm, tight)
-        };
-        Some(match why {
-            EvictionReason::Slow => member.key.after(limit(why)).min(member.since.after(LONGEST)),
-            // Its habit is kept where that is longer, up to what is left where there is room.
-            EvictionReason::Idle => member.key.max(member.since.after(limit(why))),
-            // One that is back after rubbish is let stay as briefly as one that has just sent some.
-            EvictionReason::Silent if member.marked => {
-                member.since.after(limit(EvictionReason::Penalised).min(limit(why)))
-            }
-            why => member.since.after(limit(why)),
-        })
-    }
-
-    /// Tells those to leave whose time is up.
+    /// Evicts the connections whose deadline under this pressure has passed.
+    #[must_use]
     pub fn evict_expired(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, EvictionReason)> {
-        let over = |member: &Member| self.due(member, pressure).is_some_and(|due| due <= now);
-        let late = self.order.iter().filter(|(_, _, id)| self.members.get(id).is_some_and(over));
-        let late: Vec<(u64, EvictionReason)> = late.map(|(why, _, id)| (*id, *why)).collect();
-        for (id, _) in &late {
-            self.place(*id, State::Leaving, now, now);
+        let expired = |rank: &&EvictionRank| {
+            let connection = self.connections.get(&rank.id);
+            connection.and_then(|connection| connection.deadline(pressure)).is_some_and(|due| due <= now)
+        };
+        let expired: Vec<(u64, EvictionReason)> =
+            self.eviction_order.iter().filter(expired).map(|rank| (rank.id, rank.reason)).collect();
+        for (id, _) in &expired {
+            self.set_state(*id, ConnectionState::Closing, now, now);
         }
-        late
+        expired
     }
 
-    /// When the next one's time is up.
+    /// Returns the earliest deadline under this pressure.
     pub fn next_deadline(&self, pressure: ResourcePressure) -> Option<Time> {
-        self.order.iter().filter_map(|(_, _, id)| self.due(self.members.get(id)?, pressure)).min()
+        self.eviction_order.iter().filter_map(|rank| self.connections.get(&rank.id)?.deadline(pressure)).min()
     }
 
-    /// Tells the one to leave that is of least worth, for another that needs its place.
+    /// Evicts the first connection of the eviction order, because another needs its descriptor.
+    #[must_use]
     pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
-        let (id, why) = self.least_worth(now)?;
-        self.place(id, State::Leaving, now, now);
-        Some((id, why))
+        let (id, reason) = self.first_to_evict(now)?;
+        self.set_state(id, ConnectionState::Closing, now, now);
+        Some((id, reason))
     }
 
-    fn least_worth(&self, now: Time) -> Option<(u64, EvictionReason)> {
-        for why in [
+    fn first_to_evict(&self, now: Time) -> Option<(u64, EvictionReason)> {
+        for reason in [
             EvictionReason::Silent,
             EvictionReason::Slow,
             EvictionReason::SingleRequest,
             EvictionReason::Penalised,
         ] {
-            let first = self.order.range((why, Time(0), 0)..).next().filter(|first| first.0 == why);
-            if let Some((_, key, id)) = first
-                && now.since(*key) >= PATIENCE[why as usize].grace
+            let from = EvictionRank { reason, counted_from: Time(0), id: 0 };
+            let first = self.eviction_order.range(from..).next().filter(|first| first.reason == reason);
+            if let Some(rank) = first
+                && now.since(rank.counted_from) >= TIME_LIMITS[reason as usize].min_residence
             {
-                return Some((*id, why));
+                return Some((rank.id, reason));
             }
         }
-        // All others behave. Guards those of small sources against one that opens more and more.
-        if let Some((most, source)) = self.sizes.last()
-            && most * self.held.len() > self.members.len()
-            && let Some((_, _, id)) = self.by_source.get(source).and_then(BTreeSet::first)
+        // All others behave well. Protects sources with few connections from one that opens more and more.
+        if let Some((most, source)) = self.sources_by_size.last()
+            && most * self.open_by_source.len() > self.connections.len()
+            && let Some(rank) = self.eviction_order_by_source.get(source).and_then(BTreeSet::first)
         {
-            return Some((*id, EvictionReason::OverQuota));
+            return Some((rank.id, EvictionReason::OverQuota));
         }
-        // Guards those who come back against a flood so fast that all of it is new: the newcomers go first, for one with
-        // a request to send has sent it by the time that it is looked at. Who stays away too long is swept out anyway.
-        self.order.first().map(|(why, _, id)| (*id, *why))
+        // Protects clients with several requests from a flood so fast that all of it is new: new connections go first,
+        // because a client with a request to send has sent it by the time that its connection is considered. Connections
+        // that stay idle too long are evicted by their deadline anyway.
+        self.eviction_order.first().map(|rank| (rank.id, rank.reason))
     }
 }
--- a/src/limits/connection_counters.rs
+++ b/src/limits/connection_counters.rs
@@ -1,114 +1,110 @@
-//! Who was let in, who was made to leave and why, and the most that was held: counted since the start.
+//! Counters of connections since the start: accepted, rejected, evicted and lost, and the peaks of what was held.
+//!
+//! Owns the counts and their outer names; it decides nothing.
 
 use super::client_connections::{EVICTION_REASONS, EvictionReason};
 use super::descriptors::{DESCRIPTOR_CLASSES, DescriptorClass};
 use std::fmt;
 
-/// Counts since the start.
+/// Counters of connections since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionCounters {
-    /// Clients' connections let in.
+    /// Clients' connections accepted.
     pub admitted: u64,
-    /// Clients turned away at the door: every descriptor was in use for a query.
+    /// Clients' connections rejected at once, because every descriptor was busy.
     pub rejected: u64,
-    /// Made to leave, by reason.
+    /// Clients' connections evicted, by reason.
     pub evicted: [u64; EVICTION_REASONS.len()],
-    /// Of these, for another's sake and before their time.
+    /// Evicted before their deadline, because another connection needed the descriptor.
     pub evicted_early: u64,
-    /// Stayed after all, for a request came as they were to leave.
+    /// Evictions cancelled, because a request arrived just before the close.
     pub eviction_cancelled: u64,
-    /// Closes that crossed a request all the same.
+    /// Evictions whose close crossed a request all the same.
     pub close_races: u64,
     /// Clients that closed their connection while a query was open on it.
     pub client_closed_waiting: u64,
-    /// Clients that closed it in the middle of a request.
+    /// Clients that closed their connection in the middle of a request.
     pub client_closed_mid_request: u64,
-    /// Clients that closed it between requests.
+    /// Clients that closed their connection between requests.
     pub client_closed_idle: u64,
-    /// Clients that could no longer be written their answer.
+    /// Responses that could not be written, because the connection was broken.
     pub response_write_failed: u64,
-    /// Clients that did not take their answer in time.
+    /// Responses that the client did not take in time.
     pub response_write_timed_out: u64,
-    /// Queries refused because a firm place would have touched what another side was promised.
+    /// Queries rejected because a busy descriptor would have taken what another class is guaranteed.
     pub rejected_no_descriptor: u64,
-    /// Connections to servers begun.
+    /// Connections to servers that were begun.
     pub worker_connects_started: u64,
-    /// Calls that waited for one and were turned out of the queue, or waited too long.
+    /// Calls that waited for a new connection and got none: removed from the queue, or timed out.
     pub worker_connect_waits_failed: u64,
-    /// Connections to servers given up for another side's sake, or another server's.
+    /// Connections to servers evicted, because another class or another server needed the descriptor.
     pub worker_connections_evicted: u64,
-    /// Connections to servers that ended: closed by either side, cut for what came on them, never opened.
+    /// Connections to servers that ended: closed by either side, closed for what was received on them, or never opened.
     pub worker_connections_closed: u64,
-    /// Of these, cut because what came on them could not be trusted.
+    /// Of these, closed because what was received on them was malformed.
     pub worker_connections_untrusted: u64,
-    /// Connections to servers that were never opened: no place or no time was left.
+    /// Connections to servers that were never opened, because no descriptor or no time was left.
     pub worker_connections_unopened: u64,
     /// Accepts that failed.
     pub accept_failed: u64,
-    /// The most that each side held.
+    /// Peak of the descriptors that each class held.
     pub peak_held: [usize; DESCRIPTOR_CLASSES.len()],
-    /// The most that all held.
+    /// Peak of the descriptors that all classes held together.
     pub peak_descriptors: usize,
-    /// The most bytes that were buffered.
+    /// Peak of the buffered bytes.
     pub peak_buffered_bytes: usize,
 }
 
 impl ConnectionCounters {
-    /// Counts one that is made to leave.
-    pub fn count_eviction(&mut self, why: EvictionReason) {
-        self.evicted[why as usize] += 1;
+    /// Counts an eviction.
+    pub fn count_eviction(&mut self, reason: EvictionReason) {
+        self.evicted[reason as usize] += 1;
     }
-    /// Notes what is held now.
-    pub fn record_held(&mut self, side: DescriptorClass, held: usize, in_all: usize) {
-        let most = &mut self.peak_held[side as usize];
-        *most = held.max(*most);
-        self.peak_descriptors = in_all.max(self.peak_descriptors);
+
+    /// Raises the peaks to the descriptors that a class and all classes hold now.
+    pub fn record_held(&mut self, class: DescriptorClass, held: usize, held_by_all: usize) {
+        let peak = &mut self.peak_held[class as usize];
+        *peak = held.max(*peak);
+        self.peak_descriptors = held_by_all.max(self.peak_descriptors);
     }
-    /// All that were made to leave.
+
+    /// All evictions, whatever their reason.
     pub fn total_evicted(&self) -> u64 {
         self.evicted.iter().sum()
     }
 }
 
 impl fmt::Display for ConnectionCounters {
+    /// Writes `name=value` pairs as operators read them in `GET /_counters` and in the log. This is the one table from
+    /// fields to outer names, which stay as they are because dashboards match them.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "admitted={} turned_away={}", self.admitted, self.rejected)?;
-        for why in EVICTION_REASONS {
-            write!(out, " left_{why}={}", self.evicted[why as usize])?;
+        for reason in EVICTION_REASONS {
+            write!(out, " left_{reason}={}", self.evicted[reason as usize])?;
+        }
+        let counters = [
+            ("gave_way", self.evicted_early),
+            ("spared", self.eviction_cancelled),
+            ("crossed", self.close_races),
+            ("unpinned", self.rejected_no_descriptor),
+            ("opened", self.worker_connects_started),
+            ("not_opened", self.worker_connect_waits_failed),
+            ("lines_gave_way", self.worker_connections_evicted),
+            ("accept_failed", self.accept_failed),
+            ("gone_waiting", self.client_closed_waiting),
+            ("gone_half", self.client_closed_mid_request),
+            ("gone_idle", self.client_closed_idle),
+            ("gone_answered", self.response_write_failed),
+            ("not_taken", self.response_write_timed_out),
+            ("lines_closed", self.worker_connections_closed),
+            ("lines_untrusted", self.worker_connections_untrusted),
+            ("lines_unopened", self.worker_connections_unopened),
+        ];
+        for (name, value) in counters {
+            write!(out, " {name}={value}")?;
         }
-        write!(
-            out,
-            " gave_way={} spared={} crossed={}",
-            self.evicted_early, self.eviction_cancelled, self.close_races
-        )?;
-        write!(
-            out,
-            " unpinned={} opened={} not_opened={}",
-            self.rejected_no_descriptor, self.worker_connects_started, self.worker_connect_waits_failed
-        )?;
-        write!(
-            out,
-            " lines_gave_way={} accept_failed={}",
-            self.worker_connections_evicted, self.accept_failed
-        )?;
-        write!(
-            out,
-            " gone_waiting={} gone_half={} gone_idle={}",
-            self.client_closed_waiting, self.client_closed_mid_request, self.client_closed_idle
-        )?;
-        write!(
-            out,
-            " gone_answered={} not_taken={}",
-            self.response_write_failed, self.response_write_timed_out
-        )?;
-        write!(
-            out,
-            " lines_closed={} lines_untrusted={}",
-            self.worker_connections_closed, self.worker_connections_untrusted
-        )?;
-        write!(out, " lines_unopened={}", self.worker_connections_unopened)?;
-        for side in DESCRIPTOR_CLASSES {
-            write!(out, " most_{side}={}", self.peak_held[side as usize])?;
+        for class in DESCRIPTOR_CLASSES {
+            write!(out, " most_{class}={}", self.peak_held[class as usize])?;
         }
         write!(out, " most_descriptors={} most_bytes={}", self.peak_descriptors, self.peak_buffered_bytes)
     }
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -1,173 +1,197 @@
-//! Connections to servers: which of the open ones takes a call, and who may open the next.
+//! Sizing of the connection pools toward servers: which open connection takes a call, and which call may open the next
+//! connection.
+//!
+//! Owns the queue of calls that wait for a new connection, and the count of those that are connecting. It opens nothing
+//! and sends nothing.
 
 use crate::policy::{Time, WorkerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of a call's time that it waits for a connection at most: the rest is for another server, or for the answer.
-const WAIT_SHARE: u32 = 4;
+/// A call waits for a connection for this fraction of its time at most; the rest is for the response, or for another
+/// server.
+const CONNECT_WAIT_FRACTION: u32 = 4;
+/// One server's connections may make up this fraction of all that are connecting...
+const CONNECTING_FRACTION_PER_WORKER: usize = 4;
+/// ...but this number in any case.
+const MIN_CONNECTING_PER_WORKER: usize = 2;
 
-/// A connection as the choice sees it.
+/// An open connection of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PooledConnection {
-    /// Calls that are out on it.
+    /// Calls in flight on it.
     pub in_flight: usize,
-    /// It can take this call: it answers, and carries fewer than it may.
+    /// Whether it can take another call: its server responds, and it carries fewer calls than it may.
     pub has_capacity: bool,
-    /// It takes new calls at all.
+    /// Whether it takes new calls at all.
     pub accepts_calls: bool,
 }
 
-/// What becomes of a call.
+/// The connection for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// It goes on this open connection.
+    /// The open connection with this index.
     Reuse(usize),
-    /// It gets a new one, as soon as there is a place.
+    /// A new connection, as soon as there is a descriptor for it.
     OpenNew,
 }
 
-/// The connection for a call: one with room, else a new one, else the one with least to do. What runs once gets a new
-/// one for itself. Guards against kept connections that the server closes or resets just as a call is written: it may
-/// have run then, and its query is lost; and against losing it to an answer spoilt for another.
-pub fn choose_connection(once: bool, lines: &[PooledConnection], most: usize) -> ConnectionChoice {
-    if once {
+/// Chooses the connection for a call: one with capacity, else a new one, else the one with the fewest calls.
+///
+/// A `non_idempotent` call gets a new connection of its own. A server may close or reset a kept connection just as a call
+/// is written; the call may have run then, and its query is lost. On a connection of its own it cannot be lost to a
+/// malformed response to another call, either.
+#[must_use]
+pub fn choose_connection(
+    non_idempotent: bool,
+    connections: &[PooledConnection],
+    max_connections: usize,
+) -> ConnectionChoice {
+    if non_idempotent {
         return ConnectionChoice::OpenNew;
     }
-    if let Some(at) = lines.iter().position(|line| line.has_capacity) {
-        return ConnectionChoice::Reuse(at);
+    if let Some(index) = connections.iter().position(|connection| connection.has_capacity) {
+        return ConnectionChoice::Reuse(index);
     }
-    let live = lines.iter().enumerate().filter(|(_, line)| line.accepts_calls);
-    if live.clone().count() < most {
+    let usable = connections.iter().enumerate().filter(|(_, connection)| connection.accepts_calls);
+    if usable.clone().count() < max_connections {
         return ConnectionChoice::OpenNew;
     }
-    live.min_by_key(|(_, line)| line.in_flight)
-        .map_or(ConnectionChoice::OpenNew, |(at, _)| ConnectionChoice::Reuse(at))
+    let least_loaded = usable.min_by_key(|(_, connection)| connection.in_flight);
+    least_loaded.map_or(ConnectionChoice::OpenNew, |(index, _)| ConnectionChoice::Reuse(index))
 }
 
-/// Why a wait for a connection ends without one. Nothing of the call has been sent.
+/// Returns how long a call with so much time left may wait for a connection.
+#[must_use]
+pub fn connect_wait_limit(time_left: Duration) -> Duration {
+    time_left / CONNECT_WAIT_FRACTION
+}
+
+/// Why a call got no connection. Nothing of the call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectWaitError {
-    /// Others that run out of time sooner fill the queue.
+    /// Calls with an earlier deadline fill the queue.
     #[error("too many calls wait for a connection")]
     QueueFull,
-    /// It waited as long as is worth while.
+    /// It waited for as long as it may.
     #[error("no connection could be had in time")]
     TimedOut,
 }
 
-#[derive(Clone, Copy, Debug)]
-struct Wait {
-    leaf: WorkerId,
+/// Identifies a call in the queue. Tickets are ordered by deadline, the earliest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectTicket {
+    deadline: Time,
+    number: u64,
 }
 
-/// The queue for new connections to servers. It is short, goes by what runs out of time first, and keeps room for
-/// every server: one that cannot be reached does not take all of it, nor all connections that are coming up.
+/// The queue of calls that need a new connection, the earliest deadline first. It is bounded, and so is each server's
+/// share of the connections that are connecting: a server that cannot be reached takes neither all of the queue nor all
+/// of these connections.
 #[derive(Debug)]
 pub struct ConnectQueue {
-    most_waiting: usize,
-    most_opening: usize,
-    most_each: usize,
-    waits: BTreeMap<(Time, u64), Wait>,
-    waiting: BTreeMap<WorkerId, usize>,
-    opening: BTreeMap<WorkerId, usize>,
-    next: u64,
+    max_waiting: usize,
+    max_connecting: usize,
+    max_connecting_per_worker: usize,
+    waiting: BTreeMap<ConnectTicket, WorkerId>,
+    waiting_by_worker: BTreeMap<WorkerId, usize>,
+    connecting_by_worker: BTreeMap<WorkerId, usize>,
+    last_number: u64,
 }
 
-/// How long a call of so much time is to wait for a connection.
-pub fn connect_wait_limit(left: Duration) -> Duration {
-    left / WAIT_SHARE
-}
-
-/// Names a wait; the one that runs out of time first is the least.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectTicket(Time, u64);
-
 impl ConnectQueue {
-    /// So many may wait, and so many may be coming up at once, of them to each server at most a quarter, or two.
-    pub fn new(most_waiting: usize, most_opening: usize) -> ConnectQueue {
+    /// Creates a queue of at most `max_waiting` calls that lets `max_connecting` connections connect at once.
+    pub fn new(max_waiting: usize, max_connecting: usize) -> ConnectQueue {
+        let per_worker = max_connecting / CONNECTING_FRACTION_PER_WORKER;
         ConnectQueue {
-            most_waiting,
-            most_opening,
-            most_each: (most_opening / 4).max(2),
-            waits: BTreeMap::new(),
+            max_waiting,
+            max_connecting,
+            max_connecting_per_worker: per_worker.max(MIN_CONNECTING_PER_WORKER),
             waiting: BTreeMap::new(),
-            opening: BTreeMap::new(),
-            next: 0,
+            waiting_by_worker: BTreeMap::new(),
+            connecting_by_worker: BTreeMap::new(),
+            last_number: 0,
         }
     }
 
     /// Calls that wait.
     pub fn waiting(&self) -> usize {
-        self.waits.len()
+        self.waiting.len()
     }
-    /// Connections that are coming up.
+    /// Connections that are connecting.
     pub fn connecting(&self) -> usize {
-        self.opening.values().sum()
+        self.connecting_by_worker.values().sum()
     }
 
-    /// A call of so much time joins the queue. Where that is full, one leaves it: of the server with the most waiting,
-    /// the one with the most time left, which may be the newcomer.
+    /// Adds a call with so much time left. Where the queue is full, one call is removed, and its ticket returned as the
+    /// second value: of the server with the most waiting calls the one with the latest deadline, which may be the call
+    /// just added.
     pub fn enqueue(
         &mut self,
         now: Time,
-        leaf: WorkerId,
-        left: Duration,
+        worker: WorkerId,
+        time_left: Duration,
     ) -> (ConnectTicket, Option<ConnectTicket>) {
-        self.next += 1;
-        let number = ConnectTicket(now.after(left), self.next);
-        self.waits.insert((number.0, number.1), Wait { leaf });
-        *self.waiting.entry(leaf).or_default() += 1;
-        if self.waits.len() <= self.most_waiting {
-            return (number, None);
+        self.last_number += 1;
+        let ticket = ConnectTicket { deadline: now.after(time_left), number: self.last_number };
+        self.waiting.insert(ticket, worker);
+        *self.waiting_by_worker.entry(worker).or_default() += 1;
+        if self.waiting.len() <= self.max_waiting {
+            return (ticket, None);
         }
-        let most = self.waiting.iter().max_by_key(|(_, count)| **count).map(|(leaf, _)| *leaf);
-        let last = self.waits.iter().rev().find(|(_, wait)| Some(wait.leaf) == most).map(|(key, _)| *key);
-        let out = last.map(|(at, count)| ConnectTicket(at, count));
-        if let Some(out) = out {
-            self.cancel(out);
+        let busiest =
+            self.waiting_by_worker.iter().max_by_key(|(_, count)| **count).map(|(worker, _)| *worker);
+        let latest = self.waiting.iter().rev().find(|(_, worker)| Some(**worker) == busiest);
+        let removed = latest.map(|(ticket, _)| *ticket);
+        if let Some(removed) = removed {
+            self.cancel(removed);
         }
-        (number, out)
+        (ticket, removed)
     }
 
-    /// A call no longer waits; false if it did not.
-    pub fn cancel(&mut self, number: ConnectTicket) -> bool {
-        let Some(wait) = self.waits.remove(&(number.0, number.1)) else { return false };
-        less(&mut self.waiting, wait.leaf);
+    /// Removes a call from the queue. Returns false if it was not there.
+    pub fn cancel(&mut self, ticket: ConnectTicket) -> bool {
+        let Some(worker) = self.waiting.remove(&ticket) else { return false };
+        decrement(&mut self.waiting_by_worker, worker);
         true
     }
 
-    /// Who may open the next connection, if anyone: it is taken off the queue and counts as opening.
+    /// Removes the first call that may open a connection now, and counts its connection as connecting.
     pub fn start_next(&mut self) -> Option<(ConnectTicket, WorkerId)> {
-        if self.connecting() >= self.most_opening {
-            return None;
-        }
-        let may = |wait: &Wait| self.opening.get(&wait.leaf).copied().unwrap_or(0) < self.most_each;
-        let (key, leaf) =
-            self.waits.iter().find(|(_, wait)| may(wait)).map(|(key, wait)| (*key, wait.leaf))?;
-        let number = ConnectTicket(key.0, key.1);
-        self.cancel(number);
-        *self.opening.entry(leaf).or_default() += 1;
-        Some((number, leaf))
+        let (ticket, worker) = self.next_to_start()?;
+        self.cancel(ticket);
+        *self.connecting_by_worker.entry(worker).or_default() += 1;
+        Some((ticket, worker))
     }
 
-    /// Whether [`Openings::admit`] would find anyone.
+    /// Whether [`ConnectQueue::start_next`] would find a call.
+    #[must_use]
     pub fn can_start_next(&self) -> bool {
-        let may = |wait: &Wait| self.opening.get(&wait.leaf).copied().unwrap_or(0) < self.most_each;
-        self.connecting() < self.most_opening && self.waits.values().any(may)
+        self.next_to_start().is_some()
+    }
+
+    fn next_to_start(&self) -> Option<(ConnectTicket, WorkerId)> {
+        if self.connecting() >= self.max_connecting {
+            return None;
+        }
+        let connecting_to = |worker: &WorkerId| self.connecting_by_worker.get(worker).copied().unwrap_or(0);
+        let mut waiting = self.waiting.iter();
+        let next = waiting.find(|(_, worker)| connecting_to(worker) < self.max_connecting_per_worker);
+        next.map(|(ticket, worker)| (*ticket, *worker))
     }
 
-    /// A connection is up, or will not be.
-    pub fn finish_connect(&mut self, leaf: WorkerId) {
-        less(&mut self.opening, leaf);
+    /// Counts a connection as no longer connecting: it is open, or will not be.
+    pub fn finish_connect(&mut self, worker: WorkerId) {
+        decrement(&mut self.connecting_by_worker, worker);
     }
 }
 
-fn less(counts: &mut BTreeMap<WorkerId, usize>, leaf: WorkerId) {
-    if let Some(count) = counts.get_mut(&leaf) {
+/// Lowers a count and drops it at zero, so that the maps hold no worker without calls.
+fn decrement(counts: &mut BTreeMap<WorkerId, usize>, worker: WorkerId) {
+    if let Some(count) = counts.get_mut(&worker) {
         *count -= 1;
         if *count == 0 {
-            counts.remove(&leaf);
+            counts.remove(&worker);
         }
     }
 }
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -1,8 +1,11 @@
-//! One budget of descriptors for all sides of the process: floors, and loans that can be called back.
+//! One budget of file descriptors for all of the process: guaranteed floors, and loans that can be reclaimed.
+//!
+//! Owns the counts by class, not the descriptors: whoever opens one acquires it here first. It closes nothing; it says
+//! which class has to close one.
 
 use std::fmt;
 
-/// Who holds descriptors.
+/// What descriptors are used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DescriptorClass {
     /// Clients' connections.
@@ -17,7 +20,7 @@
     Operators,
 }
 
-/// All sides, in the order of the arrays here.
+/// All classes, in the order of the arrays that are indexed by class.
 pub const DESCRIPTOR_CLASSES: [DescriptorClass; 5] = [
     DescriptorClass::Clients,
     DescriptorClass::Workers,
@@ -27,6 +30,7 @@
 ];
 
 impl fmt::Display for DescriptorClass {
+    /// Writes the class as it stands in names of counters.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             DescriptorClass::Clients => "clients",
@@ -38,165 +42,183 @@
     }
 }
 
-/// The smallest limit that a process can serve with.
+/// The lowest limit of descriptors that a process can serve with.
 pub const MIN_DESCRIPTORS: usize = 64;
-/// Descriptors of the watch: one, and a second while it moves.
-const DISCOVERY: usize = 2;
-/// Descriptors of files: the configuration when it is read again, and what writes beside serving.
-const FILES: usize = 4;
+/// Descriptors of the discovery watch: one, and a second while it moves to another connection.
+const DISCOVERY_DESCRIPTORS: usize = 2;
+/// Descriptors of files: the configuration while it is reloaded, and what is written beside serving.
+const FILE_DESCRIPTORS: usize = 4;
 /// Descriptors of operators' calls, where operators may call.
 pub const OPERATOR_DESCRIPTORS: usize = 8;
 
 /// How a process divides its descriptors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Descriptors that there are to divide.
+    /// Descriptors that can be divided.
     pub usable: usize,
-    /// What each side can always have.
+    /// Descriptors that each class can always have.
     pub floors: [usize; DESCRIPTOR_CLASSES.len()],
-    /// Kept free where that is possible, so that whoever comes has a place before another has left.
+    /// Descriptors kept free where that is possible, so that a new connection gets one before another has closed.
     pub headroom: usize,
 }
 
-/// A limit too low to serve with.
+/// The limit of descriptors is too low to serve with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{limit} descriptors, of which {baseline} are in use at the start: {} at least are needed", MIN_DESCRIPTORS.max(baseline + MIN_DESCRIPTORS / 2))]
 pub struct DescriptorLimitTooLow {
-    /// What the process may hold.
+    /// Descriptors that the process may open.
     pub limit: usize,
-    /// What it held before any connection.
+    /// Descriptors that were open before any connection.
     pub baseline: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides `limit` descriptors, of which `standing` (listener, signals, the log, the event queue) are in use for
-    /// good: `operators` are kept for operators' calls; a third of the rest is the clients' floor, a quarter the workers'.
+    /// Divides `limit` descriptors, of which `baseline` (listener, signals, the log, the event queue) stay open for good.
+    /// `operators` of them are kept for operators' calls; a third of the rest is the clients' floor, a quarter the
+    /// workers'.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the limit, or what is left of it, is too low to serve with.
     pub fn new(
         limit: usize,
-        standing: usize,
+        baseline: usize,
         operators: usize,
     ) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
-        let usable = limit.saturating_sub(standing);
+        let usable = limit.saturating_sub(baseline);
         if limit < MIN_DESCRIPTORS || usable < MIN_DESCRIPTORS / 2 {
-            return Err(DescriptorLimitTooLow { limit, baseline: standing });
+            return Err(DescriptorLimitTooLow { limit, baseline });
         }
-        let rest = usable - DISCOVERY - FILES - operators.min(OPERATOR_DESCRIPTORS);
-        let floors = [rest / 3, rest / 4, DISCOVERY, FILES, operators.min(OPERATOR_DESCRIPTORS)];
+        let operators = operators.min(OPERATOR_DESCRIPTORS);
+        let rest = usable - DISCOVERY_DESCRIPTORS - FILE_DESCRIPTORS - operators;
+        let floors = [rest / 3, rest / 4, DISCOVERY_DESCRIPTORS, FILE_DESCRIPTORS, operators];
         Ok(DescriptorBudget { usable, floors, headroom: (usable / 32).clamp(2, 16) })
     }
 }
 
-/// Why there is no descriptor.
+/// Why no descriptor can be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorDenied {
-    /// One will be free as soon as this side lets a loose one go, which it can do at once.
+    /// One becomes free as soon as this class closes an evictable one, which it can do at once.
     Reclaim(DescriptorClass),
-    /// All are in use and none can be called back; the next free one is to be awaited.
+    /// All are in use and none can be reclaimed; the caller has to wait for the next free one.
     Exhausted,
 }
 
-/// The descriptors of one process. One is *loose* where it can be closed at no loss (an idle connection) and *firm*
-/// where it cannot (a query is open on it). A side may take whatever is free, for what it holds loosely can be called
-/// back; what it holds firmly counts against its own floor and against what no floor claims. That is how floors stay
-/// free to be had without lying idle.
+/// The descriptors of one process by class. A descriptor is *evictable* where it can be closed without loss (an idle
+/// connection) and *busy* where it cannot (a query is open on it). A class may acquire whatever is free, because what is
+/// evictable can be reclaimed; what is busy counts against the floor of its class and against what no floor claims. That
+/// is how each class can always have its floor, although no descriptor lies idle for it.
 #[derive(Clone, Debug)]
 pub struct DescriptorAllocator {
-    plan: DescriptorBudget,
+    budget: DescriptorBudget,
     held: [usize; DESCRIPTOR_CLASSES.len()],
-    firm: [usize; DESCRIPTOR_CLASSES.len()],
+    busy: [usize; DESCRIPTOR_CLASSES.len()],
 }
 
 impl DescriptorAllocator {
-    /// All are free.
-    pub fn new(plan: DescriptorBudget) -> DescriptorAllocator {
-        DescriptorAllocator { plan, held: [0; DESCRIPTOR_CLASSES.len()], firm: [0; DESCRIPTOR_CLASSES.len()] }
+    /// Creates an allocator whose descriptors are all free.
+    pub fn new(budget: DescriptorBudget) -> DescriptorAllocator {
+        DescriptorAllocator {
+            budget,
+            held: [0; DESCRIPTOR_CLASSES.len()],
+            busy: [0; DESCRIPTOR_CLASSES.len()],
+        }
     }
 
-    /// Divides them anew, as when another process comes to share them or leaves. What is held beyond that is to be
-    /// called back.
-    pub fn set_budget(&mut self, plan: DescriptorBudget) {
-        self.plan = plan;
+    /// Replaces the budget, as when another process begins or ceases to share the descriptors. What is held beyond the
+    /// new budget is to be reclaimed.
+    pub fn set_budget(&mut self, budget: DescriptorBudget) {
+        self.budget = budget;
     }
-    /// Who is to let one go where more is held than there is: the side that is most over its floor with something loose.
+
+    /// Returns the class that has to close a descriptor where more are held than the budget has: the one that is furthest
+    /// over its floor, of those with an evictable one.
     pub fn class_to_reclaim_from(&self) -> Option<DescriptorClass> {
-        let over = |side: &DescriptorClass| self.over(*side as usize) > 0 && self.loose(*side as usize) > 0;
-        DESCRIPTOR_CLASSES.into_iter().filter(over).max_by_key(|side| self.over(*side as usize))
+        let can_close = |class: &DescriptorClass| self.over_floor(*class) > 0 && self.evictable(*class) > 0;
+        DESCRIPTOR_CLASSES.into_iter().filter(can_close).max_by_key(|class| self.over_floor(*class))
     }
-    /// What is held beyond what there is.
+
+    /// Descriptors held beyond the budget.
     pub fn excess(&self) -> usize {
-        self.held.iter().sum::<usize>().saturating_sub(self.plan.usable)
+        self.held.iter().sum::<usize>().saturating_sub(self.budget.usable)
     }
-
-    /// How they are divided.
+    /// The budget.
     pub fn budget(&self) -> &DescriptorBudget {
-        &self.plan
+        &self.budget
     }
-    /// What a side holds.
-    pub fn held(&self, side: DescriptorClass) -> usize {
-        self.held[side as usize]
+    /// Descriptors that a class holds.
+    pub fn held(&self, class: DescriptorClass) -> usize {
+        self.held[class as usize]
     }
-    /// What it holds firmly, of that.
-    pub fn busy(&self, side: DescriptorClass) -> usize {
-        self.firm[side as usize]
+    /// Descriptors of a class that are busy.
+    pub fn busy(&self, class: DescriptorClass) -> usize {
+        self.busy[class as usize]
     }
-    /// What nobody holds.
+    /// Descriptors that no class holds.
     pub fn free(&self) -> usize {
-        self.plan.usable.saturating_sub(self.held.iter().sum())
+        self.budget.usable.saturating_sub(self.held.iter().sum())
     }
-    fn loose(&self, side: usize) -> usize {
-        self.held[side] - self.firm[side]
+    fn evictable(&self, class: DescriptorClass) -> usize {
+        self.held(class) - self.busy(class)
     }
-    fn over(&self, side: usize) -> usize {
-        self.held[side].saturating_sub(self.plan.floors[side])
+    fn over_floor(&self, class: DescriptorClass) -> usize {
+        self.held(class).saturating_sub(self.budget.floors[class as usize])
     }
 
-    /// Takes a descriptor, loosely.
-    pub fn acquire(&mut self, side: DescriptorClass) -> Result<(), DescriptorDenied> {
+    /// Acquires a descriptor, which is evictable at first.
+    ///
+    /// # Errors
+    ///
+    /// Fails where none is free; [`DescriptorDenied`] says how one may become free.
+    pub fn acquire(&mut self, class: DescriptorClass) -> Result<(), DescriptorDenied> {
         if self.free() == 0 {
-            return Err(self.lender(side).map_or(DescriptorDenied::Exhausted, DescriptorDenied::Reclaim));
+            return Err(self.lender(class).map_or(DescriptorDenied::Exhausted, DescriptorDenied::Reclaim));
         }
-        self.held[side as usize] += 1;
+        self.held[class as usize] += 1;
         Ok(())
     }
 
-    /// Who is to let one go for this side: one over its floor with something loose, the one most over it, and this
-    /// side itself before another unless it is under its own floor.
-    pub fn lender(&self, side: DescriptorClass) -> Option<DescriptorClass> {
-        let own = side as usize;
-        if self.held[own] >= self.plan.floors[own] && self.loose(own) > 0 {
-            return Some(side);
+    /// Returns the class that has to close an evictable descriptor for this class: the one that is furthest over its
+    /// floor. This class itself comes before any other, unless it is below its own floor.
+    pub fn lender(&self, class: DescriptorClass) -> Option<DescriptorClass> {
+        let below_floor = self.held(class) < self.budget.floors[class as usize];
+        if !below_floor && self.evictable(class) > 0 {
+            return Some(class);
         }
         let others =
-            DESCRIPTOR_CLASSES.into_iter().filter(|other| *other != side && self.loose(*other as usize) > 0);
-        let other = others.max_by_key(|other| self.over(*other as usize)).filter(|other| {
-            // Guards a side that holds no more than its floor against one that has its own floor already.
-            self.over(*other as usize) > 0
-        });
-        other.or_else(|| (self.loose(own) > 0).then_some(side))
-    }
-
-    /// Whether one that a side holds, or is about to take, may be made firm without touching what floors promise.
-    pub fn can_mark_busy(&self, side: DescriptorClass) -> bool {
-        let claimed =
-            |at: usize| (self.firm[at] + usize::from(at == side as usize)).max(self.plan.floors[at]);
-        (0..DESCRIPTOR_CLASSES.len()).map(claimed).sum::<usize>() <= self.plan.usable
-    }
-
-    /// Makes a loose one of this side firm; false, and nothing changes, where floors forbid it.
-    pub fn mark_busy(&mut self, side: DescriptorClass) -> bool {
-        let may = self.loose(side as usize) > 0 && self.can_mark_busy(side);
-        self.firm[side as usize] += usize::from(may);
+            DESCRIPTOR_CLASSES.into_iter().filter(|other| *other != class && self.evictable(*other) > 0);
+        let other = others.max_by_key(|other| self.over_floor(*other));
+        // Protects a class that holds no more than its floor from one that has its own floor already.
+        let other = other.filter(|other| self.over_floor(*other) > 0);
+        other.or_else(|| (self.evictable(class) > 0).then_some(class))
+    }
+
+    /// Whether a descriptor that a class holds, or is about to acquire, may become busy without taking what the floors of
+    /// other classes guarantee.
+    #[must_use]
+    pub fn can_mark_busy(&self, class: DescriptorClass) -> bool {
+        let claimed = |other: DescriptorClass| {
+            (self.busy(other) + usize::from(other == class)).max(self.budget.floors[other as usize])
+        };
+        DESCRIPTOR_CLASSES.into_iter().map(claimed).sum::<usize>() <= self.budget.usable
+    }
+
+    /// Makes an evictable descriptor of this class busy. Returns false, and changes nothing, where floors forbid it.
+    pub fn mark_busy(&mut self, class: DescriptorClass) -> bool {
+        let may = self.evictable(class) > 0 && self.can_mark_busy(class);
+        self.busy[class as usize] += usize::from(may);
         may
     }
 
-    /// Makes a firm one loose.
-    pub fn mark_evictable(&mut self, side: DescriptorClass) {
-        self.firm[side as usize] = self.firm[side as usize].saturating_sub(1);
+    /// Makes a busy descriptor of this class evictable.
+    pub fn mark_evictable(&mut self, class: DescriptorClass) {
+        self.busy[class as usize] = self.busy[class as usize].saturating_sub(1);
     }
 
-    /// Gives a loose one back.
-    pub fn release(&mut self, side: DescriptorClass) {
-        debug_assert!(self.loose(side as usize) > 0, "a firm descriptor was given back");
-        self.held[side as usize] = self.held[side as usize].saturating_sub(1);
+    /// Releases an evictable descriptor of this class.
+    pub fn release(&mut self, class: DescriptorClass) {
+        debug_assert!(self.evictable(class) > 0, "a busy descriptor was released");
+        self.held[class as usize] = self.held[class as usize].saturating_sub(1);
     }
 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,6 +1,8 @@
-//! Limits of the process: who may hold a descriptor, which connection leaves first, how much is buffered, how fast
-//! newcomers are let in, and what waits for a connection to a server. Plain values and times go in, decisions come
-//! out: no socket, no task, no clock.
+//! Limits of the process: which class may hold a descriptor, which connection is evicted first, how much is buffered, how
+//! fast connections are accepted, and which calls wait for a connection to a server.
+//!
+//! Plain values and times go in, decisions come out. It owns no socket, no task and no clock; `transport` carries the
+//! decisions out.
 
 pub mod accept_pacer;
 pub mod backoff;
--- a/src/limits/resource_pressure.rs
+++ b/src/limits/resource_pressure.rs
@@ -1,43 +1,47 @@
-//! How scarce places are, and how time limits follow.
+//! How scarce a resource is, and how time limits follow from that. Pure values; it owns no resource.
 
 use std::time::Duration;
 
-/// From 0, where there is room for everyone, to 1, where the next one who comes needs another's place.
+/// Pressure on a resource: from 0, where there is capacity for everyone, to 1, where the next holder needs another's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct ResourcePressure(f64);
 
 impl ResourcePressure {
-    /// Room for everyone.
+    /// There is capacity for everyone.
     pub const NONE: ResourcePressure = ResourcePressure(0.0);
-    /// None left.
+    /// No capacity is left.
     pub const FULL: ResourcePressure = ResourcePressure(1.0);
 
-    /// ResourcePressure where `held` are taken: none up to `ease`, full from `tight` on, evenly between.
-    pub fn from_usage(held: usize, ease: usize, tight: usize) -> ResourcePressure {
-        if held <= ease {
+    /// Returns the pressure where `used` units are taken: none up to `low`, full from `high` on, linear in between.
+    #[must_use]
+    pub fn from_usage(used: usize, low: usize, high: usize) -> ResourcePressure {
+        if used <= low {
             return ResourcePressure::NONE;
         }
-        if held >= tight {
+        if used >= high {
             return ResourcePressure::FULL;
         }
-        ResourcePressure((held - ease) as f64 / (tight - ease) as f64)
+        ResourcePressure((used - low) as f64 / (high - low) as f64)
     }
 
-    /// The greater of the two.
+    /// Returns the greater of the two.
+    #[must_use]
     pub fn max(self, other: ResourcePressure) -> ResourcePressure {
         if other > self { other } else { self }
     }
 
-    /// A share from 0 to 1.
+    /// The pressure as a fraction from 0 to 1.
     pub fn share(self) -> f64 {
         self.0
     }
 
-    /// A time limit that is `calm` where there is room and `tight` where there is none. Between, it falls by an even
-    /// factor and not by an even step: the crowd that a limit lets stand is its rate times the limit, so only factors
-    /// answer a crowd of ten times the rate by ten times the scarcity.
-    pub fn limit(self, calm: Duration, tight: Duration) -> Duration {
-        let (calm, tight) = (calm.as_secs_f64().max(1e-6), tight.as_secs_f64().max(1e-6));
-        Duration::from_secs_f64(calm * (tight / calm).powf(self.0))
+    /// Returns a time limit that is `relaxed` without pressure and `tight` under full pressure. In between, it falls
+    /// geometrically: the number of connections that a limit lets stand is their arrival rate times the limit, so a
+    /// limit has to fall by a factor to answer a rate that grows by a factor.
+    #[must_use]
+    pub fn limit(self, relaxed: Duration, tight: Duration) -> Duration {
+        // A microsecond at least: the ratio of the limits has to be finite.
+        let (relaxed, tight) = (relaxed.as_secs_f64().max(1e-6), tight.as_secs_f64().max(1e-6));
+        Duration::from_secs_f64(relaxed * (tight / relaxed).powf(self.0))
     }
 }
