--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -1,4 +1,7 @@
-//! The folder of records on the file system, and the thread that writes to it: serving never waits for either.
+//! The folder of records on the file system, and the thread that writes to it.
+//!
+//! This is the only module of records that touches files and clocks. The serving thread hands records over and never
+//! waits for the disk: a record that finds no capacity in the queue is dropped and counted.
 
 use super::record::RecordBody;
 use super::segments::SegmentLimits;
@@ -13,10 +16,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Records that may wait for the writer.
-const WAITING: usize = 1024;
-/// How long the end waits for the last records: a disk may hang for good.
-const LAST: Duration = Duration::from_millis(500);
+/// Records that may wait for the writing thread.
+const MAX_QUEUED_RECORDS: usize = 1024;
+/// How long a shutdown waits for the last records: a disk may hang forever.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A folder of segments.
 #[derive(Debug)]
@@ -26,7 +29,7 @@
 }
 
 impl Folder {
-    /// The folder at this path; it is made when the first segment begins.
+    /// The folder at this path; it is created with the first segment.
     pub fn new(path: &Path) -> Folder {
         Folder { path: path.to_owned(), file: None }
     }
@@ -36,8 +39,8 @@
     fn begin(&mut self, file: &str) -> io::Result<()> {
         self.file = None;
         fs::create_dir_all(&self.path)?;
-        let mut new = OpenOptions::new();
-        self.file = Some(new.write(true).create_new(true).open(self.path.join(file))?);
+        let mut options = OpenOptions::new();
+        self.file = Some(options.write(true).create_new(true).open(self.path.join(file))?);
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -55,7 +58,8 @@
         };
         for entry in entries {
             let entry = entry?;
-            let size = entry.metadata().map_or(0, |data| data.len());
+            // A size that cannot be read counts as zero: the file may have been removed since it was listed.
+            let size = entry.metadata().map_or(0, |metadata| metadata.len());
             found.push((entry.file_name().to_string_lossy().into_owned(), size));
         }
         Ok(found)
@@ -65,81 +69,92 @@
     }
 }
 
-struct Entry {
+/// A record in the queue to the writing thread.
+struct QueuedRecord {
     now: Time,
     at_ms: u64,
     body: RecordBody,
-    /// Records before it that found no room.
-    missed: u64,
+    /// Records dropped since the last one that was queued.
+    dropped: u64,
 }
 
 /// Hands records to the thread that writes them.
 pub struct Recorder {
-    send: SyncSender<Entry>,
-    start: Instant,
-    missed: u64,
+    queue: SyncSender<QueuedRecord>,
+    started_at: Instant,
+    dropped: u64,
     lost: Arc<AtomicU64>,
-    ended: Receiver<()>,
+    finished: Receiver<()>,
 }
 
 impl Recorder {
-    /// Starts the thread. Nothing is touched before the first record.
-    pub fn start(path: &Path, gatherer: &str, start: &str, bounds: SegmentLimits) -> io::Result<Recorder> {
-        let (send, receive) = sync_channel(WAITING);
-        let (end, ended) = channel();
+    /// Starts the writing thread. It touches no file before the first record.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the thread cannot be started.
+    pub fn start(
+        path: &Path,
+        gatherer: &str,
+        incarnation: &str,
+        limits: SegmentLimits,
+    ) -> io::Result<Recorder> {
+        let (queue, queued) = sync_channel(MAX_QUEUED_RECORDS);
+        let (finish, finished) = channel();
         let lost = Arc::new(AtomicU64::new(0));
-        let writer = Writer::new(Folder::new(path), gatherer, start, bounds);
-        let counted = lost.clone();
+        let writer = Writer::new(Folder::new(path), gatherer, incarnation, limits);
+        let lost_by_thread = lost.clone();
         thread::Builder::new().name("records".to_owned()).spawn(move || {
-            write_all(receive, writer, &counted);
-            // Nobody may wait for it any longer.
-            let _ = end.send(());
+            write_all(queued, writer, &lost_by_thread);
+            // It fails where the shutdown no longer waits.
+            let _ = finish.send(());
         })?;
-        Ok(Recorder { send, start: Instant::now(), missed: 0, lost, ended })
+        Ok(Recorder { queue, started_at: Instant::now(), dropped: 0, lost, finished })
     }
 
-    /// Records this, if there is room; else it is counted, and a later line tells of it.
+    /// Queues a record, if the queue has capacity; otherwise the record is dropped, and a later one reports that.
     pub fn record(&mut self, body: RecordBody) {
-        let now = Time(0).after(self.start.elapsed());
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let at_ms = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        match self.send.try_send(Entry { now, at_ms, body, missed: self.missed }) {
-            Ok(()) => self.missed = 0,
+        let now = Time(0).after(self.started_at.elapsed());
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let at_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
+        match self.queue.try_send(QueuedRecord { now, at_ms, body, dropped: self.dropped }) {
+            Ok(()) => self.dropped = 0,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.missed += 1;
+                self.dropped += 1;
                 self.lost.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// Records lost so far.
+    /// Records lost so far, for whatever reason.
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Relaxed)
     }
 
-    /// Ends the thread once it has written what it was handed, but does not wait for a disk that hangs.
+    /// Ends the writing thread once it has written what is queued, but does not wait for a disk that hangs.
     pub fn close(self) {
-        drop(self.send);
-        if self.ended.recv_timeout(LAST).is_err() {
-            log::warn!("records: the last ones are not written yet, and are given up");
+        drop(self.queue);
+        if self.finished.recv_timeout(CLOSE_TIMEOUT).is_err() {
+            log::warn!("record writer did not finish in time: the last records are lost");
         }
     }
 }
 
-fn write_all(receive: Receiver<Entry>, mut writer: Writer<Folder>, lost: &AtomicU64) {
-    let mut said = false;
-    for Entry { now, at_ms, body, missed } in receive {
-        writer.count_dropped(missed, "they came faster than they could be written");
+/// Writes queued records until the queue is closed. It logs when writing begins to fail and when it works again, not at
+/// each record.
+fn write_all(queued: Receiver<QueuedRecord>, mut writer: Writer<Folder>, lost: &AtomicU64) {
+    let mut failing = false;
+    for QueuedRecord { now, at_ms, body, dropped } in queued {
+        writer.count_dropped(dropped, "they came faster than they could be written");
         let written = writer.write(now, at_ms, body);
         if !written {
             lost.fetch_add(1, Ordering::Relaxed);
         }
-        // Told once when it begins and once when it ends, not at each record.
-        if !written && !said {
-            log::warn!("records: not written: {}; serving goes on", writer.last_loss_reason());
-        } else if written && said {
-            log::info!("records: written again");
+        if !written && !failing {
+            log::warn!("record writing fails: reason={:?}; serving continues", writer.last_loss_reason());
+        } else if written && failing {
+            log::info!("record writing has resumed");
         }
-        said = !written;
+        failing = !written;
     }
 }
--- a/src/records/metrics.rs
+++ b/src/records/metrics.rs
@@ -1,4 +1,6 @@
-//! What happened since the last line: how queries and attempts ended, and how long queries took.
+//! Metrics of the time since the last record of them: how queries and attempts ended, and how long queries took.
+//!
+//! Owns the counts until they are taken as a [`MetricsSnapshot`], whose stored names stay as they are. It writes nothing.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -9,44 +11,45 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Latencies are held in microseconds, up to ten minutes, to two digits.
-const LONGEST_US: u64 = 600_000_000;
-const DIGITS: u8 = 2;
+/// The longest latency that a histogram holds, in microseconds: ten minutes.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant decimal digits of a latency in a histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Every way a query can end.
+/// How a query ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "End")]
 pub enum QueryEnd {
-    /// Answered whole within its class's wanted time.
+    /// A complete response within the latency objective of its class.
     #[serde(rename = "whole_in_time")]
     CompleteInTime,
-    /// Answered whole, but later.
+    /// A complete response after the latency objective.
     #[serde(rename = "whole_late")]
     CompleteLate,
-    /// Answered in part, and said so.
+    /// A partial response that says that it is partial.
     Partial,
-    /// Refused: the module did not expect to serve it in time, or could not.
+    /// Rejected by the decision module, which did not expect to complete it in time, or could not.
     #[serde(rename = "refused_declined")]
     RejectedByPolicy,
-    /// Refused: as many queries and parts as may be were open.
+    /// Rejected because the process was at its limit of open queries and parts.
     #[serde(rename = "refused_full")]
     RejectedAtCapacity,
-    /// Refused: the process is stopping.
+    /// Rejected because the process is shutting down.
     #[serde(rename = "refused_stopping")]
     RejectedShuttingDown,
-    /// Failed: the module gave it up, and it may have run.
+    /// Failed: the decision module abandoned it, after it may have run.
     #[serde(rename = "failed_given_up")]
     FailedAbandoned,
-    /// Failed: it ran past its time.
+    /// Failed: its deadline passed.
     #[serde(rename = "failed_overdue")]
     FailedDeadlineExceeded,
-    /// Its client left first.
+    /// The client closed the connection before the response.
     #[serde(rename = "left")]
     ClientDisconnected,
 }
 
-/// All ends, in order.
+/// All ways in which a query can end, in the order of [`QueryEnd`].
 pub const QUERY_ENDS: [QueryEnd; 9] = [
     QueryEnd::CompleteInTime,
     QueryEnd::CompleteLate,
@@ -59,65 +62,72 @@
     QueryEnd::ClientDisconnected,
 ];
 
-/// Which queries a count is of.
+impl QueryEnd {
+    /// Whether the query got a response, so that its latency counts.
+    fn has_response(self) -> bool {
+        matches!(self, QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial)
+    }
+}
+
+/// The queries that a count is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryLabels {
-    /// Their class, as a number of the start's list.
+    /// Their class, by its number in the record of the start.
     pub class: usize,
-    /// Their tenant, where they have one.
+    /// Their tenant by its number, where they have one.
     pub tenant: Option<usize>,
 }
 
-/// The queries of one class and tenant.
+/// Metrics of the queries of one class and tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Queries")]
 pub struct QueryMetrics {
-    /// Their class, as a number of the start's list.
+    /// Their class, by its number in the record of the start.
     pub class: usize,
-    /// Their tenant, where they have one.
+    /// Their tenant by its number, where they have one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<usize>,
-    /// How many were taken.
+    /// Queries accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// How many ended so.
+    /// Queries that ended, by how they ended.
     pub ends: BTreeMap<QueryEnd, u64>,
-    /// Time from taking to answering, of those answered: a histogram of microseconds in HdrHistogram's V2 form, in
-    /// base64; absent where none was answered.
+    /// Time from the request to the response, of queries with a response: a histogram of microseconds in HdrHistogram's
+    /// V2 form, in base64; absent where no query had a response.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub latency: String,
 }
 
-/// The attempts at one worker.
+/// Metrics of the attempts at one worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Attempts")]
 pub struct AttemptMetrics {
-    /// How many ended so.
+    /// Attempts that ended, by how they ended.
     pub ends: BTreeMap<String, u64>,
-    /// Time that those took which ended with a value, in microseconds, in all.
+    /// Sum of the times that successful attempts took, in microseconds.
     pub done_us: u64,
 }
 
 impl AttemptMetrics {
-    /// Those that ended with a value.
+    /// Attempts that returned a value.
     pub fn successful(&self) -> u64 {
         self.ends.get(ATTEMPT_DONE).copied().unwrap_or(0)
     }
-    /// All that ended.
+    /// All attempts that ended.
     pub fn total(&self) -> u64 {
         self.ends.values().sum()
     }
-    /// Takes in those of another line.
+    /// Adds those of another record.
     pub fn merge(&mut self, other: AttemptMetrics) {
         other.ends.into_iter().for_each(|(end, count)| *self.ends.entry(end).or_default() += count);
         self.done_us += other.done_us;
     }
 }
 
-/// The name of the end that brings a value.
+/// The stored name of the end of an attempt that returned a value.
 pub const ATTEMPT_DONE: &str = "done";
 
-/// What one line of figures tells.
+/// What one record of metrics contains.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Second")]
 pub struct MetricsSnapshot {
@@ -125,30 +135,30 @@
     pub queries: Vec<QueryMetrics>,
     /// Attempts that ended, by worker.
     pub attempts: BTreeMap<String, AttemptMetrics>,
-    /// Queries open at its end.
+    /// Queries open at the time of the record.
     pub open: usize,
-    /// Descriptors held at its end.
+    /// Descriptors held at the time of the record.
     pub descriptors: usize,
-    /// Bytes buffered for peers at its end.
+    /// Bytes buffered for peers at the time of the record.
     pub buffered: usize,
-    /// Clients' connections at its end.
+    /// Clients' connections at the time of the record.
     pub clients: usize,
 }
 
 struct QueryAccumulator {
-    taken: u64,
+    accepted: u64,
     ends: [u64; QUERY_ENDS.len()],
     latency: Histogram<u64>,
 }
 
-/// A histogram that holds what a query may take.
+/// Creates an empty histogram of latencies in microseconds.
 pub fn new_histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts; a histogram that resizes itself is as good.
-    Histogram::new_with_max(LONGEST_US, DIGITS)
-        .unwrap_or_else(|_| Histogram::new(DIGITS).expect("two digits"))
+    // The library accepts these constant bounds; a histogram that resizes itself would do as well.
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| Histogram::new(SIGNIFICANT_DIGITS).expect("two digits"))
 }
 
-/// Adds up what happens, until a line is made of it.
+/// Adds up what happens until a record is made of it.
 #[derive(Default)]
 pub struct MetricsAccumulator {
     queries: BTreeMap<QueryLabels, QueryAccumulator>,
@@ -156,26 +166,27 @@
 }
 
 impl MetricsAccumulator {
-    fn tally(&mut self, seen: QueryLabels) -> &mut QueryAccumulator {
-        let new = || QueryAccumulator { taken: 0, ends: [0; QUERY_ENDS.len()], latency: new_histogram() };
-        self.queries.entry(seen).or_insert_with(new)
+    fn queries_of(&mut self, labels: QueryLabels) -> &mut QueryAccumulator {
+        let empty =
+            || QueryAccumulator { accepted: 0, ends: [0; QUERY_ENDS.len()], latency: new_histogram() };
+        self.queries.entry(labels).or_insert_with(empty)
     }
 
-    /// A query was taken.
-    pub fn record_accepted(&mut self, seen: QueryLabels) {
-        self.tally(seen).taken += 1;
+    /// Counts a query that was accepted.
+    pub fn record_accepted(&mut self, labels: QueryLabels) {
+        self.queries_of(labels).accepted += 1;
     }
 
-    /// A query ended, after so much time.
-    pub fn record_end(&mut self, seen: QueryLabels, end: QueryEnd, took: Duration) {
-        let tally = self.tally(seen);
-        tally.ends[end as usize] += 1;
-        if matches!(end, QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial) {
-            tally.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
+    /// Counts a query that ended, and the time that it took.
+    pub fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, took: Duration) {
+        let queries = self.queries_of(labels);
+        queries.ends[end as usize] += 1;
+        if end.has_response() {
+            queries.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
         }
     }
 
-    /// An attempt at a worker ended so, after so much time.
+    /// Counts an attempt at a worker that ended, and the time that it took.
     pub fn record_attempt(&mut self, worker: &str, end: &'static str, took: Duration) {
         if !self.attempts.contains_key(worker) {
             self.attempts.insert(worker.to_owned(), AttemptMetrics::default());
@@ -187,25 +198,30 @@
         }
     }
 
-    /// Makes a line of what happened, and starts anew. What all lines and the rest add up to is all that happened.
+    /// Takes what happened since the last snapshot, and starts anew: all snapshots add up to all that happened.
+    #[must_use]
     pub fn take_snapshot(&mut self) -> MetricsSnapshot {
-        let mut second = MetricsSnapshot::default();
-        for (QueryLabels { class, tenant }, tally) in std::mem::take(&mut self.queries) {
-            let counted = QUERY_ENDS.iter().map(|end| (*end, tally.ends[*end as usize]));
-            second.queries.push(QueryMetrics {
+        let mut snapshot = MetricsSnapshot::default();
+        for (QueryLabels { class, tenant }, queries) in std::mem::take(&mut self.queries) {
+            let counts = QUERY_ENDS.iter().map(|end| (*end, queries.ends[*end as usize]));
+            snapshot.queries.push(QueryMetrics {
                 class,
                 tenant,
-                accepted: tally.taken,
-                ends: counted.filter(|(_, count)| *count > 0).collect(),
-                latency: if tally.latency.is_empty() { String::new() } else { write(&tally.latency) },
+                accepted: queries.accepted,
+                ends: counts.filter(|(_, count)| *count > 0).collect(),
+                latency: encode_histogram(&queries.latency),
             });
         }
-        second.attempts = std::mem::take(&mut self.attempts);
-        second
+        snapshot.attempts = std::mem::take(&mut self.attempts);
+        snapshot
     }
 }
 
-fn write(histogram: &Histogram<u64>) -> String {
+/// Encodes a histogram as text; an empty one becomes the empty text.
+fn encode_histogram(histogram: &Histogram<u64>) -> String {
+    if histogram.is_empty() {
+        return String::new();
+    }
     let mut bytes = Vec::new();
     // Writing to memory fails only for a histogram of more counts than the form holds.
     match V2Serializer::new().serialize(histogram, &mut bytes) {
@@ -214,9 +230,11 @@
     }
 }
 
-/// Reads a histogram back. Guards against one that was made to be enormous.
+/// Decodes a histogram. Returns `None` for noise, and for one with wider bounds than [`new_histogram`]'s, which would
+/// take memory without end.
 pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
     let bytes = BASE64.decode(text).ok()?;
     let histogram: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
-    (histogram.high() <= 2 * LONGEST_US && histogram.sigfig() <= DIGITS).then_some(histogram)
+    let within_bounds = histogram.high() <= 2 * MAX_LATENCY_US && histogram.sigfig() <= SIGNIFICANT_DIGITS;
+    within_bounds.then_some(histogram)
 }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,5 +1,7 @@
-//! Records: what a gatherer writes down of itself, line by line, and how it is read back. Lines, segments, figures and
-//! what a failing disk costs are plain values here; only [`folder`] knows files.
+//! Records: what a gatherer writes about itself, record by record, and how records are read back and reported.
+//!
+//! Records, segments, metrics and the effects of a failing disk are plain values here; only [`folder`] touches files and
+//! clocks. Nothing here decides how queries are served.
 
 pub mod diagnosis;
 pub mod folder;
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -1,37 +1,44 @@
-//! When clients ask for more than is served: with a memory, so that one bad second is no period.
+//! Detects periods of overload: times in which clients request more than the process accepts.
+//!
+//! Owns the state of the current period. It has hysteresis, so that one bad second is not a period.
 
 use super::metrics::{MetricsSnapshot, QueryEnd};
 
-/// A period begins with a second of so many refusals, and of so great a share.
-const LEAST_REFUSED: u64 = 5;
-const BEGINS: f64 = 0.05;
-/// It ends after so many seconds in a row below this share.
-const ENDS: f64 = 0.01;
-const QUIET: u32 = 5;
+/// A period begins with a second of at least this number of rejections...
+const MIN_REJECTED_TO_BEGIN: u64 = 5;
+/// ...that are at least this share of the queries.
+const REJECTED_SHARE_TO_BEGIN: f64 = 0.05;
+/// A period ends after [`QUIET_SECONDS_TO_END`] seconds in a row with less than this share of rejections.
+const REJECTED_SHARE_TO_END: f64 = 0.01;
+/// Seconds in a row with few rejections after which a period ends.
+const QUIET_SECONDS_TO_END: u32 = 5;
 
-/// Follows refusals second by second.
+/// Follows rejections second by second.
 #[derive(Debug, Default)]
 pub struct OverloadDetector {
-    on: bool,
-    quiet: u32,
+    overloaded: bool,
+    quiet_seconds: u32,
 }
 
 impl OverloadDetector {
-    /// Whether a period begins (`true`) or ends (`false`) with this second.
+    /// Takes the metrics of one second, and returns whether a period begins (`true`) or ends (`false`) with it.
+    #[must_use]
     pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
-        let taken: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
-        let refused = |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
-        let refused: u64 =
-            refused(QueryEnd::RejectedByPolicy).chain(refused(QueryEnd::RejectedAtCapacity)).sum();
-        let share = refused as f64 / taken.max(refused).max(1) as f64;
-        if !self.on {
-            self.on = refused >= LEAST_REFUSED && share >= BEGINS;
-            self.quiet = 0;
-            return self.on.then_some(true);
+        let accepted: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
+        let count_of =
+            |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
+        let rejected: u64 =
+            count_of(QueryEnd::RejectedByPolicy).chain(count_of(QueryEnd::RejectedAtCapacity)).sum();
+        let rejected_share = rejected as f64 / accepted.max(rejected).max(1) as f64;
+        if !self.overloaded {
+            self.overloaded = rejected >= MIN_REJECTED_TO_BEGIN && rejected_share >= REJECTED_SHARE_TO_BEGIN;
+            self.quiet_seconds = 0;
+            return self.overloaded.then_some(true);
         }
-        self.quiet = if share < ENDS { self.quiet + 1 } else { 0 };
-        if self.quiet >= QUIET {
-            self.on = false;
+        let quiet = rejected_share < REJECTED_SHARE_TO_END;
+        self.quiet_seconds = if quiet { self.quiet_seconds + 1 } else { 0 };
+        if self.quiet_seconds >= QUIET_SECONDS_TO_END {
+            self.overloaded = false;
             return Some(false);
         }
         None
@@ -40,26 +47,24 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use crate::records::metrics::QueryMetrics;
+    use super::OverloadDetector;
+    use crate::records::metrics::{MetricsSnapshot, QueryEnd, QueryMetrics};
 
-    fn second(taken: u64, refused: u64) -> MetricsSnapshot {
-        let ends = [(QueryEnd::RejectedByPolicy, refused)].into();
-        MetricsSnapshot {
-            queries: vec![QueryMetrics { accepted: taken, ends, ..QueryMetrics::default() }],
-            ..MetricsSnapshot::default()
-        }
+    fn second(accepted: u64, rejected: u64) -> MetricsSnapshot {
+        let ends = [(QueryEnd::RejectedByPolicy, rejected)].into();
+        let queries = vec![QueryMetrics { accepted, ends, ..QueryMetrics::default() }];
+        MetricsSnapshot { queries, ..MetricsSnapshot::default() }
     }
 
     #[test]
-    fn a_period_has_one_begin_and_one_end() {
-        let mut overload = OverloadDetector::default();
-        let mut said = Vec::new();
+    fn a_period_of_overload_has_one_begin_and_one_end() {
+        let mut detector = OverloadDetector::default();
+        let mut changes = Vec::new();
         let seconds =
             [(100, 4), (100, 5), (100, 0), (100, 50), (0, 0), (0, 0), (0, 0), (0, 0), (100, 0), (100, 0)];
-        for (at, (taken, refused)) in seconds.into_iter().enumerate() {
-            said.extend(overload.observe(&second(taken, refused)).map(|begins| (at, begins)));
+        for (at, (accepted, rejected)) in seconds.into_iter().enumerate() {
+            changes.extend(detector.observe(&second(accepted, rejected)).map(|begins| (at, begins)));
         }
-        assert_eq!(said, [(1, true), (8, false)]);
+        assert_eq!(changes, [(1, true), (8, false)]);
     }
 }
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -1,87 +1,104 @@
-//! Reads lines back, in bounded memory, and tells of every one that does not count and why.
+//! Reads records back in bounded memory, and reports each one that is damaged.
+//!
+//! Owns the order of each incarnation's records over all segments. It opens no file: the caller hands it the bytes.
 
 use super::record::{MAX_RECORD_BYTES, Record, RecordError};
 use std::collections::HashMap;
+use std::fmt;
 use std::io::{self, BufRead};
 
-/// A line that does not count, and where it stands.
+/// A damaged record, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedRecord {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// Number of the line, from 1.
     pub line: u64,
     /// What is wrong with it.
     pub error: RecordError,
 }
 
-impl std::fmt::Display for DamagedRecord {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for DamagedRecord {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}:{}: {}", self.file, self.line, self.error)
     }
 }
 
-/// Keeps the order of each start's lines over all its segments.
+/// An incarnation of a gatherer.
+#[derive(Debug, PartialEq, Eq, Hash)]
+struct IncarnationKey {
+    gatherer: String,
+    incarnation: String,
+}
+
+/// Reads segments and keeps track of the order of records over all of them.
 #[derive(Debug, Default)]
 pub struct Reader {
-    /// The last number read of each start, by gatherer and start.
-    last: HashMap<(String, String), u64>,
-    /// Lines that counted.
+    last_seq: HashMap<IncarnationKey, u64>,
+    /// Valid records read so far.
     pub valid_records: u64,
 }
 
 impl Reader {
-    /// Reads one segment; `take` gets each line that counts, `fault` each that does not. Segments of one start are to
-    /// be read in the order of their numbers.
+    /// Reads one segment, and calls `on_record` for each valid record and `on_damaged` for each other one. Segments of one
+    /// incarnation have to be read in the order of their numbers.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the bytes cannot be read. Damaged records are no error.
     pub fn read(
         &mut self,
         file: &str,
         mut from: impl BufRead,
-        mut take: impl FnMut(Record),
-        mut fault: impl FnMut(DamagedRecord),
+        mut on_record: impl FnMut(Record),
+        mut on_damaged: impl FnMut(DamagedRecord),
     ) -> io::Result<()> {
         let mut bytes = Vec::new();
-        let mut number = 0;
+        let mut line = 0;
         loop {
             bytes.clear();
-            let more = next(&mut from, &mut bytes)?;
-            if !more && bytes.is_empty() {
+            let complete = read_line(&mut from, &mut bytes)?;
+            if !complete && bytes.is_empty() {
                 return Ok(());
             }
-            number += 1;
-            let read = match more {
-                true => Record::decode(&bytes).and_then(|line| self.in_order(line)),
-                // Guards against a last line that was cut right behind its checksum: whole, but nobody knows what of it.
-                false => {
-                    Err(if bytes.len() > MAX_RECORD_BYTES { RecordError::TooLong } else { RecordError::Torn })
-                }
+            line += 1;
+            let decoded = if complete {
+                Record::decode(&bytes).and_then(|record| self.check_order(record))
+            } else if bytes.len() > MAX_RECORD_BYTES {
+                Err(RecordError::TooLong)
+            } else {
+                // A last line without its line feed does not count, even if it is cut right behind a checksum that
+                // matches.
+                Err(RecordError::Torn)
             };
-            match read {
-                Ok(line) => {
+            match decoded {
+                Ok(record) => {
                     self.valid_records += 1;
-                    take(line);
+                    on_record(record);
                 }
-                Err(damage) => fault(DamagedRecord { file: file.to_owned(), line: number, error: damage }),
+                Err(error) => on_damaged(DamagedRecord { file: file.to_owned(), line, error }),
             }
         }
     }
 
-    fn in_order(&mut self, line: Record) -> Result<Record, RecordError> {
-        let key = (line.gatherer.clone(), line.incarnation.clone());
-        match self.last.get(&key) {
-            Some(last) if *last == line.seq => return Err(RecordError::Duplicate(line.seq)),
-            Some(last) if *last > line.seq => {
-                return Err(RecordError::OutOfOrder { found: line.seq, after: *last });
+    fn check_order(&mut self, record: Record) -> Result<Record, RecordError> {
+        let key =
+            IncarnationKey { gatherer: record.gatherer.clone(), incarnation: record.incarnation.clone() };
+        match self.last_seq.get(&key) {
+            Some(last) if *last == record.seq => return Err(RecordError::Duplicate(record.seq)),
+            Some(last) if *last > record.seq => {
+                return Err(RecordError::OutOfOrder { found: record.seq, after: *last });
             }
             _ => {}
         }
-        self.last.insert(key, line.seq);
-        Ok(line)
+        self.last_seq.insert(key, record.seq);
+        Ok(record)
     }
 }
 
-/// Reads up to the end of a line. Of one over [`LONGEST`] only so much is kept; false at the end of the file.
-fn next(from: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
+/// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only enough
+/// is kept to recognise it as too long.
+fn read_line(from: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
     loop {
         let chunk = match from.fill_buf() {
             Ok(chunk) => chunk,
@@ -93,8 +110,8 @@
         }
         let end = chunk.iter().position(|byte| *byte == b'\n');
         let used = end.map_or(chunk.len(), |end| end + 1);
-        let room = (MAX_RECORD_BYTES + 2).saturating_sub(bytes.len());
-        bytes.extend_from_slice(&chunk[..used.min(room)]);
+        let capacity = (MAX_RECORD_BYTES + 2).saturating_sub(bytes.len());
+        bytes.extend_from_slice(&chunk[..used.min(capacity)]);
         from.consume(used);
         if end.is_some() {
             return Ok(true);
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -1,4 +1,7 @@
-//! One record: a line of JSON with a version, a place in its start's sequence, and a checksum.
+//! One record: a line of JSON with a version, a sequence number within its incarnation, and a checksum.
+//!
+//! Owns the stored form: its names stay readable forever, so a Rust name that differs carries `#[serde(rename)]` with
+//! the stored one, and `#[schemars(rename)]` keeps the names of the published schema. It reads and writes no file.
 
 use super::metrics::MetricsSnapshot;
 use crate::membership::ObservedState;
@@ -6,136 +9,140 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The version that is written. Older ones are read forever; newer ones are told apart and left alone.
+/// The version that is written. Older versions stay readable; records of a newer one are reported and not read.
 pub const VERSION: u32 = 1;
-/// The longest line that is written or read, in bytes.
+/// The longest record that is written or read, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// CRC-32C (Castagnoli; RFC 3720, appendix B.4).
-const CRC: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
-/// What stands before the checksum, which is always a line's last field.
-const SEAL: &[u8] = b",\"crc\":\"";
-/// Length of the seal, its eight digits, and what closes the line.
-const TAIL: usize = SEAL.len() + 8 + 2;
+const CRC32C: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
+/// What stands before the checksum, which is the last field of every record.
+const CHECKSUM_KEY: &[u8] = b",\"crc\":\"";
+/// Hexadecimal digits of a checksum.
+const CHECKSUM_DIGITS: usize = 8;
+/// What closes a record behind its checksum.
+const RECORD_END: &[u8] = b"\"}";
+/// Length of the key, the digits, and what closes the record, in bytes.
+const CHECKSUM_FIELD_BYTES: usize = CHECKSUM_KEY.len() + CHECKSUM_DIGITS + RECORD_END.len();
 
 /// A record as it is written, without its checksum.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Line")]
 pub struct Record {
-    /// Version of the form.
+    /// Version of the stored form.
     #[serde(rename = "v")]
     pub version: u32,
-    /// The gatherer, by its name.
+    /// Name of the gatherer.
     pub gatherer: String,
-    /// This start of it, which no other start is called.
+    /// Name of this incarnation of the gatherer, which no other incarnation has.
     #[serde(rename = "start")]
     pub incarnation: String,
-    /// The line's place among those of its start, from 0. A line that was lost leaves its number free.
+    /// Number of the record within its incarnation, from 0. A lost record leaves its number unused.
     pub seq: u64,
-    /// Unix time in milliseconds, by this gatherer's clock, which may differ from another's.
+    /// Unix time in milliseconds, by this gatherer's clock, which may differ from another gatherer's.
     pub at_ms: u64,
     /// What is recorded.
     #[serde(flatten)]
     pub body: RecordBody,
 }
 
-/// What a record tells.
+/// What is recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 #[schemars(rename = "Body")]
 pub enum RecordBody {
-    /// The process serves from now on.
+    /// The process accepts queries from now on.
     Start {
-        /// Digest of the configuration that it runs on, in hexadecimal.
+        /// Digest of the configuration in effect, in hexadecimal.
         configuration: String,
-        /// Classes, by the numbers that figures use.
+        /// Names of classes, in the order of the numbers that metrics use.
         classes: Vec<String>,
-        /// Tenants, by the numbers that figures use.
+        /// Names of tenants, in the order of the numbers that metrics use.
         tenants: Vec<String>,
     },
-    /// The process ends by itself; whatever it had taken is answered.
+    /// The process has shut down gracefully: every accepted query got its response.
     Stop,
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     Reload {
-        /// Whether it holds now.
+        /// Whether the new configuration is in effect.
         #[serde(rename = "taken")]
         applied: bool,
-        /// What holds now, or what is wrong with it.
+        /// What is in effect now, or what is wrong with the new configuration.
         #[serde(rename = "what")]
         detail: String,
     },
-    /// Discovery told a list, or changes of it.
+    /// Discovery sent an endpoint list, or changes of it.
     #[serde(rename = "list")]
     EndpointList {
-        /// Its version.
+        /// Revision of the list.
         revision: u64,
-        /// Whether it was the whole list.
+        /// Whether it was the complete list.
         complete: bool,
-        /// Workers that are listed now.
+        /// Workers listed now.
         workers: usize,
     },
-    /// A worker is seen differently from now on.
+    /// The state of a worker has changed.
     Worker {
-        /// Its name.
+        /// Name of the worker.
         worker: String,
-        /// How it is seen.
+        /// Its new state.
         state: RecordedWorkerState,
     },
-    /// Another gatherer stands otherwise than before, as this one sees it.
+    /// The state of another gatherer has changed, as this one observes it.
     Member {
-        /// Its name.
+        /// Name of that gatherer.
         member: String,
-        /// Its process, by the time of its start in Unix nanoseconds.
+        /// Its incarnation, as the time of its start in Unix nanoseconds.
         process: u64,
-        /// How it stands.
+        /// Its new state.
         state: ObservedState,
     },
-    /// Clients ask for more than is served, or no longer do.
+    /// A period of overload begins or ends.
     Overload {
         /// Whether it begins.
         begins: bool,
     },
-    /// Lines that could not be written.
+    /// Records could not be written.
     Gap {
-        /// How many.
+        /// Number of lost records.
         lost: u64,
         /// Why the last of them was lost.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// What happened since the last such line.
+    /// What happened since the last record of this kind.
     #[serde(rename = "figures")]
     Metrics(MetricsSnapshot),
 }
 
-/// How a worker is seen.
+/// State of a worker, as it is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "WorkerState")]
 pub enum RecordedWorkerState {
-    /// It is listed and takes work.
+    /// It is listed and takes calls.
     Active,
-    /// It finishes what it has.
+    /// It is draining: it finishes what is in flight.
     Draining,
     /// It is no longer listed.
     #[serde(rename = "gone")]
     Removed,
-    /// It has started lately.
+    /// It has started lately and is warming up.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// Its answers are overdue.
+    /// It was ejected, because its responses are overdue.
     #[serde(rename = "suspect")]
     Ejected,
-    /// It answers again.
+    /// It was reinstated, because it responds again.
     #[serde(rename = "trusted")]
     Reinstated,
-    /// An operator has taken it out.
+    /// An operator has disabled it.
     #[serde(rename = "out_by_hand")]
     Disabled,
 }
 
 impl RecordedWorkerState {
-    /// The word of the report's timeline, which its readers match.
+    /// The word for this state in the events of a report. Readers of the report's JSON match it, so it stays.
     pub fn timeline_word(self) -> &'static str {
         match self {
             RecordedWorkerState::Active => "active",
@@ -149,58 +156,65 @@
     }
 }
 
-/// Why bytes are no line that counts.
+/// Why bytes are not a valid record. Operators read the messages in the output of `records verify`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It stops short: a kill, a full disk or a cut.
+    /// It is cut short by a killed process, a full disk or a truncated file.
     #[error("torn: the line does not end")]
     Torn,
-    /// It has no checksum where one belongs.
+    /// It does not end in a checksum.
     #[error("no checksum at its end")]
     MissingChecksum,
-    /// What it says is not what was written.
+    /// Its checksum does not match its content.
     #[error("its checksum is {found:08x}, not {written:08x}: what it says is not what was written")]
     ChecksumMismatch {
         /// The checksum that it carries.
         written: u32,
-        /// The checksum that it has.
+        /// The checksum of its content.
         found: u32,
     },
-    /// A later program wrote it.
+    /// A newer program wrote it.
     #[error("version {0}; this program reads up to {VERSION}")]
     NewerVersion(u64),
-    /// It is whole, but not in the form.
+    /// Its checksum matches, but it does not have the stored form.
     #[error("not in the form: {0}")]
     Malformed(String),
-    /// No line is that long.
+    /// It is longer than [`MAX_RECORD_BYTES`].
     #[error("longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
-    /// A line of this start and number was read before.
+    /// A record of this incarnation with this number was read before.
     #[error("doubled: line {0} of this start was read before")]
     Duplicate(u64),
-    /// A line behind it was read before; it comes too late to be trusted.
+    /// A later record of this incarnation was read before.
     #[error("out of order: line {found} of this start comes after line {after}")]
     OutOfOrder {
         /// Its number.
         found: u64,
-        /// The number that came before.
+        /// The number of the record before it.
         after: u64,
     },
 }
 
 impl Record {
-    /// Its bytes, with the checksum and the end of the line.
+    /// Encodes the record as one line, with the checksum and the line feed.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain structs and maps with text keys: this cannot fail, and if it did the line would be damaged, not wrong.
+        // Structs and maps with text keys always serialise. If they did not, the line would be damaged and reported,
+        // but never misread.
         let mut bytes = serde_json::to_vec(self).unwrap_or_default();
         bytes.pop();
-        let sum = CRC.checksum(&bytes);
-        bytes.extend_from_slice(SEAL);
-        bytes.extend_from_slice(format!("{sum:08x}\"}}\n").as_bytes());
+        let checksum = CRC32C.checksum(&bytes);
+        bytes.extend_from_slice(CHECKSUM_KEY);
+        bytes.extend_from_slice(format!("{checksum:08x}").as_bytes());
+        bytes.extend_from_slice(RECORD_END);
+        bytes.push(b'\n');
         bytes
     }
 
-    /// Reads a line, with or without its end.
+    /// Decodes a line, with or without its line feed.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the line is damaged, or written by a newer program.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         let bytes = bytes.strip_suffix(b"\n").unwrap_or(bytes);
         if bytes.len() > MAX_RECORD_BYTES {
@@ -209,32 +223,33 @@
         if bytes.last() != Some(&b'}') {
             return Err(RecordError::Torn);
         }
-        let (said, tail) = bytes.split_at(bytes.len().saturating_sub(TAIL));
-        let digits = tail
-            .strip_prefix(SEAL)
-            .and_then(|tail| tail.strip_suffix(b"\"}"))
-            .ok_or(RecordError::MissingChecksum)?;
-        // Lower case only: guards against a flipped letter that reads as the same number.
-        let exact = digits.iter().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f'));
-        let written = std::str::from_utf8(digits).ok().filter(|_| exact);
-        let written = written
-            .and_then(|text| u32::from_str_radix(text, 16).ok())
-            .ok_or(RecordError::MissingChecksum)?;
-        let found = CRC.checksum(said);
+        let (content, checksum_field) = bytes.split_at(bytes.len().saturating_sub(CHECKSUM_FIELD_BYTES));
+        let written = read_checksum(checksum_field).ok_or(RecordError::MissingChecksum)?;
+        let found = CRC32C.checksum(content);
         if found != written {
             return Err(RecordError::ChecksumMismatch { written, found });
         }
-        let whole = [said, b"}"].concat();
-        // The version goes first: what a later program wrote need not have today's form.
+        let json = [content, b"}"].concat();
+        // The version is read on its own: a record of a newer program may differ in everything else.
         #[derive(Deserialize)]
         struct Versioned {
-            v: u64,
+            #[serde(rename = "v")]
+            version: u64,
         }
-        let form = |error: serde_json::Error| RecordError::Malformed(error.to_string());
-        let version = serde_json::from_slice::<Versioned>(&whole).map_err(form)?.v;
+        let malformed = |error: serde_json::Error| RecordError::Malformed(error.to_string());
+        let version = serde_json::from_slice::<Versioned>(&json).map_err(malformed)?.version;
         if version > u64::from(VERSION) {
             return Err(RecordError::NewerVersion(version));
         }
-        serde_json::from_slice(&whole).map_err(form)
+        serde_json::from_slice(&json).map_err(malformed)
     }
 }
+
+fn read_checksum(field: &[u8]) -> Option<u32> {
+    let digits = field.strip_prefix(CHECKSUM_KEY)?.strip_suffix(RECORD_END)?;
+    // Lower case only, as it is written: a changed bit must not turn a letter into one that reads as the same number.
+    if !digits.iter().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f')) {
+        return None;
+    }
+    u32::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
+}
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -1,98 +1,109 @@
-//! Segments of a folder of records: when the next begins, what they are called, and which of them go.
+//! Segments of a folder of records: when the next one begins, how they are named, and which ones are removed.
+//!
+//! Pure decisions over names and sizes; it touches no file.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// How much is kept, and in which pieces.
+/// How much of the records is kept, and in segments of what size and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentLimits {
-    /// Bytes of a segment.
+    /// Size of a segment, in bytes.
     pub segment_bytes: u64,
-    /// Age of a segment after which the next one begins.
+    /// Age of a segment at which the next one begins.
     pub max_age: Duration,
-    /// Bytes of all segments in the folder that have this gatherer's name.
+    /// Size of all segments of this gatherer in the folder, in bytes.
     pub total_bytes: u64,
 }
 
-/// Name of a segment: the gatherer, its start and a running number, so that names sort as segments were written.
+/// Name of a segment. Names sort in the order in which segments were written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentName {
-    /// The gatherer, in letters that every file system takes.
+    /// The gatherer, in letters that every file system accepts.
     pub gatherer: String,
-    /// Its start.
-    pub start: String,
-    /// Which of its segments.
+    /// Its incarnation, in such letters.
+    pub incarnation: String,
+    /// Number of the segment within its incarnation.
     pub number: u32,
 }
 
-/// What names end with.
-pub const SUFFIX: &str = ".records";
+/// Suffix of the names of segment files.
+pub const SEGMENT_SUFFIX: &str = ".records";
 
 impl SegmentName {
-    /// The name of a segment. Whatever is no letter, digit, dash or dot of the gatherer's name becomes a dash.
-    pub fn new(gatherer: &str, start: &str, number: u32) -> SegmentName {
-        let plain = |letter: char| if letter.is_ascii_alphanumeric() || letter == '.' { letter } else { '-' };
-        let tidy = |text: &str| text.chars().map(plain).collect::<String>();
-        SegmentName { gatherer: tidy(gatherer), start: tidy(start), number }
+    /// Names a segment. Whatever is not a letter, a digit, a dash or a dot becomes a dash.
+    pub fn new(gatherer: &str, incarnation: &str, number: u32) -> SegmentName {
+        let safe = |letter: char| if letter.is_ascii_alphanumeric() || letter == '.' { letter } else { '-' };
+        let sanitise = |text: &str| text.chars().map(safe).collect::<String>();
+        SegmentName { gatherer: sanitise(gatherer), incarnation: sanitise(incarnation), number }
     }
-    /// As a file's name.
+
+    /// The name of the segment's file.
     pub fn file_name(&self) -> String {
-        format!("{}_{}_{:08}{SUFFIX}", self.gatherer, self.start, self.number)
+        format!("{}_{}_{:08}{SEGMENT_SUFFIX}", self.gatherer, self.incarnation, self.number)
     }
-    /// Reads a file's name; `None` for a file that is no segment.
-    pub fn parse(file: &str) -> Option<SegmentName> {
-        let mut parts = file.strip_suffix(SUFFIX)?.split('_');
-        let (gatherer, start, number) = (parts.next()?, parts.next()?, parts.next()?);
-        let whole = parts.next().is_none() && !gatherer.is_empty() && !start.is_empty();
-        let number = number.parse().ok().filter(|_| whole)?;
-        Some(SegmentName { gatherer: gatherer.to_owned(), start: start.to_owned(), number })
+
+    /// Parses the name of a file. Returns `None` for a file that is not a segment.
+    pub fn parse(file_name: &str) -> Option<SegmentName> {
+        let mut parts = file_name.strip_suffix(SEGMENT_SUFFIX)?.split('_');
+        let (gatherer, incarnation, number) = (parts.next()?, parts.next()?, parts.next()?);
+        if parts.next().is_some() || gatherer.is_empty() || incarnation.is_empty() {
+            return None;
+        }
+        let number = number.parse().ok()?;
+        Some(SegmentName { gatherer: gatherer.to_owned(), incarnation: incarnation.to_owned(), number })
     }
 }
 
-/// The segment that is being written, as far as its end is concerned.
+/// The size and age of the segment that is being written.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenSegment {
-    bounds: SegmentLimits,
-    begun: Time,
+    limits: SegmentLimits,
+    began_at: Time,
     bytes: u64,
 }
 
 impl OpenSegment {
-    /// A segment that begins now.
-    pub fn new(bounds: SegmentLimits, now: Time) -> OpenSegment {
-        OpenSegment { bounds, begun: now, bytes: 0 }
+    /// Begins a segment.
+    pub fn new(limits: SegmentLimits, now: Time) -> OpenSegment {
+        OpenSegment { limits, began_at: now, bytes: 0 }
     }
-    /// Whether so many bytes more belong into the next segment. One line always fits into a new one.
+
+    /// Whether `more` bytes have to go to the next segment. One record always fits into an empty segment.
+    #[must_use]
     pub fn is_full(&self, now: Time, more: u64) -> bool {
-        self.bytes > 0
-            && (self.bytes + more > self.bounds.segment_bytes || now.since(self.begun) >= self.bounds.max_age)
+        let too_large = self.bytes + more > self.limits.segment_bytes;
+        let too_old = now.since(self.began_at) >= self.limits.max_age;
+        self.bytes > 0 && (too_large || too_old)
     }
-    /// So many bytes were written.
+
+    /// Counts bytes that were written.
     pub fn add_bytes(&mut self, bytes: u64) {
         self.bytes += bytes;
     }
 }
 
-/// Which segments go, so that the rest and `coming` further bytes fit: the oldest of this gatherer first, whatever
-/// start they are of; never the one that is being written. Sizes that cannot be read count as nothing.
+/// Returns the segments to remove so that the rest and `coming` further bytes fit: the oldest of this gatherer first,
+/// of whatever incarnation, and never the one that is being written. `found` has all segments with their sizes.
+#[must_use]
 pub fn segments_to_remove(
     mut found: Vec<(SegmentName, u64)>,
     current: &SegmentName,
-    bounds: &SegmentLimits,
+    limits: &SegmentLimits,
     coming: u64,
 ) -> Vec<SegmentName> {
     found.retain(|(name, _)| name.gatherer == current.gatherer);
     found.sort();
-    let mut held: u64 = found.iter().map(|(_, bytes)| bytes).sum();
-    let mut out = Vec::new();
+    let mut kept_bytes: u64 = found.iter().map(|(_, bytes)| bytes).sum();
+    let mut to_remove = Vec::new();
     for (name, bytes) in found {
-        if held + coming <= bounds.total_bytes {
+        if kept_bytes + coming <= limits.total_bytes {
             break;
         }
         if name != *current {
-            held -= bytes;
-            out.push(name);
+            kept_bytes -= bytes;
+            to_remove.push(name);
         }
     }
-    out
+    to_remove
 }
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -1,39 +1,47 @@
-//! What many gatherers' records add up to: service by class, tenant and worker over time, in bounded memory.
+//! Sums of many gatherers' records: queries by class and tenant, attempts by worker, and events, over time.
+//!
+//! Owns the sums, in bounded memory: time steps are merged where there would be too many. The report's JSON names stay,
+//! so a field that is named otherwise carries `#[serde(rename)]`. It reads no file and judges nothing.
 
 use super::metrics::{self, AttemptMetrics, MetricsSnapshot, QueryEnd};
 use super::record::{Record, RecordBody};
+use crate::membership::ObservedState;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Steps of time that are held at most; where there would be more, steps are joined in pairs.
-const MOST_STEPS: usize = 1500;
-/// Histograms that are held at most, for the same: each is some 25 kB.
-const MOST_HISTOGRAMS: usize = 1600;
+/// Most time steps held; where there would be more, steps are merged in pairs.
+const MAX_STEPS: usize = 1500;
+/// Most histograms held, for the same reason: one takes about 25 kB.
+const MAX_HISTOGRAMS: usize = 1600;
+/// Most events held in the timeline: the first ones.
+const MAX_TIMELINE_EVENTS: usize = 5000;
+/// The shortest time step, in milliseconds: metrics are recorded once per second.
+const MIN_STEP_MS: u64 = 1000;
 
-/// How the queries of one kind ended.
+/// Queries by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct QueryCounts {
-    /// Taken, or refused because they came too late to be.
+    /// Queries accepted, and those rejected because the process was shutting down.
     #[serde(rename = "asked")]
     pub received: u64,
-    /// Answered whole in their wanted time.
+    /// Complete responses within the latency objective.
     #[serde(rename = "whole_in_time")]
     pub complete_in_time: u64,
-    /// Answered whole, later.
+    /// Complete responses after the latency objective.
     #[serde(rename = "whole_late")]
     pub complete_late: u64,
-    /// Answered in part.
+    /// Partial responses.
     pub partial: u64,
-    /// Refused, for whatever reason.
+    /// Queries rejected, for whatever reason.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed, for whatever reason.
+    /// Queries that failed, for whatever reason.
     pub failed: u64,
-    /// Their client left first.
+    /// Queries whose client closed the connection before the response.
     #[serde(rename = "left")]
     pub client_disconnected: u64,
-    /// Taken by a gatherer that has no record of their end.
+    /// Queries accepted by a gatherer that has no record of their end.
     pub unknown: u64,
 }
 
@@ -49,12 +57,13 @@
             QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut self.failed,
             QueryEnd::ClientDisconnected => &mut self.client_disconnected,
         } += count;
-        // These are in no count of what was taken.
+        // These were never accepted, so no count of accepted queries contains them.
         if end == QueryEnd::RejectedShuttingDown {
             self.received += count;
         }
     }
-    /// All that have an end.
+
+    /// Queries whose end is on record.
     pub fn ended(&self) -> u64 {
         self.complete_in_time
             + self.complete_late
@@ -63,7 +72,8 @@
             + self.failed
             + self.client_disconnected
     }
-    /// Takes in those of another kind or step.
+
+    /// Adds the counts of other queries.
     pub fn merge(&mut self, other: &QueryCounts) {
         self.received += other.received;
         self.complete_in_time += other.complete_in_time;
@@ -76,19 +86,19 @@
     }
 }
 
-/// What is held of one step of time.
+/// The sums of one time step.
 #[derive(Clone, Debug, Default)]
 pub struct TimeStep {
-    /// By class and tenant; a tenant that is not told is empty.
+    /// Queries by class and tenant; the tenant is empty where none is given.
     pub queries: BTreeMap<(String, String), QueryCounts>,
-    /// By worker.
+    /// Attempts by worker.
     pub attempts: BTreeMap<String, AttemptMetrics>,
-    /// By class.
+    /// Latencies in microseconds by class.
     pub latency: BTreeMap<String, Histogram<u64>>,
 }
 
 impl TimeStep {
-    fn join(&mut self, other: TimeStep) {
+    fn merge(&mut self, other: TimeStep) {
         for (key, counts) in other.queries {
             self.queries.entry(key).or_default().merge(&counts);
         }
@@ -96,166 +106,151 @@
             self.attempts.entry(worker).or_default().merge(attempts);
         }
         for (class, latency) in other.latency {
-            let own = self.latency.entry(class).or_insert_with(metrics::new_histogram);
-            // Both have the same bounds, or the other was clipped to them when it was read.
-            let _ = own.add(latency);
+            self.add_latency(class, latency);
         }
     }
+
+    fn add_latency(&mut self, class: String, latency: Histogram<u64>) {
+        let own = self.latency.entry(class).or_insert_with(metrics::new_histogram);
+        // It fails only for values over the bounds of both, and those were clipped when they were recorded.
+        let _ = own.add(latency);
+    }
 }
 
-/// One start of one gatherer, as its records tell of it.
+/// One incarnation of one gatherer, as its records show it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct IncarnationSummary {
-    /// Its first and last moment on record, in Unix milliseconds of its own clock.
+    /// Its first moment on record, in Unix milliseconds of its own clock.
     pub first_ms: u64,
-    /// The last.
+    /// Its last moment on record, by the same clock.
     pub last_ms: u64,
-    /// It ended by itself, and had answered all it had taken.
+    /// Whether it shut down gracefully, after the responses to all accepted queries.
     pub stopped: bool,
-    /// Lines that it says it lost.
+    /// Lost records that it reports.
     #[serde(rename = "told_lost")]
     pub reported_lost: u64,
-    /// Lines that are on no record, told or not.
+    /// Records that are missing from the sequence, reported or not.
     pub missing: u64,
-    /// Queries taken and ended, by class.
+    /// Queries accepted whose end is not on record, by class.
     pub open: BTreeMap<String, i64>,
     #[serde(skip)]
     classes: Vec<String>,
     #[serde(skip)]
     tenants: Vec<String>,
     #[serde(skip)]
-    next: u64,
-    /// Step in which each class's last query was taken.
+    next_seq: u64,
+    /// Begin of the time step in which each class's last query was accepted.
     #[serde(skip)]
-    last_taken: BTreeMap<String, u64>,
+    last_accepted: BTreeMap<String, u64>,
 }
 
-/// Something that was told at a moment.
+/// Something that happened at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimelineEvent {
     /// When, in Unix milliseconds of the gatherer's clock.
     pub at_ms: u64,
-    /// By whom.
+    /// The gatherer that recorded it.
     pub gatherer: String,
-    /// In which start.
+    /// Its incarnation.
     #[serde(rename = "start")]
     pub incarnation: String,
-    /// What.
+    /// What happened, in words.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// Moments that are held at most, the first ones.
-const MOST_TOLD: usize = 5000;
-
-/// Adds lines up.
+/// Adds records up.
 #[derive(Debug)]
 pub struct Summary {
     step_ms: u64,
     from_ms: u64,
     to_ms: u64,
-    /// Steps by their begin, in Unix milliseconds.
+    /// Time steps by their begin, in Unix milliseconds.
     pub steps: BTreeMap<u64, TimeStep>,
-    /// Starts by gatherer and name.
+    /// Incarnations by the names of gatherer and incarnation.
     pub incarnations: BTreeMap<(String, String), IncarnationSummary>,
-    /// Events in the order of reading.
+    /// Events, in the order in which they were read.
     pub timeline: Vec<TimelineEvent>,
-    /// Events beyond [`MOST_TOLD`].
+    /// Events dropped, because the timeline was full.
     pub timeline_dropped: u64,
-    /// Steps when it was last looked whether there are too many.
-    looked_at: usize,
+    /// Number of time steps when the bounds were last checked.
+    steps_at_last_check: usize,
 }
 
 impl Summary {
-    /// Nothing yet. Lines before `from_ms` or from `to_ms` on are not counted.
+    /// Creates an empty summary of the time from `from_ms` up to but not including `to_ms`, in Unix milliseconds.
     pub fn new(step_ms: u64, from_ms: u64, to_ms: u64) -> Summary {
         Summary {
-            step_ms: step_ms.max(1000),
+            step_ms: step_ms.max(MIN_STEP_MS),
             from_ms,
             to_ms,
             steps: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             timeline: Vec::new(),
             timeline_dropped: 0,
-            looked_at: 0,
+            steps_at_last_check: 0,
         }
     }
 
-    /// Length of a step now.
+    /// Length of a time step in milliseconds. It grows when steps are merged.
     pub fn step_ms(&self) -> u64 {
         self.step_ms
     }
 
-    /// Takes a line in.
-    pub fn add_record(&mut self, line: Record) {
-        let Record { gatherer, incarnation: start, seq, at_ms, body, .. } = line;
-        let key = (gatherer, start);
-        let seen = self.incarnations.entry(key.clone()).or_insert_with(|| IncarnationSummary {
+    /// Adds a record. Outside the summary's time, only its effect on its incarnation counts.
+    pub fn add_record(&mut self, record: Record) {
+        let Record { gatherer, incarnation, seq, at_ms, body, .. } = record;
+        let key = (gatherer, incarnation);
+        let summary = self.incarnations.entry(key.clone()).or_insert_with(|| IncarnationSummary {
             first_ms: at_ms,
             last_ms: at_ms,
             ..IncarnationSummary::default()
         });
-        seen.missing += seq.saturating_sub(seen.next);
-        seen.next = seq + 1;
-        (seen.first_ms, seen.last_ms) = (seen.first_ms.min(at_ms), seen.last_ms.max(at_ms));
+        summary.missing += seq.saturating_sub(summary.next_seq);
+        summary.next_seq = seq + 1;
+        summary.first_ms = summary.first_ms.min(at_ms);
+        summary.last_ms = summary.last_ms.max(at_ms);
         if let RecordBody::Start { classes, tenants, .. } = &body {
-            (seen.classes, seen.tenants) = (classes.clone(), tenants.clone());
+            (summary.classes, summary.tenants) = (classes.clone(), tenants.clone());
         }
         if !(self.from_ms..self.to_ms).contains(&at_ms) {
             return;
         }
-        match body {
-            RecordBody::Metrics(second) => self.add(&key, at_ms, second),
-            RecordBody::Stop => {
-                seen.stopped = true;
-                self.tell(at_ms, key, "stop".to_owned());
-            }
-            RecordBody::Gap { lost, reason: why } => {
-                seen.reported_lost += lost;
-                self.tell(at_ms, key, format!("{lost} records lost: {why}"));
-            }
-            RecordBody::Start { configuration, .. } => {
-                self.tell(at_ms, key, format!("start, configuration {configuration}"));
-            }
-            RecordBody::Reload { applied: taken, detail: what } => {
-                let not = if taken { "" } else { "not " };
-                self.tell(at_ms, key, format!("configuration {not}read again: {what}"));
-            }
-            RecordBody::EndpointList { revision, workers, .. } => {
-                self.tell(at_ms, key, format!("list {revision}, {workers} workers"));
-            }
-            RecordBody::Worker { worker, state } => {
-                self.tell(at_ms, key, format!("worker {worker} {}", state.timeline_word()).to_lowercase());
-            }
-            RecordBody::Member { member, state, .. } => {
-                self.tell(at_ms, key, format!("gatherer {member} {state:?}").to_lowercase());
-            }
-            RecordBody::Overload { begins } => {
-                let what = if begins { "overload begins" } else { "overload ends" };
-                self.tell(at_ms, key, what.to_owned());
-            }
+        match &body {
+            RecordBody::Stop => summary.stopped = true,
+            RecordBody::Gap { lost, .. } => summary.reported_lost += lost,
+            _ => {}
+        }
+        if let Some(description) = describe_event(&body) {
+            self.add_event(at_ms, key, description);
+        } else if let RecordBody::Metrics(metrics) = body {
+            self.add_metrics(&key, at_ms, metrics);
         }
     }
 
-    fn tell(&mut self, at_ms: u64, (gatherer, start): (String, String), what: String) {
-        if self.timeline.len() < MOST_TOLD {
-            self.timeline.push(TimelineEvent { at_ms, gatherer, incarnation: start, description: what });
+    fn add_event(&mut self, at_ms: u64, (gatherer, incarnation): (String, String), description: String) {
+        if self.timeline.len() < MAX_TIMELINE_EVENTS {
+            self.timeline.push(TimelineEvent { at_ms, gatherer, incarnation, description });
         } else {
             self.timeline_dropped += 1;
         }
     }
 
-    fn add(&mut self, key: &(String, String), at_ms: u64, second: MetricsSnapshot) {
+    fn add_metrics(&mut self, key: &(String, String), at_ms: u64, metrics: MetricsSnapshot) {
         let begin = at_ms / self.step_ms * self.step_ms;
         let step = self.steps.entry(begin).or_default();
-        let Some(seen) = self.incarnations.get_mut(key) else { return };
-        let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_else(|| format!("#{at}"));
-        for queries in second.queries {
-            let class = name(&seen.classes, queries.class);
-            let tenant = queries.tenant.map_or_else(String::new, |at| name(&seen.tenants, at));
+        let Some(incarnation) = self.incarnations.get_mut(key) else { return };
+        // A number without a name shows as such: the record of the start is missing.
+        let name_of = |names: &[String], number: usize| {
+            names.get(number).cloned().unwrap_or_else(|| format!("#{number}"))
+        };
+        for queries in metrics.queries {
+            let class = name_of(&incarnation.classes, queries.class);
+            let tenant =
+                queries.tenant.map_or_else(String::new, |number| name_of(&incarnation.tenants, number));
             let counts = step.queries.entry((class.clone(), tenant)).or_default();
             counts.received += queries.accepted;
-            let open = seen.open.entry(class.clone()).or_default();
+            let open = incarnation.open.entry(class.clone()).or_default();
             *open += i64::try_from(queries.accepted).unwrap_or(i64::MAX);
             for (end, count) in queries.ends {
                 counts.add(end, count);
@@ -264,45 +259,50 @@
                 }
             }
             if queries.accepted > 0 {
-                seen.last_taken.insert(class.clone(), begin);
+                incarnation.last_accepted.insert(class.clone(), begin);
             }
             if let Some(latency) = metrics::decode_histogram(&queries.latency) {
-                let own = step.latency.entry(class).or_insert_with(metrics::new_histogram);
-                // What is over its bounds was clipped when it was written.
-                let _ = own.add(latency);
+                step.add_latency(class, latency);
             }
         }
-        for (worker, attempts) in second.attempts {
+        for (worker, attempts) in metrics.attempts {
             step.attempts.entry(worker).or_default().merge(attempts);
         }
-        let histograms =
-            |steps: &BTreeMap<u64, TimeStep>| steps.values().map(|step| step.latency.len()).sum();
-        if self.steps.len() != self.looked_at {
-            self.looked_at = self.steps.len();
-            let held: usize = histograms(&self.steps);
-            if self.steps.len() > MOST_STEPS || held > MOST_HISTOGRAMS && self.steps.len() > 2 {
-                self.coarsen();
-            }
+        self.check_bounds();
+    }
+
+    /// Merges time steps where there are too many of them, or too many histograms.
+    fn check_bounds(&mut self) {
+        if self.steps.len() == self.steps_at_last_check {
+            return;
+        }
+        self.steps_at_last_check = self.steps.len();
+        let histograms: usize = self.steps.values().map(|step| step.latency.len()).sum();
+        if self.steps.len() > MAX_STEPS || histograms > MAX_HISTOGRAMS && self.steps.len() > 2 {
+            self.merge_steps();
         }
     }
 
-    /// Joins steps in pairs: guards the memory against records of a long time.
-    fn coarsen(&mut self) {
+    /// Merges steps in pairs, so that memory stays bounded however long a time the records cover.
+    fn merge_steps(&mut self) {
         self.step_ms *= 2;
         for (begin, step) in std::mem::take(&mut self.steps) {
-            self.steps.entry(begin / self.step_ms * self.step_ms).or_default().join(step);
+            self.steps.entry(begin / self.step_ms * self.step_ms).or_default().merge(step);
         }
-        for seen in self.incarnations.values_mut() {
-            seen.last_taken.values_mut().for_each(|begin| *begin = *begin / self.step_ms * self.step_ms);
+        for incarnation in self.incarnations.values_mut() {
+            let begins = incarnation.last_accepted.values_mut();
+            begins.for_each(|begin| *begin = *begin / self.step_ms * self.step_ms);
         }
     }
 
-    /// Once all is read: what was taken and has no end on record shows as unknown, in the step in which its start last
-    /// took a query of that class. It is never dropped, and never guessed to have ended in some way.
+    /// Ends the summary once all records are added. Queries that were accepted and have no end on record count as
+    /// unknown, in the time step in which their incarnation last accepted a query of their class. They are never left out,
+    /// and never guessed to have ended in some way.
     pub fn finish(&mut self) {
-        for seen in self.incarnations.values() {
-            for (class, open) in &seen.open {
-                let (Ok(open), Some(begin)) = (u64::try_from(*open), seen.last_taken.get(class)) else {
+        for incarnation in self.incarnations.values() {
+            for (class, open) in &incarnation.open {
+                let (Ok(open), Some(begin)) = (u64::try_from(*open), incarnation.last_accepted.get(class))
+                else {
                     continue;
                 };
                 if open > 0 {
@@ -313,12 +313,42 @@
         }
     }
 
-    /// Counts by class, over all steps.
+    /// Counts by class, over all time steps and tenants.
     pub fn totals_by_class(&self) -> BTreeMap<String, QueryCounts> {
-        let mut all: BTreeMap<String, QueryCounts> = BTreeMap::new();
+        let mut totals: BTreeMap<String, QueryCounts> = BTreeMap::new();
         for ((class, _), counts) in self.steps.values().flat_map(|step| &step.queries) {
-            all.entry(class.clone()).or_default().merge(counts);
+            totals.entry(class.clone()).or_default().merge(counts);
         }
-        all
+        totals
     }
 }
+
+/// Describes a record as an event of the timeline; `None` for metrics, which are no event. The words stay as they are:
+/// they are in the report's JSON.
+fn describe_event(body: &RecordBody) -> Option<String> {
+    Some(match body {
+        RecordBody::Metrics(_) => return None,
+        RecordBody::Start { configuration, .. } => format!("start, configuration {configuration}"),
+        RecordBody::Stop => "stop".to_owned(),
+        RecordBody::Reload { applied, detail } => {
+            let not = if *applied { "" } else { "not " };
+            format!("configuration {not}read again: {detail}")
+        }
+        RecordBody::EndpointList { revision, workers, .. } => format!("list {revision}, {workers} workers"),
+        RecordBody::Worker { worker, state } => {
+            format!("worker {worker} {}", state.timeline_word()).to_lowercase()
+        }
+        RecordBody::Member { member, state, .. } => {
+            format!("gatherer {member} {}", stored_name(state)).to_lowercase()
+        }
+        RecordBody::Overload { begins: true } => "overload begins".to_owned(),
+        RecordBody::Overload { begins: false } => "overload ends".to_owned(),
+        RecordBody::Gap { lost, reason } => format!("{lost} records lost: {reason}"),
+    })
+}
+
+/// The name of a member's state in records, which the timeline shows too.
+fn stored_name(state: &ObservedState) -> String {
+    let stored = serde_json::to_value(state).ok();
+    stored.and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
+}
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -1,4 +1,7 @@
-//! Writes lines to segments on a disk that may fail at any point: what is lost is counted and told, never waited for.
+//! Writes records to segments on a disk that may fail at any point.
+//!
+//! Owns the sequence numbers, the open segment and the count of lost records. A lost record is counted and reported by a
+//! later one; the writer never waits for a disk and never tries a record twice.
 
 use super::record::{MAX_RECORD_BYTES, Record, RecordBody, VERSION};
 use super::segments::{OpenSegment, SegmentLimits, SegmentName, segments_to_remove};
@@ -6,147 +9,178 @@
 use std::io;
 use std::time::Duration;
 
-/// Pause after a failure before the disk is tried again: the first, and the longest.
-const PAUSE: Duration = Duration::from_secs(1);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+/// Pause after a failure of the disk before it is used again; it doubles with each failure in a row...
+const FIRST_PAUSE: Duration = Duration::from_secs(1);
+/// ...up to this.
+const MAX_PAUSE: Duration = Duration::from_secs(30);
+/// Why records are lost during a pause. It does not replace the reason that led to the pause.
+const PAUSED: &str = "the disk failed a moment ago";
 
-/// A folder, as far as the writer needs one.
+/// The operations on a folder that the writer needs.
 pub trait Disk {
-    /// Begins a file that must not be there yet; what was open is closed.
+    /// Creates a file that must not exist yet, and closes the one that was open.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file exists or cannot be created.
     fn begin(&mut self, file: &str) -> io::Result<()>;
-    /// Appends to the file that was begun last. It may have written a part of the bytes when it fails.
+    /// Appends to the file that was created last.
+    ///
+    /// # Errors
+    ///
+    /// Fails where not all bytes could be written; some may have been.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Files and their sizes.
+    /// Lists files and their sizes in bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the folder cannot be read.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
     /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`io::ErrorKind::NotFound`] where there is no such file, and otherwise where it cannot be removed.
     fn remove(&mut self, file: &str) -> io::Result<()>;
 }
 
-/// Gives lines their numbers and segments, and goes on after whatever the disk does.
+/// A time during which the disk is not used, because it failed.
+#[derive(Clone, Copy)]
+struct Pause {
+    until: Time,
+    length: Duration,
+}
+
+/// Numbers records, assigns them to segments, and continues after any failure of the disk.
 pub struct Writer<D> {
     disk: D,
     gatherer: String,
-    start: String,
-    bounds: SegmentLimits,
-    number: u32,
-    seq: u64,
+    incarnation: String,
+    limits: SegmentLimits,
+    segment_number: u32,
+    next_seq: u64,
     segment: Option<OpenSegment>,
-    lost: u64,
-    why: String,
-    /// Not to be tried before, and the pause that led there.
-    paused: Option<(Time, Duration)>,
+    unreported: u64,
+    last_loss_reason: String,
+    /// The pause after the last failure; `None` once a record was written.
+    pause: Option<Pause>,
 }
 
 impl<D: Disk> Writer<D> {
-    /// A writer for this start of this gatherer. Nothing is touched yet.
-    pub fn new(disk: D, gatherer: &str, start: &str, bounds: SegmentLimits) -> Writer<D> {
+    /// Creates the writer for this incarnation of this gatherer. It does not touch the disk yet.
+    pub fn new(disk: D, gatherer: &str, incarnation: &str, limits: SegmentLimits) -> Writer<D> {
         Writer {
             disk,
             gatherer: gatherer.to_owned(),
-            start: start.to_owned(),
-            bounds,
-            number: 0,
-            seq: 0,
+            incarnation: incarnation.to_owned(),
+            limits,
+            segment_number: 0,
+            next_seq: 0,
             segment: None,
-            lost: 0,
-            why: String::new(),
-            paused: None,
+            unreported: 0,
+            last_loss_reason: String::new(),
+            pause: None,
         }
     }
 
-    /// Lines lost that no line tells of yet.
+    /// Lost records that no written record reports yet.
     pub fn unreported(&self) -> u64 {
-        self.lost
+        self.unreported
     }
-    /// Why the last of them was lost.
+    /// Why the last record was lost.
     pub fn last_loss_reason(&self) -> &str {
-        &self.why
+        &self.last_loss_reason
     }
     /// The disk.
     pub fn disk(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// Lines were lost before they came here.
-    pub fn count_dropped(&mut self, count: u64, why: &str) {
+    /// Counts records that were dropped before they reached the writer.
+    pub fn count_dropped(&mut self, count: u64, reason: &str) {
         if count > 0 {
-            self.lost += count;
-            why.clone_into(&mut self.why);
+            self.unreported += count;
+            reason.clone_into(&mut self.last_loss_reason);
         }
     }
 
-    /// Writes a record of this moment, `at_ms` by the system's clock. True if it is on the disk.
+    /// Writes a record of this moment, which is `at_ms` by the system's clock. Returns whether it was written.
     pub fn write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> bool {
-        if self.paused.is_some_and(|(until, _)| now < until) {
-            self.lose("the disk failed a moment ago");
+        if self.pause.is_some_and(|pause| now < pause.until) {
+            self.count_lost(PAUSED);
             return false;
         }
         match self.try_write(now, at_ms, body) {
             Ok(()) => {
-                self.paused = None;
+                self.pause = None;
                 true
             }
             Err(error) => {
-                // The segment may end in a torn line now: nothing more goes into it.
+                // The segment may end in a torn record now: nothing more goes into it.
                 self.segment = None;
-                let pause = self.paused.map_or(PAUSE, |(_, pause)| (pause * 2).min(LONGEST_PAUSE));
-                self.paused = Some((now.after(pause), pause));
-                self.lose(&error.to_string());
+                let length = self.pause.map_or(FIRST_PAUSE, |pause| (pause.length * 2).min(MAX_PAUSE));
+                self.pause = Some(Pause { until: now.after(length), length });
+                self.count_lost(&error.to_string());
                 false
             }
         }
     }
 
-    fn lose(&mut self, why: &str) {
-        // Its number stays free, so that a reader sees the hole even if no line ever tells of it.
-        self.seq += 1;
-        self.lost += 1;
-        if self.paused.is_none_or(|_| self.why.is_empty()) || why != "the disk failed a moment ago" {
-            why.clone_into(&mut self.why);
+    fn count_lost(&mut self, reason: &str) {
+        // The number stays unused, so that a reader notices the loss even if no record ever reports it.
+        self.next_seq += 1;
+        self.unreported += 1;
+        if reason != PAUSED || self.pause.is_none() || self.last_loss_reason.is_empty() {
+            reason.clone_into(&mut self.last_loss_reason);
         }
     }
 
     fn try_write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
-        if self.lost > 0 {
-            let gap = RecordBody::Gap { lost: self.lost, reason: self.why.clone() };
+        if self.unreported > 0 {
+            let gap = RecordBody::Gap { lost: self.unreported, reason: self.last_loss_reason.clone() };
             self.append(now, at_ms, gap)?;
-            self.lost = 0;
+            self.unreported = 0;
         }
         self.append(now, at_ms, body)
     }
 
     fn append(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
-        let (gatherer, start) = (self.gatherer.clone(), self.start.clone());
-        let bytes =
-            Record { version: VERSION, gatherer, incarnation: start, seq: self.seq, at_ms, body }.encode();
+        let (gatherer, incarnation) = (self.gatherer.clone(), self.incarnation.clone());
+        let record = Record { version: VERSION, gatherer, incarnation, seq: self.next_seq, at_ms, body };
+        let bytes = record.encode();
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(io::Error::other("the line is too long"));
         }
-        let more = bytes.len() as u64;
-        if self.segment.is_none_or(|segment| segment.is_full(now, more)) {
-            self.segment = None;
-            self.number += 1;
-            let name = SegmentName::new(&self.gatherer, &self.start, self.number);
-            // The oldest go before the next begins: guards against a folder over its cap, and a disk filled by itself.
-            let found = self.disk.list()?;
-            let found =
-                found.into_iter().filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
-            let coming = self.bounds.segment_bytes.max(more);
-            for old in segments_to_remove(found.collect(), &name, &self.bounds, coming) {
-                match self.disk.remove(&old.file_name()) {
-                    // The other process of an upgrade, which writes here too, was faster.
-                    Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                    removed => removed?,
-                }
-            }
-            self.disk.begin(&name.file_name())?;
-            self.segment = Some(OpenSegment::new(self.bounds, now));
+        let record_bytes = bytes.len() as u64;
+        if self.segment.is_none_or(|segment| segment.is_full(now, record_bytes)) {
+            self.begin_segment(now, record_bytes)?;
         }
         self.disk.append(&bytes)?;
         if let Some(segment) = &mut self.segment {
-            segment.add_bytes(more);
+            segment.add_bytes(record_bytes);
+        }
+        self.next_seq += 1;
+        Ok(())
+    }
+
+    /// Begins the next segment, after removing old ones: the folder stays within its limit, and the process never fills
+    /// the disk by itself.
+    fn begin_segment(&mut self, now: Time, record_bytes: u64) -> io::Result<()> {
+        self.segment = None;
+        self.segment_number += 1;
+        let name = SegmentName::new(&self.gatherer, &self.incarnation, self.segment_number);
+        let files = self.disk.list()?.into_iter();
+        let found = files.filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
+        let coming = self.limits.segment_bytes.max(record_bytes);
+        for old in segments_to_remove(found.collect(), &name, &self.limits, coming) {
+            match self.disk.remove(&old.file_name()) {
+                // During a hot restart, the other process writes to this folder too and may have removed it first.
+                Err(error) if error.kind() == io::ErrorKind::NotFound => {}
+                removed => removed?,
+            }
         }
-        self.seq += 1;
+        self.disk.begin(&name.file_name())?;
+        self.segment = Some(OpenSegment::new(self.limits, now));
         Ok(())
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -10,7 +10,7 @@
     DescriptorDenied, EvictionReason, ResourcePressure, Source,
 };
 use gatherer::policy::{Time, WorkerId};
-use proptest::prelude::{ProptestConfig, prop, prop_assert, prop_assert_eq, proptest};
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,5 +1,6 @@
-//! An incident on loopback: three gatherers with scripted workers and clients, all slow at once, one killed meanwhile.
-//! The report finds these two things and no others, and counts what the clients counted.
+//! An incident on loopback: three gatherers with scripted workers and clients; all workers are slow at once, and one
+//! gatherer is killed meanwhile. The report has findings for these two faults and no others, and its counts are those of
+//! the clients.
 
 use bytes::BytesMut;
 use gatherer::protocol::http;
@@ -14,18 +15,20 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gatherer");
-/// What workers take for a part on a good day, when all of them are slow, and where nobody is to be answered.
-const CALM: u64 = 8;
-const SLOW: u64 = 40;
-const STUCK: u64 = 2000;
+/// Time in which a worker responds to a part, in milliseconds.
+const NORMAL_DELAY_MS: u64 = 8;
+/// The same while all workers are slow.
+const SLOW_DELAY_MS: u64 = 40;
+/// The same where no response is to be sent before the gatherer is killed.
+const STUCK_DELAY_MS: u64 = 2000;
 
-/// A worker that answers every part after as many milliseconds as are set.
-fn worker(delay: Arc<AtomicU64>) -> String {
+/// Starts a worker that responds to every part after `delay_ms`, and returns its address.
+fn start_worker(delay_ms: Arc<AtomicU64>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, delay) = (stream.expect("a connection"), delay.clone());
+            let (mut stream, delay_ms) = (stream.expect("a connection"), delay_ms.clone());
             stream.set_nodelay(true).expect("set");
             thread::spawn(move || {
                 let mut length = [0; 4];
@@ -37,9 +40,9 @@
                     let text = String::from_utf8(rest).expect("text");
                     let Some(call) = text.strip_prefix('m') else { continue };
                     let id = call.split(' ').next().expect("an id");
-                    let answer = format!("q{id} good 5 busy=0.2,q=0\n5be2");
-                    thread::sleep(Duration::from_millis(delay.load(Ordering::Relaxed)));
-                    let bytes = [&(answer.len() as u32).to_le_bytes()[..], answer.as_bytes()].concat();
+                    let response = format!("q{id} good 5 busy=0.2,q=0\n5be2");
+                    thread::sleep(Duration::from_millis(delay_ms.load(Ordering::Relaxed)));
+                    let bytes = [&(response.len() as u32).to_le_bytes()[..], response.as_bytes()].concat();
                     if stream.write_all(&bytes).is_err() {
                         return;
                     }
@@ -92,8 +95,8 @@
     format!("{head}X-Budget-Ms: 5000\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Asks so many queries, one after the other; all of them are served.
-fn ask(address: &str, name: &str, count: usize) {
+/// Sends `count` queries, one after the other; all of them get a response.
+fn send_queries(address: &str, name: &str, count: usize) {
     let mut stream = TcpStream::connect(address).expect("connected");
     let mut buffer = BytesMut::new();
     for number in 0..count {
@@ -113,11 +116,11 @@
     }
 }
 
-/// So many queries at each of these gatherers, side by side.
-fn rush(gatherers: &[&Gatherer], phase: &str, count: usize) {
+/// Sends `count` queries to each of these gatherers, concurrently.
+fn send_queries_to(gatherers: &[&Gatherer], phase: &str, count: usize) {
     thread::scope(|scope| {
         for gatherer in gatherers {
-            scope.spawn(move || ask(&gatherer.address, phase, count));
+            scope.spawn(move || send_queries(&gatherer.address, phase, count));
         }
     });
 }
@@ -129,67 +132,67 @@
     serde_json::from_slice(&run.stdout).expect("JSON")
 }
 
-/// Waits until so many queries are on record.
-fn on_record(records: &Path, asked: usize) -> Value {
+/// Waits until this number of queries is on record.
+fn wait_for_records(records: &Path, sent: usize) -> Value {
     loop {
         let report = report(records);
         let found = report["classes"]["search"]["asked"].as_u64().unwrap_or(0) as usize;
-        assert!(found <= asked, "{found} on record, of {asked}");
-        if found == asked {
+        assert!(found <= sent, "{found} on record, of {sent}");
+        if found == sent {
             return report;
         }
     }
 }
 
 #[test]
-fn a_death_in_the_middle_of_a_slowdown_of_the_fleet() {
+fn a_death_during_a_slowdown_of_the_fleet_and_the_slowdown_are_both_found() {
     let folder: PathBuf = std::env::temp_dir().join(format!("clayshore-incident-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let records = folder.join("records");
     std::fs::write(folder.join("operator.toml"), format!("[records]\nfolder = {records:?}\n"))
         .expect("written");
-    let delay = Arc::new(AtomicU64::new(CALM));
-    let workers: Vec<String> = (0..3).map(|_| worker(delay.clone())).collect();
+    let delay_ms = Arc::new(AtomicU64::new(NORMAL_DELAY_MS));
+    let workers: Vec<String> = (0..3).map(|_| start_worker(delay_ms.clone())).collect();
     let [g0, mut g1, g2] = ["g0", "g1", "g2"].map(|name| Gatherer::start(&folder, name, &workers));
-    rush(&[&g0, &g1, &g2], "calm", 150);
-    delay.store(SLOW, Ordering::Relaxed);
-    rush(&[&g0, &g1, &g2], "slow", 30);
-    on_record(&records, 3 * 180);
-    // One more is taken by the one that dies, and is on record as taken by then.
-    delay.store(STUCK, Ordering::Relaxed);
+    send_queries_to(&[&g0, &g1, &g2], "calm", 150);
+    delay_ms.store(SLOW_DELAY_MS, Ordering::Relaxed);
+    send_queries_to(&[&g0, &g1, &g2], "slow", 30);
+    wait_for_records(&records, 3 * 180);
+    // The gatherer that is killed accepts one more query, and has recorded that by then.
+    delay_ms.store(STUCK_DELAY_MS, Ordering::Relaxed);
     let mut lost = TcpStream::connect(&g1.address).expect("connected");
     lost.write_all(&request("lost")).expect("written");
-    on_record(&records, 3 * 180 + 1);
+    wait_for_records(&records, 3 * 180 + 1);
     g1.child.kill().expect("killed");
     g1.child.wait().expect("it ends");
-    assert!(!matches!(lost.read(&mut [0; 64]), Ok(1..)), "nobody answers it");
-    delay.store(SLOW, Ordering::Relaxed);
-    rush(&[&g0, &g2], "still", 30);
-    delay.store(CALM, Ordering::Relaxed);
+    assert!(!matches!(lost.read(&mut [0; 64]), Ok(1..)), "it gets no response");
+    delay_ms.store(SLOW_DELAY_MS, Ordering::Relaxed);
+    send_queries_to(&[&g0, &g2], "during", 30);
+    delay_ms.store(NORMAL_DELAY_MS, Ordering::Relaxed);
     let g1 = Gatherer::start(&folder, "g1", &workers);
-    rush(&[&g0, &g1, &g2], "after", 100);
+    send_queries_to(&[&g0, &g1, &g2], "after", 100);
     [g0, g1, g2].into_iter().for_each(Gatherer::stop);
 
-    let asked = 3 * 180 + 1 + 2 * 30 + 3 * 100;
-    let report = on_record(&records, asked);
+    let sent = 3 * 180 + 1 + 2 * 30 + 3 * 100;
+    let report = wait_for_records(&records, sent);
     let counts = &report["classes"]["search"];
-    let figure = |name: &str| counts[name].as_u64().expect("a figure") as usize;
-    assert_eq!((figure("whole_in_time"), figure("unknown")), (asked - 1, 1), "{counts}");
-    assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(figure), [0; 5], "{counts}");
-    // Step by step it is the same.
+    let count = |name: &str| counts[name].as_u64().expect("a number") as usize;
+    assert_eq!((count("whole_in_time"), count("unknown")), (sent - 1, 1), "{counts}");
+    assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(count), [0; 5], "{counts}");
+    // The time steps add up to the same.
     let of_step = |step: &Value| {
         step["classes"]["search"].as_object().map_or(0, |tenants| {
-            tenants.values().map(|counts| counts["asked"].as_u64().expect("a figure")).sum::<u64>()
+            tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
         })
     };
     let steps = report["steps"].as_array().expect("steps");
-    assert_eq!(steps.iter().map(of_step).sum::<u64>() as usize, asked);
+    assert_eq!(steps.iter().map(of_step).sum::<u64>() as usize, sent);
     let findings = report["findings"].as_array().expect("findings");
     let mut found: Vec<&str> =
         findings.iter().map(|finding| finding["what"].as_str().expect("text")).collect();
     found.sort_unstable();
     assert_eq!(found, ["death", "fleet_slow"], "{findings:#?}");
-    let death = findings.iter().find(|finding| finding["what"] == "death").expect("it was found");
+    let death = findings.iter().find(|finding| finding["what"] == "death").expect("the death is found");
     assert!(death["gatherer"] == "g1" && death["certainty"] == "certain", "{death}");
     assert!(death["evidence"].as_str().expect("text").contains("1 search"), "{death}");
     let starts = report["starts"].as_array().expect("starts");
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -8,84 +8,90 @@
 };
 use gatherer::records::segments::{SegmentLimits, SegmentName, segments_to_remove};
 use gatherer::records::{Disk, MetricsAccumulator, QueryEnd, QueryLabels, Summary, Writer};
-use proptest::prelude::*;
+use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_assume, proptest};
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
 
-const BOUNDS: SegmentLimits =
+const LIMITS: SegmentLimits =
     SegmentLimits { segment_bytes: 600, max_age: Duration::from_secs(60), total_bytes: 4000 };
 
-/// A disk in memory that fails whenever it is told to, after a part of what it was to write.
+/// Failures that a disk in memory is to have.
+struct PlannedFailures {
+    /// Calls that succeed before the first failure.
+    calls_before: usize,
+    /// Calls in a row that fail then.
+    failures: usize,
+}
+
+/// A disk in memory that fails as planned, after it has written a part of the bytes.
 #[derive(Default)]
-struct Fake {
+struct MemoryDisk {
     files: BTreeMap<String, Vec<u8>>,
     open: Option<String>,
-    /// Calls until the next failure, and how many fail then.
-    fails_in: Option<(usize, usize)>,
-    calls: usize,
-    /// Segments are removed by another process just before this one would.
+    planned_failures: Option<PlannedFailures>,
+    /// Whether another process removes segments just before this one does.
     shared: bool,
 }
 
-impl Fake {
-    fn step(&mut self) -> io::Result<()> {
-        self.calls += 1;
-        match &mut self.fails_in {
-            Some((0, 0)) => self.fails_in = None,
-            Some((0, more)) => {
-                *more -= 1;
+impl MemoryDisk {
+    fn call(&mut self) -> io::Result<()> {
+        match &mut self.planned_failures {
+            Some(PlannedFailures { calls_before: 0, failures: 0 }) => self.planned_failures = None,
+            Some(PlannedFailures { calls_before: 0, failures }) => {
+                *failures -= 1;
                 return Err(io::Error::other("No space left on device"));
             }
-            Some((calls, _)) => *calls -= 1,
+            Some(PlannedFailures { calls_before, .. }) => *calls_before -= 1,
             None => {}
         }
         Ok(())
     }
 }
 
-impl Disk for Fake {
+impl Disk for MemoryDisk {
     fn begin(&mut self, file: &str) -> io::Result<()> {
-        self.step()?;
-        assert!(self.files.insert(file.to_owned(), Vec::new()).is_none(), "{file} was there");
+        self.call()?;
+        assert!(self.files.insert(file.to_owned(), Vec::new()).is_none(), "{file} exists already");
         self.open = Some(file.to_owned());
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let file = self.open.clone().expect("a file was begun");
-        let ok = self.step();
-        let part = if ok.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        self.files.get_mut(&file).expect("it is there").extend_from_slice(&bytes[..part]);
-        ok
+        let result = self.call();
+        let written = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        self.files.get_mut(&file).expect("the file exists").extend_from_slice(&bytes[..written]);
+        result
     }
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
-        self.step()?;
+        self.call()?;
         Ok(self.files.iter().map(|(name, bytes)| (name.clone(), bytes.len() as u64)).collect())
     }
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.step()?;
+        self.call()?;
         let removed = self.files.remove(file).filter(|_| !self.shared);
         removed.map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
+/// The body of the record with this number.
 fn body(number: u64) -> RecordBody {
     RecordBody::Reload { applied: true, detail: format!("number {number}") }
 }
 
 fn read(files: &BTreeMap<String, Vec<u8>>) -> (Vec<Record>, Vec<DamagedRecord>) {
-    let (mut reader, mut lines, mut faults) = (Reader::default(), Vec::new(), Vec::new());
+    let (mut reader, mut records, mut damaged) = (Reader::default(), Vec::new(), Vec::new());
     for (name, bytes) in files {
         reader
-            .read(name, &bytes[..], |line| lines.push(line), |fault| faults.push(fault))
+            .read(name, &bytes[..], |record| records.push(record), |damage| damaged.push(damage))
             .expect("memory can be read");
     }
-    assert_eq!(reader.valid_records, lines.len() as u64);
-    (lines, faults)
+    assert_eq!(reader.valid_records, records.len() as u64);
+    (records, damaged)
 }
 
-fn lines(count: u64) -> Vec<Record> {
-    let line = |seq| Record {
+fn records(count: u64) -> Vec<Record> {
+    let record = |seq| Record {
         version: VERSION,
         gatherer: "g0".to_owned(),
         incarnation: "s1".to_owned(),
@@ -93,111 +99,119 @@
         at_ms: 1000 * seq,
         body: body(seq),
     };
-    (0..count).map(line).collect()
+    (0..count).map(record).collect()
 }
 
 #[test]
-fn two_processes_of_an_upgrade_that_share_a_folder_lose_no_line_to_each_other() {
-    let mut writer = Writer::new(Fake { shared: true, ..Fake::default() }, "g0", "s1", BOUNDS);
+fn two_processes_of_a_hot_restart_that_share_a_folder_lose_no_record_to_each_other() {
+    let mut writer = Writer::new(MemoryDisk { shared: true, ..MemoryDisk::default() }, "g0", "s1", LIMITS);
     for number in 0..100 {
         let written = writer.write(Time(number * 1_000_000_000), number * 1000, body(number));
-        assert!(written, "line {number}: {}", writer.last_loss_reason());
+        assert!(written, "record {number}: {}", writer.last_loss_reason());
     }
 }
 
 #[test]
-fn a_disk_that_fails_at_every_point_in_turn_loses_what_it_says_it_lost() {
-    for fails_at in 0..60 {
-        for times in [1, 3] {
-            let disk = Fake { fails_in: Some((fails_at, times)), ..Fake::default() };
-            let bounds = SegmentLimits { total_bytes: 1 << 20, ..BOUNDS };
-            let mut writer = Writer::new(disk, "g0", "s1", bounds);
-            let mut kept = Vec::new();
+fn a_disk_that_fails_at_any_point_loses_exactly_what_is_reported_as_lost() {
+    for calls_before in 0..60 {
+        for failures in [1, 3] {
+            let planned_failures = Some(PlannedFailures { calls_before, failures });
+            let disk = MemoryDisk { planned_failures, ..MemoryDisk::default() };
+            let limits = SegmentLimits { total_bytes: 1 << 20, ..LIMITS };
+            let mut writer = Writer::new(disk, "g0", "s1", limits);
+            let mut reported_written = Vec::new();
             for number in 0..60 {
                 if writer.write(Time(number * 1_000_000_000), number * 1000, body(number)) {
-                    kept.push(number);
+                    reported_written.push(number);
                 }
             }
-            let untold = writer.unreported();
-            let (lines, faults) = read(&writer.disk().files);
-            assert!(faults.iter().all(|fault| fault.error == RecordError::Torn), "{faults:?}");
-            let numbers: Vec<u64> =
-                lines.iter().filter(|l| l.body != body(0)).map(|l| l.at_ms / 1000).collect();
-            assert!(numbers.is_sorted());
-            let written: Vec<u64> = lines
+            let unreported = writer.unreported();
+            let (records, damaged) = read(&writer.disk().files);
+            assert!(damaged.iter().all(|damage| damage.error == RecordError::Torn), "{damaged:?}");
+            let numbers: Vec<u64> = records
                 .iter()
-                .filter(|line| matches!(line.body, RecordBody::Reload { .. }))
-                .map(|line| line.at_ms / 1000)
+                .filter(|record| record.body != body(0))
+                .map(|record| record.at_ms / 1000)
                 .collect();
-            assert_eq!(written, kept, "failing at {fails_at}: what was said to be written is there");
-            let told: u64 = lines
+            assert!(numbers.is_sorted());
+            let found: Vec<u64> = records
                 .iter()
-                .map(|line| if let RecordBody::Gap { lost, .. } = line.body { lost } else { 0 })
-                .sum();
+                .filter(|record| matches!(record.body, RecordBody::Reload { .. }))
+                .map(|record| record.at_ms / 1000)
+                .collect();
+            assert_eq!(found, reported_written, "failing after {calls_before}: what was written is there");
+            let lost_in = |record: &Record| match record.body {
+                RecordBody::Gap { lost, .. } => lost,
+                _ => 0,
+            };
+            let reported_lost: u64 = records.iter().map(lost_in).sum();
             assert_eq!(
-                told + untold + kept.len() as u64,
+                reported_lost + unreported + reported_written.len() as u64,
                 60,
-                "failing at {fails_at}: all others are told of"
+                "failing after {calls_before}: all others are reported"
             );
-            assert!(untold == 0 || fails_at + 10 > 60, "it goes on once the disk does");
+            assert!(unreported == 0 || calls_before + 10 > 60, "writing resumes once the disk works");
         }
     }
 }
 
 #[test]
-fn segments_rotate_by_size_and_age_and_the_oldest_go() {
-    let mut writer = Writer::new(Fake::default(), "g0", "s1", BOUNDS);
+fn segments_rotate_by_size_and_age_and_the_oldest_are_removed() {
+    let mut writer = Writer::new(MemoryDisk::default(), "g0", "s1", LIMITS);
     for number in 0..200 {
         assert!(writer.write(Time(number * 1_000_000), number, body(number)));
-        let held: usize = writer.disk().files.values().map(Vec::len).sum();
-        assert!(held as u64 <= BOUNDS.total_bytes, "{held} bytes");
-        assert!(writer.disk().files.values().all(|bytes| bytes.len() as u64 <= BOUNDS.segment_bytes));
+        let total: usize = writer.disk().files.values().map(Vec::len).sum();
+        assert!(total as u64 <= LIMITS.total_bytes, "{total} bytes");
+        assert!(writer.disk().files.values().all(|bytes| bytes.len() as u64 <= LIMITS.segment_bytes));
     }
     let before = writer.disk().files.len();
-    assert!(writer.write(Time(100_000_000_000), 0, body(0)), "older than a segment may be");
+    assert!(writer.write(Time(100_000_000_000), 0, body(0)), "the segment is over its age");
     assert!(writer.disk().files.len() >= before);
-    // Another gatherer's segments are not this one's to remove.
-    let (mine, other) = (SegmentName::new("g0", "s1", 9), SegmentName::new("g1", "s1", 1));
-    let found = vec![(other, 9000), (SegmentName::new("g0", "s0", 7), 3000), (mine.clone(), 3000)];
-    assert_eq!(segments_to_remove(found, &mine, &BOUNDS, 600), [SegmentName::new("g0", "s0", 7)]);
-    assert_eq!(SegmentName::parse("g0_s1_00000009.records"), Some(mine));
+    // A gatherer does not remove another's segments.
+    let (own, other) = (SegmentName::new("g0", "s1", 9), SegmentName::new("g1", "s1", 1));
+    let found = vec![(other, 9000), (SegmentName::new("g0", "s0", 7), 3000), (own.clone(), 3000)];
+    assert_eq!(segments_to_remove(found, &own, &LIMITS, 600), [SegmentName::new("g0", "s0", 7)]);
+    assert_eq!(SegmentName::parse("g0_s1_00000009.records"), Some(own));
     assert_eq!([SegmentName::parse("g0_s1_9.txt"), SegmentName::parse("x.records")], [None, None]);
 }
 
 #[test]
-fn damaged_files_are_told_of_by_line_and_count_for_nothing() {
-    let all = lines(10);
+fn damaged_records_are_reported_by_line_and_not_counted() {
+    let all = records(10);
     let encoded: Vec<Vec<u8>> = all.iter().map(Record::encode).collect();
     let file = |parts: &[&[u8]]| BTreeMap::from([("f".to_owned(), parts.concat())]);
-    let whole = |from: usize, to: usize| encoded[from..to].concat();
-    let faults = |parts: &[&[u8]]| {
-        let (lines, faults) = read(&file(parts));
-        (lines.len(), faults.into_iter().map(|fault| (fault.line, fault.error)).collect::<Vec<_>>())
+    let range = |from: usize, to: usize| encoded[from..to].concat();
+    let read = |parts: &[&[u8]]| {
+        let (records, damaged) = read(&file(parts));
+        let errors: Vec<_> = damaged.into_iter().map(|damage| (damage.line, damage.error)).collect();
+        (records.len(), errors)
     };
-    assert_eq!(faults(&[&whole(0, 10)]), (10, vec![]));
+    assert_eq!(read(&[&range(0, 10)]), (10, vec![]));
     let cut = encoded[9].len() / 2;
-    assert_eq!(faults(&[&whole(0, 9), &encoded[9][..cut]]), (9, vec![(10, RecordError::Torn)]));
-    assert_eq!(faults(&[&whole(0, 3), &encoded[2], &whole(3, 5)]), (5, vec![(4, RecordError::Duplicate(2))]));
-    let out_of_order = RecordError::OutOfOrder { found: 1, after: 3 };
-    assert_eq!(faults(&[&encoded[0], &encoded[3], &encoded[1], &encoded[4]]), (3, vec![(3, out_of_order)]));
-    // A line of a later form: its checksum holds, and the rest is not for this program to read.
+    assert_eq!(read(&[&range(0, 9), &encoded[9][..cut]]), (9, vec![(10, RecordError::Torn)]));
+    let duplicate = (4, RecordError::Duplicate(2));
+    assert_eq!(read(&[&range(0, 3), &encoded[2], &range(3, 5)]), (5, vec![duplicate]));
+    let out_of_order = (3, RecordError::OutOfOrder { found: 1, after: 3 });
+    assert_eq!(read(&[&encoded[0], &encoded[3], &encoded[1], &encoded[4]]), (3, vec![out_of_order]));
+    // The checksum of a record of a newer version matches, but this program must not read the rest.
     let newer = Record { version: 2, ..all[5].clone() }.encode();
-    assert_eq!(faults(&[&encoded[0], &newer, &encoded[6]]), (2, vec![(2, RecordError::NewerVersion(2))]));
+    let newer_version = (2, RecordError::NewerVersion(2));
+    assert_eq!(read(&[&encoded[0], &newer, &encoded[6]]), (2, vec![newer_version]));
     let long = [vec![b'x'; MAX_RECORD_BYTES + 10], b"\n".to_vec()].concat();
-    assert_eq!(faults(&[&encoded[0], &long, &encoded[1]]), (2, vec![(2, RecordError::TooLong)]));
-    assert_eq!(faults(&[b"\n{}\n"]).1.len(), 2);
+    assert_eq!(read(&[&encoded[0], &long, &encoded[1]]), (2, vec![(2, RecordError::TooLong)]));
+    assert_eq!(read(&[b"\n{}\n"]).1.len(), 2);
 }
 
 #[test]
-fn what_is_written_is_in_the_published_schema() {
+fn every_kind_of_record_has_the_form_of_the_published_schema() {
     let schema = serde_json::to_value(schemars::schema_for!(Record)).expect("a schema");
-    let validator = jsonschema::validator_for(&schema).expect("a sound schema");
-    let mut figures = MetricsAccumulator::default();
+    let validator = jsonschema::validator_for(&schema).expect("a valid schema");
+    let mut accumulator = MetricsAccumulator::default();
     for (at, end) in QUERY_ENDS.into_iter().enumerate() {
-        let seen = QueryLabels { class: at % 2, tenant: Some(at % 3).filter(|tenant| *tenant > 0) };
-        figures.record_accepted(seen);
-        figures.record_end(seen, end, Duration::from_millis(7));
-        figures.record_attempt("w1", metrics::ATTEMPT_DONE, Duration::from_millis(5));
+        let labels = QueryLabels { class: at % 2, tenant: Some(at % 3).filter(|tenant| *tenant > 0) };
+        accumulator.record_accepted(labels);
+        accumulator.record_end(labels, end, Duration::from_millis(7));
+        accumulator.record_attempt("w1", metrics::ATTEMPT_DONE, Duration::from_millis(5));
     }
     let worker = "w1".to_owned();
     let bodies = [
@@ -208,46 +222,46 @@
         RecordBody::Worker { worker, state: RecordedWorkerState::Draining },
         RecordBody::Overload { begins: true },
         RecordBody::Gap { lost: 3, reason: "full".to_owned() },
-        RecordBody::Metrics(figures.take_snapshot()),
+        RecordBody::Metrics(accumulator.take_snapshot()),
     ];
     for body in bodies {
-        let line = Record { body, ..lines(1).remove(0) };
-        let json: serde_json::Value = serde_json::from_slice(&line.encode()).expect("JSON");
+        let record = Record { body, ..records(1).remove(0) };
+        let json: serde_json::Value = serde_json::from_slice(&record.encode()).expect("JSON");
         assert!(validator.is_valid(&json), "{json}");
-        assert_eq!(Record::decode(&line.encode()), Ok(line));
+        assert_eq!(Record::decode(&record.encode()), Ok(record));
     }
     assert!(!validator.is_valid(&serde_json::json!({"v": 1, "kind": "stop"})));
 }
 
 #[test]
-fn what_a_killed_gatherer_had_taken_is_unknown_and_not_lost() {
+fn queries_that_a_killed_gatherer_had_accepted_count_as_unknown() {
     let mut summary = Summary::new(60_000, 0, u64::MAX);
-    let mut figures = MetricsAccumulator::default();
-    let seen = QueryLabels { class: 0, tenant: None };
-    let line = |start: &str, seq, at_ms, body| Record {
+    let mut accumulator = MetricsAccumulator::default();
+    let labels = QueryLabels { class: 0, tenant: None };
+    let record = |incarnation: &str, seq, at_ms, body| Record {
         version: VERSION,
         gatherer: "g0".to_owned(),
-        incarnation: start.to_owned(),
+        incarnation: incarnation.to_owned(),
         seq,
         at_ms,
         body,
     };
-    let begin = || RecordBody::Start {
+    let start = || RecordBody::Start {
         configuration: String::new(),
         classes: vec!["seal".to_owned()],
         tenants: vec![],
     };
-    (0..5).for_each(|_| figures.record_accepted(seen));
-    (0..3).for_each(|_| figures.record_end(seen, QueryEnd::CompleteInTime, Duration::from_millis(20)));
-    summary.add_record(line("s1", 0, 60_000, begin()));
-    summary.add_record(line("s1", 1, 61_000, RecordBody::Metrics(figures.take_snapshot())));
-    // The same name again: its counts are its own, and it ends well.
-    figures.record_accepted(seen);
-    figures.record_end(seen, QueryEnd::FailedAbandoned, Duration::ZERO);
-    figures.record_end(seen, QueryEnd::RejectedShuttingDown, Duration::ZERO);
-    summary.add_record(line("s2", 0, 60_500, begin()));
-    summary.add_record(line("s2", 3, 130_000, RecordBody::Metrics(figures.take_snapshot())));
-    summary.add_record(line("s2", 4, 131_000, RecordBody::Stop));
+    (0..5).for_each(|_| accumulator.record_accepted(labels));
+    (0..3).for_each(|_| accumulator.record_end(labels, QueryEnd::CompleteInTime, Duration::from_millis(20)));
+    summary.add_record(record("s1", 0, 60_000, start()));
+    summary.add_record(record("s1", 1, 61_000, RecordBody::Metrics(accumulator.take_snapshot())));
+    // Another incarnation of the same gatherer: its counts are its own, and it shuts down gracefully.
+    accumulator.record_accepted(labels);
+    accumulator.record_end(labels, QueryEnd::FailedAbandoned, Duration::ZERO);
+    accumulator.record_end(labels, QueryEnd::RejectedShuttingDown, Duration::ZERO);
+    summary.add_record(record("s2", 0, 60_500, start()));
+    summary.add_record(record("s2", 3, 130_000, RecordBody::Metrics(accumulator.take_snapshot())));
+    summary.add_record(record("s2", 4, 131_000, RecordBody::Stop));
     summary.finish();
     let counts = summary.totals_by_class()["seal"];
     assert_eq!((counts.received, counts.ended(), counts.unknown), (7, 5, 2));
@@ -255,15 +269,16 @@
     let unknown =
         |begin: u64| summary.steps[&begin].queries.values().map(|counts| counts.unknown).sum::<u64>();
     assert_eq!((unknown(60_000), unknown(120_000)), (2, 0));
-    let start = |name: &str| &summary.incarnations[&("g0".to_owned(), name.to_owned())];
-    assert_eq!((start("s1").stopped, start("s2").stopped, start("s2").missing), (false, true, 2));
+    let incarnation = |name: &str| &summary.incarnations[&("g0".to_owned(), name.to_owned())];
+    let (killed, stopped) = (incarnation("s1"), incarnation("s2"));
+    assert_eq!((killed.stopped, stopped.stopped, stopped.missing), (false, true, 2));
 }
 
 proptest! {
     #[test]
-    fn no_damaged_line_is_ever_accepted(at in 0usize..400, to in any::<u8>(), seq in 0u64..1000) {
-        let line = Record { seq, ..lines(1).remove(0) };
-        let mut bytes = line.encode();
+    fn no_damaged_record_is_ever_accepted(at in 0usize..400, to in any::<u8>(), seq in 0u64..1000) {
+        let record = Record { seq, ..records(1).remove(0) };
+        let mut bytes = record.encode();
         let at = at % (bytes.len() - 1);
         prop_assume!(bytes[at] != to);
         bytes[at] = to;
@@ -271,64 +286,68 @@
     }
 
     #[test]
-    fn the_reader_never_breaks_and_never_counts_noise(noise in prop::collection::vec(any::<u8>(), 0..3000)) {
-        let (lines, _) = read(&BTreeMap::from([("f".to_owned(), noise.clone())]));
-        prop_assert!(lines.is_empty());
-        // Noise between two lines harms neither.
-        let good = lines_between(&noise);
-        prop_assert_eq!(good, 2);
+    fn the_reader_never_panics_and_never_counts_noise(noise in prop::collection::vec(any::<u8>(), 0..3000)) {
+        let (found, _) = read(&BTreeMap::from([("f".to_owned(), noise.clone())]));
+        prop_assert!(found.is_empty());
+        // Noise between two records damages neither.
+        prop_assert_eq!(valid_records_around(&noise), 2);
     }
 
     #[test]
-    fn figures_add_up_to_what_happened(
+    fn metrics_add_up_to_what_happened(
         events in prop::collection::vec((0usize..3, 0usize..3, 0usize..10, 0u64..9_000_000), 0..300),
-        takes in prop::collection::vec(0usize..300, 0..10),
+        snapshots_at in prop::collection::vec(0usize..300, 0..10),
     ) {
-        let (mut figures, mut summary) = (MetricsAccumulator::default(), Summary::new(1000, 0, u64::MAX));
+        let (mut accumulator, mut summary) =
+            (MetricsAccumulator::default(), Summary::new(1000, 0, u64::MAX));
         let names = |count: usize| (0..count).map(|at| at.to_string()).collect();
         let start = RecordBody::Start { configuration: String::new(), classes: names(3), tenants: names(3) };
         let mut seq = 0;
-        let mut put = |body| {
-            let line = Record { version: 1, gatherer: "g".to_owned(), incarnation: "s".to_owned(), seq, at_ms: seq * 700, body };
-            summary.add_record(Record::decode(&line.encode()).expect("whole"));
+        let mut add = |body| {
+            let (gatherer, incarnation) = ("g".to_owned(), "s".to_owned());
+            let record = Record { version: 1, gatherer, incarnation, seq, at_ms: seq * 700, body };
+            summary.add_record(Record::decode(&record.encode()).expect("a valid record"));
             seq += 1;
         };
-        put(start);
-        let (mut taken, mut ended, mut answered) = (0, 0, 0);
+        add(start);
+        let (mut accepted, mut ended, mut with_response) = (0, 0, 0);
         for (at, (class, tenant, end, micros)) in events.iter().enumerate() {
-            let seen = QueryLabels { class: *class, tenant: Some(*tenant).filter(|tenant| *tenant < 2) };
-            figures.record_accepted(seen);
-            taken += 1;
+            let labels = QueryLabels { class: *class, tenant: Some(*tenant).filter(|tenant| *tenant < 2) };
+            accumulator.record_accepted(labels);
+            accepted += 1;
             if let Some(end) = QUERY_ENDS.get(*end) && *end != QueryEnd::RejectedShuttingDown {
-                figures.record_end(seen, *end, Duration::from_micros(*micros));
+                accumulator.record_end(labels, *end, Duration::from_micros(*micros));
                 ended += 1;
-                answered += u64::from((*end as usize) < 3);
+                with_response += u64::from((*end as usize) < 3);
             }
-            if takes.contains(&at) {
-                put(RecordBody::Metrics(figures.take_snapshot()));
+            if snapshots_at.contains(&at) {
+                add(RecordBody::Metrics(accumulator.take_snapshot()));
             }
         }
-        put(RecordBody::Metrics(figures.take_snapshot()));
+        add(RecordBody::Metrics(accumulator.take_snapshot()));
         summary.finish();
-        let all = summary.totals_by_class();
-        prop_assert_eq!(all.values().map(|counts| counts.received).sum::<u64>(), taken);
-        prop_assert_eq!(all.values().map(|counts| counts.ended()).sum::<u64>(), ended);
-        prop_assert_eq!(all.values().map(|counts| counts.unknown).sum::<u64>(), taken - ended);
+        let totals = summary.totals_by_class();
+        prop_assert_eq!(totals.values().map(|counts| counts.received).sum::<u64>(), accepted);
+        prop_assert_eq!(totals.values().map(|counts| counts.ended()).sum::<u64>(), ended);
+        prop_assert_eq!(totals.values().map(|counts| counts.unknown).sum::<u64>(), accepted - ended);
         let latencies: u64 =
-            summary.steps.values().flat_map(|step| step.latency.values()).map(|all| all.len()).sum();
-        prop_assert_eq!(latencies, answered);
+            summary.steps.values().flat_map(|step| step.latency.values()).map(|latency| latency.len()).sum();
+        prop_assert_eq!(latencies, with_response);
     }
 
     #[test]
-    fn a_histogram_that_is_noise_is_turned_away(noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        // It must not break, and must not be made to take memory without end.
+    fn a_histogram_that_is_noise_is_rejected(noise in prop::collection::vec(any::<u8>(), 0..200)) {
+        // It must neither panic nor allocate without bound.
         let _ = metrics::decode_histogram(&String::from_utf8_lossy(&noise));
-        let _ = metrics::decode_histogram(&base64::Engine::encode(&base64::engine::general_purpose::STANDARD, &noise));
+        let _ = metrics::decode_histogram(&base64::Engine::encode(
+            &base64::engine::general_purpose::STANDARD,
+            &noise,
+        ));
     }
 }
 
-fn lines_between(noise: &[u8]) -> usize {
-    let all = lines(2);
+fn valid_records_around(noise: &[u8]) -> usize {
+    let all = records(2);
     let parts = [&all[0].encode()[..], noise, b"\n", &all[1].encode()].concat();
     read(&BTreeMap::from([("f".to_owned(), parts)])).0.len()
 }
