--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -2,7 +2,7 @@
 //! try, and the time in which an answer is wanted counts from there. Estimates only: nothing here refuses or
 //! chooses.
 
-use crate::policy::estimates::GAIN;
+use crate::policy::estimates::SAMPLE_WEIGHT;
 use crate::policy::state::{seconds, span};
 use crate::policy::{Class, ClassId, NewPart, NewQuery, Settings, Time};
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
             _ if shortened && may_be_retry => seconds(spent),
             Some(first) => {
                 let waited = seconds(now.since(first));
-                self.mean_wait += GAIN * (waited - self.mean_wait);
+                self.mean_wait += SAMPLE_WEIGHT * (waited - self.mean_wait);
                 waited
             }
             None if query.is_retry => self.mean_wait.min(seconds(spent)),
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -3,65 +3,90 @@
 
 use super::Aggregator;
 use crate::policy::client_retries::KnownPatience;
-use crate::policy::estimates::{Model, normalise};
+use crate::policy::estimates::{LatencyModel, normalise};
 use crate::policy::state::WorkerState;
 use crate::policy::*;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What was learned of one leaf, by its name.
+/// What was learned of one worker, by its name. It travels in the hand-over message to a process that may be
+/// of another version: each renamed field keeps the name that the message has always had.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSnapshot {
     name: String,
     /// The start of the process of which it was learned.
-    since: Option<Time>,
-    cold_from: Option<Time>,
-    sent: Vec<(Time, f64)>,
+    #[serde(rename = "since")]
+    started_at: Option<Time>,
+    #[serde(rename = "cold_from")]
+    warming_since: Option<Time>,
+    #[serde(rename = "sent")]
+    recent_sends: Vec<(Time, f64)>,
     utilization: Option<f64>,
-    heard: Option<Time>,
-    seen: f64,
-    planned: f64,
-    last_done: Time,
-    spoke: Time,
-    silent: bool,
-    inferred: bool,
-    unreached: Option<Time>,
-    strikes: u32,
-    lost: Vec<(Option<ClassId>, f64, Time)>,
-    suspect: Option<(Time, Duration)>,
-    served: f64,
+    #[serde(rename = "heard")]
+    last_report_at: Option<Time>,
+    #[serde(rename = "seen")]
+    mean_latency: f64,
+    #[serde(rename = "planned")]
+    mean_expected_latency: f64,
+    #[serde(rename = "last_done")]
+    last_success_at: Time,
+    #[serde(rename = "spoke")]
+    last_response_at: Time,
+    #[serde(rename = "silent")]
+    unresponsive: bool,
+    #[serde(rename = "inferred")]
+    ejected_with_zone: bool,
+    #[serde(rename = "unreached")]
+    connect_failed_at: Option<Time>,
+    #[serde(rename = "strikes")]
+    consecutive_failures: u32,
+    #[serde(rename = "lost")]
+    failure_rates: Vec<(Option<ClassId>, f64, Time)>,
+    #[serde(rename = "suspect")]
+    ejection: Option<(Time, Duration)>,
+    #[serde(rename = "served")]
+    served_cost_rate: f64,
 }
 
-/// What was learned in all: of leaves, of the multipliers of each shard's replicas, and for admission.
+/// What was learned of workers, of the weights of each shard's replicas, and for admission. Renamed fields
+/// keep their names in the hand-over message, as in [`WorkerSnapshot`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
-    leaves: Vec<WorkerSnapshot>,
-    shards: Vec<(ShardId, Vec<(String, f64)>)>,
-    shares: Vec<(TenantId, f64, Time)>,
+    #[serde(rename = "leaves")]
+    workers: Vec<WorkerSnapshot>,
+    #[serde(rename = "shards")]
+    replica_sets: Vec<(ShardId, Vec<(String, f64)>)>,
+    #[serde(rename = "shares")]
+    tenant_quotas: Vec<(TenantId, f64, Time)>,
     #[serde(flatten)]
-    clients: KnownPatience,
-    model: Model,
-    lost: f64,
-    gap: f64,
-    asked: Time,
-    answered: Time,
-    base: Vec<f64>,
+    client_retries: KnownPatience,
+    #[serde(rename = "model")]
+    latency_model: LatencyModel,
+    #[serde(rename = "lost")]
+    recent_failure_rate: f64,
+    #[serde(rename = "gap")]
+    query_interval: f64,
+    #[serde(rename = "asked")]
+    last_query_at: Time,
+    #[serde(rename = "answered")]
+    last_success_at: Time,
+    #[serde(rename = "base")]
+    base_latency: Vec<f64>,
 }
 
 impl PolicySnapshot {
     /// The leaves of which anything was learned, those that are gone among them.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
-        self.leaves.iter().map(|leaf| leaf.name.as_str())
+        self.workers.iter().map(|worker| worker.name.as_str())
     }
 }
 
 impl Aggregator {
     /// The active leaves that it sends nothing to but trials.
     pub fn ejected_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
-        let suspect = self
-            .leaves
-            .iter()
-            .filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active && leaf.suspect.is_some());
+        let suspect = self.workers.iter().filter(|(_, worker)| {
+            worker.endpoint.status == EndpointStatus::Active && worker.ejection.is_some()
+        });
         suspect.map(|(id, _)| *id)
     }
 
@@ -78,65 +103,72 @@
 
     /// What it has learned of the leaves that have a name.
     pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
-        let of = |(id, leaf): (&WorkerId, &WorkerState)| {
+        let of = |(id, worker): (&WorkerId, &WorkerState)| {
             Some(WorkerSnapshot {
                 name: name(*id)?.to_owned(),
-                since: leaf.entry.started_at,
-                cold_from: leaf.cold_from,
-                sent: leaf.sent.iter().copied().collect(),
-                utilization: leaf.utilization,
-                heard: leaf.heard,
-                seen: leaf.seen,
-                planned: leaf.planned,
-                last_done: leaf.last_done,
-                spoke: leaf.spoke,
-                silent: leaf.silent,
-                inferred: leaf.inferred,
-                unreached: leaf.unreached,
-                strikes: leaf.strikes,
-                lost: leaf.lost.iter().map(|(class, (share, at))| (*class, *share, *at)).collect(),
-                suspect: leaf.suspect,
-                served: leaf.served,
+                started_at: worker.endpoint.started_at,
+                warming_since: worker.warming_since,
+                recent_sends: worker.recent_sends.iter().copied().collect(),
+                utilization: worker.utilization,
+                last_report_at: worker.last_report_at,
+                mean_latency: worker.mean_latency,
+                mean_expected_latency: worker.mean_expected_latency,
+                last_success_at: worker.last_success_at,
+                last_response_at: worker.last_response_at,
+                unresponsive: worker.unresponsive,
+                ejected_with_zone: worker.ejected_with_zone,
+                connect_failed_at: worker.connect_failed_at,
+                consecutive_failures: worker.consecutive_failures,
+                failure_rates: worker
+                    .failure_rates
+                    .iter()
+                    .map(|(class, (share, at))| (*class, *share, *at))
+                    .collect(),
+                ejection: worker.ejection,
+                served_cost_rate: worker.served_cost_rate,
             })
         };
         let row = |row: &Vec<(WorkerId, f64)>| {
             row.iter().filter_map(|(id, m)| Some((name(*id)?.to_owned(), *m))).collect()
         };
         PolicySnapshot {
-            leaves: self.leaves.iter().filter_map(of).collect(),
-            shards: self.shards.iter().map(|(shard, held)| (*shard, row(held))).collect(),
-            shares: self.shares.known(),
-            clients: self.retries.known(),
-            model: self.model.clone(),
-            lost: self.lost,
-            gap: self.gap,
-            asked: self.asked,
-            answered: self.answered,
-            base: self.base.clone(),
+            workers: self.workers.iter().filter_map(of).collect(),
+            replica_sets: self.replica_sets.iter().map(|(shard, held)| (*shard, row(held))).collect(),
+            tenant_quotas: self.tenant_quota.known(),
+            client_retries: self.client_retries.known(),
+            latency_model: self.latency_model.clone(),
+            recent_failure_rate: self.recent_failure_rate,
+            query_interval: self.query_interval,
+            last_query_at: self.last_query_at,
+            last_success_at: self.last_success_at,
+            base_latency: self.base_latency.clone(),
         }
     }
 
     /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a
     /// process that has been replaced since is left out, but for when it was last sent work.
-    pub fn restore(&mut self, learned: PolicySnapshot, leaf: impl Fn(&str) -> Option<WorkerId>) {
-        for of in learned.leaves {
-            let Some(own) = leaf(&of.name).and_then(|id| self.leaves.get_mut(&id)) else { continue };
-            own.sent = of.sent.into();
-            own.cold_from = own.cold_from.max(of.cold_from);
-            if own.entry.started_at != of.since {
+    pub fn restore(&mut self, learned: PolicySnapshot, worker: impl Fn(&str) -> Option<WorkerId>) {
+        for of in learned.workers {
+            let Some(own) = worker(&of.name).and_then(|id| self.workers.get_mut(&id)) else { continue };
+            own.recent_sends = of.recent_sends.into();
+            own.warming_since = own.warming_since.max(of.warming_since);
+            if own.endpoint.started_at != of.started_at {
                 continue;
             }
-            (own.utilization, own.heard) = (of.utilization, of.heard);
-            (own.seen, own.planned) = (of.seen, of.planned);
-            (own.last_done, own.spoke) = (of.last_done, of.spoke);
-            (own.silent, own.inferred, own.unreached) = (of.silent, of.inferred, of.unreached);
-            (own.strikes, own.suspect, own.served) = (of.strikes, of.suspect, of.served);
-            own.lost = of.lost.into_iter().map(|(class, share, at)| (class, (share, at))).collect();
+            (own.utilization, own.last_report_at) = (of.utilization, of.last_report_at);
+            (own.mean_latency, own.mean_expected_latency) = (of.mean_latency, of.mean_expected_latency);
+            (own.last_success_at, own.last_response_at) = (of.last_success_at, of.last_response_at);
+            (own.unresponsive, own.ejected_with_zone, own.connect_failed_at) =
+                (of.unresponsive, of.ejected_with_zone, of.connect_failed_at);
+            (own.consecutive_failures, own.ejection, own.served_cost_rate) =
+                (of.consecutive_failures, of.ejection, of.served_cost_rate);
+            own.failure_rates =
+                of.failure_rates.into_iter().map(|(class, share, at)| (class, (share, at))).collect();
         }
-        for (shard, held) in learned.shards {
-            let Some(row) = self.shards.get_mut(&shard) else { continue };
+        for (shard, held) in learned.replica_sets {
+            let Some(row) = self.replica_sets.get_mut(&shard) else { continue };
             for (name, m) in held {
-                if let Some(id) = leaf(&name)
+                if let Some(id) = worker(&name)
                     && let Some(own) = row.iter_mut().find(|own| own.0 == id)
                 {
                     own.1 = m;
@@ -144,13 +176,14 @@
             }
             normalise(row);
         }
-        self.shares.take_over(learned.shares);
-        self.retries.take_over(learned.clients);
-        if learned.base.len() == self.base.len() {
-            self.base = learned.base;
+        self.tenant_quota.take_over(learned.tenant_quotas);
+        self.client_retries.take_over(learned.client_retries);
+        if learned.base_latency.len() == self.base_latency.len() {
+            self.base_latency = learned.base_latency;
         }
-        self.model = learned.model;
-        (self.lost, self.gap) = (learned.lost, learned.gap);
-        (self.asked, self.answered) = (learned.asked, learned.answered);
+        self.latency_model = learned.latency_model;
+        (self.recent_failure_rate, self.query_interval) =
+            (learned.recent_failure_rate, learned.query_interval);
+        (self.last_query_at, self.last_success_at) = (learned.last_query_at, learned.last_success_at);
     }
 }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -8,61 +8,61 @@
 /// A leaf as this root knows it.
 #[derive(Default)]
 pub struct WorkerState {
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     /// Start of its warm-up.
-    pub cold_from: Option<Time>,
+    pub warming_since: Option<Time>,
     /// Work sent within a warm-up, for the cold allowance.
-    pub sent: VecDeque<(Time, f64)>,
+    pub recent_sends: VecDeque<(Time, f64)>,
     /// Work of attempts out, in seconds, and the attempts by time sent.
-    pub owed: f64,
-    pub out: BTreeSet<(Time, RequestId, AttemptNo)>,
+    pub outstanding_cost: f64,
+    pub in_flight: BTreeSet<(Time, RequestId, AttemptNo)>,
     /// Parts that still fit the call opened this turn.
-    pub call_room: u32,
+    pub parts_left_in_call: u32,
     /// Utilization last reported, and when.
     pub utilization: Option<f64>,
-    pub heard: Option<Time>,
+    pub last_report_at: Option<Time>,
     /// Latency seen and latency expected, on average: their ratio is the leaf's drag.
-    pub seen: f64,
-    pub planned: f64,
-    pub last_done: Time,
+    pub mean_latency: f64,
+    pub mean_expected_latency: f64,
+    pub last_success_at: Time,
     /// When it last gave any answer at all, and whether it is suspect for giving none.
-    pub spoke: Time,
-    pub silent: bool,
+    pub last_response_at: Time,
+    pub unresponsive: bool,
     /// It is suspect because its zone seems lost, and for nothing of its own.
-    pub inferred: bool,
+    pub ejected_with_zone: bool,
     /// When an attempt was sent that could not connect, with no answer since.
-    pub unreached: Option<Time>,
-    pub strikes: u32,
+    pub connect_failed_at: Option<Time>,
+    pub consecutive_failures: u32,
     /// Share of attempts that stayed without answer and when that was last judged: of each class, and of all
     /// (`None`).
-    pub lost: BTreeMap<Option<ClassId>, (f64, Time)>,
+    pub failure_rates: BTreeMap<Option<ClassId>, (f64, Time)>,
     /// Not to be used before, and the pause that led there; `None` while trusted.
-    pub suspect: Option<(Time, Duration)>,
-    pub probing: bool,
+    pub ejection: Option<(Time, Duration)>,
+    pub health_check_in_flight: bool,
     /// Its last probe came back, or none was needed.
-    pub answers_probes: bool,
-    pub probe_at: Time,
+    pub passes_health_checks: bool,
+    pub next_health_check_at: Time,
     /// Work answered a second, decayed over `SPAN`.
-    pub served: f64,
+    pub served_cost_rate: f64,
 }
 
 /// An attempt of a part.
 pub struct Attempt {
-    pub leaf: WorkerId,
-    pub sent: Time,
-    pub expected: f64,
-    pub work: f64,
-    pub ahead: f64,
+    pub worker: WorkerId,
+    pub sent_at: Time,
+    pub expected_latency: f64,
+    pub cost: f64,
+    pub cost_ahead: f64,
     /// Attempts sent later to the same leaf that were answered sooner.
-    pub overtaken: u32,
+    pub overtaken_by: u32,
     /// It is booked as lost.
-    pub missed: bool,
+    pub counted_as_lost: bool,
     /// How it ended; `None` while it is out.
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl Attempt {
-    pub fn out(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
     pub fn may_have_run(&self) -> bool {
@@ -72,29 +72,29 @@
 
 /// A part of a query that this root holds.
 pub struct Part {
-    pub asked: NewPart,
+    pub request: NewPart,
     pub query: RequestId,
     pub class: ClassId,
-    pub key: Option<u64>,
-    pub work: f64,
+    pub key_hash: Option<u64>,
+    pub cost: f64,
     pub attempts: Vec<Attempt>,
-    pub done: bool,
-    pub over: bool,
+    pub succeeded: bool,
+    pub finished: bool,
     /// Its query has let go of it.
     pub released: bool,
 }
 
 /// A query that this root holds.
 pub struct Query {
-    pub asked: NewQuery,
+    pub request: NewQuery,
     /// When the aim is missed, or the client gone if that is sooner.
-    pub aim_at: Time,
+    pub objective_at: Time,
     pub parts: Vec<RequestId>,
     pub admitted: bool,
     /// It came when its tenant had used up its share.
-    pub over_share: bool,
+    pub over_quota: bool,
     /// For a query in its second step: whether the first was whole.
-    pub first_step: Option<bool>,
+    pub first_step_complete: Option<bool>,
 }
 
 /// A span as a number of seconds.
@@ -111,13 +111,14 @@
 /// with every leaf where there are no cells. Goes by cells, so that a list of many leaves does not cost their
 /// square.
 pub fn holders(
-    leaves: &BTreeMap<WorkerId, WorkerState>,
+    workers: &BTreeMap<WorkerId, WorkerState>,
     settings: &Settings,
 ) -> BTreeMap<ShardId, Vec<WorkerId>> {
     let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
     let mut by_cell: BTreeMap<u32, Vec<WorkerId>> = BTreeMap::new();
-    for (id, leaf) in leaves.iter().filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active) {
-        by_cell.entry(cell_of(leaf.entry.cell.0)).or_default().push(*id);
+    for (id, worker) in workers.iter().filter(|(_, worker)| worker.endpoint.status == EndpointStatus::Active)
+    {
+        by_cell.entry(cell_of(worker.endpoint.cell.0)).or_default().push(*id);
     }
     let steps = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
     let held = |shard: u32| {
