--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -3,7 +3,7 @@
 //! chooses.
 
 use crate::policy::estimates::SAMPLE_WEIGHT;
-use crate::policy::state::{seconds, span};
+use crate::policy::time::{seconds, span};
 use crate::policy::{Class, ClassId, NewPart, NewQuery, Settings, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,8 +1,9 @@
 //! Estimators of the decision module: what is learned from few samples, and how it fades. Nothing here
 //! chooses.
 
-use crate::policy::state::seconds;
-use crate::policy::{ReportField, Settings, Time, WorkerId};
+use crate::policy::time::seconds;
+use crate::policy::worker_state::WorkerState;
+use crate::policy::{Aggregator, Settings, Time};
 use serde::{Deserialize, Serialize};
 
 /// Weight of a new sample in running means: about the last twenty count.
@@ -17,6 +18,12 @@
 const INITIAL_COST_PER_OBJECTIVE: f64 = 0.04;
 /// Seconds in which a share of lost attempts fades as a path mends.
 const FAILURE_RATE_DECAY_S: f64 = 10.0;
+/// Deviations past the expected answer at which an attempt is overdue (as in TCP's time-out).
+const OVERDUE_DEVIATIONS: f64 = 4.0;
+/// Share of the shortest aim past which an attempt is overdue: twice that, silence, is inside the aim.
+const MAX_OVERDUE_MARGIN_OF_OBJECTIVE: f64 = 0.4;
+/// Gaps between this root's queries, of a second at least, in which latencies learned fade without answers.
+const STALE_ESTIMATE_QUERY_INTERVALS: f64 = 2.0;
 
 /// A share as it was reckoned, less what has faded since.
 pub fn decayed((share, at): (f64, Time), now: Time) -> f64 {
@@ -67,29 +74,35 @@
     }
 }
 
-/// Makes the multipliers of a shard sum to 1.
-pub fn normalise(row: &mut [(WorkerId, f64)]) {
-    let total: f64 = row.iter().map(|replica| replica.1).sum();
-    for replica in row.iter_mut() {
-        replica.1 /= total;
+impl Aggregator {
+    /// Expected seconds until a leaf would answer a part of this much work.
+    pub(super) fn expected_latency(&self, worker: &WorkerState, work: f64) -> f64 {
+        // Guards against refusing for good on stale guesses: without answers, what was learned fades.
+        let fade = |since: Time| {
+            (-seconds(self.now.since(since))
+                / (STALE_ESTIMATE_QUERY_INTERVALS * self.query_interval.max(1.0)))
+            .exp()
+        };
+        let (own, ahead) = self.latency_model.coefficients();
+        let own = 1.0 + (own - 1.0) * fade(self.last_success_at);
+        let drag = (worker.mean_latency / worker.mean_expected_latency.max(1e-6)).clamp(0.5, 20.0);
+        let drag = 1.0 + (drag - 1.0) * fade(worker.last_success_at);
+        (own * work + ahead * worker.outstanding_cost) * drag + self.seconds_overdue(worker)
+    }
+
+    /// Seconds past the expected answer at which an attempt is overdue. Guards against a hidden tail:
+    /// where a few leaves are slow, guesses err by more than the aim leaves time for a copy, or for judging.
+    pub(super) fn overdue_margin(&self) -> f64 {
+        (OVERDUE_DEVIATIONS * self.latency_model.deviation)
+            .min(MAX_OVERDUE_MARGIN_OF_OBJECTIVE * shortest_objective(&self.settings))
     }
-}
 
-/// What a report says of the utilization: busy share, else parts in flight, else nought (DESIGN). Where
-/// neither is told, the utilization law gives the busy cores: rate times service time. Open scales are
-/// bounded to stay under 1.
-pub fn utilization(fields: &[ReportField], report: &[Option<f64>]) -> f64 {
-    let value = |field: ReportField| {
-        let at = fields.iter().position(|known| *known == field)?;
-        report.get(at).copied().flatten().filter(|value| value.is_finite() && *value >= 0.0)
-    };
-    let bounded = |value: f64| value / (1.0 + value);
-    match (value(ReportField::Busy), value(ReportField::InFlight)) {
-        (Some(busy), _) => busy.min(1.0),
-        (None, Some(parts)) => bounded(parts),
-        (None, None) => match (value(ReportField::Rate), value(ReportField::LatencyMs)) {
-            (Some(rate), Some(latency)) => bounded(rate * latency / 1000.0),
-            _ => 0.0,
-        },
+    /// Seconds by which the oldest attempt out at a leaf is later than expected, past the usual spread.
+    pub(super) fn seconds_overdue(&self, worker: &WorkerState) -> f64 {
+        let Some((sent, id, number)) = worker.in_flight.first() else { return 0.0 };
+        let attempt = self.parts.get(id).and_then(|part| part.attempts.get(number.0 as usize));
+        let expected = attempt.map_or(INITIAL_COST_S, |attempt| attempt.expected_latency);
+        let age = seconds(self.now.since(*sent));
+        (age - expected - self.overdue_margin()).max(0.0)
     }
 }
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -1,11 +1,11 @@
 //! What an aggregator has learned, as others may read it, and as a successor takes it over. Nothing here
 //! decides.
 
-use super::Aggregator;
 use crate::policy::client_retries::KnownPatience;
-use crate::policy::estimates::{LatencyModel, normalise};
-use crate::policy::state::WorkerState;
-use crate::policy::*;
+use crate::policy::estimates::LatencyModel;
+use crate::policy::load_reports::normalise;
+use crate::policy::worker_state::WorkerState;
+use crate::policy::{Aggregator, ClassId, EndpointStatus, ShardId, TenantId, Time, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,7 +1,7 @@
 //! How much of their shares tenants have left at this gatherer. Accounting only: what follows is decided
 //! elsewhere.
 
-use crate::policy::state::seconds;
+use crate::policy::time::seconds;
 use crate::policy::{TenantId, Time};
 use std::collections::BTreeMap;
 
