--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -87,7 +87,7 @@
         while let Some(told) = self.runtime.to_notify() {
             let (id, state) = match told {
                 OwnedNotification::MemberUp(id) => (id, ObservedState::Alive),
-                OwnedNotification::MemberDown(id) => (id, ObservedState::Silent),
+                OwnedNotification::MemberDown(id) => (id, ObservedState::Failed),
                 OwnedNotification::Rejoin(id) => {
                     self.own = id;
                     continue;
--- a/src/membership/command.rs
+++ b/src/membership/command.rs
@@ -1,46 +1,47 @@
-//! What a member asks of its host: the whole of its output, and what comes back of an attempt to connect.
+//! The commands that a member's state machine gives to its host, and the result that comes back of a connection probe.
 
 use super::table::MemberChange;
 use super::update::Message;
 use std::net::SocketAddr;
 
-/// How an attempt to connect to a member ended.
+/// The result of an attempt to connect to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionProbeResult {
-    /// Its machine refuses: nobody listens there.
+    /// The member's machine refused the connection: no process listens there.
     Refused,
-    /// It came up: the process is there, whether it moves or not.
+    /// The connection came up: the process is there, whether it makes progress or not.
     Connected,
-    /// Nothing came back.
+    /// No response came in time, or the probe could not be made.
     NoResponse,
 }
 
-/// What is to be done.
+/// What the host is to do. `M` is the form of a message; the simulator plays other forms beside the program's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Command {
-    /// Send this as a datagram.
+pub enum Command<M = Message> {
+    /// Send a message as a datagram.
     Send {
-        /// To whom.
+        /// The receiver's address.
         to: SocketAddr,
-        /// What.
-        message: Message,
+        /// The message.
+        message: M,
     },
-    /// Try to connect, and tell [`super::Node::knocked`].
+    /// Try to connect to a member, and pass the result to [`super::Node::on_probe_result`].
     ProbeConnection {
-        /// Whom.
+        /// The member's name.
         name: String,
-        /// Which process.
+        /// The start of its process.
         start: u64,
-        /// Where.
+        /// Its address.
         address: SocketAddr,
     },
-    /// Exchange tables over a connection: send [`super::Node::table_message`], take what comes back to [`super::Node::hear`].
+    /// Exchange tables over a connection: send [`super::Node::table_message`], and pass what comes back to
+    /// [`super::Node::receive_table`].
     ExchangeTables {
-        /// With whom.
+        /// The other member's address.
         with: SocketAddr,
     },
-    /// Tell people and records.
+    /// Report a member's change to people and records.
     Notify(MemberChange),
-    /// Somebody else uses this member's name; it was taken back by a later start.
+    /// Report that another process uses this member's name, which took it back with a later start.
     NameReclaimed,
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,7 @@
-//! Who else is there: which gatherers live, which have died, which only seem to have, and how many share the fleet.
-//! Messages, times and lots go in, messages and decisions come out: no socket, no task, no clock. What it is for and why
-//! it is built so: docs/membership.md.
+//! Which gatherers are alive, which have died, which only seem to have, and how many share the fleet.
+//!
+//! Messages, times and random seeds go in; commands go out ([`Command`]). This module owns what a member knows of the others;
+//! it has no socket, no task and no clock. The design and its reasons: docs/membership.md.
 
 pub mod command;
 pub mod fleet_size;
@@ -13,6 +14,6 @@
 pub use command::{Command, ConnectionProbeResult};
 pub use fleet_size::FleetSizeEstimate;
 pub use node::Node;
-pub use table::{KnownMember, Link, MemberChange, ObservedState, Table};
+pub use table::{KnownMember, MemberChange, MemberTable, ObservedState, Reachability};
 pub use timing::Timing;
 pub use update::{MemberState, MemberUpdate, Message, MessageKind};
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -1,137 +1,155 @@
-//! Messages: what goes out with each, and what is taken from those that come in.
+//! Messages of a member: which updates go out with each, and what is applied from those that come in.
 
 use super::Node;
 use crate::membership::command::Command;
-use crate::membership::table::Link;
+use crate::membership::table::Reachability;
 use crate::membership::update::{MAX_UPDATES_BYTES, MemberState, MemberUpdate, Message, MessageKind};
 use crate::policy::Time;
 use std::net::SocketAddr;
 
+/// How an update reached this member.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum UpdateSource {
+    /// In a message of a member that was present all the time.
+    Gossip,
+    /// In a whole table, or in a message of a member that was lost until now: the sender may have been on the other side of
+    /// a partition.
+    OtherSide,
+}
+
 impl Node {
-    /// Sends with as much news as fits; `about` is whom it goes to, who is to hear what is said of itself.
-    pub(super) fn send(&mut self, to: SocketAddr, kind: MessageKind, about: Option<&str>) {
+    /// Sends a message with as many queued updates as fit. `peer` is the receiver's name, if it is to learn what is reported
+    /// about itself.
+    pub(super) fn send(&mut self, to: SocketAddr, kind: MessageKind, peer: Option<&str>) {
         let mut message = Message { from: self.own.clone(), kind, updates: Vec::new() };
-        let own = about.and_then(|name| self.table.get(name));
-        if let Some(seen) = own.filter(|seen| seen.update.state != MemberState::Alive) {
-            message.updates.push(seen.update.clone());
+        let receiver = peer.and_then(|name| self.table.get(name));
+        if let Some(member) = receiver.filter(|member| member.update.state != MemberState::Alive) {
+            message.updates.push(member.update.clone());
         }
-        let mut room = MAX_UPDATES_BYTES.saturating_sub(message.max_encoded_bytes());
+        let mut available_bytes = MAX_UPDATES_BYTES.saturating_sub(message.max_encoded_bytes());
         let table = &self.table;
         self.gossip_queue.pass_on(|name| {
-            // Who is forgotten is no news any more, and takes no room.
-            let Some(seen) = table.get(name) else { return true };
-            let Some(rest) = room.checked_sub(seen.update.max_encoded_bytes()) else { return false };
-            room = rest;
-            if about != Some(name) {
-                message.updates.push(seen.update.clone());
+            // A member that was removed meanwhile has no update any more, and takes no space.
+            let Some(member) = table.get(name) else { return true };
+            let update = &member.update;
+            let Some(rest) = available_bytes.checked_sub(update.max_encoded_bytes()) else {
+                return false;
+            };
+            available_bytes = rest;
+            if peer != Some(name) {
+                message.updates.push(update.clone());
             }
             true
         });
-        self.orders.push(Command::Send { to, message });
+        self.commands.push(Command::Send { to, message });
     }
 
     /// The whole table, for an exchange.
     pub fn table_message(&self) -> Message {
-        let claims = self.table.iter().map(|seen| seen.update.clone()).collect();
-        Message { from: self.own.clone(), kind: MessageKind::Table, updates: claims }
+        let updates = self.table.iter().map(|member| member.update.clone()).collect();
+        Message { from: self.own.clone(), kind: MessageKind::Table, updates }
     }
 
-    /// Takes a message of another member.
+    /// Handles a message of another member.
     pub fn receive(&mut self, now: Time, message: Message) {
-        let Message { from, kind, updates: claims } = message;
-        if !Node::answerable(now, &from) {
+        let Message { from, kind, updates } = message;
+        if !Node::is_refutable(now, &from) {
             return;
         }
         if from.name == self.own.name {
             return self.refute(&from);
         }
-        if let Some(seen) = self.table.get(&from.name).filter(|seen| seen.update.start > from.start) {
-            // An older process, or a datagram of it that was kept; or one whose clock was set back, which then hears of
-            // its later start and goes beyond it.
-            let claim = seen.update.clone();
-            let message = Message { from: self.own.clone(), kind: MessageKind::Gossip, updates: vec![claim] };
-            self.orders.push(Command::Send { to: from.address, message });
+        let known = self.table.get(&from.name);
+        if let Some(member) = known.filter(|member| member.update.start > from.start) {
+            // The sender is an earlier process, or a delayed datagram of one; or its clock was set back, and it learns from
+            // the answer which start it has to exceed.
+            let updates = vec![member.update.clone()];
+            let message = Message { from: self.own.clone(), kind: MessageKind::Gossip, updates };
+            self.commands.push(Command::Send { to: from.address, message });
             return;
         }
-        self.last_heard = self.last_heard.max(now);
-        // One who was lost here until now tells what another half believed.
-        let lost = self.table.get(&from.name).is_some_and(|seen| !seen.update.state.present());
+        self.last_message_at = self.last_message_at.max(now);
+        let was_lost = known.is_some_and(|member| !member.update.state.is_present());
+        let source = if was_lost { UpdateSource::OtherSide } else { UpdateSource::Gossip };
         self.apply(now, &from);
-        self.mark_heard(now, &from);
-        for claim in &claims {
-            self.learn(now, claim, lost);
+        self.note_message_from(now, &from);
+        for update in &updates {
+            self.receive_update(now, update, source);
         }
-        self.respond(now, kind, &from);
+        self.handle_kind(now, kind, &from);
     }
 
-    /// Answers a message of a member, or takes it as an answer.
-    fn respond(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
+    /// Answers a message of a member, or handles it as an answer.
+    fn handle_kind(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
         match kind {
-            MessageKind::Ping { number, hears } => {
-                self.update_link(&from.name, |link| match (link, hears) {
-                    (Link::Relayed, _) => Link::Relayed,
-                    (_, false) => Link::Deaf,
-                    (_, true) => Link::Direct,
+            MessageKind::Ping { number, receives_peer } => {
+                self.update_reachability(&from.name, |reachability| match (reachability, receives_peer) {
+                    (Reachability::Indirect, _) => Reachability::Indirect,
+                    (_, false) => Reachability::InboundOnly,
+                    (_, true) => Reachability::Direct,
                 });
                 self.send(from.address, MessageKind::Ack { number }, Some(&from.name));
             }
-            MessageKind::Ack { number } => self.answered(now, number, from),
-            MessageKind::SearchRequest { number, target } => {
-                self.probe_for(now, from.address, number, &target)
+            MessageKind::Ack { number } => self.on_ack(now, number, from),
+            MessageKind::PingRequest { number, target } => {
+                self.probe_on_behalf(now, from.address, number, &target);
             }
-            MessageKind::IndirectAck { number, update: claim } => self.relayed(now, number, &claim),
+            MessageKind::IndirectAck { number, update } => self.on_indirect_ack(now, number, &update),
             MessageKind::Gossip | MessageKind::Table => {}
         }
     }
 
-    /// A member that this one does not hear has answered another one.
-    fn relayed(&mut self, now: Time, number: u32, claim: &MemberUpdate) {
-        let asked = self.probes.get(&number).is_some_and(|probe| probe.name == claim.name);
-        if asked && claim.name != self.own.name {
+    /// A member that does not answer this one has answered another.
+    fn on_indirect_ack(&mut self, now: Time, number: u32, update: &MemberUpdate) {
+        let requested = self.probes.get(&number).is_some_and(|probe| probe.name == update.name);
+        if requested && update.name != self.own.name {
             self.probes.remove(&number);
-            self.learn(now, claim, false);
-            self.update_link(&claim.name, |_| Link::Relayed);
+            self.receive_update(now, update, UpdateSource::Gossip);
+            self.update_reachability(&update.name, |_| Reachability::Indirect);
         }
     }
 
-    /// A member was heard itself.
-    fn mark_heard(&mut self, now: Time, from: &MemberUpdate) {
-        let Some(seen) = self.table.get_mut(&from.name) else { return };
-        let before = seen.state();
-        seen.last_message_at = Some(now);
-        let (start, state) = (seen.update.start, seen.state());
+    /// Notes that a message came from the member itself.
+    fn note_message_from(&mut self, now: Time, from: &MemberUpdate) {
+        let Some(member) = self.table.get_mut(&from.name) else { return };
+        let before = member.state();
+        member.last_message_at = Some(now);
+        let (start, state) = (member.update.start, member.state());
         if state != before {
-            self.report(&from.name, start, state);
+            self.notify(&from.name, start, state);
         }
     }
 
-    /// Takes the table of another member, as it came over a connection.
+    /// Handles the table of another member, as it came over a connection.
     pub fn receive_table(&mut self, now: Time, message: Message) {
-        let Message { from, updates: claims, .. } = message;
+        let Message { from, updates, .. } = message;
         self.receive(now, Message { from, kind: MessageKind::Table, updates: Vec::new() });
-        for claim in &claims {
-            self.learn(now, claim, true);
+        for update in &updates {
+            self.receive_update(now, update, UpdateSource::OtherSide);
         }
     }
 
-    /// Takes a claim; one of a whole table only says what another half believed.
-    fn learn(&mut self, now: Time, claim: &MemberUpdate, whole: bool) {
-        if !Node::answerable(now, claim) {
+    /// Applies a received update. A death reported from the other side of a partition is only a suspicion here: guards
+    /// against two sides that declare each other dead again when they merge.
+    fn receive_update(&mut self, now: Time, update: &MemberUpdate, source: UpdateSource) {
+        if !Node::is_refutable(now, update) {
             return;
         }
-        if claim.name == self.own.name {
-            return self.refute(claim);
+        if update.name == self.own.name {
+            return self.refute(update);
         }
-        let believed = matches!(claim.state, MemberState::Failed | MemberState::Dead);
-        let unknown = self.table.get(&claim.name).is_none();
-        match whole && believed {
-            true => self.apply(now, &claim.with_state(MemberState::Suspect)),
-            false => self.apply(now, claim),
+        let is_death = matches!(update.state, MemberState::Failed | MemberState::Dead);
+        let was_unknown = self.table.get(&update.name).is_none();
+        let from_other_side = source == UpdateSource::OtherSide;
+        if from_other_side && is_death {
+            self.apply(now, &update.with_state(MemberState::Suspect));
+        } else {
+            self.apply(now, update);
         }
-        // Whoever told a whole table has told others of it too: guards against a fleet that starts at once, each member
-        // of which would pass the whole of it on.
-        if whole && unknown {
-            self.gossip_queue.drop(&claim.name);
+        // The sender of a whole table sends it to others too: guards against each member of a fleet that starts at once
+        // passing the whole table on.
+        if from_other_side && was_unknown {
+            self.gossip_queue.remove(&update.name);
         }
     }
 }
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -1,46 +1,65 @@
-//! Probes: which member is probed next, which again and through others, and what an answer or its absence says.
+//! Probes: which member is probed next, which again and through others, and what an answer or its absence means.
 
 use super::{INDIRECT_PROBES, Node};
 use crate::membership::command::{Command, ConnectionProbeResult};
-use crate::membership::table::{KnownMember, Link};
+use crate::membership::table::{KnownMember, Reachability};
 use crate::membership::update::{MemberState, MemberUpdate, MessageKind};
 use crate::policy::Time;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of a period between two refused connections that prove an end: the question they come from is open for all of it.
-const CONNECT_AGAIN: u32 = 5;
-/// How long a member that moves to another process is waited for.
+/// The part of a probe interval between a refused connection and its repetition. Both count within one probe only, which
+/// stays open for the whole interval.
+const CONNECTION_RETRY_DIVISOR: u32 = 5;
+/// How long a member that hands over to another process is waited for.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Probes that are sent for others at once.
+/// The most open probes on other members' behalf.
 const MAX_INDIRECT_PROBES: usize = 64;
-/// Part of a period after which a member is probed again, through others too.
-const PROBE_AGAIN: u32 = 3;
+/// The part of a probe interval after which a member is probed again, through others too.
+const PROBE_RETRY_DIVISOR: u32 = 3;
+
+/// A refused connection to a member that is being probed.
+struct RefusedConnection {
+    retry_at: Time,
+    retried: bool,
+}
 
 /// A probe that is not answered yet.
 pub(super) struct Probe {
-    /// Who is probed.
+    /// The name of the probed member.
     pub name: String,
     start: u64,
-    sent: Time,
-    /// It was sent again, through others too.
-    again: bool,
-    /// Its machine has refused a connection since; when it is tried once more, and whether it has been.
-    refused: Option<(Time, bool)>,
+    sent_at: Time,
+    /// Whether it was sent again, through others too.
+    retried: bool,
+    /// The connection that the member's machine has refused since the probe was sent.
+    refused: Option<RefusedConnection>,
+}
+
+/// A probe that is sent on another member's behalf.
+pub(super) struct IndirectProbe {
+    /// The address of the member that requested it.
+    requester: SocketAddr,
+    /// The requester's number of the probe.
+    requester_number: u32,
+    /// When the probe was sent.
+    pub sent_at: Time,
 }
 
 impl Probe {
-    /// When it is next to be [followed up](Node::follow_up_due), in a protocol of this period.
-    pub fn due(&self, period: Duration) -> Time {
-        let due = self.sent.after(if self.again { period } else { period / PROBE_AGAIN });
-        self.refused.filter(|(_, tried)| !tried).map_or(due, |(at, _)| due.min(at))
+    /// When the probe is next to be [followed up](Node::follow_up_due), with this probe interval.
+    pub fn due(&self, interval: Duration) -> Time {
+        let timeout = if self.retried { interval } else { interval / PROBE_RETRY_DIVISOR };
+        let due = self.sent_at.after(timeout);
+        let connection_retry = self.refused.as_ref().filter(|refused| !refused.retried);
+        connection_retry.map_or(due, |refused| due.min(refused.retry_at))
     }
 
-    /// Whether a refused connection is to be tried once more now; it is said once.
-    fn retries_connection(&mut self, now: Time) -> bool {
+    /// Whether a refused connection is to be retried now; true only once.
+    fn begin_connection_retry(&mut self, now: Time) -> bool {
         match &mut self.refused {
-            Some((at, tried)) if !*tried && *at <= now => {
-                *tried = true;
+            Some(refused) if !refused.retried && refused.retry_at <= now => {
+                refused.retried = true;
                 true
             }
             _ => false,
@@ -54,22 +73,20 @@
         self.probes.values().any(|probe| probe.name == name)
     }
 
-    /// Probes the next member of the round; of a new one, in a random order, where that is through.
+    /// Probes the next member of the round, and begins a new round in a random order where the last one is complete.
     pub(super) fn probe_next(&mut self, now: Time) {
         loop {
-            if self.round.is_empty() {
-                self.round = self.table.present().map(|seen| seen.update.name.clone()).collect();
-                self.random.shuffle(&mut self.round);
-                if self.round.is_empty() {
-                    return;
-                }
+            if self.probe_order.is_empty() {
+                let present = self.table.present().map(|member| member.update.name.clone());
+                self.probe_order = present.collect();
+                self.random.shuffle(&mut self.probe_order);
             }
-            let Some(name) = self.round.pop() else { return };
-            if !self.is_probed(&name) && self.table.get(&name).is_some_and(|seen| seen.update.state.present())
-            {
+            let Some(name) = self.probe_order.pop() else { return };
+            let is_present = self.table.get(&name).is_some_and(|member| member.update.state.is_present());
+            if is_present && !self.is_probed(&name) {
                 return self.probe(now, &name);
             }
-            if self.round.is_empty() {
+            if self.probe_order.is_empty() {
                 return;
             }
         }
@@ -77,12 +94,13 @@
 
     /// Probes a member.
     pub(super) fn probe(&mut self, now: Time, name: &str) {
-        let Some(seen) = self.table.get(name) else { return };
-        let (start, to, hears) = (seen.update.start, seen.update.address, seen.link != Link::Relayed);
+        let Some(member) = self.table.get(name) else { return };
+        let (start, to) = (member.update.start, member.update.address);
+        let receives_peer = member.reachability != Reachability::Indirect;
         let number = self.next_probe_number();
-        let probe = Probe { name: name.to_owned(), start, sent: now, again: false, refused: None };
+        let probe = Probe { name: name.to_owned(), start, sent_at: now, retried: false, refused: None };
         self.probes.insert(number, probe);
-        self.send(to, MessageKind::Ping { number, hears }, Some(name));
+        self.send(to, MessageKind::Ping { number, receives_peer }, Some(name));
     }
 
     /// The number of the next probe.
@@ -91,10 +109,10 @@
         self.last_probe_number
     }
 
-    /// Probes again whom it did not hear, and concludes where that was in vain.
+    /// Sends probes that were not answered in time again, and suspects members where that was in vain.
     pub(super) fn follow_up_due(&mut self, now: Time) {
-        let period = self.timing.probe_interval;
-        let due = self.probes.iter().filter(|(_, probe)| probe.due(period) <= now);
+        let interval = self.timing.probe_interval;
+        let due = self.probes.iter().filter(|(_, probe)| probe.due(interval) <= now);
         for number in due.map(|(number, _)| *number).collect::<Vec<_>>() {
             self.follow_up(now, number);
         }
@@ -103,89 +121,112 @@
     fn follow_up(&mut self, now: Time, number: u32) {
         let Some(probe) = self.probes.get_mut(&number) else { return };
         let (name, start) = (probe.name.clone(), probe.start);
-        let Some(seen) = self.table.get(&name).filter(|seen| seen.update.start == start) else {
+        let known = self.table.get(&name);
+        let Some(member) = known.filter(|member| member.update.start == start) else {
             self.probes.remove(&number);
             return;
         };
-        let (address, hears) = (seen.update.address, seen.link != Link::Relayed);
-        if probe.retries_connection(now) {
-            self.orders.push(Command::ProbeConnection { name: name.clone(), start, address });
+        let address = member.update.address;
+        let receives_peer = member.reachability != Reachability::Indirect;
+        let probe_connection = Command::ProbeConnection { name: name.clone(), start, address };
+        if probe.begin_connection_retry(now) {
+            self.commands.push(probe_connection.clone());
             if probe.due(self.timing.probe_interval) > now {
                 return;
             }
         }
-        if std::mem::replace(&mut probe.again, true) {
+        if std::mem::replace(&mut probe.retried, true) {
             self.probes.remove(&number);
             return self.suspect(now, &name);
         }
-        self.send(address, MessageKind::Ping { number, hears }, Some(&name));
-        self.orders.push(Command::ProbeConnection { name: name.clone(), start, address });
-        for helper in self.pick_members(INDIRECT_PROBES, |claim| claim.name != name) {
-            self.send(helper.address, MessageKind::SearchRequest { number, target: name.clone() }, None);
+        self.send(address, MessageKind::Ping { number, receives_peer }, Some(&name));
+        self.commands.push(probe_connection);
+        for helper in self.pick_members(INDIRECT_PROBES, |update| update.name != name) {
+            let request = MessageKind::PingRequest { number, target: name.clone() };
+            self.send(helper.address, request, None);
         }
     }
 
-    /// A member answered neither this one nor a helper.
+    /// Suspects a member that answered neither this one nor a helper, unless this one is cut off itself.
     fn suspect(&mut self, now: Time, name: &str) {
-        let Some(seen) = self.table.get(name) else { return };
-        if is_handing_over(now, seen) || self.is_isolated(now) {
+        let Some(member) = self.table.get(name) else { return };
+        if is_handing_over(now, member) || self.is_isolated(now) {
             return;
         }
-        if matches!(seen.update.state, MemberState::Alive | MemberState::HandingOver) {
-            let claim = seen.update.with_state(MemberState::Suspect);
-            self.apply(now, &claim);
+        if matches!(member.update.state, MemberState::Alive | MemberState::HandingOver) {
+            let update = member.update.with_state(MemberState::Suspect);
+            self.apply(now, &update);
         }
     }
 
-    /// A member has answered a probe, one of this member or one sent for another.
-    pub(super) fn answered(&mut self, now: Time, number: u32, from: &MemberUpdate) {
-        if let Some((to, number, _)) = self.indirect_probes.remove(&number) {
-            return self.send(to, MessageKind::IndirectAck { number, update: from.clone() }, None);
+    /// A member has answered a probe: one of this member, or one sent on another's behalf.
+    pub(super) fn on_ack(&mut self, now: Time, number: u32, from: &MemberUpdate) {
+        if let Some(probe) = self.indirect_probes.remove(&number) {
+            let ack = MessageKind::IndirectAck { number: probe.requester_number, update: from.clone() };
+            return self.send(probe.requester, ack, None);
         }
         if self.probes.get(&number).is_some_and(|probe| probe.name == from.name) {
             self.probes.remove(&number);
         }
-        self.update_link(&from.name, |link| if link == Link::Relayed { Link::Direct } else { link });
-        let known = self.table.get(&from.name).map(|seen| seen.update.state);
-        // It answers, and does not know yet that it is suspected: it is to hear of it at once.
-        if known == Some(MemberState::Suspect) && !self.is_probed(&from.name) {
+        self.update_reachability(&from.name, |reachability| match reachability {
+            Reachability::Indirect => Reachability::Direct,
+            other => other,
+        });
+        let state = self.table.get(&from.name).map(|member| member.update.state);
+        // The member answers, and does not know yet that it is suspected: the next probe carries the suspicion to it.
+        if state == Some(MemberState::Suspect) && !self.is_probed(&from.name) {
             self.probe(now, &from.name);
         }
     }
 
-    /// Probes a member for another that does not hear it.
-    pub(super) fn probe_for(&mut self, now: Time, asker: SocketAddr, number: u32, target: &str) {
-        let Some(seen) = self.table.get(target) else { return };
-        // Guards against work without end for others.
+    /// Probes a member on behalf of another that gets no answer from it.
+    pub(super) fn probe_on_behalf(
+        &mut self,
+        now: Time,
+        requester: SocketAddr,
+        requester_number: u32,
+        target: &str,
+    ) {
+        let Some(member) = self.table.get(target) else { return };
+        // Guards against unbounded work for others.
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return;
         }
-        let (to, hears) = (seen.update.address, seen.link != Link::Relayed);
-        let own = self.next_probe_number();
-        self.indirect_probes.insert(own, (asker, number, now));
-        self.send(to, MessageKind::Ping { number: own, hears }, Some(target));
+        let to = member.update.address;
+        let receives_peer = member.reachability != Reachability::Indirect;
+        let number = self.next_probe_number();
+        let probe = IndirectProbe { requester, requester_number, sent_at: now };
+        self.indirect_probes.insert(number, probe);
+        self.send(to, MessageKind::Ping { number, receives_peer }, Some(target));
     }
 
-    /// How an attempt to connect ended. Two refusals within one question that stays open prove an end.
-    pub fn on_probe_result(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult) {
-        let Some(seen) = self.table.get(name).filter(|seen| seen.update.start == start) else { return };
-        if end != ConnectionProbeResult::Refused || is_handing_over(now, seen) || !seen.update.state.present()
+    /// Handles the result of a connection probe. Two refusals while one probe stays unanswered prove that the process is
+    /// gone.
+    pub fn on_probe_result(&mut self, now: Time, name: &str, start: u64, result: ConnectionProbeResult) {
+        let known = self.table.get(name);
+        let Some(member) = known.filter(|member| member.update.start == start) else { return };
+        if result != ConnectionProbeResult::Refused
+            || is_handing_over(now, member)
+            || !member.update.state.is_present()
         {
             return;
         }
-        let dead = seen.update.with_state(MemberState::Dead);
-        // Guards against a firewall that refuses in its place: it has not answered meanwhile, itself or by a helper.
-        let open = self.probes.values_mut().find(|probe| probe.name == name && probe.start == start);
-        let Some(probe) = open else { return };
-        match probe.refused {
-            // Guards against one that was about to listen again: twice, a moment apart.
-            None => probe.refused = Some((now.after(self.timing.probe_interval / CONNECT_AGAIN), false)),
-            Some(_) => self.apply(now, &dead),
+        let death = member.update.with_state(MemberState::Dead);
+        // Guards against a firewall that refuses in the member's place: the member has answered neither this one nor a
+        // helper while the probe is open.
+        let open_probe = self.probes.values_mut().find(|probe| probe.name == name && probe.start == start);
+        let Some(probe) = open_probe else { return };
+        if probe.refused.is_some() {
+            self.apply(now, &death);
+        } else {
+            // Guards against a process that was about to listen again: it is refused twice, a moment apart.
+            let retry_at = now.after(self.timing.probe_interval / CONNECTION_RETRY_DIVISOR);
+            probe.refused = Some(RefusedConnection { retry_at, retried: false });
         }
     }
 }
 
-/// Whether a member moves to another process, and is waited for.
-fn is_handing_over(now: Time, seen: &KnownMember) -> bool {
-    seen.update.state == MemberState::HandingOver && now.since(seen.state_since) < HANDOVER_TIMEOUT
+/// Whether a member hands over to another process, and is still waited for.
+fn is_handing_over(now: Time, member: &KnownMember) -> bool {
+    member.update.state == MemberState::HandingOver && now.since(member.state_since) < HANDOVER_TIMEOUT
 }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,225 +1,221 @@
-//! What one member knows of the others, and what has changed.
+//! What one member knows of the others: the last update about each, and how it is reached from here.
+//!
+//! The table owns this knowledge and its bound. It decides which updates apply, never what follows from them.
 
 use super::update::{MemberState, MemberUpdate};
 use crate::policy::Time;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::time::Duration;
 
 /// How a member is reached from here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Link {
-    /// It answers.
+pub enum Reachability {
+    /// Messages pass in both directions.
     #[default]
     Direct,
-    /// It answers others and not this one: a cut between the two.
-    Relayed,
-    /// It is heard from, and does not hear this one.
-    Deaf,
+    /// The member answers other members' probes, but not this one's: a partition between the two.
+    Indirect,
+    /// Messages from the member arrive, but this one's do not reach it.
+    InboundOnly,
 }
 
 /// A member as it is known here.
 #[derive(Clone, Debug)]
 pub struct KnownMember {
-    /// What holds of it.
+    /// The last update that applied.
     pub update: MemberUpdate,
-    /// Since when.
+    /// When the member came into its present state.
     pub state_since: Time,
-    /// How it is reached.
-    pub link: Link,
-    /// When it was last heard itself.
+    /// How the member is reached from here.
+    pub reachability: Reachability,
+    /// When a message last came from the member itself.
     pub last_message_at: Option<Time>,
 }
 
-/// What others are told of a member, in a word.
+/// A member's state as this member observes it: the state that is reported, refined by how the member is reached.
+///
+/// Records, the operators' API and the log write these by their outer names, which stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
+// The key of the published record schema.
 #[schemars(rename = "State")]
 pub enum ObservedState {
-    /// Claimed by others, and not yet heard here.
+    /// Reported by others; no message of its own has arrived yet.
     Joining,
-    /// It is there.
+    /// The member is running.
     Alive,
-    /// It is there, but there is a cut between it and this one.
-    Cut,
-    /// Another process of it takes over.
-    Moving,
-    /// It has not answered somebody.
+    /// The member is running, but a partition lies between it and this one.
+    #[serde(rename = "cut")]
+    Partitioned,
+    /// Another process takes over under the same name.
+    #[serde(rename = "moving")]
+    HandingOver,
+    /// The member has not answered some other member's probe.
     Suspect,
-    /// It died silently, or is cut off from all.
-    Silent,
-    /// It died.
+    /// The member did not answer in time: it died without a trace, or is partitioned from all.
+    #[serde(rename = "silent")]
+    Failed,
+    /// The process is gone for certain.
     Dead,
-    /// It left.
+    /// The member announced that it left.
     Left,
 }
 
+impl ObservedState {
+    /// Whether a member in this state takes its share of the traffic, as far as is known.
+    pub fn is_present(self) -> bool {
+        !matches!(self, ObservedState::Failed | ObservedState::Dead | ObservedState::Left)
+    }
+}
+
+impl fmt::Display for ObservedState {
+    /// Writes the outer name, the same as in records and the operators' API.
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            ObservedState::Joining => "joining",
+            ObservedState::Alive => "alive",
+            ObservedState::Partitioned => "cut",
+            ObservedState::HandingOver => "moving",
+            ObservedState::Suspect => "suspect",
+            ObservedState::Failed => "silent",
+            ObservedState::Dead => "dead",
+            ObservedState::Left => "left",
+        })
+    }
+}
+
 impl KnownMember {
-    /// Its state.
+    /// The member's state as it is observed here.
     pub fn state(&self) -> ObservedState {
         match self.update.state {
-            MemberState::Alive if self.link != Link::Direct => ObservedState::Cut,
+            MemberState::Alive if self.reachability != Reachability::Direct => ObservedState::Partitioned,
             MemberState::Alive if self.last_message_at.is_none() => ObservedState::Joining,
             MemberState::Alive => ObservedState::Alive,
-            MemberState::HandingOver => ObservedState::Moving,
+            MemberState::HandingOver => ObservedState::HandingOver,
             MemberState::Suspect => ObservedState::Suspect,
-            MemberState::Failed => ObservedState::Silent,
+            MemberState::Failed => ObservedState::Failed,
             MemberState::Dead => ObservedState::Dead,
             MemberState::Left => ObservedState::Left,
         }
     }
 }
 
-/// A member stands otherwise than before.
+/// A change of a member's observed state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its process.
+    /// The start of its process.
     pub start: u64,
-    /// Its state now.
+    /// The state from now on.
     pub state: ObservedState,
 }
 
-/// All others, by name. Bounded: where it is full, who has gone longest makes room, and nobody else is taken in.
+/// All other members, by name. The table is bounded: if it is full, the member that has been gone longest is removed for a
+/// new one; if none is gone, new ones are ignored.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct MemberTable {
     members: BTreeMap<String, KnownMember>,
-    most: usize,
+    max_members: usize,
 }
 
-impl Table {
-    /// An empty one for so many others.
-    pub fn new(most: usize) -> Table {
-        Table { members: BTreeMap::new(), most: most.max(1) }
+impl MemberTable {
+    /// An empty table for so many members, one at least.
+    pub fn new(max_members: usize) -> MemberTable {
+        MemberTable { members: BTreeMap::new(), max_members: max_members.max(1) }
     }
-    /// A member.
+
+    /// The member of this name.
     pub fn get(&self, name: &str) -> Option<&KnownMember> {
         self.members.get(name)
     }
-    /// A member, to be told of being heard.
+
+    /// The member of this name, to note how and when messages pass.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut KnownMember> {
         self.members.get_mut(name)
     }
-    /// All, by name.
+
+    /// All members, by name.
     pub fn iter(&self) -> impl Iterator<Item = &KnownMember> {
         self.members.values()
     }
-    /// Those who share the traffic, as far as is known.
+
+    /// The members that take their share of the traffic, as far as is known.
     pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
-        self.iter().filter(|seen| seen.update.state.present())
+        self.iter().filter(|member| member.update.state.is_present())
     }
 
-    /// Takes a claim if it holds against what is known; whether it did.
-    pub fn take(&mut self, now: Time, claim: &MemberUpdate) -> bool {
-        // Guards against ghosts: the death of somebody unknown is no news, and is not remembered.
-        let known = self.members.contains_key(&claim.name);
-        if !known && (!claim.state.present() || !self.room()) {
+    /// Applies an update if it supersedes what is known; returns whether it did.
+    pub fn apply(&mut self, now: Time, update: &MemberUpdate) -> bool {
+        let Some(member) = self.members.get_mut(&update.name) else {
+            return self.insert(now, update);
+        };
+        if !update.supersedes(&member.update) {
             return false;
         }
-        match self.members.get_mut(&claim.name) {
-            Some(seen) if claim.supersedes(&seen.update) => {
-                if claim.state != seen.update.state || claim.start != seen.update.start {
-                    seen.state_since = now;
-                }
-                if claim.start != seen.update.start {
-                    (seen.last_message_at, seen.link) = (None, Link::Direct);
-                }
-                // Guards against claims that lead a living process's traffic elsewhere: its address is its start's.
-                let address =
-                    if claim.start == seen.update.start { seen.update.address } else { claim.address };
-                seen.update = MemberUpdate { address, ..claim.clone() };
-                true
-            }
-            Some(_) => false,
-            None => {
-                let seen = KnownMember {
-                    update: claim.clone(),
-                    state_since: now,
-                    link: Link::Direct,
-                    last_message_at: None,
-                };
-                self.members.insert(claim.name.clone(), seen);
-                true
-            }
+        let same_process = update.start == member.update.start;
+        if !same_process || update.state != member.update.state {
+            member.state_since = now;
+        }
+        if !same_process {
+            (member.last_message_at, member.reachability) = (None, Reachability::Direct);
         }
+        // A process keeps its address: guards against updates that divert a living process's traffic.
+        let address = if same_process { member.update.address } else { update.address };
+        member.update = MemberUpdate { address, ..update.clone() };
+        true
     }
 
-    /// Makes room for one more, if any has gone for good.
-    fn room(&mut self) -> bool {
-        if self.members.len() < self.most {
+    /// Inserts an unknown member if it is present and there is capacity. The death of an unknown member is ignored: guards
+    /// against passing on members that nobody remembers.
+    fn insert(&mut self, now: Time, update: &MemberUpdate) -> bool {
+        if !update.state.is_present() || !self.make_room() {
+            return false;
+        }
+        let member = KnownMember {
+            update: update.clone(),
+            state_since: now,
+            reachability: Reachability::Direct,
+            last_message_at: None,
+        };
+        self.members.insert(update.name.clone(), member);
+        true
+    }
+
+    /// Removes the member that has been gone longest if the table is full; returns whether there is capacity for one more.
+    fn make_room(&mut self) -> bool {
+        if self.members.len() < self.max_members {
             return true;
         }
-        let gone = self.iter().filter(|seen| !seen.update.state.present());
-        let oldest = gone.min_by_key(|seen| seen.state_since).map(|seen| seen.update.name.clone());
+        let gone = self.iter().filter(|member| !member.update.state.is_present());
+        let oldest = gone.min_by_key(|member| member.state_since).map(|member| member.update.name.clone());
         oldest.is_some_and(|name| self.members.remove(&name).is_some())
     }
 
-    /// Forgets who has been gone for longer than it is remembered: `certain` for those whose end is known, `silent` for the
-    /// others.
-    pub fn forget(&mut self, now: Time, certain: Duration, silent: Duration) {
-        self.members.retain(|_, seen| {
-            let gone = now.since(seen.state_since);
-            match seen.update.state {
-                MemberState::Failed => gone < silent,
-                MemberState::Dead | MemberState::Left => gone < certain,
+    /// Removes members that have been gone for their retention: `failed_retention` for failed ones, `gone_retention` for
+    /// those whose end is known.
+    pub fn remove_expired(&mut self, now: Time, gone_retention: Duration, failed_retention: Duration) {
+        self.members.retain(|_, member| {
+            let age = now.since(member.state_since);
+            match member.update.state {
+                MemberState::Failed => age < failed_retention,
+                MemberState::Dead | MemberState::Left => age < gone_retention,
                 _ => true,
             }
         });
     }
 
-    /// Moves what it remembers of times on, after a time in which this process stood still.
-    pub fn stood_still(&mut self, span: Duration) {
-        for seen in self.members.values_mut() {
-            seen.state_since = seen.state_since.after(span);
-            seen.last_message_at = seen.last_message_at.map(|at| at.after(span));
+    /// Moves all remembered times forward, after the local process was paused for this long.
+    pub fn shift_times(&mut self, pause: Duration) {
+        for member in self.members.values_mut() {
+            member.state_since = member.state_since.after(pause);
+            member.last_message_at = member.last_message_at.map(|at| at.after(pause));
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn claim(name: &str, start: u64, standing: MemberState) -> MemberUpdate {
-        let (zone, address) = (String::new(), ([127, 0, 0, 1], 9).into());
-        MemberUpdate { name: name.to_owned(), start, incarnation: 0, address, zone, state: standing }
-    }
-
-    #[test]
-    fn a_full_table_lets_the_longest_gone_go_and_never_one_that_is_there() {
-        let mut table = Table::new(2);
-        assert!(table.take(Time(1), &claim("a", 1, MemberState::Alive)));
-        assert!(table.take(Time(1), &claim("b", 1, MemberState::Alive)));
-        assert!(!table.take(Time(2), &claim("c", 1, MemberState::Alive)), "both are there");
-        assert!(table.take(Time(3), &claim("b", 1, MemberState::Left)));
-        assert!(table.take(Time(4), &claim("c", 1, MemberState::Alive)));
-        assert!(table.get("b").is_none() && table.get("a").is_some());
-        // A loop of restarts is one member.
-        (2..200).for_each(|start| assert!(table.take(Time(start), &claim("c", start, MemberState::Alive))));
-        assert_eq!(table.iter().count(), 2);
-    }
-
-    #[test]
-    fn the_unknown_dead_are_no_news_and_the_dead_fade() {
-        let mut table = Table::new(9);
-        assert!(!table.take(Time(1), &claim("a", 1, MemberState::Dead)));
-        assert!(table.take(Time(1), &claim("b", 1, MemberState::Alive)));
-        assert!(table.take(Time(2), &claim("b", 1, MemberState::Failed)));
-        table.forget(Time(12), Duration::from_nanos(5), Duration::from_nanos(50));
-        assert!(table.get("b").is_some(), "it may be behind a cut");
-        table.forget(Time(53), Duration::from_nanos(5), Duration::from_nanos(50));
-        assert!(table.get("b").is_none());
-    }
-
-    #[test]
-    fn a_claim_about_a_living_process_does_not_move_it() {
-        let mut table = Table::new(9);
-        let first = claim("a", 1, MemberState::Alive);
-        assert!(table.take(Time(1), &first));
-        let moved = MemberUpdate { incarnation: 7, address: ([127, 0, 0, 9], 666).into(), ..first.clone() };
-        assert!(table.take(Time(2), &moved));
-        assert_eq!(table.get("a").map(|seen| seen.update.address), Some(first.address));
-    }
-}
+mod tests;
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,26 +1,28 @@
-//! The times of the protocol, as settings may set them.
+//! The time constants of the membership protocol; an operator's file may set some of them.
 
 use std::time::Duration;
 
-/// Times of the protocol.
+/// Time constants of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two rounds of questions; the answer is due in it.
+    /// Between two rounds of probes; a probe's answer is due within it.
     pub probe_interval: Duration,
-    /// Between two rounds of gossip, while there is news.
+    /// Between two rounds of gossip, while there are updates to pass on.
     pub gossip_interval: Duration,
-    /// From suspicion to burial.
+    /// From a suspicion to the declaration of the member's death.
     pub suspicion_timeout: Duration,
-    /// A jump of the clock between two ticks from which this process stood still itself.
+    /// A gap between two ticks from which the local process itself was paused.
     pub pause_threshold: Duration,
-    /// Time without a word from anybody after which this one is cut off itself.
+    /// Time without any message after which this member takes itself for the one that is cut off.
     pub isolation_timeout: Duration,
     /// Between two exchanges of whole tables.
     pub exchange_interval: Duration,
-    /// Between two attempts to find who was lost.
+    /// Between two attempts to reach failed members and missing seeds.
     pub rejoin_interval: Duration,
-    /// How long the certainly dead are remembered, and those who fell silent.
-    pub remember: (Duration, Duration),
+    /// How long dead members, and those that left, are remembered.
+    pub gone_retention: Duration,
+    /// How long failed members are remembered.
+    pub failed_retention: Duration,
 }
 
 impl Default for Timing {
@@ -33,7 +35,8 @@
             isolation_timeout: Duration::from_secs(2),
             exchange_interval: Duration::from_secs(15),
             rejoin_interval: Duration::from_secs(3),
-            remember: (Duration::from_secs(60), Duration::from_secs(600)),
+            gone_retention: Duration::from_secs(60),
+            failed_retention: Duration::from_secs(600),
         }
     }
 }
--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -1,178 +1,159 @@
-//! What is said about members, and which of two claims holds.
+//! The messages that members exchange and the updates in them: the form of both, which of two updates about the same member
+//! supersedes the other, and which of them are valid.
+//!
+//! The enums' variants and the structs' fields are encoded by position (postcard), not by name: their order is part of the
+//! wire form, their names are not. This module keeps no state and does no I/O.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name, and the longest name of a zone, in bytes.
+/// The longest name of a member, and the longest name of a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes that all claims of a message may take, the sender's own among them: a datagram of 1,200 less seal and head.
+/// The most bytes that all updates of a message may take, the sender's own among them: a datagram of 1,200 bytes, less the
+/// seal and the header.
 pub const MAX_UPDATES_BYTES: usize = 1160;
-/// Bytes of a claim beside its texts, at most.
-const FIXED: usize = 40;
+/// The most bytes of an encoded update beside its two texts.
+const FIXED_UPDATE_BYTES: usize = 40;
 
-/// How a member stands.
+/// The state of a member as members report it to each other. The order is that of precedence within one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is there.
+    /// The member is running.
     Alive,
-    /// It stops, and another process of the same name takes over.
+    /// The process stops, and another process takes over under the same name.
     HandingOver,
-    /// It has not answered somebody.
+    /// The member has not answered some other member's probe.
     Suspect,
-    /// It died, as far as silence tells.
+    /// The member was declared dead because it did not answer in time; a network partition looks the same.
     Failed,
-    /// It died: its machine refuses connections to it.
+    /// The process is gone for certain: its machine refuses connections to it.
     Dead,
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// It takes its share of the traffic, as far as is known.
-    pub fn present(self) -> bool {
+    /// Whether a member in this state takes its share of the traffic, as far as is known.
+    pub fn is_present(self) -> bool {
         self < MemberState::Failed
     }
 }
 
-/// What somebody says about a member.
+/// What one member reports about a member, itself or another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Its name, which stays.
+    /// The member's name, which stays the same across restarts.
     pub name: String,
-    /// Its process: the time of its start in Unix nanoseconds, or later.
+    /// Identifies the process: its start time in Unix nanoseconds, or a later value if the member had to take its name back.
     pub start: u64,
-    /// Raised by the member itself, to answer a claim about it.
+    /// Raised by the member itself to refute an update about it.
     pub incarnation: u32,
-    /// Where it is reached.
+    /// The address at which the member receives datagrams and connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The member's zone.
     pub zone: String,
-    /// How it stands.
+    /// The reported state.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Whether this one holds against the other, about the same name. A later start makes all claims about earlier ones
-    /// void; of one start, what it says last is its own end; then the higher incarnation, then the worse standing.
+    /// Whether this update supersedes another one about the same name. A later start voids all updates about earlier ones.
+    /// Within one start, the member's own leave is final; then the higher incarnation wins, then the later state.
+    #[must_use]
     pub fn supersedes(&self, other: &MemberUpdate) -> bool {
-        let rank = |claim: &MemberUpdate| {
-            let last = claim.state == MemberState::Left;
-            (claim.start, last, claim.incarnation, claim.state)
+        let rank = |update: &MemberUpdate| {
+            let is_final = update.state == MemberState::Left;
+            (update.start, is_final, update.incarnation, update.state)
         };
         rank(self) > rank(other)
     }
 
-    /// Whether it may be taken at all.
+    /// Whether the update is well-formed: names within their limits and without control characters, and a usable port.
+    #[must_use]
     pub fn is_valid(&self) -> bool {
-        let named = |text: &str| text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
-        !self.name.is_empty() && named(&self.name) && named(&self.zone) && self.address.port() != 0
+        let valid_name = |text: &str| text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
+        !self.name.is_empty() && valid_name(&self.name) && valid_name(&self.zone) && self.address.port() != 0
     }
 
-    /// The same with another standing.
-    pub fn with_state(&self, standing: MemberState) -> MemberUpdate {
-        MemberUpdate { state: standing, ..self.clone() }
+    /// A copy of the update with another state.
+    pub fn with_state(&self, state: MemberState) -> MemberUpdate {
+        MemberUpdate { state, ..self.clone() }
     }
 
-    /// Bytes that it takes in a message, at most.
+    /// An upper bound of the update's encoded size, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
-        self.name.len() + self.zone.len() + FIXED
+        self.name.len() + self.zone.len() + FIXED_UPDATE_BYTES
     }
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Asks for an [`MessageKind::Ack`] of this number. `hears` is whether the sender has lately heard the receiver itself.
+    /// A probe; the receiver answers with a [`MessageKind::Ack`] of the same number.
     Ping {
-        /// The number of the question.
+        /// The number of the probe.
         number: u32,
-        /// Whether it has.
-        hears: bool,
+        /// Whether messages from the receiver have lately reached the sender directly.
+        receives_peer: bool,
     },
-    /// Answers it.
+    /// The answer to a probe.
     Ack {
-        /// The number of the question.
+        /// The number of the probe.
         number: u32,
     },
-    /// Asks the receiver to ask a third.
-    SearchRequest {
-        /// The number of the sender's question.
+    /// Requests that the receiver probe a third member on the sender's behalf (an indirect probe).
+    PingRequest {
+        /// The number of the sender's probe.
         number: u32,
-        /// Whom.
+        /// The name of the member to probe.
         target: String,
     },
-    /// The third has answered the receiver's helper.
+    /// Reports that the third member answered an indirect probe.
     IndirectAck {
-        /// The number of the question that was helped with.
+        /// The number of the probe in the [`MessageKind::PingRequest`].
         number: u32,
-        /// What the third said of itself.
+        /// What the third member reported about itself.
         update: MemberUpdate,
     },
-    /// News alone.
+    /// Carries updates only.
     Gossip,
-    /// A whole table, over a connection; to be answered in kind.
+    /// A whole member table, sent over a connection; the receiver returns its own.
     Table,
 }
 
 /// What one member sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it, in its own words.
+    /// The sender, as it reports itself.
     pub from: MemberUpdate,
-    /// What for.
+    /// The purpose.
     pub kind: MessageKind,
-    /// News.
+    /// Updates about other members.
     pub updates: Vec<MemberUpdate>,
 }
 
 impl Message {
-    /// Bytes that its claims take, at most.
+    /// An upper bound of the encoded size of the message's updates and texts, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
-        let relayed = match &self.kind {
-            MessageKind::IndirectAck { update: claim, .. } => claim.max_encoded_bytes(),
-            MessageKind::SearchRequest { target, .. } => target.len(),
+        let kind = match &self.kind {
+            MessageKind::IndirectAck { update, .. } => update.max_encoded_bytes(),
+            MessageKind::PingRequest { target, .. } => target.len(),
             _ => 0,
         };
-        self.from.max_encoded_bytes()
-            + relayed
-            + self.updates.iter().map(MemberUpdate::max_encoded_bytes).sum::<usize>()
+        let updates: usize = self.updates.iter().map(MemberUpdate::max_encoded_bytes).sum();
+        self.from.max_encoded_bytes() + kind + updates
     }
-    /// Whether it may be taken at all.
+
+    /// Whether all updates in the message are well-formed.
+    #[must_use]
     pub fn is_valid(&self) -> bool {
-        let relayed = match &self.kind {
-            MessageKind::IndirectAck { update: claim, .. } => claim.is_valid(),
+        let valid_kind = match &self.kind {
+            MessageKind::IndirectAck { update, .. } => update.is_valid(),
             _ => true,
         };
-        self.from.is_valid() && relayed && self.updates.iter().all(MemberUpdate::is_valid)
+        self.from.is_valid() && valid_kind && self.updates.iter().all(MemberUpdate::is_valid)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn claim((start, incarnation, standing): (u64, u32, u8)) -> MemberUpdate {
-        use MemberState::*;
-        let standing = [Alive, HandingOver, Suspect, Failed, Dead, Left][usize::from(standing % 6)];
-        let (name, zone, address) = ("g1".to_owned(), String::new(), ([127, 0, 0, 1], 9).into());
-        MemberUpdate { name, start, incarnation, address, zone, state: standing }
-    }
-
-    proptest! {
-        #[test]
-        fn of_two_different_claims_just_one_holds_and_the_order_is_one(
-            a in (0..3_u64, 0..3_u32, 0..6_u8), b in (0..3_u64, 0..3_u32, 0..6_u8), c in (0..3_u64, 0..3_u32, 0..6_u8),
-        ) {
-            let (a, b, c) = (claim(a), claim(b), claim(c));
-            let same = (a.start, a.state) == (b.start, b.state)
-                && (a.incarnation == b.incarnation);
-            prop_assert_eq!(!same, a.supersedes(&b) != b.supersedes(&a));
-            prop_assert!(!(a.supersedes(&b) && b.supersedes(&c)) || a.supersedes(&c));
-            // A process that has said that it leaves is not brought back but by a later one.
-            if a.state == MemberState::Left && b.supersedes(&a) {
-                prop_assert!(b.start > a.start || b.state == MemberState::Left);
-            }
-        }
-    }
-}
+mod tests;
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -27,12 +27,12 @@
 
 impl MembershipObserver for Told {
     fn on_member_change(&self, change: &MemberChange) {
-        log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
+        log::info!("members: {} is {}", change.name, change.state);
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
     fn on_fleet_size(&self, count: u32) {
-        log::info!("members: {count} on_fleet_size share the fleet");
+        log::info!("members: {count} gatherers share the fleet");
         self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -110,16 +110,16 @@
         Node::next_due(self)
     }
     fn hear(&mut self, now: Time, message: Message) {
-        Node::hear(self, now, message);
+        Node::receive(self, now, message);
     }
     fn knocked(&mut self, now: Time, name: &str, start: u64, end: ConnectionProbeResult) {
-        Node::knocked(self, now, name, start, end);
+        Node::on_probe_result(self, now, name, start, end);
     }
     fn table(&self) -> Message {
         self.table_message()
     }
     fn exchanged(&mut self, now: Time, message: Message) {
-        Node::exchanged(self, now, message);
+        Node::receive_table(self, now, message);
     }
     fn acts(&mut self) -> Vec<Act<Message>> {
         self.take_commands().into_iter().filter_map(act).collect()
@@ -146,7 +146,7 @@
 
 /// Whether one that is seen so is taken to be there.
 pub fn there(state: ObservedState) -> bool {
-    !matches!(state, ObservedState::Silent | ObservedState::Dead | ObservedState::Left)
+    !matches!(state, ObservedState::Failed | ObservedState::Dead | ObservedState::Left)
 }
 
 #[derive(Clone)]
@@ -338,7 +338,7 @@
     }
     /// Deaths told of processes that were there.
     pub fn buried_alive(&self) -> Vec<&Told> {
-        let dead = |told: &&Told| matches!(told.change.state, ObservedState::Silent | ObservedState::Dead);
+        let dead = |told: &&Told| matches!(told.change.state, ObservedState::Failed | ObservedState::Dead);
         self.told.iter().filter(dead).filter(|told| told.lives).collect()
     }
     /// Lets time pass until this is so, in steps of 50 ms; how long that took, if it came to be.
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -44,13 +44,13 @@
         }
         world.stop(3, s(30));
         world.advance(s(25));
-        assert_eq!(world.sees(0, 3), Some(ObservedState::Silent));
+        assert_eq!(world.sees(0, 3), Some(ObservedState::Failed));
         assert_eq!(world.gatherers(0), Some(12), "its share is not given away yet");
         world.advance(s(15));
         assert!(world.agree(), "seed {seed}: {:?}", world.node(0).map(counted));
         // The one that stood still buried nobody when it woke.
         assert!(
-            world.told.iter().all(|told| told.by != 3 || !matches!(told.change.state, ObservedState::Silent))
+            world.told.iter().all(|told| told.by != 3 || !matches!(told.change.state, ObservedState::Failed))
         );
     }
 }
@@ -76,7 +76,7 @@
         world.cut(left, |id| !left(id));
         world.cut(|id| !left(id), left);
         world.advance(s(120));
-        assert_eq!(world.sees(0, 9), Some(ObservedState::Silent));
+        assert_eq!(world.sees(0, 9), Some(ObservedState::Failed));
         // Neither half is a majority: each goes on with the share that it had.
         (0..10).for_each(|id| assert_eq!(world.gatherers(id), Some(10), "seed {seed}, member {id}"));
         world.told.clear();
@@ -115,7 +115,7 @@
         world.advance(s(120));
         assert!(world.buried_alive().is_empty(), "seed {seed}");
         // 5 hears 2 through others alone, and so does 2 hear 5's answers to what never came.
-        assert_eq!(world.sees(5, 2), Some(ObservedState::Cut), "seed {seed}");
+        assert_eq!(world.sees(5, 2), Some(ObservedState::Partitioned), "seed {seed}");
         assert!(
             (0..8)
                 .filter(|id| ![2, 5].contains(id))
@@ -139,7 +139,7 @@
         assert!(world.buried_alive().is_empty(), "seed {seed}: {:?}", world.buried_alive());
         assert_eq!(
             (world.sees(2, 5), world.sees(5, 2)),
-            (Some(ObservedState::Cut), Some(ObservedState::Cut)),
+            (Some(ObservedState::Partitioned), Some(ObservedState::Partitioned)),
             "seed {seed}"
         );
     }
@@ -151,10 +151,10 @@
     world.cut(|id| id == 4, |_| true);
     world.cut(|_| true, |id| id == 4);
     world.advance(s(90));
-    assert!(world.told.iter().all(|told| told.by != 4 || told.change.state != ObservedState::Silent));
+    assert!(world.told.iter().all(|told| told.by != 4 || told.change.state != ObservedState::Failed));
     assert!(world.node(4).is_some_and(|node| node.is_isolated(world.now)));
     assert_eq!(world.gatherers(4), Some(9));
-    assert_eq!(world.sees(0, 4), Some(ObservedState::Silent));
+    assert_eq!(world.sees(0, 4), Some(ObservedState::Failed));
     world.cuts.clear();
     assert!(world.until(s(30), World::agree).is_some());
 }
@@ -188,7 +188,7 @@
     let took = world.until(s(5), World::agree);
     assert!(took.is_some_and(|took| took <= s(1)), "{took:?}");
     let dead =
-        |told: &&engine::Told| matches!(told.change.state, ObservedState::Dead | ObservedState::Silent);
+        |told: &&engine::Told| matches!(told.change.state, ObservedState::Dead | ObservedState::Failed);
     assert_eq!(world.told.iter().filter(dead).count(), 0);
     // One that moves and never comes is found dead all the same.
     world.leave(6, true);
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -34,7 +34,7 @@
 }
 
 fn dead_to_all(world: &World, id: usize) -> bool {
-    world.living().all(|by| matches!(world.sees(by, id), Some(ObservedState::Dead | ObservedState::Silent)))
+    world.living().all(|by| matches!(world.sees(by, id), Some(ObservedState::Dead | ObservedState::Failed)))
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let nobody = |world: &mut World, what: &str| {
         world.advance(Duration::from_secs(15));
         assert!(world.buried_alive().is_empty(), "{what}: {:?}", world.told);
-        assert_eq!(world.sees(0, 1), Some(ObservedState::Cut), "{what}");
+        assert_eq!(world.sees(0, 1), Some(ObservedState::Partitioned), "{what}");
     };
     explore(4, cut, nobody);
     // The one that crashes is one of those who can tell the two apart.
