--- a/src/fronts/mod.rs
+++ b/src/fronts/mod.rs
@@ -1,5 +1,5 @@
-//! What is spoken to whom: the platform's protocol and the OpenSearch-style form to clients, calls to operators. Each
-//! front sees a request through from its bytes to its one answer.
+//! The fronts: the platform's protocol and the OpenSearch-style API for clients, and the operators' API. Each handles a
+//! request from its bytes to its one response. A front does not read or write streams, and does not choose workers.
 
 pub mod opensearch;
 pub mod operators;
@@ -9,15 +9,15 @@
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::{errors, socket};
 
-/// All counts since the start, a line each: of queries and attempts, and of connections.
-pub fn counts(broker: &Broker, gate: &ConnectionManager) -> String {
+/// All counters since the start of the process: one line each for queries and attempts, connections, and violations.
+pub fn counters_text(broker: &Broker, connections: &ConnectionManager) -> String {
     let (queries, violations) =
         broker.with_core(|core| (core.counters.to_string(), core.violations().to_string()));
-    let connections = gate.descriptor_pool().counters.borrow();
-    let calls = format!(
+    let connection_counters = connections.descriptor_pool().counters.borrow();
+    let retried = format!(
         "calls_interrupted={} calls_repeated={}",
         socket::interrupted_calls(),
         errors::retried_calls()
     );
-    format!("counters: {queries}\nconnections: {connections} {calls}\nviolations: {violations}")
+    format!("counters: {queries}\nconnections: {connection_counters} {retried}\nviolations: {violations}")
 }
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -1,6 +1,7 @@
-//! The OpenSearch-style front: searches, pages of held results, and keys for searches that must not run twice.
+//! The OpenSearch-style front: searches, scrolls over stored results, and idempotency keys for searches that must not run
+//! twice. It owns the stored results and the outcomes of keys, both bounded.
 
-use super::counts;
+use super::counters_text;
 use crate::policy::*;
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
@@ -19,121 +20,124 @@
 use tokio::task::spawn_local;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Where keys are issued.
-const KEYS: &str = "/_clayshore/idempotency_keys";
-/// How many keys are held, for how long, and how many bytes of outcomes.
-const BOUNDS: IdempotencyLimits =
+/// Path at which idempotency keys are issued.
+const IDEMPOTENCY_KEYS_PATH: &str = "/_clayshore/idempotency_keys";
+/// Limits of issued keys and of their stored outcomes.
+const IDEMPOTENCY_LIMITS: IdempotencyLimits =
     IdempotencyLimits { max_keys: 4096, max_bytes: 16 << 20, retention: Duration::from_secs(600) };
-/// How many results are held for further pages, of how many bytes in all, and for how long at most.
-const MOST_HELD: usize = 256;
-const MOST_HELD_BYTES: usize = 32 << 20;
-const LONGEST_HELD: Duration = Duration::from_secs(300);
-/// When to come back where something is full.
-const FULL_PAUSE: Duration = Duration::from_secs(1);
+/// Number of results stored for scrolling.
+const MAX_SCROLLS: usize = 256;
+/// Total size of results stored for scrolling, in bytes.
+const MAX_SCROLL_BYTES: usize = 32 << 20;
+/// Longest time for which a result is stored for scrolling.
+const MAX_SCROLL_LIFETIME: Duration = Duration::from_secs(300);
+/// `Retry-After` where no further key can be issued.
+const KEYS_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the front's file says, beside the contracts.
+/// Names in requests, from the front's file, and what they stand for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
-    /// Class of each index.
+pub struct RequestNames {
+    /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
-    /// Tenant of each caller.
+    /// Tenant of each caller, by the caller's id. Where empty, callers are not checked.
     pub callers: HashMap<String, TenantId>,
-    /// Most hits that a shard is asked for.
+    /// Number of hits that are requested from one shard at most.
     pub window: usize,
 }
 
-/// A result that is held for its further pages.
-struct Scroll {
+/// A result stored for its further pages.
+struct ScrollResult {
     merged: MergedResult,
     size: usize,
     shards: usize,
 }
 
-/// Serves the OpenSearch-style form.
-pub struct OpenSearch {
+/// Serves the OpenSearch-style API.
+pub struct OpenSearchFront {
     broker: Broker,
     clock: Clock,
-    gate: Rc<ConnectionManager>,
-    names: Names,
+    connections: Rc<ConnectionManager>,
+    names: RequestNames,
     idempotency: RefCell<IdempotencyStore<Response>>,
-    scrolls: RefCell<ScrollContexts<Scroll>>,
+    scrolls: RefCell<ScrollContexts<ScrollResult>>,
 }
 
-/// A search that has been checked: what the broker is asked, and what becomes of the answer.
-struct Checked {
+/// A valid search: the request to the broker, and what its response needs.
+struct ValidSearch {
     search: Search,
-    ask: SearchRequest,
+    search_request: SearchRequest,
     owner: String,
-    once: bool,
+    runs_once: bool,
     digest: u64,
 }
 
-impl OpenSearch {
-    /// A front for these names. `start` names this start of this gatherer, and no other.
+impl OpenSearchFront {
+    /// A front for these names. `incarnation` identifies this start of this gatherer, and no other.
     pub fn new(
         broker: Broker,
         clock: Clock,
-        gate: Rc<ConnectionManager>,
-        names: Names,
-        start: String,
+        connections: Rc<ConnectionManager>,
+        names: RequestNames,
+        incarnation: String,
         seed: u64,
     ) -> Rc<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
-        let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MOST_HELD, MOST_HELD_BYTES));
-        let idempotency = RefCell::new(IdempotencyStore::new(start, random, BOUNDS));
-        Rc::new(OpenSearch { broker, clock, gate, names, idempotency, scrolls })
+        let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MAX_SCROLLS, MAX_SCROLL_BYTES));
+        let idempotency = RefCell::new(IdempotencyStore::new(incarnation, random, IDEMPOTENCY_LIMITS));
+        Rc::new(OpenSearchFront { broker, clock, connections, names, idempotency, scrolls })
     }
 
     async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
         let checked = self.check(index, request)?;
-        if checked.once {
-            return self.search_once(checked, request.headers.get("Idempotency-Key")).await;
+        if checked.runs_once {
+            return self.search_at_most_once(checked, request.headers.get("Idempotency-Key")).await;
         }
-        if self.gate.lifecycle_state().is_stopping() {
-            return Ok(self.stopping(&checked.ask));
+        if self.connections.lifecycle_state().is_stopping() {
+            return Ok(self.stopping(&checked.search_request));
         }
         Ok(self.run(checked).await.0)
     }
 
-    fn stopping(&self, ask: &SearchRequest) -> Response {
-        self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
+    fn stopping(&self, search_request: &SearchRequest) -> Response {
+        self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
         opensearch::rejection_response(Rejection::ShuttingDown, None)
     }
 
-    /// Guards against a client's own retry: one key runs one search, whoever asks how often.
-    async fn search_once(
+    /// Runs a search at most once for its key, however often clients retry it.
+    async fn search_at_most_once(
         self: &Rc<Self>,
-        checked: Checked,
+        checked: ValidSearch,
         key: Option<&str>,
     ) -> Result<Response, SearchError> {
         let key = key.ok_or_else(|| {
             SearchError::illegal_argument(format!(
-                "[Idempotency-Key] is missing: this index runs a search once; POST {KEYS} for a key"
+                "[Idempotency-Key] is missing: this index runs a search once; POST {IDEMPOTENCY_KEYS_PATH} for a key"
             ))
         })?;
-        let lost = || SearchError::new(500, "illegal_state_exception", "the search ended without an outcome");
+        let outcome_lost =
+            || SearchError::new(500, "illegal_state_exception", "the search ended without an outcome");
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
-        let mut told = match claim {
-            KeyClaim::Run(_) if self.gate.lifecycle_state().is_stopping() => {
-                // Repeats still get their outcome; nothing new runs.
-                let refused = self.stopping(&checked.ask);
-                self.idempotency.borrow_mut().finish(self.clock.now(), key, refused.clone(), 0, false);
-                return Ok(refused);
+        let mut outcome_receiver = match claim {
+            KeyClaim::Run(_) if self.connections.lifecycle_state().is_stopping() => {
+                // Retries still get their outcome, and nothing new runs.
+                let rejection = self.stopping(&checked.search_request);
+                self.idempotency.borrow_mut().finish(self.clock.now(), key, rejection.clone(), 0, false);
+                return Ok(rejection);
             }
-            KeyClaim::Run(told) => {
-                // It runs on its own, so that a client that leaves and comes back still finds its outcome.
+            KeyClaim::Run(receiver) => {
+                // Runs in its own task, so that a client that disconnects and retries still finds the outcome.
                 let (front, key) = (self.clone(), key.to_owned());
                 spawn_local(async move {
                     let runner = front.clone();
                     let run = spawn_local(async move { runner.run(checked).await }).await;
-                    let (response, ran) = run.unwrap_or_else(|_| (lost().response(), true));
+                    let (response, ran) = run.unwrap_or_else(|_| (outcome_lost().response(), true));
                     let size = response.body.len();
                     front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
                 });
-                told
+                receiver
             }
-            KeyClaim::Join(told) => told,
+            KeyClaim::Join(receiver) => receiver,
             KeyClaim::Recorded(response) => return Ok(response),
             KeyClaim::Mismatch => {
                 return Err(SearchError::new(
@@ -144,24 +148,24 @@
             }
             KeyClaim::Unknown => {
                 let start = self.idempotency.borrow().incarnation().to_owned();
-                let whose = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
+                let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
                 let reason = format!(
-                    "start [{start}] of this gatherer {whose} this key: whether its search ran is unknown, and it is not run now"
+                    "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
                 );
                 return Err(SearchError::new(409, "unknown_outcome_exception", reason));
             }
         };
-        let outcome = told.wait_for(Option::is_some).await.map_err(|_| lost())?;
-        outcome.clone().ok_or_else(lost)
+        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| outcome_lost())?;
+        outcome.clone().ok_or_else(outcome_lost)
     }
 
-    /// Asks the broker and makes the response of its verdict; whether anything may have run.
-    async fn run(&self, checked: Checked) -> (Response, bool) {
-        let Checked { search, ask, owner, .. } = checked;
-        let (shards, from) = (ask.parts.len(), self.clock.now());
-        match self.broker.submit(ask).await {
-            QueryOutcome::Rejected { reason: why, retry_after: pause } => {
-                (opensearch::rejection_response(why, pause), false)
+    /// Submits the search and encodes its outcome; returns the response, and whether any part may have run.
+    async fn run(&self, checked: ValidSearch) -> (Response, bool) {
+        let ValidSearch { search, search_request, owner, .. } = checked;
+        let (shards, from) = (search_request.parts.len(), self.clock.now());
+        match self.broker.submit(search_request).await {
+            QueryOutcome::Rejected { reason, retry_after } => {
+                (opensearch::rejection_response(reason, retry_after), false)
             }
             QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
@@ -190,7 +194,7 @@
     ) -> Result<Response, SearchError> {
         let end = merged.hits.len().min(search.from + search.size);
         let mut page = merged.page(&merged.hits[search.from.min(end)..end], took, shards, served);
-        if let Some(keep) = search.scroll {
+        if let Some(lifetime) = search.scroll {
             if !merged.complete || served < shards {
                 return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
@@ -198,22 +202,22 @@
                 )));
             }
             let bytes = merged.hits.iter().map(|hit| hit.to_string().len()).sum::<usize>() * 2;
-            let scroll = Scroll { merged, size: search.size, shards };
-            let held = self.scrolls.borrow_mut().create(
+            let scroll = ScrollResult { merged, size: search.size, shards };
+            let stored = self.scrolls.borrow_mut().create(
                 self.clock.now(),
                 owner,
-                keep.min(LONGEST_HELD),
+                lifetime.min(MAX_SCROLL_LIFETIME),
                 scroll,
                 bytes,
             );
-            let name =
-                held.map_err(|full| SearchError::new(429, "rejected_execution_exception", full.to_string()))?;
+            let name = stored
+                .map_err(|full| SearchError::new(429, "rejected_execution_exception", full.to_string()))?;
             page["_scroll_id"] = json!(format!("{name}-{end}"));
         }
         Ok(Response::json(200, page.to_string()))
     }
 
-    /// A further page. Its id names the place where it begins, so that asking again brings the same page.
+    /// A further page. Its id contains the offset of the page, so that a retry returns the same page.
     fn scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         let body = json_body(request)?;
@@ -221,9 +225,10 @@
             .get("scroll_id")
             .and_then(Value::as_str)
             .ok_or_else(|| SearchError::illegal_argument("scroll_id is missing"))?;
-        let keep = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::parse_duration)) {
+        let lifetime = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::parse_duration))
+        {
             Some(None) => return Err(SearchError::illegal_argument("failed to parse [scroll]")),
-            Some(Some(keep)) => Some(keep.min(LONGEST_HELD)),
+            Some(Some(lifetime)) => Some(lifetime.min(MAX_SCROLL_LIFETIME)),
             None => None,
         };
         let missing = || {
@@ -236,7 +241,7 @@
         let (name, at) = id.rsplit_once('-').ok_or_else(missing)?;
         let at: usize = at.parse().map_err(|_| missing())?;
         let now = self.clock.now();
-        let scroll = self.scrolls.borrow_mut().get(now, name, &owner, keep).ok_or_else(missing)?;
+        let scroll = self.scrolls.borrow_mut().get(now, name, &owner, lifetime).ok_or_else(missing)?;
         let hits = &scroll.merged.hits;
         let end = at.saturating_add(scroll.size).min(hits.len());
         let page = hits.get(at..end).ok_or_else(missing)?;
@@ -264,12 +269,12 @@
         let (owner, _) = self.caller(request)?;
         match self.idempotency.borrow_mut().issue(self.clock.now(), &owner) {
             Ok(key) => {
-                let ms = BOUNDS.retention.as_millis() as u64;
+                let ms = IDEMPOTENCY_LIMITS.retention.as_millis() as u64;
                 Ok(Response::json(200, json!({"key": key, "expires_in_ms": ms}).to_string()))
             }
             Err(full) => {
                 let fault = SearchError::new(429, "rejected_execution_exception", full.to_string());
-                Ok(fault.response().with_header("Retry-After", FULL_PAUSE.as_secs().to_string()))
+                Ok(fault.response().with_header("Retry-After", KEYS_FULL_RETRY_AFTER.as_secs().to_string()))
             }
         }
     }
@@ -286,7 +291,7 @@
         }
     }
 
-    fn check(&self, index: &str, request: &Request) -> Result<Checked, SearchError> {
+    fn check(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
         let class = self.names.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
             SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
@@ -310,7 +315,7 @@
             cost_hint: None,
             key: Some(Arc::from(format!("{subject:016x}.{shard}"))),
         });
-        let ask = SearchRequest {
+        let search_request = SearchRequest {
             label: Arc::from(index),
             class,
             tenant,
@@ -322,14 +327,22 @@
             payload: Bytes::from(text),
             parts: parts.collect(),
         };
-        Ok(Checked { search, ask, owner, once: contract.idempotency != Idempotency::Idempotent, digest })
+        Ok(ValidSearch {
+            search,
+            search_request,
+            owner,
+            runs_once: contract.idempotency != Idempotency::Idempotent,
+            digest,
+        })
     }
 
     async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, SearchError> {
         let path = request.path.trim_start_matches('/');
         match (request.method.as_str(), path.split_once('/').unwrap_or((path, ""))) {
             ("GET", ("_health", "")) => Ok(self.health()),
-            ("GET", ("_counters", "")) => Ok(Response::text(200, counts(&self.broker, &self.gate))),
+            ("GET", ("_counters", "")) => {
+                Ok(Response::text(200, counters_text(&self.broker, &self.connections)))
+            }
             ("POST", ("_clayshore", "idempotency_keys")) => self.issue_key(request),
             ("POST" | "GET", ("_search", "scroll")) => self.scroll(request),
             ("DELETE", ("_search", "scroll")) => self.clear_scroll(request),
@@ -344,7 +357,7 @@
     }
 
     fn health(&self) -> Response {
-        let stage = self.gate.lifecycle_state();
+        let stage = self.connections.lifecycle_state();
         Response::text(if stage.healthy() { 200 } else { 503 }, stage.name())
     }
 }
@@ -353,7 +366,7 @@
     serde_json::from_slice(&request.body).map_err(|error| SearchError::parsing(error.to_string()))
 }
 
-impl Front for Rc<OpenSearch> {
+impl Front for Rc<OpenSearchFront> {
     async fn respond(&self, request: Request) -> Response {
         self.route(&request).await.unwrap_or_else(|fault| {
             self.broker.with_core(|core| core.counters.malformed += 1);
@@ -367,8 +380,8 @@
     }
 
     fn overloaded(&self, _: Option<&Request>) -> Response {
-        let pause = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
-        opensearch::rejection_response(Rejection::AtCapacity, pause)
+        let retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+        opensearch::rejection_response(Rejection::AtCapacity, retry_after)
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' front: whether the gatherer is ready, its figures, and what staff may have it do.
+//! The operators' API: readiness, metrics, members, draining, and disabling workers.
 
 use crate::protocol::http::{Request, Response};
 use crate::protocol::statsd;
@@ -13,49 +13,49 @@
 use percent_encoding::percent_decode_str;
 use std::rc::Rc;
 
-/// What an operator has changed by a call.
+/// A change that an operator has made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change<'a> {
-    /// This worker is out.
-    Out(&'a str),
-    /// It is back.
-    Back(&'a str),
-    /// The gatherer is drained.
+pub enum OperatorChange<'a> {
+    /// This worker is disabled.
+    Disabled(&'a str),
+    /// This worker is enabled again.
+    Enabled(&'a str),
+    /// The gatherer is draining.
     Drained,
-    /// It takes clients again.
+    /// The gatherer accepts clients again.
     Resumed,
 }
 
-/// The other process of an upgrade, where there is one.
-pub trait Pair {
-    /// Why this process does not serve yet, if it does not.
+/// The other process of an upgrade, if there is one.
+pub trait UpgradePeer {
+    /// Why this process is not serving yet; `None` if it is.
     fn unready(&self) -> Option<&'static str>;
-    /// Whether another still hands over to this one.
-    fn succeeds(&self) -> bool;
-    /// An operator has changed this here: the other process is to do the same.
-    fn tell(&self, change: Change<'_>);
+    /// Whether a predecessor is still handing over to this process.
+    fn has_predecessor(&self) -> bool;
+    /// Notifies the other process of an operator's change, which it is to apply too.
+    fn notify(&self, change: OperatorChange<'_>);
 }
 
-/// Answers operators' calls.
-pub struct Operators {
-    /// Whose figures are told.
+/// Responds to operators' calls.
+pub struct OperatorFront {
+    /// The source of the metrics.
     pub broker: Broker,
-    /// What is drained.
-    pub gate: Rc<ConnectionManager>,
-    /// What another process of this gatherer has to do with it.
-    pub pair: Rc<dyn Pair>,
-    /// The other gatherers, where they talk.
+    /// The clients' connections, which are drained.
+    pub connections: Rc<ConnectionManager>,
+    /// The other process of an upgrade.
+    pub upgrade_peer: Rc<dyn UpgradePeer>,
+    /// Membership, where it is on.
     pub members: Option<Rc<MembershipTransport>>,
 }
 
-impl Operators {
+impl OperatorFront {
     fn ready(&self) -> Response {
-        if let Some(why) = self.pair.unready() {
-            return Response::text(503, why);
+        if let Some(reason) = self.upgrade_peer.unready() {
+            return Response::text(503, reason);
         }
-        match self.gate.lifecycle_state() {
-            // A drain that was passed on is no reason to leave the upgrade half done.
-            LifecycleState::Draining | LifecycleState::Drained if self.pair.succeeds() => {
+        match self.connections.lifecycle_state() {
+            // A drain inherited from the predecessor must not hold up the upgrade.
+            LifecycleState::Draining | LifecycleState::Drained if self.upgrade_peer.has_predecessor() => {
                 Response::text(200, "ready, drained")
             }
             LifecycleState::Serving if self.broker.with_core(|core| core.has_workers()) => {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn figures(&self) -> Response {
+    fn metrics(&self) -> Response {
         let mut lines = statsd::MetricLines::new("gatherer");
         self.broker.with_core(|core| {
             for (class, ends) in core.contracts().classes.iter().zip(core.class_counts()) {
@@ -92,65 +92,70 @@
         }
     }
 
-    /// Takes a worker out or back; its id is what stands in the path, with each `%` sign's two digits read.
-    fn worker(&self, id: &str, out: bool) -> Response {
+    /// Disables or enables a worker. `id` is the percent-encoded id from the path.
+    fn set_worker_disabled(&self, id: &str, disabled: bool) -> Response {
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
             return Response::text(400, "the worker's id is no text");
         };
-        let known = self.broker.set_worker_disabled(&id, out);
+        let known = self.broker.set_worker_disabled(&id, disabled);
         if known {
-            self.pair.tell(if out { Change::Out(&id) } else { Change::Back(&id) });
+            self.upgrade_peer.notify(if disabled {
+                OperatorChange::Disabled(&id)
+            } else {
+                OperatorChange::Enabled(&id)
+            });
         }
         match known {
-            true if out => Response::text(200, format!("{id} is out")),
+            true if disabled => Response::text(200, format!("{id} is out")),
             true => Response::text(200, format!("{id} is in use")),
             false => Response::text(404, format!("no worker of the id {id:?} was ever listed")),
         }
     }
 
     fn call(&self, call: LifecycleRequest) -> Response {
-        match self.gate.apply_lifecycle(call) {
+        match self.connections.apply_lifecycle(call) {
             Ok(()) => {
-                self.pair.tell(if call == LifecycleRequest::Drain {
-                    Change::Drained
+                self.upgrade_peer.notify(if call == LifecycleRequest::Drain {
+                    OperatorChange::Drained
                 } else {
-                    Change::Resumed
+                    OperatorChange::Resumed
                 });
-                Response::text(200, self.gate.lifecycle_state().name())
+                Response::text(200, self.connections.lifecycle_state().name())
             }
-            Err(refused) => Response::text(409, refused.to_string()),
+            Err(error) => Response::text(409, error.to_string()),
         }
     }
 }
 
-fn only(method: &'static str) -> Response {
+/// The response where a path has another method.
+fn method_not_allowed(method: &'static str) -> Response {
     Response::text(405, format!("only {method}")).with_header("Allow", method)
 }
 
-impl OperatorApi for Operators {
+impl OperatorApi for OperatorFront {
     fn respond(&self, request: &Request) -> Response {
-        // Guards against a yes to what the state that is passed on would undo.
+        // The predecessor's state would overwrite a change made before it is applied.
         if request.method == "PUT"
-            && let Some(why) = self.pair.unready()
+            && let Some(reason) = self.upgrade_peer.unready()
         {
-            return Response::text(503, why);
+            return Response::text(503, reason);
         }
         let worker = request.path.strip_prefix("/-/workers/").and_then(|rest| rest.rsplit_once('/'));
         let worker = worker.filter(|(_, call)| matches!(*call, "disable" | "enable"));
         if let Some((id, call)) = worker {
             return match request.method.as_str() {
-                "PUT" => self.worker(id, call == "disable"),
-                _ => only("PUT"),
+                "PUT" => self.set_worker_disabled(id, call == "disable"),
+                _ => method_not_allowed("PUT"),
             };
         }
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/-/ready") => self.ready(),
-            ("GET", "/-/metrics") => self.figures(),
+            ("GET", "/-/metrics") => self.metrics(),
             ("GET", "/-/members") => self.members(),
             ("PUT", "/-/drain") => self.call(LifecycleRequest::Drain),
             ("PUT", "/-/resume") => self.call(LifecycleRequest::Resume),
-            (_, "/-/ready" | "/-/metrics" | "/-/members") => only("GET"),
-            (_, "/-/drain" | "/-/resume") => only("PUT"),
+            (_, "/-/ready" | "/-/metrics" | "/-/members") => method_not_allowed("GET"),
+            (_, "/-/drain" | "/-/resume") => method_not_allowed("PUT"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
         }
     }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's front: one function sees each request through, from its bytes to its one answer.
+//! The platform's front: parses each request, submits it to the broker, and encodes its one response.
 
-use super::counts;
+use super::counters_text;
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
@@ -10,41 +10,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When to come back to a gatherer that is stopping: by then the front layer sends elsewhere.
-const STOPPING_PAUSE: Duration = Duration::from_millis(100);
+/// Longest `Retry-After` of a gatherer that is stopping: after it the layer in front sends clients elsewhere.
+const MAX_STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Serves the platform's protocol.
-pub struct Platform {
-    /// Whom it asks.
+pub struct PlatformFront {
+    /// Executes the queries.
     pub broker: Broker,
-    /// Tells whether the process still takes queries.
-    pub gate: Rc<ConnectionManager>,
+    /// The clients' connections and the state of the process's life.
+    pub connections: Rc<ConnectionManager>,
 }
 
-impl Platform {
+impl PlatformFront {
     async fn query(&self, request: &Request) -> Response {
-        let ask = match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
-            Ok(ask) => ask,
-            Err(invalid) => {
-                self.broker.with_core(|core| core.counters.malformed += 1);
-                return Response::text(400, invalid.to_string());
-            }
-        };
-        if !self.gate.lifecycle_state().accepts_queries() {
-            self.broker.with_core(|core| core.reject_stopping(ask.class, ask.tenant));
+        let search_request =
+            match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
+                Ok(search_request) => search_request,
+                Err(invalid) => {
+                    self.broker.with_core(|core| core.counters.malformed += 1);
+                    return Response::text(400, invalid.to_string());
+                }
+            };
+        if !self.connections.lifecycle_state().accepts_queries() {
+            self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
             let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
-            return platform::rejection_response(longest.map(|longest| longest.min(STOPPING_PAUSE)));
+            return platform::rejection_response(
+                longest.map(|longest| longest.min(MAX_STOPPING_RETRY_AFTER)),
+            );
         }
-        if self.broker.with_core(|core| core.has_open_query(&ask.label)) {
-            // Guards the parts of the query that has this id: the two could not be told apart at the workers.
+        if self.broker.with_core(|core| core.has_open_query(&search_request.label)) {
+            // Two open queries of one id could not be distinguished at the workers.
             self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
-        platform::outcome_response(&self.broker.submit(ask).await)
+        platform::outcome_response(&self.broker.submit(search_request).await)
     }
 
     fn health(&self) -> Response {
-        match self.gate.lifecycle_state() {
+        match self.connections.lifecycle_state() {
             LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
@@ -53,12 +56,12 @@
     }
 }
 
-impl Front for Platform {
+impl Front for PlatformFront {
     async fn respond(&self, request: Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/api") => self.query(&request).await,
             ("GET", "/_health") => self.health(),
-            ("GET", "/_counters") => Response::text(200, counts(&self.broker, &self.gate)),
+            ("GET", "/_counters") => Response::text(200, counters_text(&self.broker, &self.connections)),
             (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
             (_, "/_health" | "/_counters") => Response::text(405, "only GET").with_header("Allow", "GET"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
@@ -71,10 +74,10 @@
     }
 
     fn overloaded(&self, request: Option<&Request>) -> Response {
-        let asked = request.filter(|request| request.path == "/api");
+        let query_request = request.filter(|request| request.path == "/api");
         self.broker.with_core(|core| {
-            let class =
-                asked.and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
+            let class = query_request
+                .and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
             if let Some(class) = class.map(|(class, _)| class) {
                 core.reject_unread(class);
             }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,13 @@
-//! The program: `gatherer` serves the platform, `gatherer FILE` the OpenSearch-style front of that file; the other
-//! sub-commands check files and read records.
+//! The command line: `gatherer` serves the platform's front, `gatherer FILE` the OpenSearch-style front that the file
+//! describes; the other sub-commands check files, list members and read records. It parses arguments, prints results
+//! and sets the exit status; all work is done in the library.
 
 use clap::{Parser, Subcommand};
-use gatherer::program::config::{Config, Error};
-use gatherer::program::failure::Failure;
+use gatherer::program::command_error::CommandError;
+use gatherer::program::config::{Config, ConfigError};
 use gatherer::program::opensearch_file::FrontFile;
-use gatherer::program::operator::Operator;
-use gatherer::program::run::START;
+use gatherer::program::operator::OperatorFile;
+use gatherer::program::run::STARTUP_RETRY_LIMIT;
 use gatherer::program::{inspect, log, members, run};
 use gatherer::transport::errors::retry_blocking;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// Serve the OpenSearch-style front of this file; without it, the platform (LB_CONFIG).
+    /// File of an OpenSearch-style front to serve; without it, the platform's front is served (LB_CONFIG).
     file: Option<String>,
 }
 
@@ -28,9 +29,9 @@
 enum Command {
     /// Serve until SIGTERM.
     Serve {
-        /// The OpenSearch-style front's file; without it, the platform is served (LB_CONFIG).
+        /// File of an OpenSearch-style front to serve; without it, the platform's front is served (LB_CONFIG).
         file: Option<String>,
-        /// The operator's file: what this installation switches on.
+        /// The operator's file: the optional features of this installation.
         #[arg(long)]
         operator: Option<String>,
     },
@@ -39,51 +40,51 @@
         /// The file.
         file: String,
     },
-    /// What happened, from the records of any number of gatherers.
+    /// Summarise what happened, from the records of any number of gatherers.
     Report {
         /// Folders of records.
         #[arg(required = true)]
         folders: Vec<PathBuf>,
-        /// Write the page there.
+        /// Write the HTML report to this file.
         #[arg(long, default_value = "report.html")]
         out: PathBuf,
-        /// Print it as JSON instead.
+        /// Print JSON instead.
         #[arg(long)]
         json: bool,
-        /// Leave out what was before this Unix time, in seconds.
+        /// Leave out everything before this Unix time, in seconds.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Leave out what came from this Unix time on, in seconds.
+        /// Leave out everything from this Unix time on, in seconds.
         #[arg(long, default_value_t = u64::MAX / 1000)]
         to: u64,
-        /// Length of a step in seconds; it doubles for as long as there would be too many.
+        /// Length of a step in seconds; it doubles until the number of steps is within bounds.
         #[arg(long, default_value_t = 60)]
         step: u64,
     },
-    /// Who else is there, as a gatherer sees it.
+    /// List the members of the cluster, as one gatherer sees them.
     Members {
-        /// Where its operators call (LB_OPERATOR).
+        /// The gatherer's operators' address (LB_OPERATOR).
         operator: Option<SocketAddr>,
-        /// Print it as JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
     /// Read records.
     Records {
         #[command(subcommand)]
-        what: Records,
+        command: RecordsCommand,
     },
 }
 
 #[derive(Subcommand)]
-enum Records {
-    /// Read every line; tell of each that does not count, by file and line. Status 1 if there is any.
+enum RecordsCommand {
+    /// Read every line and report each damaged one, by file and line. The exit status is 1 if there is any.
     Verify {
         /// Folders of records.
         #[arg(required = true)]
         folders: Vec<PathBuf>,
     },
-    /// Print the JSON schema of a line.
+    /// Print the JSON schema of a record.
     Schema,
 }
 
@@ -92,15 +93,15 @@
     log::install(::log::LevelFilter::Info);
     match start(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            // Not by the log: a configuration's fault is shown over several lines, with the place.
-            eprintln!("ERROR {failure}");
-            ExitCode::from(failure.exit_status())
+        Err(error) => {
+            // Not through the log, which writes one line for each event: an error in a file is shown over several lines.
+            eprintln!("ERROR {error}");
+            ExitCode::from(error.exit_status())
         }
     }
 }
 
-fn start(arguments: Arguments) -> Result<(), Failure> {
+fn start(arguments: Arguments) -> Result<(), CommandError> {
     match arguments.command {
         None => serve(arguments.file, None),
         Some(Command::Serve { file, operator }) => serve(file, operator),
@@ -114,41 +115,44 @@
             if json {
                 println!("{}", report.json());
             } else {
-                std::fs::write(&out, report.page())?;
-                println!("{}: {}", out.display(), report.line());
+                std::fs::write(&out, report.html())?;
+                println!("{}: {}", out.display(), report.summary_line());
             }
             Ok(())
         }
         Some(Command::Members { operator, json }) => {
-            let named = std::env::var("LB_OPERATOR").ok().and_then(|address| address.parse().ok());
-            let operator = operator.or(named).ok_or(Error::Unset("LB_OPERATOR"))?;
-            print!("{}", members::ask(operator, json)?);
+            let from_environment = std::env::var("LB_OPERATOR").ok().and_then(|address| address.parse().ok());
+            let operator =
+                operator.or(from_environment).ok_or(ConfigError::MissingVariable("LB_OPERATOR"))?;
+            print!("{}", members::query(operator, json)?);
             Ok(())
         }
-        Some(Command::Records { what: Records::Schema }) => {
+        Some(Command::Records { command: RecordsCommand::Schema }) => {
             println!("{}", inspect::schema());
             Ok(())
         }
-        Some(Command::Records { what: Records::Verify { folders } }) => match inspect::verify(&folders)? {
-            (counted, 0) => {
-                println!("{counted} lines, all of them whole and in order");
-                Ok(())
+        Some(Command::Records { command: RecordsCommand::Verify { folders } }) => {
+            match inspect::verify(&folders)? {
+                (valid, 0) => {
+                    println!("{valid} lines, all of them whole and in order");
+                    Ok(())
+                }
+                (_, damaged) => Err(CommandError::DamagedRecords(damaged)),
             }
-            (_, faults) => Err(Failure::Damaged(faults)),
-        },
+        }
     }
 }
 
-fn serve(file: Option<String>, operator: Option<String>) -> Result<(), Failure> {
+fn serve(file: Option<String>, operator: Option<String>) -> Result<(), CommandError> {
     let operator = operator.map_or_else(
-        || Ok(Operator::default()),
-        |path| retry_blocking(START, Error::may_pass, || Operator::read(&path)),
+        || Ok(OperatorFile::default()),
+        |path| retry_blocking(STARTUP_RETRY_LIMIT, ConfigError::is_transient, || OperatorFile::read(&path)),
     )?;
     if let Some(path) = file {
         let seed = fastrand::u64(..);
-        let read = move || FrontFile::read(&path, seed);
-        return run::opensearch(seed, operator, read);
+        let read_file = move || FrontFile::read(&path, seed);
+        return run::serve_opensearch(seed, operator, read_file);
     }
-    let read = || Config::from_platform(|name| std::env::var(name).ok());
-    run::platform(operator, read)
+    let read_config = || Config::from_platform(|name| std::env::var(name).ok());
+    run::serve_platform(operator, read_config)
 }
--- /dev/null
+++ b/src/program/command_error.rs
@@ -0,0 +1,33 @@
+//! The error of a command of the program, and the exit status that reports it.
+
+use super::config::ConfigError;
+use std::io;
+
+/// Exit status of a command whose configuration cannot be used.
+const CONFIGURATION_EXIT_STATUS: u8 = 2;
+/// Exit status of a command that failed in any other way.
+const OTHER_EXIT_STATUS: u8 = 1;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
+    /// A call to the operating system failed.
+    #[error(transparent)]
+    System(#[from] io::Error),
+    /// The number of damaged lines in the records that were read.
+    #[error("{0} lines do not count")]
+    DamagedRecords(u64),
+}
+
+impl CommandError {
+    /// The exit status of the process: 2 for a configuration that cannot be used, else 1.
+    pub fn exit_status(&self) -> u8 {
+        match self {
+            CommandError::Configuration(_) => CONFIGURATION_EXIT_STATUS,
+            CommandError::System(_) | CommandError::DamagedRecords(_) => OTHER_EXIT_STATUS,
+        }
+    }
+}
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,4 +1,5 @@
-//! Configuration of the real gatherer: the platform's variables and its JSON file, read and checked here.
+//! The configuration of the platform's front: reads the environment and the JSON file that `LB_CONFIG` names, and checks
+//! both. It opens nothing but that file.
 
 use super::settings::{FlatSettings, InvalidSetting};
 use crate::limits::descriptors;
@@ -9,83 +10,91 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Descriptors that a process may hold, and its memory, where the platform does not say.
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: u64 = 256;
-/// The least memory to serve in.
-const LEAST_MEMORY_MB: u64 = 16;
+/// Number of descriptors that a process may hold, where the file does not say.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// Memory of a process in MB, where the file does not say.
+const DEFAULT_MEMORY_MB: u64 = 256;
+/// The least memory that a process can serve with, in MB.
+const MIN_MEMORY_MB: u64 = 16;
 
-/// Why there is no usable configuration.
+/// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
-    /// A variable of the environment.
+pub enum ConfigError {
+    /// A variable of the environment is not set.
     #[error("{0} is not set")]
-    Unset(&'static str),
-    /// A file that cannot be read.
+    MissingVariable(&'static str),
+    /// A file cannot be read.
     #[error("{path}: {error}")]
-    File {
-        /// The file.
+    Unreadable {
+        /// The file's path.
         path: String,
-        /// Why.
+        /// Why it cannot be used.
         error: std::io::Error,
     },
-    /// A file that is not in its form.
+    /// A file is not well-formed, or one of its values cannot be used.
     #[error("{path}: {error}")]
-    Form {
-        /// The file.
+    Malformed {
+        /// The file's path.
         path: String,
-        /// Why.
+        /// Why it cannot be used.
         error: String,
     },
-    /// A key.
+    /// The value of one key cannot be used.
     #[error("configuration: {0}")]
-    Key(#[from] InvalidSetting),
+    InvalidSetting(#[from] InvalidSetting),
 }
 
-impl Error {
-    /// Whether reading again in a moment may do better.
-    pub fn may_pass(&self) -> bool {
-        matches!(self, Error::File { error, .. } if is_transient(error))
+impl ConfigError {
+    /// Whether reading the file again in a moment may succeed.
+    pub fn is_transient(&self) -> bool {
+        matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
 }
 
-/// What a gatherer is told at its start.
+/// What one gatherer is started with.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The gatherer's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address of the operators' API; it is off where there is none.
     pub operator_address: Option<SocketAddr>,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery_address: String,
-    /// Descriptors that it may hold.
+    /// Number of descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Memory that it may use, in MB.
+    /// Memory that the process may use, in MB.
     pub memory_mb: u64,
-    /// The list of workers as it was last held.
+    /// The list of workers to start with, until discovery sends one.
     pub initial_workers: Option<WorkerListUpdate>,
-    /// Where discovery has to be asked: the time in which it must be.
+    /// Where discovery is polled: the longest time between two polls. `None` where discovery pushes its changes.
     pub max_poll_interval: Option<Duration>,
-    /// The platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
+    /// Whether the platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
     pub peer_datagrams: bool,
-    /// Contracts and limits.
+    /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
 }
 
 impl Config {
-    /// Reads what the platform says: the file that `LB_CONFIG` names; the other variables fill in what it lacks. The
-    /// file goes first because it alone can be replaced while the program runs.
-    pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, Error> {
-        let path = variable("LB_CONFIG").ok_or(Error::Unset("LB_CONFIG"))?;
-        let bytes = std::fs::read(&path).map_err(|error| Error::File { path: path.clone(), error })?;
-        let json: Value =
-            serde_json::from_slice(&bytes).map_err(|error| Error::Form { path, error: error.to_string() })?;
+    /// Reads the file that `LB_CONFIG` names; other variables supply what the file lacks. The file takes precedence
+    /// because it alone can be replaced while the program runs.
+    ///
+    /// # Errors
+    /// `LB_CONFIG` is not set, or its file cannot be read or used.
+    pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let path = variable("LB_CONFIG").ok_or(ConfigError::MissingVariable("LB_CONFIG"))?;
+        let bytes =
+            std::fs::read(&path).map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
+        let json: Value = serde_json::from_slice(&bytes)
+            .map_err(|error| ConfigError::Malformed { path, error: error.to_string() })?;
         Ok(Config::from_json(&json, variable)?)
     }
 
     /// Checks the file's content.
+    ///
+    /// # Errors
+    /// Names the first key whose value is missing or cannot be used.
     pub fn from_json(
         json: &Value,
         variable: impl Fn(&str) -> Option<String>,
@@ -102,9 +111,9 @@
             text.parse().map_err(|_| InvalidSetting::new(key, format!("no address {text:?}")))
         };
         let listen = address("listen", "LB_LISTEN")?;
-        let operated =
+        let has_operator_address =
             json.get("operator").is_some_and(|value| !value.is_null()) || variable("LB_OPERATOR").is_some();
-        let operator = operated.then(|| address("operator", "LB_OPERATOR")).transpose()?;
+        let operator = has_operator_address.then(|| address("operator", "LB_OPERATOR")).transpose()?;
         let seed = match json.get("seed") {
             None => 0,
             Some(Value::Number(number)) => number.as_u64().unwrap_or(0),
@@ -113,14 +122,14 @@
                 hex.ok_or_else(|| InvalidSetting::new("seed", format!("no hexadecimal number {seed}")))?
             }
         };
-        let limit = |key: &str, absent: u64, least: u64| match json.pointer(&format!("/limits/{key}")) {
-            None => Ok(absent),
-            Some(count) => count.as_u64().filter(|count| *count >= least).ok_or_else(|| {
-                InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {least} at least are needed"))
+        let limit = |key: &str, default: u64, min: u64| match json.pointer(&format!("/limits/{key}")) {
+            None => Ok(default),
+            Some(count) => count.as_u64().filter(|count| *count >= min).ok_or_else(|| {
+                InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {min} at least are needed"))
             }),
         };
-        let sockets = limit("sockets", SOCKETS, descriptors::MIN_DESCRIPTORS as u64)?;
-        let memory_mb = limit("memory_mb", MEMORY_MB, LEAST_MEMORY_MB)?;
+        let sockets = limit("sockets", DEFAULT_DESCRIPTORS, descriptors::MIN_DESCRIPTORS as u64)?;
+        let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
         let known = match json.get("known") {
             None | Some(Value::Null) => None,
             Some(list) => Some(
@@ -129,20 +138,20 @@
             ),
         };
         let settings = json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "missing"))?;
-        let within =
-            |fault: InvalidSetting| InvalidSetting::new(&format!("settings.{}", fault.path), fault.reason);
-        let mut contracts = FlatSettings::from_json(settings).contracts(seed).map_err(within)?;
+        let within_settings =
+            |error: InvalidSetting| InvalidSetting::new(&format!("settings.{}", error.path), error.reason);
+        let mut contracts = FlatSettings::from_json(settings).contracts(seed).map_err(within_settings)?;
         if contracts.settings.shards == 0 {
             return Err(InvalidSetting::new("settings.domain.slices", "there must be one at least"));
         }
         if contracts.classes.is_empty() {
             return Err(InvalidSetting::new("settings.categories", "there must be one at least"));
         }
-        // Neither has a form on the platform's wires: an answer ends a query, and nothing is probed or asked for.
+        // The platform's protocol carries neither follow-up requests nor health checks.
         contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
         contracts.settings.may_health_check = false;
-        let asked = contracts.settings.poll_discovery;
-        let ask_in = asked.then_some(contracts.settings.poll_within);
+        let polls = contracts.settings.poll_discovery;
+        let ask_in = polls.then_some(contracts.settings.poll_within);
         contracts.settings.poll_discovery = false;
         Ok(Config {
             name: text("name", "LB_NAME")?,
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,41 +1,44 @@
-//! Lines for the people on call, on standard error, at a bounded rate.
+//! The log for the people on call: one line for each event on standard error, at a bounded rate.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-/// Lines that may be written at once, and those that may follow each second.
-const BURST: f64 = 100.0;
-const PER_SECOND: f64 = 20.0;
-/// The longest line; the rest of a longer one is cut.
-const LONGEST: usize = 600;
+/// Number of lines that may be written at once.
+const BURST_LINES: f64 = 100.0;
+/// Number of lines that may be written each second after a burst.
+const LINES_PER_SECOND: f64 = 20.0;
+/// Length of the longest line in characters; longer ones are truncated.
+const MAX_LINE_CHARS: usize = 600;
 
-struct Budget {
-    left: f64,
-    at: Instant,
+/// Token bucket that bounds the rate of lines.
+struct RateLimit {
+    permits: f64,
+    refilled_at: Instant,
     dropped: u64,
 }
 
 thread_local! {
-    static BUDGET: RefCell<Budget> = RefCell::new(Budget { left: BURST, at: Instant::now(), dropped: 0 });
+    static RATE_LIMIT: RefCell<RateLimit> = RefCell::new(RateLimit { permits: BURST_LINES, refilled_at: Instant::now(), dropped: 0 });
 }
 
-impl Budget {
-    /// Whether a line may be written now, and how many were dropped before it.
-    fn spend(&mut self, now: Instant) -> Option<u64> {
-        let gained = now.saturating_duration_since(self.at).max(Duration::ZERO).as_secs_f64() * PER_SECOND;
-        (self.left, self.at) = ((self.left + gained).min(BURST), now);
-        if self.left < 1.0 {
+impl RateLimit {
+    /// Number of lines dropped since the last one, if a line may be written now.
+    fn try_acquire(&mut self, now: Instant) -> Option<u64> {
+        let gained = now.saturating_duration_since(self.refilled_at).max(Duration::ZERO).as_secs_f64()
+            * LINES_PER_SECOND;
+        (self.permits, self.refilled_at) = ((self.permits + gained).min(BURST_LINES), now);
+        if self.permits < 1.0 {
             self.dropped += 1;
             return None;
         }
-        self.left -= 1.0;
+        self.permits -= 1.0;
         Some(std::mem::take(&mut self.dropped))
     }
 }
 
-struct Lines;
+struct StderrLogger;
 
-impl log::Log for Lines {
+impl log::Log for StderrLogger {
     fn enabled(&self, metadata: &log::Metadata<'_>) -> bool {
         metadata.level() <= log::max_level()
     }
@@ -43,20 +46,23 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let Some(dropped) = BUDGET.with_borrow_mut(|budget| budget.spend(Instant::now())) else { return };
+        let Some(dropped) = RATE_LIMIT.with_borrow_mut(|rate_limit| rate_limit.try_acquire(Instant::now()))
+        else {
+            return;
+        };
         if dropped > 0 {
             eprintln!("WARN log: {dropped} lines dropped");
         }
-        let line: String = record.args().to_string().chars().take(LONGEST).collect();
+        let line: String = record.args().to_string().chars().take(MAX_LINE_CHARS).collect();
         eprintln!("{} {}", record.level(), line.replace(['\n', '\r'], " "));
     }
     fn flush(&self) {}
 }
 
-/// Starts writing lines of this level and above; a second call changes nothing but the level.
+/// Installs the logger for lines of this level and above; a second call changes only the level.
 pub fn install(level: log::LevelFilter) {
-    // It fails only if a logger is in place, which is then this one.
-    let _ = log::set_logger(&Lines);
+    // Fails only where a logger is installed already, which is then this one.
+    let _ = log::set_logger(&StderrLogger);
     log::set_max_level(level);
 }
 
@@ -65,12 +71,12 @@
     use super::*;
 
     #[test]
-    fn a_flood_of_lines_is_cut_and_counted() {
-        // Guards against a log that grows with the trouble it tells of: it counts as memory on the platform.
+    fn lines_above_the_rate_limit_are_dropped_and_counted() {
+        // Guards against a log that grows with the fault it reports: it counts as memory on the platform.
         let start = Instant::now();
-        let mut budget = Budget { left: BURST, at: start, dropped: 0 };
-        let written = (0..1000).filter(|_| budget.spend(start).is_some()).count();
+        let mut rate_limit = RateLimit { permits: BURST_LINES, refilled_at: start, dropped: 0 };
+        let written = (0..1000).filter(|_| rate_limit.try_acquire(start).is_some()).count();
         assert_eq!(written, 100);
-        assert_eq!(budget.spend(start + Duration::from_secs(1)), Some(900));
+        assert_eq!(rate_limit.try_acquire(start + Duration::from_secs(1)), Some(900));
     }
 }
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -1,7 +1,7 @@
-//! Membership in this program: what it is told of others goes to the core, the log and the records; what operators ask of
-//! it is printed.
+//! Membership in this program: whether this gatherer takes part, and where changes of members go (the core, the log and
+//! the records); and the `members` sub-command, which prints the members that a gatherer knows.
 
-use super::operator::Membership;
+use super::operator::MembershipSettings;
 use super::recording::Recording;
 use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
 use crate::protocol::gossip::ClusterKey;
@@ -17,50 +17,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an operator's call may take.
-const CALL: Duration = Duration::from_secs(2);
+/// Time-out of the connection and of each read of an operator's call.
+const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-struct Told {
+/// Passes changes of members on to the core, the log and the records.
+struct MemberChanges {
     broker: Broker,
     recording: Recording,
 }
 
-impl MembershipObserver for Told {
+impl MembershipObserver for MemberChanges {
     fn on_member_change(&self, change: &MemberChange) {
         log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
     fn on_fleet_size(&self, count: u32) {
-        log::info!("members: {count} on_fleet_size share the fleet");
+        log::info!("members: {count} gatherers share the fleet");
         self.broker.with_core(|core| core.set_fleet_size(count));
     }
 }
 
-/// This gatherer as a member, if its operators want that, its settings allow it, and the platform has no path of its own
-/// between gatherers.
-pub fn begin(
-    wanted: Option<&Membership>,
+/// This gatherer's membership, if the operator's file asks for it, the settings allow it, and the platform carries no
+/// datagrams of its own between gatherers.
+pub fn start(
+    settings: Option<&MembershipSettings>,
     peer_datagrams: bool,
     name: &str,
     broker: &Broker,
     clock: Clock,
     recording: &Recording,
 ) -> Option<Rc<MembershipTransport>> {
-    let wanted = wanted?;
-    let (stated, zone, may_tell) = broker.with_core(|core| {
+    let settings = settings?;
+    let (stated_fleet_size, zone, may_gossip) = broker.with_core(|core| {
         let contracts = core.contracts();
         let zone = contracts.zones.get(contracts.settings.zone.0 as usize).cloned();
         (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_gossip)
     });
-    if !may_tell {
-        log::warn!("membership stays off: the settings do not allow gatherers to talk (allowed.may-tell)");
+    if !may_gossip {
+        log::warn!(
+            "membership stays off: the settings forbid gossip between gatherers, key=allowed.may-tell"
+        );
         return None;
     }
-    // Guards against datagrams of up to 1,200 bytes, and connections, where neither is allowed.
+    // Membership needs datagrams of up to 1,200 bytes, and connections; neither is allowed there.
     if peer_datagrams {
         log::warn!(
-            "membership stays off: the platform carries datagrams of 256 bytes between gatherers and nothing else (peer_listen)"
+            "membership stays off: the platform carries datagrams between gatherers, of at most 256 bytes, key=peer_listen"
         );
         return None;
     }
@@ -68,32 +71,43 @@
         name: name.to_owned(),
         start: clock.now().0,
         incarnation: 0,
-        address: wanted.advertise.unwrap_or(wanted.listen),
+        address: settings.advertise.unwrap_or(settings.listen),
         zone,
         state: MemberState::Alive,
     };
-    let (seeds, most) = (wanted.seeds.clone(), wanted.most);
-    let node = Node::new(clock.now(), own, seeds, wanted.timing(), stated, most, fastrand::u64(..));
-    let seal = ClusterKey::new(&wanted.cluster, &wanted.secret);
-    let told = Told { broker: broker.clone(), recording: recording.clone() };
-    Some(MembershipTransport::new(node, seal, clock, wanted.listen, most, Box::new(told)))
+    let (seeds, max_members) = (settings.seeds.clone(), settings.max_members);
+    let node = Node::new(
+        clock.now(),
+        own,
+        seeds,
+        settings.timing(),
+        stated_fleet_size,
+        max_members,
+        fastrand::u64(..),
+    );
+    let seal = ClusterKey::new(&settings.cluster, &settings.secret);
+    let observer = MemberChanges { broker: broker.clone(), recording: recording.clone() };
+    Some(MembershipTransport::new(node, seal, clock, settings.listen, max_members, Box::new(observer)))
 }
 
-/// Asks a gatherer's operators' address who is there; the answer as it came, or as a table.
-pub fn ask(operator: SocketAddr, json: bool) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&operator, CALL)?;
-    stream.set_read_timeout(Some(CALL))?;
+/// Requests the members from a gatherer's operators' address; returns the JSON as received, or a table.
+///
+/// # Errors
+/// The call failed or timed out, or its status is not 200.
+pub fn query(operator: SocketAddr, json: bool) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&operator, OPERATOR_CALL_TIMEOUT)?;
+    stream.set_read_timeout(Some(OPERATOR_CALL_TIMEOUT))?;
     stream.write_all(&http::encode_request("GET", "/-/members", &operator.to_string(), None))?;
-    let (mut buffer, mut bytes) = (BytesMut::new(), [0; 4096]);
+    let (mut buffer, mut chunk) = (BytesMut::new(), [0; 4096]);
     let response = loop {
-        let taken = http::take_response(&mut buffer, 64 * http::MAX_BODY_BYTES)
+        let parsed = http::take_response(&mut buffer, 64 * http::MAX_BODY_BYTES)
             .map_err(|error| io::Error::other(error.to_string()))?;
-        if let Some(response) = taken {
+        if let Some(response) = parsed {
             break response;
         }
-        match stream.read(&mut bytes)? {
+        match stream.read(&mut chunk)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            count => buffer.extend_from_slice(&bytes[..count]),
+            count => buffer.extend_from_slice(&chunk[..count]),
         }
     };
     let text = String::from_utf8_lossy(&response.body).into_owned();
@@ -104,28 +118,34 @@
         return Ok(text);
     }
     let view: Value = serde_json::from_str(&text)?;
-    Ok(table(&view))
+    Ok(member_table(&view))
 }
 
-/// The answer for a person.
-fn table(view: &Value) -> String {
+/// The members as a table for a person.
+fn member_table(view: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or("-").to_owned();
     let age = |value: &Value| value.as_f64().map_or("-".to_owned(), |age| format!("{age:.1} s"));
-    let mut out = format!("{} gatherers share the fleet", view["gatherers"]);
+    let mut member_table = format!("{} gatherers share the fleet", view["gatherers"]);
     if view["alone"] == true {
-        out += "; this one hears nobody and buries nobody";
+        member_table += "; this one receives nothing from any other and declares none dead";
     }
-    let _ =
-        writeln!(out, "\n{:24} {:12} {:9} {:>10} {:>10}  address", "name", "zone", "state", "since", "heard");
+    let _ = writeln!(
+        member_table,
+        "\n{:24} {:12} {:9} {:>10} {:>10}  address",
+        "name", "zone", "state", "since", "last seen"
+    );
     let others = view["members"].as_array().into_iter().flatten();
     for row in std::iter::once(&view["own"]).chain(others) {
         let (name, zone, state) = (text(&row["name"]), text(&row["zone"]), text(&row["state"]));
-        let (since, heard) = (age(&row["since_s"]), age(&row["heard_s"]));
-        let _ =
-            writeln!(out, "{name:24} {zone:12} {state:9} {since:>10} {heard:>10}  {}", text(&row["address"]));
+        let (since, last_seen) = (age(&row["since_s"]), age(&row["heard_s"]));
+        let _ = writeln!(
+            member_table,
+            "{name:24} {zone:12} {state:9} {since:>10} {last_seen:>10}  {}",
+            text(&row["address"])
+        );
     }
-    for (why, count) in view["refused"].as_object().into_iter().flatten() {
-        let _ = writeln!(out, "not taken, {why}: {count}");
+    for (reason, count) in view["refused"].as_object().into_iter().flatten() {
+        let _ = writeln!(member_table, "not taken, {reason}: {count}");
     }
-    out
+    member_table
 }
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,14 +1,15 @@
-//! The program round the layers: configuration, start, end and log.
+//! The process around the layers: configuration, start, reload, upgrade, shutdown and log. It wires the parts together
+//! and decides nothing about queries.
 
+pub mod command_error;
 pub mod config;
-pub mod failure;
 pub mod inspect;
 pub mod log;
 pub mod members;
 pub mod opensearch_file;
 pub mod operator;
-mod process;
 mod recording;
+mod resource_limits;
 pub mod run;
 pub mod settings;
 mod signals;
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,8 +1,8 @@
-//! The file of the OpenSearch-style front, read and checked here.
+//! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
-use super::config::Error;
+use super::config::ConfigError;
 use super::settings::InvalidSetting;
-use crate::fronts::opensearch::Names;
+use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
 use crate::policy::*;
 use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
@@ -11,32 +11,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The file as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct FileContent {
     listen: String,
     zone: String,
-    #[serde(default = "gatherers")]
+    #[serde(default = "default_gatherers")]
     gatherers: u32,
-    layout: Layout,
+    layout: LayoutSection,
     #[serde(default)]
-    limits: FileLimits,
-    class: Vec<FileClass>,
+    limits: LimitsSection,
+    class: Vec<ClassSection>,
     #[serde(default)]
-    tenant: Vec<FileTenant>,
+    tenant: Vec<TenantSection>,
     #[serde(default)]
-    caller: Vec<Caller>,
-    index: Vec<Index>,
-    server: Vec<Server>,
+    caller: Vec<CallerSection>,
+    index: Vec<IndexSection>,
+    server: Vec<ServerSection>,
 }
 
-fn gatherers() -> u32 {
+fn default_gatherers() -> u32 {
     1
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Layout {
+struct LayoutSection {
     shards: u32,
     cells: u32,
     span: u32,
@@ -44,7 +45,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct FileLimits {
+struct LimitsSection {
     max_open: usize,
     window: usize,
     connect_timeout_ms: u64,
@@ -56,9 +57,9 @@
     memory_mb: u64,
 }
 
-impl Default for FileLimits {
+impl Default for LimitsSection {
     fn default() -> Self {
-        FileLimits {
+        LimitsSection {
             max_open: 64,
             window: 1000,
             connect_timeout_ms: 250,
@@ -74,122 +75,128 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FileClass {
+struct ClassSection {
     name: String,
     wanted_ms: u64,
     deadline_ms: u64,
-    effect: FileEffect,
-    #[serde(default = "whole")]
+    effect: IdempotencyKind,
+    #[serde(default = "one")]
     floor: f64,
-    #[serde(default = "whole")]
+    #[serde(default = "one")]
     worth: f64,
     #[serde(default)]
     late_worth: f64,
 }
 
-fn whole() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum FileEffect {
+enum IdempotencyKind {
     Repeatable,
     Once,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FileTenant {
+struct TenantSection {
     name: String,
     quota_per_s: Option<f64>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Caller {
+struct CallerSection {
     id: String,
     tenant: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Index {
+struct IndexSection {
     name: String,
     class: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Server {
+struct ServerSection {
     name: String,
     address: String,
     zone: String,
     cell: u32,
 }
 
-/// What the file makes.
+/// What the file describes, checked.
 #[derive(Debug)]
 pub struct FrontFile {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Contracts, budgets and limits.
+    /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
-    /// Indexes and callers.
-    pub names: Names,
+    /// Names of indexes and callers in requests.
+    pub names: RequestNames,
     /// The index servers.
     pub servers: WorkerListUpdate,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     pub sockets: usize,
-    /// Memory that it may use, in MB.
+    /// Memory that the process may use, in MB.
     pub memory_mb: u64,
 }
 
-/// The least memory to serve in.
-const LEAST_MEMORY_MB: u64 = 16;
+/// The least memory that a process can serve with, in MB.
+const MIN_MEMORY_MB: u64 = 16;
 
 impl FrontFile {
-    /// Reads a file.
-    pub fn read(path: &str, seed: u64) -> Result<FrontFile, Error> {
-        let text =
-            std::fs::read_to_string(path).map_err(|error| Error::File { path: path.to_owned(), error })?;
-        FrontFile::parse(&text, seed).map_err(|error| Error::Form { path: path.to_owned(), error })
+    /// Reads and checks the file at `path`.
+    ///
+    /// # Errors
+    /// The file cannot be read, or one of its values cannot be used.
+    pub fn read(path: &str, seed: u64) -> Result<FrontFile, ConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
+        FrontFile::parse(&text, seed).map_err(|error| ConfigError::Malformed { path: path.to_owned(), error })
     }
 
-    /// Reads the text of a file.
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    /// Names the line or the key that cannot be used.
     pub fn parse(text: &str, seed: u64) -> Result<FrontFile, String> {
-        let file: File = toml::from_str(text).map_err(|error| error.to_string())?;
-        file.check(seed).map_err(|fault| fault.to_string())
+        let file: FileContent = toml::from_str(text).map_err(|error| error.to_string())?;
+        file.check(seed).map_err(|error| error.to_string())
     }
 }
 
-impl File {
+impl FileContent {
     fn check(self, seed: u64) -> Result<FrontFile, InvalidSetting> {
         let listen = self.listen.parse::<SocketAddr>();
         let listen =
             listen.map_err(|_| InvalidSetting::new("listen", format!("no address {:?}", self.listen)))?;
-        let Layout { shards, cells, span } = self.layout;
+        let LayoutSection { shards, cells, span } = self.layout;
         if shards == 0 || cells == 0 || !(1..=cells).contains(&span) {
             return Err(InvalidSetting::new("layout", "shards and cells are 1 at least, span is 1 to cells"));
         }
-        let FileLimits { max_open, window, searches_per_server, attempts, .. } = self.limits;
+        let LimitsSection { max_open, window, searches_per_server, attempts, .. } = self.limits;
         if window == 0 || searches_per_server == 0 || attempts == 0 || max_open <= shards as usize {
             return Err(InvalidSetting::new("limits", "1 at least; max_open over layout.shards"));
         }
-        let FileLimits { sockets, memory_mb, .. } = self.limits;
+        let LimitsSection { sockets, memory_mb, .. } = self.limits;
         if sockets < descriptors::MIN_DESCRIPTORS {
             let what = format!("{sockets}: {} at least are needed", descriptors::MIN_DESCRIPTORS);
             return Err(InvalidSetting::new("limits.sockets", what));
         }
-        if memory_mb < LEAST_MEMORY_MB {
-            let what = format!("{memory_mb}: {LEAST_MEMORY_MB} at least are needed");
+        if memory_mb < MIN_MEMORY_MB {
+            let what = format!("{memory_mb}: {MIN_MEMORY_MB} at least are needed");
             return Err(InvalidSetting::new("limits.memory_mb", what));
         }
-        // More than that many could not be open beside the clients' floor, and what files and the watch need.
-        let most = sockets / 16 * 7;
-        if self.server.len().saturating_mul(searches_per_server) > most {
+        // Leaves the descriptors that are guaranteed to clients, files and discovery.
+        let max_connections = sockets / 16 * 7;
+        if self.server.len().saturating_mul(searches_per_server) > max_connections {
             let what = format!(
-                "with {} servers more than {most} connections, 7/16 of limits.sockets",
+                "with {} servers more than {max_connections} connections, 7/16 of limits.sockets",
                 self.server.len()
             );
             return Err(InvalidSetting::new("limits.searches_per_server", what));
@@ -208,8 +215,8 @@
                 objective_stretch: 0.0,
                 deadline: Duration::from_millis(class.deadline_ms),
                 idempotency: match class.effect {
-                    FileEffect::Repeatable => Idempotency::Idempotent,
-                    FileEffect::Once => Idempotency::NonIdempotent,
+                    IdempotencyKind::Repeatable => Idempotency::Idempotent,
+                    IdempotencyKind::Once => Idempotency::NonIdempotent,
                 },
                 repeat_window: Duration::ZERO,
                 priority_weight: class.worth,
@@ -273,12 +280,12 @@
                 connect_timeout: Duration::from_millis(self.limits.connect_timeout_ms),
                 connection_idle_timeout: Duration::from_millis(self.limits.idle_ms),
                 max_parts_per_connection: searches_per_server,
-                // The file is its list: no grace is stated, and nothing waits for one.
+                // The file itself is the list of servers: no server drains.
                 drain_grace: Duration::ZERO,
                 may_gossip: true,
             },
         };
-        let mut names = Names { window, ..Names::default() };
+        let mut names = RequestNames { window, ..RequestNames::default() };
         for (at, index) in self.index.into_iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
             let unknown =
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's file: what an installation switches on beside the platform's configuration. Everything is off where
-//! there is no such file.
+//! The operator's file: the optional features of an installation (records and membership), beside the platform's
+//! configuration. Everything in it is off where there is no such file.
 
-use super::config::Error;
+use super::config::ConfigError;
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
@@ -11,67 +11,68 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the file may say.
+/// Content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
-    /// Whether and where records are kept.
-    pub records: Option<Records>,
-    /// Whether this gatherer talks with its fellows.
-    pub membership: Option<Membership>,
+pub struct OperatorFile {
+    /// Where records are stored; none are where this is absent.
+    pub records: Option<RecordSettings>,
+    /// How this gatherer takes part in membership; it does not where this is absent.
+    pub membership: Option<MembershipSettings>,
 }
 
-/// How this gatherer talks with its fellows.
+/// How this gatherer takes part in membership.
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Membership {
-    /// Where it listens, by datagrams and connections.
+pub struct MembershipSettings {
+    /// The address at which it receives datagrams and connections.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is elsewhere.
+    /// The address at which others reach it, if that is another one.
     pub advertise: Option<SocketAddr>,
-    /// Members of another cluster are not heard.
+    /// Messages from members of other clusters are dropped.
     pub cluster: String,
-    /// What all members of the cluster know, and nobody else; without it, whoever reaches the address can take part.
+    /// Shared by all members of the cluster and nobody else; without it, whoever reaches the address can take part.
     #[serde(default)]
     pub secret: String,
-    /// Where some members may be found.
+    /// Addresses of some members, with which this one joins.
     pub seeds: Vec<SocketAddr>,
-    /// The most others that are remembered.
-    #[serde(default = "most")]
-    pub most: usize,
-    /// Time between two rounds of questions, in milliseconds.
-    #[serde(default = "period_ms")]
+    /// Number of other members that are stored at most. The key keeps its name in the file.
+    #[serde(rename = "most", default = "default_max_members")]
+    pub max_members: usize,
+    /// Time between two rounds of health checks, in milliseconds.
+    #[serde(default = "default_period_ms")]
     pub period_ms: u64,
-    /// Time from a suspicion to a burial, in milliseconds.
-    #[serde(default = "bury_ms")]
-    pub bury_ms: u64,
+    /// Time from a member's suspected state to its dead one, in milliseconds. The key keeps its name in the file.
+    #[serde(rename = "bury_ms", default = "default_declare_dead_after_ms")]
+    pub declare_dead_after_ms: u64,
 }
 
-fn most() -> usize {
+fn default_max_members() -> usize {
     1024
 }
-fn period_ms() -> u64 {
+fn default_period_ms() -> u64 {
     500
 }
-fn bury_ms() -> u64 {
+fn default_declare_dead_after_ms() -> u64 {
     10_000
 }
 
-impl fmt::Debug for Membership {
+impl fmt::Debug for MembershipSettings {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Not the secret: what is printed may be kept.
+        // Omits the secret: what is printed may be stored.
         out.debug_struct("Membership").field("listen", &self.listen).field("cluster", &self.cluster).finish()
     }
 }
 
-impl Membership {
-    /// The protocol's times that it sets.
+impl MembershipSettings {
+    /// The protocol's times.
     pub fn timing(&self) -> Timing {
-        let (period, bury) = (Duration::from_millis(self.period_ms), Duration::from_millis(self.bury_ms));
+        let (period, declare_dead_after) =
+            (Duration::from_millis(self.period_ms), Duration::from_millis(self.declare_dead_after_ms));
         Timing {
             probe_interval: period,
             gossip_interval: period / 5,
-            suspicion_timeout: bury,
+            suspicion_timeout: declare_dead_after,
             pause_threshold: period * 3,
             ..Timing::default()
         }
@@ -84,13 +85,13 @@
         if !self.secret.is_empty() && self.secret.len() < 16 {
             return Err(InvalidSetting::new("membership.secret", "16 bytes at least, or none"));
         }
-        if !(1..=10_000).contains(&self.most) {
+        if !(1..=10_000).contains(&self.max_members) {
             return Err(InvalidSetting::new("membership.most", "1 to 10,000"));
         }
         if !(50..=10_000).contains(&self.period_ms) {
             return Err(InvalidSetting::new("membership.period_ms", "50 ms to 10 s"));
         }
-        if self.bury_ms < 4 * self.period_ms || self.bury_ms > 600_000 {
+        if self.declare_dead_after_ms < 4 * self.period_ms || self.declare_dead_after_ms > 600_000 {
             return Err(InvalidSetting::new(
                 "membership.bury_ms",
                 "four periods at least, 10 minutes at most",
@@ -106,35 +107,35 @@
     }
 }
 
-/// Where records are kept, and how many.
+/// Where records are stored, and how many.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Records {
-    /// The folder; it is made if it is not there.
+pub struct RecordSettings {
+    /// The folder; it is created where it does not exist.
     pub folder: PathBuf,
     /// Size of a segment, in kB.
-    #[serde(default = "segment_kb")]
+    #[serde(default = "default_segment_kb")]
     pub segment_kb: u64,
-    /// Age of a segment at which the next begins, in seconds.
-    #[serde(default = "segment_s")]
+    /// Age of a segment at which the next one begins, in seconds.
+    #[serde(default = "default_segment_s")]
     pub segment_s: u64,
-    /// Size of all segments of one gatherer, in kB.
-    #[serde(default = "all_kb")]
+    /// Total size of all segments of one gatherer, in kB.
+    #[serde(default = "default_all_kb")]
     pub all_kb: u64,
 }
 
-fn segment_kb() -> u64 {
+fn default_segment_kb() -> u64 {
     4096
 }
-fn segment_s() -> u64 {
+fn default_segment_s() -> u64 {
     3600
 }
-fn all_kb() -> u64 {
+fn default_all_kb() -> u64 {
     262_144
 }
 
-impl Records {
-    /// The bounds that it sets.
+impl RecordSettings {
+    /// The limits of segments.
     pub fn bounds(&self) -> SegmentLimits {
         let (segment, all) = (self.segment_kb << 10, self.all_kb << 10);
         SegmentLimits {
@@ -145,36 +146,42 @@
     }
 }
 
-impl Operator {
-    /// Reads a file.
-    pub fn read(path: &str) -> Result<Operator, Error> {
-        let text =
-            std::fs::read_to_string(path).map_err(|error| Error::File { path: path.to_owned(), error })?;
-        Operator::parse(&text).map_err(|error| Error::Form { path: path.to_owned(), error })
+impl OperatorFile {
+    /// Reads and checks the file at `path`.
+    ///
+    /// # Errors
+    /// The file cannot be read, or one of its values cannot be used.
+    pub fn read(path: &str) -> Result<OperatorFile, ConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
+        OperatorFile::parse(&text).map_err(|error| ConfigError::Malformed { path: path.to_owned(), error })
     }
 
-    /// Reads the text of a file, and checks it.
-    pub fn parse(text: &str) -> Result<Operator, String> {
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    /// Names the line and the key that cannot be used.
+    pub fn parse(text: &str) -> Result<OperatorFile, String> {
         // The library's own message shows the line and the key, over several lines.
-        let operator: Operator = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
-        let records = operator.records.as_ref().map_or(Ok(()), Records::check);
-        let membership = operator.membership.as_ref().map_or(Ok(()), Membership::check);
-        records.and(membership).map_err(|fault| match line_of(text, &fault.path) {
-            Some(line) => format!("line {line}: {fault}"),
-            None => fault.to_string(),
+        let file: OperatorFile = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
+        let records_valid = file.records.as_ref().map_or(Ok(()), RecordSettings::check);
+        let membership_valid = file.membership.as_ref().map_or(Ok(()), MembershipSettings::check);
+        records_valid.and(membership_valid).map_err(|error| match line_number_of(text, &error.path) {
+            Some(line) => format!("line {line}: {error}"),
+            None => error.to_string(),
         })?;
-        Ok(operator)
+        Ok(file)
     }
 }
 
-/// The line that sets a key, by the last name of its path.
-fn line_of(text: &str, path: &str) -> Option<usize> {
+/// Number of the line that sets a key, found by the last name of its path.
+fn line_number_of(text: &str, path: &str) -> Option<usize> {
     let key = path.rsplit('.').next().unwrap_or(path);
     let sets = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
     text.lines().position(sets).map(|at| at + 1)
 }
 
-impl Records {
+impl RecordSettings {
     fn check(&self) -> Result<(), InvalidSetting> {
         if !(64..=1 << 20).contains(&self.segment_kb) {
             return Err(InvalidSetting::new("records.segment_kb", "64 kB to 1 GB"));
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -1,6 +1,7 @@
-//! Keeps the records of a process: its start, a line of figures each second, what changes, its stop.
+//! The records of one process: its start, its metrics each second, changes, and its stop. It decides when to write; the
+//! writer in `records` owns the files.
 
-use super::operator::Records;
+use super::operator::RecordSettings;
 use crate::limits::DescriptorClass;
 use crate::records::folder::Recorder;
 use crate::records::overload::OverloadDetector;
@@ -13,24 +14,27 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between two lines of figures.
-const EACH: Duration = Duration::from_secs(1);
+/// Time between two records of metrics.
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The records of one process; none are kept where no folder is set.
+/// The records of one process; nothing is written where no folder is configured.
 #[derive(Clone, Default)]
 pub struct Recording(Rc<RefCell<Option<Recorder>>>);
 
 impl Recording {
-    /// Begins to keep records, if a folder is set; `start` names this start of this gatherer, and no other.
-    pub fn begin(
-        records: Option<&Records>,
+    /// Starts recording, if a folder is configured. `incarnation` identifies this start of this gatherer, and no other.
+    ///
+    /// # Errors
+    /// The folder cannot be created or written.
+    pub fn start(
+        records: Option<&RecordSettings>,
         gatherer: &str,
-        start: &str,
+        incarnation: &str,
         configuration: &str,
         broker: &Broker,
     ) -> io::Result<Recording> {
         let Some(records) = records else { return Ok(Recording::default()) };
-        let recorder = Recorder::start(&records.folder, gatherer, start, records.bounds())?;
+        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.bounds())?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
         let (classes, tenants) = broker.with_core(|core| {
             core.metrics = Some(Default::default());
@@ -41,50 +45,56 @@
         Ok(recording)
     }
 
-    /// Records this.
+    /// Writes one record.
     pub fn record(&self, body: RecordBody) {
         if let Some(recorder) = &mut *self.0.borrow_mut() {
             recorder.record(body);
         }
     }
 
-    /// Records figures each second, for as long as the process lives.
-    pub async fn keep(self, broker: Broker, gate: Rc<ConnectionManager>) {
+    /// Writes metrics each second; ends only with its task, or at once where nothing is recorded.
+    pub async fn record_periodically(self, broker: Broker, connections: Rc<ConnectionManager>) {
         if self.0.borrow().is_none() {
             return;
         }
         let mut overload = OverloadDetector::default();
         loop {
-            tokio::time::sleep(EACH).await;
-            self.take(&broker, &gate, Some(&mut overload));
+            tokio::time::sleep(METRICS_INTERVAL).await;
+            self.record_metrics(&broker, &connections, Some(&mut overload));
         }
     }
 
-    /// Records what has happened since the last time.
-    fn take(&self, broker: &Broker, gate: &ConnectionManager, overload: Option<&mut OverloadDetector>) {
-        let taken = broker.with_core(|core| {
+    /// Writes what has happened since the last call.
+    fn record_metrics(
+        &self,
+        broker: &Broker,
+        connections: &ConnectionManager,
+        overload: Option<&mut OverloadDetector>,
+    ) {
+        let snapshot = broker.with_core(|core| {
             let second = core.metrics.as_mut().map(|figures| figures.take_snapshot())?;
             Some((std::mem::take(&mut core.record_events), second, core.open_queries()))
         });
-        let Some((news, mut second, open)) = taken else { return };
-        news.into_iter().for_each(|body| self.record(body));
+        let Some((events, mut second, open)) = snapshot else { return };
+        events.into_iter().for_each(|body| self.record(body));
         second.open = open;
-        (second.descriptors, second.clients) = gate
+        (second.descriptors, second.clients) = connections
             .descriptor_pool()
             .descriptors(|all| (all.budget().usable - all.free(), all.held(DescriptorClass::Clients)));
-        second.buffered = gate.descriptor_pool().buffered_bytes();
+        second.buffered = connections.descriptor_pool().buffered_bytes();
         if let Some(begins) = overload.and_then(|overload| overload.observe(&second)) {
             self.record(RecordBody::Overload { begins });
         }
         self.record(RecordBody::Metrics(second));
     }
 
-    /// Records the rest, and the stop. `answered` is whether all that was taken has been.
-    pub fn end(self, broker: &Broker, gate: &ConnectionManager, answered: bool) {
-        // What is left of a second is too short to tell a period by.
-        self.take(broker, gate, None);
-        // Guards against a stop that hides what the process took down: without the line, the rest shows as unknown.
-        if answered {
+    /// Writes the rest and the stop, and closes the files. `all_answered` says whether every accepted query had its
+    /// response.
+    pub fn finish(self, broker: &Broker, connections: &ConnectionManager, all_answered: bool) {
+        // The rest of a second is too short for the detection of overload.
+        self.record_metrics(broker, connections, None);
+        // Without the stop record the unanswered queries are reported as unknown instead of being hidden.
+        if all_answered {
             self.record(RecordBody::Stop);
         }
         let recorder = self.0.borrow_mut().take();
--- /dev/null
+++ b/src/program/resource_limits.rs
@@ -0,0 +1,102 @@
+//! The descriptors and the memory that the process may use: reads the system's limit and the descriptors that are open
+//! before any connection, and divides both among the processes of an upgrade.
+
+use crate::limits::DescriptorBudget;
+use crate::limits::descriptors::{DescriptorLimitTooLow, OPERATOR_DESCRIPTORS};
+use rlimit::Resource;
+
+/// Number of descriptors taken to be open where the system does not say.
+const ASSUMED_OPEN_DESCRIPTORS: usize = 16;
+/// One descriptor for a client that is rejected on connecting, and one that the runtime may still open.
+const SPARE_DESCRIPTORS: usize = 2;
+/// One part in so many of the memory may be used for buffers of connections; the rest is for queries, responses and the
+/// program.
+const BUFFER_MEMORY_DIVISOR: u64 = 4;
+
+/// Raises the process's own limit of descriptors to the configured number, as far as the system allows; returns the
+/// limit that holds then.
+fn raise_descriptor_limit(configured: usize) -> usize {
+    let wanted = configured as u64;
+    let soft = match Resource::NOFILE.get() {
+        Ok((soft, hard)) if soft < wanted => {
+            let raised = wanted.min(hard);
+            match Resource::NOFILE.set(raised, hard) {
+                Ok(()) => raised,
+                Err(_) => soft,
+            }
+        }
+        Ok((soft, _)) => soft,
+        Err(error) => {
+            log::warn!("descriptors: the process's limit cannot be read: {error}");
+            wanted
+        }
+    };
+    usize::try_from(soft.min(wanted)).unwrap_or(configured)
+}
+
+/// Number of descriptors that are open now, and spare ones.
+fn open_descriptors() -> usize {
+    // Reading the folder itself takes one descriptor.
+    let open = std::fs::read_dir("/proc/self/fd").map(|entries| entries.count().saturating_sub(1));
+    open.unwrap_or(ASSUMED_OPEN_DESCRIPTORS) + SPARE_DESCRIPTORS
+}
+
+/// The descriptors and the memory of the gatherer, which its processes share.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessLimits {
+    descriptors: usize,
+    standing: usize,
+    operators: usize,
+    memory_mb: u64,
+}
+
+impl ProcessLimits {
+    /// Reads the system's limits. Call it once everything that stays open for good is open, except for the number of
+    /// descriptors that are opened later.
+    pub fn read(
+        configured: usize,
+        memory_mb: u64,
+        opened_later: usize,
+        has_operator_api: bool,
+    ) -> ProcessLimits {
+        let (descriptors, standing) = (raise_descriptor_limit(configured), open_descriptors() + opened_later);
+        if descriptors < configured {
+            log::warn!("of {configured} descriptors configured the system allows {descriptors}");
+        }
+        ProcessLimits {
+            descriptors,
+            standing,
+            operators: if has_operator_api { OPERATOR_DESCRIPTORS } else { 0 },
+            memory_mb,
+        }
+    }
+
+    /// The descriptor budget of one of `processes` processes.
+    ///
+    /// # Errors
+    /// The share of one process is too small to serve with.
+    pub fn descriptor_budget(&self, processes: u32) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
+        let plan = DescriptorBudget::new(
+            self.descriptors / processes.max(1) as usize,
+            self.standing,
+            self.operators,
+        )?;
+        log::info!(
+            "{} descriptors, {} in use; floors: clients {}, workers {}, discovery {}, files {}, operators {}",
+            self.descriptors / processes.max(1) as usize,
+            self.standing,
+            plan.floors[0],
+            plan.floors[1],
+            plan.floors[2],
+            plan.floors[3],
+            plan.floors[4]
+        );
+        Ok(plan)
+    }
+
+    /// Bytes that one of `processes` processes may use for buffers of connections.
+    pub fn buffer_bytes(&self, processes: u32) -> usize {
+        usize::try_from((self.memory_mb << 20) / BUFFER_MEMORY_DIVISOR / u64::from(processes.max(1)))
+            .unwrap_or(usize::MAX)
+    }
+}
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -1,18 +1,19 @@
-//! Start and end of the process.
+//! The life of a process that serves: reads the configuration, wires the layers together, serves one front, reloads at
+//! SIGHUP and shuts down at SIGTERM.
 
-use super::config::{Config, Error};
-use super::failure::Failure;
+use super::command_error::CommandError;
+use super::config::{Config, ConfigError};
 use super::members;
 use super::opensearch_file::FrontFile;
-use super::operator::Operator;
-use super::process::Allowed;
+use super::operator::OperatorFile;
 use super::recording::Recording;
-use super::signals::{self, Hangup, Stop};
+use super::resource_limits::ProcessLimits;
+use super::signals::{self, ReloadSignal, ShutdownSignal};
 use super::upgrade::Upgrade;
-use crate::fronts::counts;
-use crate::fronts::opensearch::OpenSearch;
-use crate::fronts::operators::Operators;
-use crate::fronts::platform::Platform;
+use crate::fronts::counters_text;
+use crate::fronts::opensearch::OpenSearchFront;
+use crate::fronts::operators::OperatorFront;
+use crate::fronts::platform::PlatformFront;
 use crate::limits::{Backoff, DescriptorClass};
 use crate::policy::Settings;
 use crate::records::record::RecordBody;
@@ -37,34 +38,34 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// Descriptors that an operated process opens later than it reads its limits: the clients' listener, the place where a
-/// successor finds it, and the connection to it.
-const UPGRADE: usize = 3;
-/// Descriptors of one that talks with its fellows: its two sockets, and connections to and from them.
-const MEMBERS: usize = 2 + MEMBERSHIP_CONNECTIONS;
-/// How often the end looks whether all is answered.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time past the longest deadline after which the end no longer waits for a client to read its answer.
-const SLACK: Duration = Duration::from_millis(300);
+/// Number of descriptors that a process with an operators' API opens after it has read its limits: the clients' listener,
+/// the takeover socket, and the connection to the other process of an upgrade.
+const UPGRADE_DESCRIPTORS: usize = 3;
+/// Number of descriptors for membership: its two sockets, and connections to and from other members.
+const MEMBERSHIP_DESCRIPTORS: usize = 2 + MEMBERSHIP_CONNECTIONS;
+/// How often a shutdown checks whether every query has its response.
+const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time after the longest deadline in which clients may still read their responses; then the process ends.
+const RESPONSE_READ_GRACE: Duration = Duration::from_millis(300);
 
-/// A configuration that is faulty at SIGHUP may be one that is still being written, for so long.
-const BEING_WRITTEN: Duration = Duration::from_secs(2);
-/// How often it is read again.
-const READ_AGAIN: Duration = Duration::from_millis(100);
-/// How long a call that a start needs may fail, in a way that may pass, before the start does.
-pub const START: Duration = Duration::from_secs(8);
+/// How long after SIGHUP an invalid configuration file may be one that is still being written.
+const RELOAD_RETRY_WINDOW: Duration = Duration::from_secs(2);
+/// How often such a file is read again.
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a call that the start needs is retried after transient errors, before the start fails.
+pub const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(8);
 
-/// Makes a call that a start needs, again for a while where it fails in a way that may pass.
-async fn needed<T>(call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    errors::retry(START, errors::is_transient, call).await
+/// Makes a call that the start needs, and retries it after transient errors.
+async fn retry_at_startup<T>(lifecycle_request: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+    errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, lifecycle_request).await
 }
 
-/// Reads the configuration, again for a while where it cannot be read now.
-async fn configured<T>(read: &impl Fn() -> Result<T, Error>) -> Result<T, Error> {
+/// Reads the configuration, and retries after transient errors.
+async fn read_at_startup<T>(read: &impl Fn() -> Result<T, ConfigError>) -> Result<T, ConfigError> {
     let (since, mut pauses) = (Instant::now(), RetryDelays::default());
     loop {
         match read() {
-            Err(error) if error.may_pass() && since.elapsed() < START => {
+            Err(error) if error.is_transient() && since.elapsed() < STARTUP_RETRY_LIMIT => {
                 tokio::time::sleep(pauses.next_delay()).await;
             }
             done => return done,
@@ -72,44 +73,54 @@
     }
 }
 
-/// Serves the platform until SIGTERM. SIGHUP has the configuration read again.
-pub fn platform(
-    operator: Operator,
-    read: impl Fn() -> Result<Config, Error> + 'static,
-) -> Result<(), Failure> {
-    in_runtime(async move {
-        let (hangup, mut stop) = needed(async || signals::listen()).await?;
-        let config = configured(&read).await?;
+/// Serves the platform's front until SIGTERM, and reloads its configuration at SIGHUP.
+///
+/// # Errors
+/// The configuration cannot be used, or the system refuses what the start needs.
+pub fn serve_platform(
+    operator: OperatorFile,
+    read: impl Fn() -> Result<Config, ConfigError> + 'static,
+) -> Result<(), CommandError> {
+    block_on_runtime(async move {
+        let (hangup, mut stop) = retry_at_startup(async || signals::install()).await?;
+        let config = read_at_startup(&read).await?;
         let operators = match config.operator_address {
-            Some(address) => Some(needed(async || TcpListener::bind(address).await).await?),
+            Some(address) => Some(retry_at_startup(async || TcpListener::bind(address).await).await?),
             None => None,
         };
-        let alone = match &operators {
+        let own_listener = match &operators {
             Some(_) => None,
-            None => Some(Rc::new(needed(async || TcpListener::bind(config.listen).await).await?)),
+            None => Some(Rc::new(retry_at_startup(async || TcpListener::bind(config.listen).await).await?)),
         };
-        let talks = if operator.membership.is_some() { MEMBERS } else { 0 };
-        let later = talks + if alone.is_some() { 0 } else { UPGRADE };
-        let allowed = Allowed::read(config.max_descriptors, config.memory_mb, later, operators.is_some());
-        let places = places(&allowed)?;
-        let digest = digest(&config.contracts);
+        let for_membership = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
+        let opened_later = for_membership + if own_listener.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
+        let process_limits =
+            ProcessLimits::read(config.max_descriptors, config.memory_mb, opened_later, operators.is_some());
+        let descriptor_pool = new_descriptor_pool(&process_limits)?;
+        let configuration_text = configuration_text(&config.contracts);
         let clock = Clock::system();
-        let (seed, roots) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
+        let (seed, fleet_size) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
         let backoff = match config.max_poll_interval {
-            Some(ask_in) => Backoff::new(seed, roots, ask_in),
+            Some(max_interval) => Backoff::new(seed, fleet_size, max_interval),
             None => Backoff::for_local_agent(seed, config.contracts.limits.drain_grace),
         };
         let broker = Broker::new(Core::new(config.contracts), clock);
-        let start = format!("{:x}-{:x}", clock.now().0, std::process::id());
-        let recording = Recording::begin(operator.records.as_ref(), &config.name, &start, &digest, &broker)?;
+        let incarnation = format!("{:x}-{:x}", clock.now().0, std::process::id());
+        let recording = Recording::start(
+            operator.records.as_ref(),
+            &config.name,
+            &incarnation,
+            &configuration_text,
+            &broker,
+        )?;
         if let Some(known) = &config.initial_workers {
             broker.apply_endpoint_update(known, true);
         }
-        let dial: Rc<dyn Connector> = Rc::new(TcpConnector);
-        let workers = Workers::new(broker.clone(), dial.clone(), places.clone());
+        let connector: Rc<dyn Connector> = Rc::new(TcpConnector);
+        let workers = Workers::new(broker.clone(), connector.clone(), descriptor_pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
-        let gate = ConnectionManager::new(places.clone());
-        let members = members::begin(
+        let connections = ConnectionManager::new(descriptor_pool.clone());
+        let members = members::start(
             operator.membership.as_ref(),
             config.peer_datagrams,
             &config.name,
@@ -117,197 +128,218 @@
             clock,
             &recording,
         );
-        let upgrade = alone
+        let upgrade = own_listener
             .is_none()
-            .then(|| Upgrade::new(broker.clone(), gate.clone(), clock, allowed, config.listen));
+            .then(|| Upgrade::new(broker.clone(), connections.clone(), clock, process_limits, config.listen));
         if let (Some(listener), Some(upgrade)) = (operators, &upgrade) {
-            log::info!("operators may call {}", listener.local_addr()?);
-            let pair = upgrade.clone();
-            let operators =
-                Operators { broker: broker.clone(), gate: gate.clone(), pair, members: members.clone() };
-            spawn_local(operator_api::serve(listener, Rc::new(operators), places.clone()));
+            log::info!("operators' API listening, address={}", listener.local_addr()?);
+            let upgrade_peer = upgrade.clone();
+            let operators = OperatorFront {
+                broker: broker.clone(),
+                connections: connections.clone(),
+                upgrade_peer,
+                members: members.clone(),
+            };
+            spawn_local(operator_api::serve(listener, Rc::new(operators), descriptor_pool.clone()));
         }
-        let listener = match (alone, &upgrade) {
+        let listener = match (own_listener, &upgrade) {
             (Some(listener), _) => listener,
             (None, Some(upgrade)) => tokio::select! {
                 biased;
-                // Nobody has been let in yet: there is nothing to see out.
-                () = stop.told() => return Ok(()),
-                begun = upgrade.begin() => begun?,
+                // No client has been accepted yet: there is nothing to shut down.
+                () = stop.received() => return Ok(()),
+                listener = upgrade.obtain_listener() => listener?,
             },
             (None, None) => return Err(io::Error::from(io::ErrorKind::NotFound).into()),
         };
         if let Some(members) = members.clone() {
             spawn_local(members.run());
         }
-        let front = Platform { broker: broker.clone(), gate: gate.clone() };
+        let front = PlatformFront { broker: broker.clone(), connections: connections.clone() };
         let watcher = broker.clone();
         let discovery = Sender::new(config.discovery_address);
         let address = discovery.subscribe();
-        let watched = places.clone();
-        // A whole list costs an asked discovery twice what its changes do, when the whole fleet starts.
-        let held =
+        let discovery_descriptors = descriptor_pool.clone();
+        // Where discovery is polled, the complete list costs it twice as much as the changes since a revision: matters when
+        // the whole fleet starts.
+        let known_revision =
             config.initial_workers.filter(|_| config.max_poll_interval.is_some()).map(|known| known.revision);
-        spawn_local(
-            async move { discovery::follow(&*dial, address, held, &watcher, &watched, backoff).await },
-        );
-        spawn_local(reload(hangup, places, recording.clone(), move || {
-            // Where discovery is takes effect now, all else at the next start.
+        spawn_local(async move {
+            discovery::follow(&*connector, address, known_revision, &watcher, &discovery_descriptors, backoff)
+                .await
+        });
+        spawn_local(reload_on_signal(hangup, descriptor_pool, recording.clone(), move || {
+            // Only the address of discovery takes effect now, all else at the next start.
             let config = read()?;
-            let news = format!("discovery at {}", config.discovery_address);
+            let change = format!("discovery at {}", config.discovery_address);
             discovery.send_replace(config.discovery_address);
-            Ok(news)
+            Ok(change)
         }));
-        let beside = Beside { stop, recording, upgrade, members };
-        Ok(serve(listener, &config.name, broker, workers, front, gate, beside).await?)
+        let context = ServingContext { stop, recording, upgrade, members };
+        Ok(serve(listener, &config.name, broker, workers, front, connections, context).await?)
     })
 }
 
-/// Serves the OpenSearch-style form until SIGTERM. SIGHUP has the file read again.
-pub fn opensearch(
+/// Serves the OpenSearch-style front until SIGTERM, and reloads its file at SIGHUP.
+///
+/// # Errors
+/// The file cannot be used, or the system refuses what the start needs.
+pub fn serve_opensearch(
     seed: u64,
-    operator: Operator,
-    read: impl Fn() -> Result<FrontFile, Error> + 'static,
-) -> Result<(), Failure> {
-    in_runtime(async move {
-        let (hangup, stop) = needed(async || signals::listen()).await?;
-        let file = configured(&read).await?;
-        let listener = Rc::new(needed(async || TcpListener::bind(file.listen).await).await?);
+    operator: OperatorFile,
+    read: impl Fn() -> Result<FrontFile, ConfigError> + 'static,
+) -> Result<(), CommandError> {
+    block_on_runtime(async move {
+        let (hangup, stop) = retry_at_startup(async || signals::install()).await?;
+        let file = read_at_startup(&read).await?;
+        let listener = Rc::new(retry_at_startup(async || TcpListener::bind(file.listen).await).await?);
         if operator.membership.is_some() {
-            log::warn!("membership stays off: this front does not take part in it");
+            log::warn!("membership stays off: the OpenSearch-style front does not support it");
         }
-        let places = places(&Allowed::read(file.sockets, file.memory_mb, 0, false))?;
+        let descriptor_pool =
+            new_descriptor_pool(&ProcessLimits::read(file.sockets, file.memory_mb, 0, false))?;
         let clock = Clock::system();
-        let digest = digest(&file.contracts);
+        let configuration_text = configuration_text(&file.contracts);
         let broker = Broker::new(Core::new(file.contracts), clock);
-        // Two starts have the same name only if they draw the same seed in the same nanosecond.
-        let start = format!("{:x}-{seed:016x}", clock.now().0);
-        let recording = Recording::begin(operator.records.as_ref(), "opensearch", &start, &digest, &broker)?;
+        // Unique unless two processes draw the same seed in the same nanosecond.
+        let incarnation = format!("{:x}-{seed:016x}", clock.now().0);
+        let recording = Recording::start(
+            operator.records.as_ref(),
+            "opensearch",
+            &incarnation,
+            &configuration_text,
+            &broker,
+        )?;
         broker.apply_endpoint_update(&file.servers, true);
-        let learner = broker.clone();
-        spawn_local(reload(hangup, places.clone(), recording.clone(), move || {
-            // Which index servers there are takes effect now, all else at the next start.
+        let endpoint_broker = broker.clone();
+        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), move || {
+            // Only the list of index servers takes effect now, all else at the next start.
             let servers = read()?.servers;
-            learner.apply_endpoint_update(&servers, false);
+            endpoint_broker.apply_endpoint_update(&servers, false);
             Ok(format!("{} index servers", servers.workers.len()))
         }));
-        let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), places.clone());
+        let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
         spawn_local(servers.clone().close_idle_on_reclaim());
-        let gate = ConnectionManager::new(places);
-        let front = OpenSearch::new(broker.clone(), clock, gate.clone(), file.names, start, seed);
-        let beside = Beside { stop, recording, upgrade: None, members: None };
-        Ok(serve(listener, "opensearch", broker, servers, front, gate, beside).await?)
+        let connections = ConnectionManager::new(descriptor_pool);
+        let front =
+            OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.names, incarnation, seed);
+        let context = ServingContext { stop, recording, upgrade: None, members: None };
+        Ok(serve(listener, "opensearch", broker, servers, front, connections, context).await?)
     })
 }
 
-/// The runtime; its own calls may fail for a moment too.
+/// Builds the runtime, and retries after transient errors.
 fn runtime() -> io::Result<Runtime> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    errors::retry_blocking(START, errors::is_transient, build)
+    errors::retry_blocking(STARTUP_RETRY_LIMIT, errors::is_transient, build)
 }
 
-fn in_runtime(main: impl Future<Output = Result<(), Failure>>) -> Result<(), Failure> {
+/// Runs `main` to its end on a runtime of one thread.
+fn block_on_runtime(main: impl Future<Output = Result<(), CommandError>>) -> Result<(), CommandError> {
     let runtime = runtime()?;
     LocalSet::new().block_on(&runtime, main)
 }
 
-/// What goes on beside serving.
-struct Beside {
-    stop: Stop,
+/// What a front is served with, beside its own parts.
+struct ServingContext {
+    stop: ShutdownSignal,
     recording: Recording,
     upgrade: Option<Rc<Upgrade>>,
     members: Option<Rc<MembershipTransport>>,
 }
 
-/// Serves one front, from its first connection to its last answer.
+/// Serves one front, from its first connection to its last response.
 async fn serve(
     listener: Rc<TcpListener>,
     name: &str,
     broker: Broker,
     carrier: impl WorkerTransport + 'static,
     front: impl Front + 'static,
-    gate: Rc<ConnectionManager>,
-    Beside { mut stop, recording, upgrade, members }: Beside,
+    connections: Rc<ConnectionManager>,
+    ServingContext { mut stop, recording, upgrade, members }: ServingContext,
 ) -> io::Result<()> {
-    let longest = broker.with_core(|core| longest(core.contracts()));
-    let at = listener.local_addr()?;
+    let longest_deadline = broker.with_core(|core| longest_deadline(core.contracts()));
+    let address = listener.local_addr()?;
     let driver = broker.clone();
     spawn_local(async move { driver.drive(&carrier).await });
-    let tended = gate.clone();
-    spawn_local(async move { tended.run_evictions().await });
-    let aged = gate.clone();
-    spawn_local(async move { aged.run_lifecycle_timers().await });
-    let kept = spawn_local(recording.clone().keep(broker.clone(), gate.clone()));
-    let (serving, door, starting) = (format!("{name} serving on {at}"), gate.clone(), upgrade.clone());
+    let evicting = connections.clone();
+    spawn_local(async move { evicting.run_evictions().await });
+    let timed = connections.clone();
+    spawn_local(async move { timed.run_lifecycle_timers().await });
+    let recording_task =
+        spawn_local(recording.clone().record_periodically(broker.clone(), connections.clone()));
+    let serving_line = format!("{name} serving on {address}");
+    let (accepting_connections, starting) = (connections.clone(), upgrade.clone());
     let accepting = spawn_local(async move {
         if let Some(upgrade) = starting {
-            upgrade.ready().await;
-            upgrade.serving();
+            upgrade.wait_until_ready().await;
+            upgrade.announce_serving();
         }
-        log::info!("{serving}");
-        listener::accept(listener, Rc::new(front), door).await;
+        log::info!("{serving_line}");
+        listener::accept(listener, Rc::new(front), accepting_connections).await;
     });
-    stop.told().await;
-    let call = upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.stop());
+    stop.received().await;
+    let lifecycle_request =
+        upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.announce_stop());
     if let Some(members) = members {
-        // The other process of an upgrade takes the address and the name over.
-        members.leave(call == LifecycleRequest::HandOver);
+        // In an upgrade the other process takes over the address and the name.
+        members.leave(lifecycle_request == LifecycleRequest::HandOver);
     }
-    let answered = wind_up(&broker, &gate, call, longest, accepting).await;
-    kept.abort();
-    recording.end(&broker, &gate, answered);
+    let all_answered = shut_down(&broker, &connections, lifecycle_request, longest_deadline, accepting).await;
+    recording_task.abort();
+    recording.finish(&broker, &connections, all_answered);
     if let Some(upgrade) = upgrade {
-        upgrade.end();
+        upgrade.remove_socket_file();
     }
-    counts(&broker, &gate).lines().for_each(|line| log::info!("{line}"));
+    counters_text(&broker, &connections).lines().for_each(|line| log::info!("{line}"));
     Ok(())
 }
 
-/// What tells one configuration from another; the seed is new with each start.
-fn digest(contracts: &Contracts) -> String {
+/// The configuration as text, to identify it by. It omits the seed, which is new with each start.
+fn configuration_text(contracts: &Contracts) -> String {
     let settings = Settings { seed: 0, ..contracts.settings.clone() };
     format!("{:?}", Contracts { settings, ..contracts.clone() })
 }
 
 /// The longest deadline of any class.
-fn longest(contracts: &Contracts) -> Duration {
+fn longest_deadline(contracts: &Contracts) -> Duration {
     contracts.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-/// Divides what the process may use, as one that is alone.
-fn places(allowed: &Allowed) -> io::Result<Rc<DescriptorPool>> {
-    let plan = allowed.plan(1).map_err(io::Error::other)?;
-    Ok(DescriptorPool::new(plan, allowed.buffered(1)))
+/// A descriptor pool for a process that shares its limits with no other.
+fn new_descriptor_pool(process_limits: &ProcessLimits) -> io::Result<Rc<DescriptorPool>> {
+    let plan = process_limits.descriptor_budget(1).map_err(io::Error::other)?;
+    Ok(DescriptorPool::new(plan, process_limits.buffer_bytes(1)))
 }
 
-/// Reads the configuration again at each SIGHUP, and says what holds from now on; nothing that is in flight notices.
-/// A faulty file changes nothing. One that cannot be read now, or is still being written, is read again until it can, or
-/// the next SIGHUP: the old discovery may say nothing any longer.
-async fn reload(
-    hangups: Hangup,
-    places: Rc<DescriptorPool>,
+/// Reloads the configuration at each SIGHUP and logs what changed; nothing in flight is affected. An invalid file changes
+/// nothing. A file that cannot be read now, or may still be being written, is read again until that succeeds or SIGHUP is
+/// received once more: the previous discovery address may no longer answer.
+async fn reload_on_signal(
+    hangups: ReloadSignal,
+    descriptor_pool: Rc<DescriptorPool>,
     recording: Recording,
-    mut read: impl FnMut() -> Result<String, Error>,
+    mut read: impl FnMut() -> Result<String, ConfigError>,
 ) {
     loop {
-        hangups.told().await;
-        while let Some(error) = try_reload(&places, &recording, &mut read).await {
+        hangups.received().await;
+        while let Some(error) = reload_once(&descriptor_pool, &recording, &mut read).await {
             tokio::select! {
                 biased;
-                () = hangups.told() => log::info!("configuration not read again: SIGHUP came once more"),
-                () = read_later(error, &places, &recording, &mut read) => break,
+                () = hangups.received() => log::info!("configuration not read again: SIGHUP received once more"),
+                () = retry_reload(error, &descriptor_pool, &recording, &mut read) => break,
             }
         }
     }
 }
 
-/// Reads once; why that failed, if it did.
-async fn try_reload(
-    places: &Rc<DescriptorPool>,
+/// Reads the configuration once; returns the error, if there is one.
+async fn reload_once(
+    descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, Error>,
-) -> Option<Error> {
-    let _place = places.acquire(DescriptorClass::Files).await;
+    read: &mut impl FnMut() -> Result<String, ConfigError>,
+) -> Option<ConfigError> {
+    let _permit = descriptor_pool.acquire(DescriptorClass::Files).await;
     match read() {
         Ok(what) => {
             log::info!("configuration read again: {what}");
@@ -322,54 +354,55 @@
     }
 }
 
-/// Reads again and again, where the file may be there in a moment.
-async fn read_later(
-    mut error: Error,
-    places: &Rc<DescriptorPool>,
+/// Reads the configuration again and again, while the error is transient or the file may still be being written.
+async fn retry_reload(
+    mut error: ConfigError,
+    descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, Error>,
+    read: &mut impl FnMut() -> Result<String, ConfigError>,
 ) {
     let since = Instant::now();
-    while error.may_pass() || since.elapsed() < BEING_WRITTEN {
-        tokio::time::sleep(READ_AGAIN).await;
-        let _place = places.acquire(DescriptorClass::Files).await;
+    while error.is_transient() || since.elapsed() < RELOAD_RETRY_WINDOW {
+        tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
+        let _permit = descriptor_pool.acquire(DescriptorClass::Files).await;
         match read() {
             Ok(what) => {
                 log::info!("configuration read again: {what}");
                 return recording.record(RecordBody::Reload { applied: true, detail: what });
             }
-            Err(now) => error = now,
+            Err(latest) => error = latest,
         }
     }
 }
 
-/// Sees out those who still come, takes nothing new, and returns once all that was taken is answered, or `false` once
-/// its time is up.
-async fn wind_up(
+/// Shuts down gracefully: serves the grace period, then accepts nothing new, and returns `true` once every accepted query
+/// has its response, or `false` once the time for that is over.
+async fn shut_down(
     broker: &Broker,
-    gate: &ConnectionManager,
+    connections: &ConnectionManager,
     stop: LifecycleRequest,
-    longest: Duration,
+    longest_deadline: Duration,
     accepting: JoinHandle<()>,
 ) -> bool {
-    log::info!("stopping: {} connections are open", gate.open_connections());
-    // It cannot be refused: nothing stops twice, and a second stop is the first.
-    let _ = gate.apply_lifecycle(stop);
-    gate.wait_for_closing().await;
-    log::info!("stopping: nothing new is taken");
+    log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
+    // Cannot fail: a second stop is the same as the first.
+    let _ = connections.apply_lifecycle(stop);
+    connections.wait_for_closing().await;
+    log::info!("stopping: nothing new is accepted");
     let all_answered = async {
-        // Guards against an end between two who wait at the door: whoever has connected has to be let in first.
+        // Whoever has connected must be accepted first: else the process could end between two waiting connections.
         if let Err(error) = accepting.await {
-            log::error!("accepting: {error}");
+            log::error!("stopping: the accept task failed: {error}");
         }
-        // A search that runs once goes on without its client, for the outcome is to be known.
-        while gate.open_connections() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
-            tokio::time::sleep(LOOK).await;
+        // A non-idempotent search continues without its client, so that its outcome can be asked for.
+        while connections.open_connections() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
+            tokio::time::sleep(COMPLETION_POLL_INTERVAL).await;
         }
     };
-    let answered = tokio::time::timeout(longest + SLACK, all_answered).await.is_ok();
-    if !answered {
-        log::warn!("stopped with {} connections open", gate.open_connections());
+    let all_answered =
+        tokio::time::timeout(longest_deadline + RESPONSE_READ_GRACE, all_answered).await.is_ok();
+    if !all_answered {
+        log::warn!("stopping: time is over, open_connections={}", connections.open_connections());
         let open = broker.with_core(|core| core.open_queries());
         if open > 0 {
             broker.report_violation(
@@ -378,5 +411,5 @@
             );
         }
     }
-    answered
+    all_answered
 }
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance, by path: the one place that reads, checks and defaults them, for the simulator's
-//! `path=value` pairs and for nested JSON alike.
+//! The settings of one instance, keyed by path: the only place that parses, checks and defaults them, both for the
+//! simulator's `path=value` pairs and for nested JSON. It reads no file.
 
 use crate::policy::*;
 use crate::protocol::frame;
@@ -8,38 +8,43 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Queries and parts that may be open where no setting says.
-const MAX_OPEN: u32 = 10_000;
-/// Time for a connection to come up, idle time, parts on a connection, and time to stop after a drain is told, where no
-/// setting says.
-const CONNECT: Duration = Duration::from_millis(250);
-const DRAIN_GRACE: Duration = Duration::from_millis(250);
-const IDLE: Duration = Duration::from_secs(15);
-const MULTIPLEX: u32 = 32;
+/// Number of queries and parts that may be open, where `allowed.max-open` does not say.
+const DEFAULT_MAX_OPEN_REQUESTS: u32 = 10_000;
+/// Time-out of a connection attempt, where `allowed.connect-timeout` does not say.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time between a worker's draining state and the last query it accepts, where `rules.drain-grace` does not say.
+const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Idle time-out of a connection to a worker, where `allowed.conn-idle` does not say.
+const DEFAULT_CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Number of parts in flight on one connection, where `allowed.multiplex` does not say.
+const DEFAULT_PARTS_PER_CONNECTION: u32 = 32;
 
-/// A setting that cannot be used, by the path of its key.
+/// A setting whose value is missing or cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {reason}")]
 pub struct InvalidSetting {
-    /// The key.
+    /// Path of the key.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
 impl InvalidSetting {
-    /// The fault of this key.
+    /// An error for the key at `path`.
     pub fn new(path: &str, what: impl Into<String>) -> InvalidSetting {
         InvalidSetting { path: path.to_owned(), reason: what.into() }
     }
 }
 
-/// Settings by path. An absent one has the value that [`Settings`] states.
+/// Settings keyed by path. An absent one takes the default that [`Settings`] states.
 #[derive(Debug, Default)]
 pub struct FlatSettings(HashMap<String, String>);
 
 impl FlatSettings {
-    /// Reads `path=value` pairs with a space between each.
+    /// Parses `path=value` pairs separated by spaces.
+    ///
+    /// # Errors
+    /// Names the first pair without `=`.
     pub fn from_text(text: &str) -> Result<FlatSettings, InvalidSetting> {
         let mut map = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
@@ -51,29 +56,29 @@
         Ok(FlatSettings(map))
     }
 
-    /// Reads nested JSON: `a.b` for fields, `a.0` and `a.count` for lists.
+    /// Flattens nested JSON: the paths are `a.b` for fields, `a.0` and `a.count` for lists.
     pub fn from_json(value: &Value) -> FlatSettings {
-        let mut pairs = FlatSettings::default();
-        pairs.add("", value);
-        pairs
+        let mut settings = FlatSettings::default();
+        settings.add("", value);
+        settings
     }
 
     fn add(&mut self, path: &str, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
             Value::Null => {}
-            Value::Object(fields) => fields.iter().for_each(|(name, value)| self.add(&below(name), value)),
+            Value::Object(fields) => fields.iter().for_each(|(name, value)| self.add(&child(name), value)),
             Value::Array(items) => {
-                self.0.insert(below("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.add(&below(&at.to_string()), item));
-                // Plain values stand joined under the list's own path too, as the simulator writes them.
+                self.0.insert(child("count"), items.len().to_string());
+                items.iter().enumerate().for_each(|(at, item)| self.add(&child(&at.to_string()), item));
+                // A list of scalars is stored joined under its own path too, as the simulator writes it.
                 if items.iter().all(|item| !item.is_object() && !item.is_array()) {
-                    let row: Vec<String> = items.iter().map(plain).collect();
-                    self.0.insert(path.to_owned(), row.join(","));
+                    let joined: Vec<String> = items.iter().map(scalar_text).collect();
+                    self.0.insert(path.to_owned(), joined.join(","));
                 }
             }
             value => {
-                self.0.insert(path.to_owned(), plain(value));
+                self.0.insert(path.to_owned(), scalar_text(value));
             }
         }
     }
@@ -91,8 +96,8 @@
     fn count(&self, path: &str) -> Result<u32, InvalidSetting> {
         Ok(self.number(path)?.unwrap_or(0.0).max(0.0) as u32)
     }
-    fn span(&self, path: &str) -> Result<Option<Duration>, InvalidSetting> {
-        Ok(self.number(path)?.map(|span| Duration::from_nanos(span.max(0.0) as u64)))
+    fn duration(&self, path: &str) -> Result<Option<Duration>, InvalidSetting> {
+        Ok(self.number(path)?.map(|nanoseconds| Duration::from_nanos(nanoseconds.max(0.0) as u64)))
     }
     fn flag(&self, path: &str) -> Result<bool, InvalidSetting> {
         match self.text(path) {
@@ -101,7 +106,7 @@
             Some(value) => Err(InvalidSetting::new(path, format!("bad value {value:?}"))),
         }
     }
-    /// A value for each class: one for all, a comma-joined list, or numbered paths.
+    /// The value for one class: from a numbered path, a comma-separated list, or one value for all classes.
     fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, InvalidSetting> {
         let numbered = format!("{path}.{class}");
         if self.text(&numbered).is_some() {
@@ -112,7 +117,7 @@
         item.map(|item| item.parse().map_err(|_| InvalidSetting::new(path, format!("bad number {item:?}"))))
             .transpose()
     }
-    /// A list of names, numbered or comma-joined.
+    /// A list of names, from numbered paths or comma-separated.
     fn names(&self, path: &str) -> Vec<String> {
         let numbered: Vec<String> =
             (0..).map_while(|at| self.text(&format!("{path}.{at}")).map(str::to_owned)).collect();
@@ -122,7 +127,10 @@
         self.text(path).map(|list| list.split(',').map(str::to_owned).collect()).unwrap_or_default()
     }
 
-    /// The contracts that these settings make, for an instance with this seed.
+    /// The contracts that these settings describe, for an instance with this seed.
+    ///
+    /// # Errors
+    /// Names the first setting whose value cannot be used.
     pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
         let named = |list: &str, at: u32| {
             self.text(&format!("{list}.{at}.name")).map_or_else(|| at.to_string(), str::to_owned)
@@ -135,16 +143,18 @@
             zones: self.names("localities"),
             limits: BrokerLimits {
                 max_open_requests: match self.count("allowed.max-open")? {
-                    0 => MAX_OPEN as usize,
-                    most => most as usize,
+                    0 => DEFAULT_MAX_OPEN_REQUESTS as usize,
+                    max => max as usize,
                 },
-                connect_timeout: self.span("allowed.connect-timeout")?.unwrap_or(CONNECT),
-                connection_idle_timeout: self.span("allowed.conn-idle")?.unwrap_or(IDLE),
+                connect_timeout: self.duration("allowed.connect-timeout")?.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+                connection_idle_timeout: self
+                    .duration("allowed.conn-idle")?
+                    .unwrap_or(DEFAULT_CONNECTION_IDLE_TIMEOUT),
                 max_parts_per_connection: match self.count("allowed.multiplex")? {
-                    0 => MULTIPLEX as usize,
-                    most => most as usize,
+                    0 => DEFAULT_PARTS_PER_CONNECTION as usize,
+                    max => max as usize,
                 },
-                drain_grace: self.span("rules.drain-grace")?.unwrap_or(DRAIN_GRACE),
+                drain_grace: self.duration("rules.drain-grace")?.unwrap_or(DEFAULT_DRAIN_GRACE),
                 may_gossip: self.text("allowed.may-tell").is_none() || self.flag("allowed.may-tell")?,
             },
         })
@@ -152,10 +162,10 @@
 
     fn class(&self, at: usize) -> Result<Class, InvalidSetting> {
         let path = |name: &str| format!("categories.{at}.{name}");
-        let deadline = self.span(&path("deadline"))?.unwrap_or_default();
+        let deadline = self.duration(&path("deadline"))?.unwrap_or_default();
         let whole_at = self.by_class("domain.whole-at", at)?.unwrap_or(1.0);
         Ok(Class {
-            latency_objective: self.span(&path("promise"))?.unwrap_or(deadline),
+            latency_objective: self.duration(&path("promise"))?.unwrap_or(deadline),
             objective_stretch: self.number(&path("aim-stretch"))?.unwrap_or(0.0),
             deadline,
             idempotency: match self.text(&path("semantics")) {
@@ -166,7 +176,7 @@
                     return Err(InvalidSetting::new(&path("semantics"), format!("unknown value {other:?}")));
                 }
             },
-            repeat_window: self.span(&path("window"))?.unwrap_or_default(),
+            repeat_window: self.duration(&path("window"))?.unwrap_or_default(),
             priority_weight: self.number(&path("worth"))?.unwrap_or(1.0),
             late_weight: self.number(&path("late-worth"))?.unwrap_or(0.0),
             min_coverage: self.by_class("domain.min-share", at)?.unwrap_or(whole_at),
@@ -182,7 +192,7 @@
         for at in 0..self.count("tenants.count")? {
             tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
         }
-        let budget = match self.span("rules.look-back")? {
+        let budget = match self.duration("rules.look-back")? {
             Some(window) => Some(RetryBudget {
                 free_attempts: self.number("rules.free-resends")?.unwrap_or(0.0),
                 ratio: self.number("rules.further-ratio")?.unwrap_or(0.0),
@@ -197,15 +207,15 @@
             classes: classes.collect::<Result<_, _>>()?,
             tenants,
             over_quota_weight: self.number("over-share-worth")?,
-            min_step_interval: self.span("quantum")?.unwrap_or_default(),
+            min_step_interval: self.duration("quantum")?.unwrap_or_default(),
             poll_discovery: self.text("discovery") == Some("on_request"),
-            poll_within: self.span("rules.must-ask-in")?.unwrap_or_default(),
+            poll_within: self.duration("rules.must-ask-in")?.unwrap_or_default(),
             may_cancel: self.flag("allowed.cancel")?,
             may_health_check: self.flag("allowed.probing")?,
             hedging_allowed: self.flag("allowed.second-copies")?,
             max_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
             max_retry_after: match self.flag("allowed.retry-after")? {
-                true => self.span("allowed.max-retry-after")?,
+                true => self.duration("allowed.max-retry-after")?,
                 false => None,
             },
             retry_budget: budget,
@@ -213,7 +223,7 @@
             cells_per_shard: self.count("domain.span")?.max(1),
             shards: self.count("domain.slices")?,
             parts_per_call: self.count("domain.per-call")?.max(1),
-            call_cost: self.span("domain.call")?.unwrap_or_default(),
+            call_cost: self.duration("domain.call")?.unwrap_or_default(),
             keys_are_cached: self.flag("domain.warm-keys")?,
             cross_zone_price: self.number("deductions.cross-zone")?.unwrap_or(0.0),
             waste_price: self.number("deductions.waste")?.unwrap_or(0.0),
@@ -226,15 +236,15 @@
             report_fields: self.names("report.fields").iter().map(|name| frame::report_field(name)).collect(),
             sizes_comparable: self.text("weights").is_some_and(|weights| weights != "silent"),
             cold_capacity_fraction: self.number("rules.cold-share")?.unwrap_or(1.0),
-            warm_up: self.span("rules.warm-up")?.unwrap_or_default(),
+            warm_up: self.duration("rules.warm-up")?.unwrap_or_default(),
             slow_start_budget_factor: self.number("rules.fall-multiple")?.unwrap_or(1.0),
-            slow_start_budget_window: self.span("rules.fall")?.unwrap_or_default(),
-            response_grace: self.span("rules.grace-to-answer")?.unwrap_or_default(),
+            slow_start_budget_window: self.duration("rules.fall")?.unwrap_or_default(),
+            response_grace: self.duration("rules.grace-to-answer")?.unwrap_or_default(),
         })
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
--- a/src/program/signals.rs
+++ b/src/program/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that a front obeys: SIGHUP, SIGTERM and SIGINT.
+//! The signals that the process handles: SIGHUP (reload), SIGTERM and SIGINT (shutdown).
 //!
-//! A handler sets a flag and writes a byte to a socket, which wakes the process. The flag alone decides: a byte that could
-//! not be written, or a read that fails, costs a moment and never the signal.
+//! A handler sets a flag and writes a byte to a socket, which wakes the process. Only the flag decides: if the byte cannot
+//! be written or read, the signal is noticed later, and never lost.
 
 use crate::transport::socket::Socket;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -16,68 +16,73 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
 
-/// How often flags are looked at where no byte came.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often the flags are polled where no byte wakes the process.
+const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether SIGTERM or SIGINT has come.
+/// Reports SIGTERM or SIGINT.
 #[derive(Clone)]
-pub struct Stop(watch::Receiver<bool>);
+pub struct ShutdownSignal(watch::Receiver<bool>);
 
-impl Stop {
-    /// Returns once either has come.
-    pub async fn told(&mut self) {
+impl ShutdownSignal {
+    /// Returns once either has been received.
+    pub async fn received(&mut self) {
         // The sender lives as long as the process listens for signals.
-        let _ = self.0.wait_for(|told| *told).await;
+        let _ = self.0.wait_for(|received| *received).await;
     }
 }
 
-/// SIGHUP. Several that come before the first is heard count as one.
-pub struct Hangup(Rc<Notify>);
+/// Reports SIGHUP. Several of them before the first is handled count as one.
+pub struct ReloadSignal(Rc<Notify>);
 
-impl Hangup {
+impl ReloadSignal {
     /// Returns at the next one.
-    pub async fn told(&self) {
+    pub async fn received(&self) {
         self.0.notified().await;
     }
 }
 
-/// Hears signals from now on. Guards a process that has just started: until they are heard, SIGHUP ends it like a crash,
-/// and SIGTERM leaves those who connected by then without an answer.
-pub fn listen() -> io::Result<(Hangup, Stop)> {
-    let (hangups, stops) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+/// Installs the handlers. Call it first: before, SIGHUP ends the process like a crash, and SIGTERM leaves clients that have
+/// connected without a response.
+///
+/// # Errors
+/// The system refuses a socket or a handler.
+pub fn install() -> io::Result<(ReloadSignal, ShutdownSignal)> {
+    let (hangup_flag, stop_flag) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let (wake, waker) = std::os::unix::net::UnixStream::pair()?;
     wake.set_nonblocking(true)?;
     waker.set_nonblocking(true)?;
-    for (signal, told) in [(SIGHUP, &hangups), (SIGTERM, &stops), (SIGINT, &stops)] {
-        flag::register(signal, told.clone())?;
+    for (signal, flag_to_set) in [(SIGHUP, &hangup_flag), (SIGTERM, &stop_flag), (SIGINT, &stop_flag)] {
+        flag::register(signal, flag_to_set.clone())?;
         pipe::register(signal, waker.try_clone()?)?;
     }
     let wake = Socket::new(UnixStream::from_std(wake)?);
     let (hangup, stop) = (Rc::new(Notify::new()), watch::Sender::new(false));
-    let (told, heard) = (stop.subscribe(), hangup.clone());
-    spawn_local(hear(wake, hangups, stops, hangup, stop));
-    Ok((Hangup(heard), Stop(told)))
+    let (stop_receiver, hangup_receiver) = (stop.subscribe(), hangup.clone());
+    spawn_local(forward_signals(wake, hangup_flag, stop_flag, hangup, stop));
+    Ok((ReloadSignal(hangup_receiver), ShutdownSignal(stop_receiver)))
 }
 
-/// Passes signals on, for as long as the process lives.
-async fn hear(
+/// Forwards the flags to [`ShutdownSignal`] and [`ReloadSignal`], for the life of the process.
+async fn forward_signals(
     mut wake: Socket<UnixStream>,
-    hangups: Arc<AtomicBool>,
-    stops: Arc<AtomicBool>,
+    hangup_flag: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
     hangup: Rc<Notify>,
     stop: watch::Sender<bool>,
 ) {
-    let mut scrap = [0; 64];
+    let mut discarded = [0; 64];
     loop {
-        // What is read says nothing; whether it can be is all the same.
-        if tokio::time::timeout(LOOK, wake.read(&mut scrap)).await.is_ok_and(|read| !matches!(read, Ok(1..)))
+        // The bytes carry nothing. If the socket is closed or fails, the flags are polled instead.
+        if tokio::time::timeout(FLAG_POLL_INTERVAL, wake.read(&mut discarded))
+            .await
+            .is_ok_and(|read| !matches!(read, Ok(1..)))
         {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(FLAG_POLL_INTERVAL).await;
         }
-        if hangups.swap(false, Ordering::SeqCst) {
+        if hangup_flag.swap(false, Ordering::SeqCst) {
             hangup.notify_one();
         }
-        if stops.swap(false, Ordering::SeqCst) {
+        if stop_flag.swap(false, Ordering::SeqCst) {
             stop.send_replace(true);
         }
     }
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -1,8 +1,9 @@
-//! Upgrades: a second start takes over from the first, and a first lets itself be taken over from. What either may do is
-//! decided in [`crate::service::takeover`]; the ways are weighed in docs/service.md.
+//! Upgrades without downtime (hot restart): a second process takes over from the first one's listening socket and state,
+//! and both share the limits while both run. [`crate::service::takeover`] decides what either may do; docs/service.md
+//! compares the alternatives.
 
-use super::process::Allowed;
-use crate::fronts::operators::{Change, Pair};
+use super::resource_limits::ProcessLimits;
+use crate::fronts::operators::{OperatorChange, UpgradePeer};
 use crate::limits::DescriptorClass;
 use crate::protocol::handover::{Message, TakeoverState};
 use crate::routing::{Broker, Clock, Invariant};
@@ -23,109 +24,112 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout};
 
-/// How long the other process may take to answer before it counts as hung.
-const ANSWER: Duration = Duration::from_secs(2);
-/// How long a predecessor that cannot be heard is asked at least, before this process listens beside it: one that hangs
-/// must not keep this one from serving.
-const UNHEARD: Duration = Duration::from_secs(3);
-/// How long a successor waits for discovery at most: it has the list that was passed on.
-const DISCOVERY: Duration = Duration::from_secs(1);
-/// How often one that has to wait asks again.
-const AGAIN: Duration = Duration::from_millis(200);
-/// How long an address that is in use is waited for: its process may be about to end.
-const ADDRESS: Duration = Duration::from_secs(5);
-/// Connections that may wait in the queue.
-const QUEUE: u32 = 1024;
-/// Starts that are heard at once.
-const CALLERS: usize = 2;
-/// Changes that may wait to be told to the other process; operators make them by hand.
-const CHANGES: usize = 256;
-
-/// What became of asking a predecessor to hand over.
-enum Asked {
-    /// Nobody is there.
-    Absent,
-    /// Another upgrade is under way.
-    Waits,
-    /// It passes this on, with its listening socket.
+/// How long the other process may take to reply before it counts as hung.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an unreachable predecessor is retried before this process listens beside it: one that hangs must not keep this
+/// one from serving.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a successor waits for discovery at most: it already has the predecessor's endpoint list.
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_secs(1);
+/// Time between two requests of a process that has to wait.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long binding an address that is in use is retried: its process may be about to end.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Number of starting processes whose requests are received at the same time.
+const MAX_CONCURRENT_JOINS: usize = 2;
+/// Number of messages that may wait to be sent to the other process; few, for operators cause them.
+const MAX_PENDING_MESSAGES: usize = 256;
+
+/// Result of one request to a predecessor to hand over.
+enum TakeoverReply {
+    /// There is no predecessor.
+    NoPredecessor,
+    /// Another upgrade is under way; try again later.
+    MustWait,
+    /// The predecessor sent its state and its listening socket.
     HandsOver(Box<TakeoverState>, TcpListener, TakeoverChannel),
-    /// Its listening socket came, and nothing else that can be used: it is of another version.
-    SocketAlone(TcpListener, String),
-    /// It is there, as far as can be told, and cannot be heard.
-    Unheard(String),
+    /// Only the listening socket can be used; the state is of another version or damaged. Says why.
+    ListenerOnly(TcpListener, String),
+    /// A predecessor seems to exist, and cannot be reached. Says why.
+    Unreachable(String),
 }
 
-/// How long a predecessor is asked that cannot be heard.
-struct Patience {
+/// How long a predecessor has been unreachable, and whether that has been logged.
+struct UnreachablePredecessor {
     since: Instant,
-    said: bool,
+    logged: bool,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience { since: Instant::now(), said: false }
+impl Default for UnreachablePredecessor {
+    fn default() -> UnreachablePredecessor {
+        UnreachablePredecessor { since: Instant::now(), logged: false }
     }
 }
 
-impl Patience {
-    fn is_over(&self) -> bool {
-        self.since.elapsed() >= UNHEARD
+impl UnreachablePredecessor {
+    fn is_timed_out(&self) -> bool {
+        self.since.elapsed() >= UNREACHABLE_TIMEOUT
     }
 
-    fn say(&mut self, why: &str) {
-        if !std::mem::replace(&mut self.said, true) {
-            log::warn!("upgrade: the process before cannot be heard yet, it is asked again: {why}");
+    fn log_once(&mut self, reason: &str) {
+        if !std::mem::replace(&mut self.logged, true) {
+            log::warn!("upgrade: the predecessor cannot be reached yet, retrying: {reason}");
         }
     }
 }
 
-/// One process's part in upgrades.
+/// One process's part in upgrades: the takeover socket, the other process, and who may serve.
 pub struct Upgrade {
     broker: Broker,
-    gate: Rc<ConnectionManager>,
+    connections: Rc<ConnectionManager>,
     clock: Clock,
-    allowed: Allowed,
+    limits: ProcessLimits,
     listen: SocketAddr,
-    meeting: TakeoverSocket,
-    succession: RefCell<Takeover>,
-    /// Tells the other process, while there is one.
-    other: RefCell<Option<mpsc::Sender<Message>>>,
-    /// It is to serve as soon as it can.
-    hurry: Notify,
-    waits: Cell<bool>,
+    takeover_socket: TakeoverSocket,
+    takeover: RefCell<Takeover>,
+    /// Sends to the other process, while there is one.
+    peer: RefCell<Option<mpsc::Sender<Message>>>,
+    /// Ends the wait for discovery: the other process has stopped or is stopping.
+    serve_now: Notify,
+    waiting_for_upgrade: Cell<bool>,
     listener: RefCell<Option<Rc<TcpListener>>>,
-    /// The task in which further starts are heard.
-    found: RefCell<Option<AbortHandle>>,
+    /// The task that accepts further starting processes.
+    accept_task: RefCell<Option<AbortHandle>>,
 }
 
 impl Upgrade {
-    /// For the gatherer whose clients connect there.
+    /// For the gatherer whose clients connect to `listen`.
     pub fn new(
         broker: Broker,
-        gate: Rc<ConnectionManager>,
+        connections: Rc<ConnectionManager>,
         clock: Clock,
-        allowed: Allowed,
+        limits: ProcessLimits,
         listen: SocketAddr,
     ) -> Rc<Upgrade> {
-        let meeting = TakeoverSocket::new(&std::env::temp_dir(), &listen.to_string());
+        let takeover_socket = TakeoverSocket::new(&std::env::temp_dir(), &listen.to_string());
         Rc::new(Upgrade {
             broker,
-            gate,
+            connections,
             clock,
-            allowed,
+            limits,
             listen,
-            meeting,
-            succession: RefCell::default(),
-            other: RefCell::default(),
-            hurry: Notify::new(),
-            waits: Cell::new(false),
+            takeover_socket,
+            takeover: RefCell::default(),
+            peer: RefCell::default(),
+            serve_now: Notify::new(),
+            waiting_for_upgrade: Cell::new(false),
             listener: RefCell::default(),
-            found: RefCell::default(),
+            accept_task: RefCell::default(),
         })
     }
 
-    /// Takes over from a process that serves there, or listens alone where there is none.
-    pub async fn begin(self: &Rc<Self>) -> io::Result<Rc<TcpListener>> {
+    /// Takes the listening socket over from a process that serves this address, or binds a new one where there is none.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub async fn obtain_listener(self: &Rc<Self>) -> io::Result<Rc<TcpListener>> {
         let listener = match self.take_over().await {
             Some(listener) => listener,
             None => self.bind().await?,
@@ -135,117 +139,122 @@
         Ok(listener)
     }
 
-    /// Asks whoever serves there to hand over, for as long as it says to wait. One that is there but cannot be heard, or
-    /// whose socket does not come, is asked again for a while: two that know nothing of each other would each use all
-    /// that both may.
+    /// Requests the takeover for as long as the predecessor says to wait. An unreachable one is retried for a while: two
+    /// processes that do not know of each other would each use the limits of both.
     async fn take_over(self: &Rc<Self>) -> Option<TcpListener> {
-        let mut patience = Patience::default();
+        let mut unreachable = UnreachablePredecessor::default();
         loop {
-            match self.ask().await {
-                Asked::Absent => return None,
-                Asked::Waits => {
-                    if !self.waits.replace(true) {
-                        log::warn!("upgrade: another one is under way; waiting for its end");
+            match self.request_takeover().await {
+                TakeoverReply::NoPredecessor => return None,
+                TakeoverReply::MustWait => {
+                    if !self.waiting_for_upgrade.replace(true) {
+                        log::warn!("upgrade: waiting, another upgrade is under way");
                     }
-                    patience = Patience::default();
+                    unreachable = UnreachablePredecessor::default();
                 }
-                Asked::HandsOver(state, listener, relay) => {
-                    self.waits.set(false);
-                    self.succeed(*state, relay).await;
+                TakeoverReply::HandsOver(state, listener, channel) => {
+                    self.waiting_for_upgrade.set(false);
+                    self.start_as_successor(*state, channel).await;
                     return Some(listener);
                 }
-                Asked::SocketAlone(listener, why) => {
-                    log::warn!("upgrade: nothing is taken over but the socket: {why}");
+                TakeoverReply::ListenerOnly(listener, reason) => {
+                    log::warn!("upgrade: only the listening socket was taken over: {reason}");
                     return Some(listener);
                 }
-                Asked::Unheard(why) if patience.is_over() => {
+                TakeoverReply::Unreachable(reason) if unreachable.is_timed_out() => {
                     log::error!(
-                        "upgrade: nothing is taken over, and this process listens beside another: {why}"
+                        "upgrade: nothing was taken over, this process listens beside another: {reason}"
                     );
-                    self.broker.report_violation(Invariant::SingleListeningProcess, &why);
+                    self.broker.report_violation(Invariant::SingleListeningProcess, &reason);
                     return None;
                 }
-                Asked::Unheard(why) => patience.say(&why),
+                TakeoverReply::Unreachable(reason) => unreachable.log_once(&reason),
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Asks once.
-    async fn ask(&self) -> Asked {
-        let mut relay = match timeout(ANSWER, self.meeting.connect()).await {
-            Ok(Ok(Some(relay))) => relay,
-            Ok(Ok(None)) => return Asked::Absent,
-            Ok(Err(error)) => return Asked::Unheard(error.to_string()),
-            Err(_) => return Asked::Unheard("it takes no connection".to_owned()),
+    /// Requests the takeover once.
+    async fn request_takeover(&self) -> TakeoverReply {
+        let mut channel = match timeout(REPLY_TIMEOUT, self.takeover_socket.connect()).await {
+            Ok(Ok(Some(channel))) => channel,
+            Ok(Ok(None)) => return TakeoverReply::NoPredecessor,
+            Ok(Err(error)) => return TakeoverReply::Unreachable(error.to_string()),
+            Err(_) => return TakeoverReply::Unreachable("it accepts no connection".to_owned()),
         };
         let join = Message::TakeoverRequest { listen: self.listen.to_string() };
-        let asked = async {
-            match relay.send(&join).await {
-                Ok(()) => relay.receive_with_socket().await,
-                Err(lost) => (Err(lost), None),
+        let exchange = async {
+            match channel.send(&join).await {
+                Ok(()) => channel.receive_with_socket().await,
+                Err(error) => (Err(error), None),
             }
         };
-        let Ok((said, socket)) = timeout(ANSWER, asked).await else {
-            return Asked::Unheard("it does not answer".to_owned());
+        let Ok((reply, socket)) = timeout(REPLY_TIMEOUT, exchange).await else {
+            return TakeoverReply::Unreachable("it does not reply".to_owned());
         };
-        let listener = socket.and_then(|socket| self.inherit(socket));
-        match (said, listener) {
-            (Ok(Message::TakeoverState(state)), Some(listener)) => Asked::HandsOver(state, listener, relay),
-            (Ok(Message::TakeoverState(_)), None) => Asked::Unheard("its socket did not come".to_owned()),
-            (Ok(Message::TakeoverInProgress), _) => Asked::Waits,
-            (Ok(other), Some(listener)) => Asked::SocketAlone(listener, format!("unexpected {other:?}")),
-            (Ok(other), None) => Asked::Unheard(format!("unexpected {other:?}")),
-            (Err(lost), Some(listener)) => Asked::SocketAlone(listener, lost.to_string()),
-            (Err(lost), None) => Asked::Unheard(lost.to_string()),
+        let listener = socket.and_then(|socket| self.checked_listener(socket));
+        match (reply, listener) {
+            (Ok(Message::TakeoverState(state)), Some(listener)) => {
+                TakeoverReply::HandsOver(state, listener, channel)
+            }
+            (Ok(Message::TakeoverState(_)), None) => {
+                TakeoverReply::Unreachable("its listening socket was not received".to_owned())
+            }
+            (Ok(Message::TakeoverInProgress), _) => TakeoverReply::MustWait,
+            (Ok(other), Some(listener)) => {
+                TakeoverReply::ListenerOnly(listener, format!("unexpected {other:?}"))
+            }
+            (Ok(other), None) => TakeoverReply::Unreachable(format!("unexpected {other:?}")),
+            (Err(error), Some(listener)) => TakeoverReply::ListenerOnly(listener, error.to_string()),
+            (Err(error), None) => TakeoverReply::Unreachable(error.to_string()),
         }
     }
 
-    /// Takes over what a predecessor passed on, and follows it.
-    async fn succeed(self: &Rc<Self>, state: TakeoverState, relay: TakeoverChannel) {
-        let passed = format!(
-            "{} workers, {} out by hand",
+    /// Applies the predecessor's state, and receives its messages until it ends.
+    async fn start_as_successor(self: &Rc<Self>, state: TakeoverState, channel: TakeoverChannel) {
+        let taken_over = format!(
+            "workers={} disabled={}",
             state.list.workers.len(),
             state.disabled_workers.names().count()
         );
-        let (upgrade, tell) = (self.clone(), self.connect());
-        self.apply(state);
-        self.succession.borrow_mut().begin_as_successor();
-        self.share().await;
-        log::info!("upgrade: taking over: {passed}");
-        spawn_local(async move { upgrade.follow(relay, tell).await });
+        let (upgrade, messages) = (self.clone(), self.open_message_queue());
+        self.apply_state(state);
+        self.takeover.borrow_mut().begin_as_successor();
+        self.divide_resources().await;
+        log::info!("upgrade: taking over, {taken_over}");
+        spawn_local(async move { upgrade.follow_predecessor(channel, messages).await });
     }
 
-    /// The socket that came, if it is one that listens where this gatherer's clients connect.
-    fn inherit(&self, socket: OwnedFd) -> Option<TcpListener> {
+    /// The received socket, if it listens at this gatherer's address.
+    fn checked_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
         if listener.local_addr().ok() != Some(self.listen) {
-            log::warn!("upgrade: a socket of another address came; it is not used");
+            log::warn!("upgrade: a listening socket of another address was received and is not used");
             return None;
         }
         listener.set_nonblocking(true).ok()?;
         TcpListener::from_std(listener).ok()
     }
 
-    fn apply(&self, state: TakeoverState) {
+    fn apply_state(&self, state: TakeoverState) {
         let now = self.clock.now();
         self.broker.with_core(|core| core.take_over(now, &state.list, state.disabled_workers, state.learned));
         if state.drained {
-            // It serves, so it cannot be refused.
-            let _ = self.gate.apply_lifecycle(LifecycleRequest::Drain);
+            // Cannot fail: this process is not stopping.
+            let _ = self.connections.apply_lifecycle(LifecycleRequest::Drain);
         }
     }
 
-    /// A socket of its own, which a further one may share where no hand-over can be had.
+    /// Binds a listening socket. It allows a second process to bind the same address, where no takeover is possible.
     async fn bind(&self) -> io::Result<TcpListener> {
         let since = Instant::now();
         loop {
             match self.try_bind() {
-                Err(error) if since.elapsed() < ADDRESS && error.kind() == io::ErrorKind::AddrInUse => {
-                    tokio::time::sleep(AGAIN).await;
+                Err(error) if since.elapsed() < BIND_TIMEOUT && error.kind() == io::ErrorKind::AddrInUse => {
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                 }
-                Err(error) if since.elapsed() < ADDRESS && errors::is_transient(&error) => {
-                    tokio::time::sleep(AGAIN / 10).await;
+                Err(error) if since.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
+                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
                 }
                 bound => return bound,
             }
@@ -257,164 +266,168 @@
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(true)?;
         socket.bind(self.listen)?;
-        socket.listen(QUEUE)
+        socket.listen(LISTEN_BACKLOG)
     }
 
-    fn connect(&self) -> mpsc::Receiver<Message> {
-        let (tell, told) = mpsc::channel(CHANGES);
-        self.other.replace(Some(tell));
-        told
+    /// Opens the queue of messages to the other process.
+    fn open_message_queue(&self) -> mpsc::Receiver<Message> {
+        let (sender, receiver) = mpsc::channel(MAX_PENDING_MESSAGES);
+        self.peer.replace(Some(sender));
+        receiver
     }
 
-    /// Divides what may be used by the processes that there are.
-    async fn share(&self) {
-        let processes = self.succession.borrow().process_count();
+    /// Divides descriptors, buffers and load among the processes that run.
+    async fn divide_resources(&self) {
+        let processes = self.takeover.borrow().process_count();
         self.broker.with_core(|core| core.set_process_count(processes));
-        match self.allowed.plan(processes) {
-            Ok(plan) => self.gate.descriptor_pool().set_budget(plan, self.allowed.buffered(processes)).await,
+        match self.limits.descriptor_budget(processes) {
+            Ok(plan) => {
+                self.connections.descriptor_pool().set_budget(plan, self.limits.buffer_bytes(processes)).await
+            }
             Err(error) => log::warn!("upgrade: descriptors are not shared: {error}"),
         }
     }
 
-    /// Returns once this process may serve: at once where it is alone; else once discovery has told it a list, or a
-    /// moment has passed, or the other is told to stop.
-    pub async fn ready(&self) {
-        if self.succession.borrow().process_count() > 1 {
-            let told = async {
+    /// Returns once this process may serve: at once where it is the only one; else once discovery has sent a list, the
+    /// longest wait is over, or the other process stops.
+    pub async fn wait_until_ready(&self) {
+        if self.takeover.borrow().process_count() > 1 {
+            let listed = async {
                 while self.broker.with_core(|core| !core.has_discovery_list()) {
-                    tokio::time::sleep(AGAIN / 10).await;
+                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
                 }
             };
             tokio::select! {
-                () = told => {}
-                () = self.hurry.notified() => {}
-                () = tokio::time::sleep(DISCOVERY) => {}
+                () = listed => {}
+                () = self.serve_now.notified() => {}
+                () = tokio::time::sleep(MAX_DISCOVERY_WAIT) => {}
             }
         }
     }
 
-    /// This process takes clients from now on, and may be taken over from.
-    pub fn serving(self: &Rc<Self>) {
-        self.succession.borrow_mut().start_serving();
-        if let Some(other) = &*self.other.borrow() {
-            // The first message of this channel: there is room.
-            let _ = other.try_send(Message::Serving);
+    /// Records that this process accepts clients, notifies the predecessor, and accepts successors from now on.
+    pub fn announce_serving(self: &Rc<Self>) {
+        self.takeover.borrow_mut().start_serving();
+        if let Some(peer) = &*self.peer.borrow() {
+            // Cannot fail: it is the first message of the queue.
+            let _ = peer.try_send(Message::Serving);
         }
-        self.be_found();
+        self.accept_successors();
     }
 
-    /// Has further starts find this process, from now on: one that comes right after the yes, or after a successor that
-    /// had itself found in place of this one and died, would else listen beside it.
-    fn be_found(self: &Rc<Self>) {
-        let (meeting, upgrade) = (self.meeting.listen(), self.clone());
-        let found = spawn_local(async move { upgrade.wait_for_successors(meeting).await });
-        if let Some(before) = self.found.replace(Some(found.abort_handle())) {
-            before.abort();
+    /// Opens the takeover socket for further starting processes. One that starts right after this process is ready, or
+    /// after a successor that had replaced the socket has died, would otherwise listen beside this process.
+    fn accept_successors(self: &Rc<Self>) {
+        let (listener, upgrade) = (self.takeover_socket.listen(), self.clone());
+        let task = spawn_local(async move { upgrade.wait_for_successors(listener).await });
+        if let Some(previous) = self.accept_task.replace(Some(task.abort_handle())) {
+            previous.abort();
         }
     }
 
-    /// What SIGTERM means, said to a successor too.
-    pub fn stop(&self) -> LifecycleRequest {
-        let stop = self.succession.borrow().on_stop_signal();
-        if let Some(other) = &*self.other.borrow() {
-            // One that does not hear it serves a moment later.
-            let _ = other.try_send(Message::Stopping);
+    /// What SIGTERM means now; notifies the other process.
+    pub fn announce_stop(&self) -> LifecycleRequest {
+        let stop = self.takeover.borrow().on_stop_signal();
+        if let Some(peer) = &*self.peer.borrow() {
+            // If this is lost, the other process serves a moment later.
+            let _ = peer.try_send(Message::Stopping);
         }
         stop
     }
 
-    /// The end of the process.
-    pub fn end(&self) {
-        self.meeting.remove_socket_file();
+    /// Removes this process's socket file, at the end of the process.
+    pub fn remove_socket_file(&self) {
+        self.takeover_socket.remove_socket_file();
     }
 
-    /// The successor's side: what the predecessor tells, until its end.
-    async fn follow(self: Rc<Self>, relay: TakeoverChannel, told: mpsc::Receiver<Message>) {
-        let lost = self.relay(relay, told).await;
-        log::info!("upgrade: the process before has ended: {lost}");
-        self.succession.borrow_mut().on_predecessor_exited();
-        self.other.take();
-        self.hurry.notify_one();
-        self.share().await;
+    /// The successor's side: exchanges messages with the predecessor until it ends.
+    async fn follow_predecessor(self: Rc<Self>, channel: TakeoverChannel, messages: mpsc::Receiver<Message>) {
+        let error = self.exchange_messages(channel, messages).await;
+        log::info!("upgrade: the predecessor has ended: {error}");
+        self.takeover.borrow_mut().on_predecessor_exited();
+        self.peer.take();
+        self.serve_now.notify_one();
+        self.divide_resources().await;
     }
 
-    async fn wait_for_successors(self: Rc<Self>, mut meeting: io::Result<UnixListener>) {
-        if let Err(error) = &meeting {
-            log::warn!("upgrade: a further start cannot find this one yet: {error}");
+    /// Accepts further starting processes, once the takeover socket can be had.
+    async fn wait_for_successors(self: Rc<Self>, mut opened: io::Result<UnixListener>) {
+        if let Err(error) = &opened {
+            log::warn!("upgrade: the takeover socket cannot be opened yet, retrying: {error}");
         }
-        let meeting = loop {
-            match meeting {
-                Ok(meeting) => break meeting,
+        let listener = loop {
+            match opened {
+                Ok(listener) => break listener,
                 Err(_) => {
-                    tokio::time::sleep(AGAIN).await;
-                    meeting = self.meeting.listen();
+                    tokio::time::sleep(RETRY_INTERVAL).await;
+                    opened = self.takeover_socket.listen();
                 }
             }
         };
-        self.meet(meeting).await;
+        self.accept_starts(listener).await;
     }
 
-    async fn meet(self: &Rc<Self>, meeting: UnixListener) {
-        let callers = Arc::new(Semaphore::new(CALLERS));
+    async fn accept_starts(self: &Rc<Self>, listener: UnixListener) {
+        let joins = Arc::new(Semaphore::new(MAX_CONCURRENT_JOINS));
         loop {
-            let stream = match meeting.accept().await {
+            let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     log::debug!("upgrade: accept: {error}");
                     if errors::is_out_of_descriptors(&error) {
-                        // One that a client holds loosely helps: a successor waits.
-                        self.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
+                        // An idle client's descriptor helps: a successor waits.
+                        self.connections.descriptor_pool().reclaim(DescriptorClass::Clients);
                     }
-                    tokio::time::sleep(AGAIN / 10).await;
+                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
                     continue;
                 }
             };
-            let Some(relay) = TakeoverChannel::new(stream) else { continue };
-            // Guards against one that connects and says nothing: the next is heard beside it. Past the bound it waits.
-            let Ok(place) = callers.clone().acquire_owned().await else { return };
+            let Some(channel) = TakeoverChannel::new(stream) else { continue };
+            // A connection that sends nothing holds up no other, up to the bound.
+            let Ok(permit) = joins.clone().acquire_owned().await else { return };
             let upgrade = self.clone();
             spawn_local(async move {
-                let relay = upgrade.admit(relay).await;
-                drop(place);
-                if let Some(relay) = relay {
-                    upgrade.hand_over(relay).await;
+                let channel = upgrade.receive_join(channel).await;
+                drop(permit);
+                if let Some(channel) = channel {
+                    upgrade.hand_over(channel).await;
                 }
             });
         }
     }
 
-    /// Hears what one that connected wants; its connection, if it is the successor from now on.
-    async fn admit(&self, mut relay: TakeoverChannel) -> Option<TakeoverChannel> {
-        let asked = match timeout(ANSWER, relay.receive()).await {
+    /// Receives the request of a starting process; returns its connection if it is the successor from now on.
+    async fn receive_join(&self, mut channel: TakeoverChannel) -> Option<TakeoverChannel> {
+        let request = match timeout(REPLY_TIMEOUT, channel.receive()).await {
             Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
             Ok(Ok(other)) => Err(format!("{other:?}")),
-            Ok(Err(lost)) => Err(lost.to_string()),
-            Err(_) => Err("it says nothing".to_owned()),
+            Ok(Err(error)) => Err(error.to_string()),
+            Err(_) => Err("it sends nothing".to_owned()),
         };
-        if let Err(why) = asked {
-            log::warn!("upgrade: no successor: {why}");
+        if let Err(reason) = request {
+            log::warn!("upgrade: a connection was rejected: {reason}");
             return None;
         }
-        if !self.gate.lifecycle_state().is_stopping()
-            && self.succession.borrow_mut().admit_successor().is_ok()
+        if !self.connections.lifecycle_state().is_stopping()
+            && self.takeover.borrow_mut().admit_successor().is_ok()
         {
-            return Some(relay);
+            return Some(channel);
         }
-        // Whether it hears it or not, it has to wait.
-        let _ = timeout(ANSWER, relay.send(&Message::TakeoverInProgress)).await;
+        // If this is lost, the other process retries all the same.
+        let _ = timeout(REPLY_TIMEOUT, channel.send(&Message::TakeoverInProgress)).await;
         None
     }
 
-    /// The predecessor's side, until the successor's end or its own.
-    async fn hand_over(self: Rc<Self>, mut relay: TakeoverChannel) {
+    /// The predecessor's side: sends the state and exchanges messages, until the successor or this process ends.
+    async fn hand_over(self: Rc<Self>, mut channel: TakeoverChannel) {
         log::info!("upgrade: a successor has started");
-        self.share().await;
-        let told = self.connect();
+        self.divide_resources().await;
+        let messages = self.open_message_queue();
         let state = self.broker.with_core(|core| TakeoverState {
             list: core.endpoint_list(),
             disabled_workers: core.disabled_workers().clone(),
             drained: matches!(
-                self.gate.lifecycle_state(),
+                self.connections.lifecycle_state(),
                 LifecycleState::Draining | LifecycleState::Drained
             ),
             learned: core.policy_snapshot(),
@@ -423,101 +436,102 @@
         let listener = self.listener.borrow().clone();
         let sent = async {
             match &listener {
-                Some(listener) => relay.send_with_socket(&message, listener.as_fd()).await,
-                None => relay.send(&message).await,
+                Some(listener) => channel.send_with_socket(&message, listener.as_fd()).await,
+                None => channel.send(&message).await,
             }
         };
-        let lost = match timeout(ANSWER, sent).await {
-            Ok(Ok(())) => self.relay(relay, told).await,
-            Ok(Err(lost)) => lost,
+        let error = match timeout(REPLY_TIMEOUT, sent).await {
+            Ok(Ok(())) => self.exchange_messages(channel, messages).await,
+            Ok(Err(error)) => error,
             Err(_) => io::Error::from(io::ErrorKind::TimedOut).into(),
         };
-        log::warn!("upgrade: the successor has ended, this process goes on: {lost}");
-        self.succession.borrow_mut().on_successor_exited();
-        self.other.take();
-        // Where one that did not wait for this process serves beside it, starts go on finding that one.
-        let found = self.meeting.owns_socket_file() || matches!(self.meeting.connect().await, Ok(Some(_)));
-        if !found && !self.gate.lifecycle_state().is_stopping() {
-            self.be_found();
+        log::warn!("upgrade: the successor has ended, this process continues: {error}");
+        self.takeover.borrow_mut().on_successor_exited();
+        self.peer.take();
+        // A process that listens beside this one keeps the takeover socket.
+        let socket_exists = self.takeover_socket.owns_socket_file()
+            || matches!(self.takeover_socket.connect().await, Ok(Some(_)));
+        if !socket_exists && !self.connections.lifecycle_state().is_stopping() {
+            self.accept_successors();
         }
-        self.share().await;
+        self.divide_resources().await;
     }
 
-    /// Passes on what happens here and does what is told, until the connection ends; says why it did.
-    async fn relay(
+    /// Sends queued messages and applies received ones until the connection ends; returns why it did.
+    async fn exchange_messages(
         &self,
-        mut relay: TakeoverChannel,
-        mut told: mpsc::Receiver<Message>,
+        mut channel: TakeoverChannel,
+        mut messages: mpsc::Receiver<Message>,
     ) -> TakeoverChannelError {
         loop {
             let message = tokio::select! {
                 biased;
-                message = told.recv() => match message {
-                    Some(message) => match relay.send(&message).await {
+                message = messages.recv() => match message {
+                    Some(message) => match channel.send(&message).await {
                         Ok(()) => continue,
-                        Err(lost) => return lost,
+                        Err(error) => return error,
                     },
                     None => return io::Error::from(io::ErrorKind::NotConnected).into(),
                 },
-                message = relay.receive() => match message {
+                message = channel.receive() => match message {
                     Ok(message) => message,
-                    Err(lost) => return lost,
+                    Err(error) => return error,
                 },
             };
-            self.obey(message);
+            self.on_message(message);
         }
     }
 
-    fn obey(&self, message: Message) {
+    fn on_message(&self, message: Message) {
         match message {
             Message::WorkerDisabled { worker } => self.broker.set_worker_disabled_by_peer(&worker, true),
             Message::WorkerEnabled { worker } => self.broker.set_worker_disabled_by_peer(&worker, false),
             Message::Serving => {
                 log::info!("upgrade: the successor serves");
-                self.succession.borrow_mut().on_successor_serving();
-                if self.gate.lifecycle_state() == LifecycleState::Stopping {
-                    // A process that stops may always be succeeded.
-                    let _ = self.gate.apply_lifecycle(LifecycleRequest::HandOver);
+                self.takeover.borrow_mut().on_successor_serving();
+                if self.connections.lifecycle_state() == LifecycleState::Stopping {
+                    // Cannot fail while stopping.
+                    let _ = self.connections.apply_lifecycle(LifecycleRequest::HandOver);
                 }
             }
-            // One that stops says no to both, and they are the other's.
-            Message::Drain => drop(self.gate.apply_lifecycle(LifecycleRequest::Drain).ok()),
-            Message::Resume => drop(self.gate.apply_lifecycle(LifecycleRequest::Resume).ok()),
+            // A process that is stopping rejects both; they concern the other one.
+            Message::Drain => drop(self.connections.apply_lifecycle(LifecycleRequest::Drain).ok()),
+            Message::Resume => drop(self.connections.apply_lifecycle(LifecycleRequest::Resume).ok()),
             Message::Stopping => {
-                self.succession.borrow_mut().on_peer_stopping();
-                self.hurry.notify_one();
+                self.takeover.borrow_mut().on_peer_stopping();
+                self.serve_now.notify_one();
             }
             Message::TakeoverRequest { .. } | Message::TakeoverInProgress | Message::TakeoverState(_) => {
-                log::warn!("upgrade: unexpected {message:?}");
+                log::warn!("upgrade: unexpected message, dropped: {message:?}");
             }
         }
     }
 }
 
-impl Pair for Upgrade {
+impl UpgradePeer for Upgrade {
     fn unready(&self) -> Option<&'static str> {
-        match (self.waits.get(), self.succession.borrow().is_serving()) {
+        match (self.waiting_for_upgrade.get(), self.takeover.borrow().is_serving()) {
             (true, _) => Some("another upgrade is under way"),
             (false, false) => Some("starting"),
             (false, true) => None,
         }
     }
 
-    fn succeeds(&self) -> bool {
-        self.succession.borrow().has_predecessor()
+    fn has_predecessor(&self) -> bool {
+        self.takeover.borrow().has_predecessor()
     }
 
-    fn tell(&self, change: Change<'_>) {
+    fn notify(&self, change: OperatorChange<'_>) {
         let change = match change {
-            Change::Out(worker) => Message::WorkerDisabled { worker: worker.to_owned() },
-            Change::Back(worker) => Message::WorkerEnabled { worker: worker.to_owned() },
-            Change::Drained => Message::Drain,
-            Change::Resumed => Message::Resume,
+            OperatorChange::Disabled(worker) => Message::WorkerDisabled { worker: worker.to_owned() },
+            OperatorChange::Enabled(worker) => Message::WorkerEnabled { worker: worker.to_owned() },
+            OperatorChange::Drained => Message::Drain,
+            OperatorChange::Resumed => Message::Resume,
         };
-        if let Some(other) = &*self.other.borrow()
-            && let Err(error) = other.try_send(change)
+        if let Some(peer) = &*self.peer.borrow()
+            && let Err(error) = peer.try_send(change)
         {
-            log::error!("upgrade: a change by hand was not passed on: {error}");
+            log::error!("upgrade: an operator's change was not sent to the other process: {error}");
         }
     }
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,5 +1,5 @@
-//! Real processes of the program on loopback, with stand-ins for workers, discovery, clients and operators. Waits are
-//! for events: a line of the log, an answer, a count.
+//! Real processes of the program on loopback, with fake workers, discovery, clients and operators. Tests wait for events:
+//! a line of the log, a response, a counter.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, ReceivedResponse};
@@ -12,23 +12,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No event takes so long, however busy the machine: guards against a test that hangs for ever.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longer than any event takes on a busy machine: a test must not hang forever.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until this is so.
-pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
+/// Waits until the condition holds; `what` names it where it does not in time.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let since = Instant::now();
-    while !so() {
-        assert!(since.elapsed() < PATIENCE, "in vain: {what}");
+    while !condition() {
+        assert!(since.elapsed() < TEST_TIMEOUT, "timed out waiting: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A worker that serves every part, and remembers how often each came.
+/// A worker that answers every part, and counts how often each was delivered.
 pub struct Worker {
     pub address: String,
     pub received: Arc<Mutex<HashMap<String, usize>>>,
-    /// While it is held, no part is answered.
+    /// While this is set, no part is answered.
     pub paused: Arc<(Mutex<bool>, Condvar)>,
 }
 
@@ -41,7 +41,7 @@
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (came, held) = (came.clone(), held.clone());
-                thread::spawn(move || frames(stream.expect("a connection"), &came, &held));
+                thread::spawn(move || serve_frames(stream.expect("a connection"), &came, &held));
             }
         });
         worker
@@ -50,17 +50,17 @@
         *self.paused.0.lock().expect("sound") = held;
         self.paused.1.notify_all();
     }
-    /// Parts that came.
+    /// Number of deliveries of parts.
     pub fn parts_received(&self) -> usize {
         self.received.lock().expect("sound").values().sum()
     }
-    /// The most often that any part came.
+    /// The largest number of deliveries of one part.
     pub fn max_deliveries_of_a_part(&self) -> usize {
         self.received.lock().expect("sound").values().copied().max().unwrap_or(0)
     }
 }
 
-fn frames(
+fn serve_frames(
     mut stream: TcpStream,
     came: &Mutex<HashMap<String, usize>>,
     held: &(Mutex<bool>, Condvar),
@@ -85,12 +85,12 @@
     }
 }
 
-type Told = Arc<(Mutex<(u64, String)>, Condvar)>;
+type VersionedList = Arc<(Mutex<(u64, String)>, Condvar)>;
 
-/// Discovery: tells its whole list to whoever asks, and again whenever it changes.
+/// A discovery that sends its complete list to each watch, and again whenever it changes.
 pub struct Discovery {
     pub address: String,
-    told: Told,
+    versioned_list: VersionedList,
 }
 
 impl Discovery {
@@ -99,25 +99,25 @@
     }
     pub fn on(listener: TcpListener, members: &str) -> Discovery {
         let address = listener.local_addr().expect("an address").to_string();
-        let told: Told = Arc::new((Mutex::new((1, members.to_owned())), Condvar::new()));
-        let discovery = Discovery { address, told: told.clone() };
+        let versioned_list: VersionedList = Arc::new((Mutex::new((1, members.to_owned())), Condvar::new()));
+        let discovery = Discovery { address, versioned_list: versioned_list.clone() };
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let told = told.clone();
-                thread::spawn(move || watches(stream.expect("a connection"), &told));
+                let versioned_list = versioned_list.clone();
+                thread::spawn(move || serve_watch(stream.expect("a connection"), &versioned_list));
             }
         });
         discovery
     }
-    /// Replaces the list; every watch is told.
+    /// Replaces the list and sends it to every watch.
     pub fn publish(&self, members: &str) {
-        let mut told = self.told.0.lock().expect("sound");
-        *told = (told.0 + 1, members.to_owned());
-        self.told.1.notify_all();
+        let mut versioned_list = self.versioned_list.0.lock().expect("sound");
+        *versioned_list = (versioned_list.0 + 1, members.to_owned());
+        self.versioned_list.1.notify_all();
     }
     /// The list as JSON.
     pub fn list(&self) -> String {
-        list(&self.told.0.lock().expect("sound"))
+        list(&self.versioned_list.0.lock().expect("sound"))
     }
 }
 
@@ -125,30 +125,30 @@
     format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#)
 }
 
-fn watches(mut stream: TcpStream, told: &(Mutex<(u64, String)>, Condvar)) -> Option<()> {
+fn serve_watch(mut stream: TcpStream, versioned_list: &(Mutex<(u64, String)>, Condvar)) -> Option<()> {
     let mut buffer = BytesMut::new();
     loop {
         let request = loop {
             match http::take_request(&mut buffer).expect("a request") {
                 Some(request) => break request,
-                None => fill(&mut stream, &mut buffer).ok()?,
+                None => read_more(&mut stream, &mut buffer).ok()?,
             }
         };
         let after = request.parameter("index").map(|index| index.parse::<u64>().expect("a number"));
-        let now = told.0.lock().expect("sound");
-        let now = told.1.wait_while(now, |now| Some(now.0) == after).expect("sound");
+        let now = versioned_list.0.lock().expect("sound");
+        let now = versioned_list.1.wait_while(now, |now| Some(now.0) == after).expect("sound");
         let bytes = http::Response::json(200, list(&now)).encode(false);
         drop(now);
         stream.write_all(&bytes).ok()?;
     }
 }
 
-/// One member of a list.
+/// One worker in a discovery list, as JSON.
 pub fn member(id: &str, address: &str) -> String {
     format!(r#"{{"id":"{id}","host_port":"{address}","cell":0,"phase":"SERVING"}}"#)
 }
 
-fn fill(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<()> {
+fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<()> {
     let mut bytes = [0; 4096];
     match stream.read(&mut bytes)? {
         0 => Err(std::io::ErrorKind::UnexpectedEof.into()),
@@ -159,18 +159,18 @@
     }
 }
 
-/// The response to what was asked on this connection; an error where it ended without one.
+/// Reads the response on this connection; an error where the connection ends without one.
 pub fn response(stream: &mut TcpStream) -> std::io::Result<ReceivedResponse> {
     let mut buffer = BytesMut::new();
     loop {
         if let Some(response) = http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response") {
             return Ok(response);
         }
-        fill(stream, &mut buffer)?;
+        read_more(stream, &mut buffer)?;
     }
 }
 
-/// Asks for one part of shard 0 on this connection.
+/// Sends a query for one part of shard 0 on this connection.
 pub fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"c41e"}"#;
     let head = format!(
@@ -179,7 +179,7 @@
     stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// An operator's call: its status and text.
+/// Makes an operator's call; returns its status and text.
 pub fn call_operator_api(address: &str, method: &str, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream.write_all(&http::encode_request(method, path, "x", None)).expect("written");
@@ -187,7 +187,7 @@
     (answer.status, String::from_utf8(answer.body.to_vec()).expect("text"))
 }
 
-/// The value of a figure.
+/// The value of a metric.
 pub fn metric_value(address: &str, name: &str) -> u64 {
     let (_, text) = call_operator_api(address, "GET", "/-/metrics");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
@@ -195,7 +195,7 @@
     value.parse().expect("a number")
 }
 
-/// A folder of a test's own, removed at its end.
+/// A temporary folder of one test, removed at its end.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
@@ -212,7 +212,7 @@
     }
 }
 
-/// The library of faults (`tools/faults/faults.c`), built once for each test program.
+/// The fault injection library (`tools/faults/faults.c`), built once for each test program.
 pub fn faults_library() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     let build = || {
@@ -235,24 +235,24 @@
     pub child: Child,
     pub clients: String,
     pub operators: String,
-    /// All lines of its log so far, and a sign for each further one.
+    /// All lines of its log so far; the condition variable is notified of each further one.
     pub log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
 impl Gatherer {
-    /// Starts the platform's front; what is not in `config` is as in the scenarios.
+    /// Starts the platform's front and waits until it serves.
     pub fn start(folder: &TempFolder, config: &serde_json::Value) -> Gatherer {
         let gatherer = Gatherer::start_without_waiting(folder, config);
         gatherer.wait_for_log(" serving on ");
         gatherer
     }
 
-    /// The same, without waiting until it serves.
+    /// Starts the platform's front without waiting until it serves.
     pub fn start_without_waiting(folder: &TempFolder, config: &serde_json::Value) -> Gatherer {
         Gatherer::start_on_config(folder, config, folder, None)
     }
 
-    /// The same with an operator's file.
+    /// The same with an operator's file of this text.
     pub fn start_with_operator_file(
         folder: &TempFolder,
         config: &serde_json::Value,
@@ -261,7 +261,7 @@
         Gatherer::start_on_config(folder, config, folder, Some(operator))
     }
 
-    /// The same, where it may write elsewhere.
+    /// Starts the platform's front with another folder for temporary files, and waits until it serves.
     pub fn start_with_temp_folder(
         folder: &TempFolder,
         config: &serde_json::Value,
@@ -283,8 +283,8 @@
         Gatherer::spawn(&file, config, scratch, operator)
     }
 
-    /// The same with the library of faults preloaded; `faults` says which, and `switch` is the file while which is there
-    /// they happen.
+    /// Starts it with the fault injection library preloaded. `faults` lists the faults, which happen while the file `switch`
+    /// exists.
     pub fn start_with_faults(
         folder: &TempFolder,
         config: &serde_json::Value,
@@ -298,7 +298,7 @@
         Gatherer::spawn_in(&file, config, folder, None, &variables)
     }
 
-    /// Starts it on a file that says what `config` does, or will.
+    /// Starts it on a file whose content is, or will be, `config`.
     pub fn spawn(
         file: &Path,
         config: &serde_json::Value,
@@ -340,13 +340,13 @@
         Gatherer { child, clients, operators, log }
     }
 
-    /// Waits for a line of the log that holds these words.
+    /// Waits for a line of the log that contains these words.
     pub fn wait_for_log(&self, words: &str) -> String {
         let lines = self.log.0.lock().expect("sound");
         let there = |lines: &Vec<String>| lines.iter().any(|line| line.contains(words));
         let over = |lines: &Vec<String>| lines.last().is_some_and(|line| line == "the log ends");
         let waits = |lines: &mut Vec<String>| !there(lines) && !over(lines);
-        let (lines, _) = self.log.1.wait_timeout_while(lines, PATIENCE, waits).expect("sound");
+        let (lines, _) = self.log.1.wait_timeout_while(lines, TEST_TIMEOUT, waits).expect("sound");
         let found = lines.iter().find(|line| line.contains(words)).cloned();
         found.unwrap_or_else(|| panic!("no {words:?} in {lines:#?}"))
     }
@@ -357,17 +357,17 @@
         assert!(kill.success());
     }
 
-    /// Has it stand still, and waits until it does: whatever comes from now on lies there at the same wake.
+    /// Pauses the process (SIGSTOP) and waits until it is: what arrives from now on is seen at the same wake-up.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        wait_until("it stands still", || std::fs::read_to_string(&stat).expect("its state").contains(") T "));
+        wait_until("it is paused", || std::fs::read_to_string(&stat).expect("its state").contains(") T "));
     }
 
-    /// Waits for its end; whether that was a good one.
+    /// Waits for its exit; returns whether its status is 0.
     pub fn wait_for_exit(&mut self) -> bool {
         let mut status = None;
-        wait_until("it ends", || {
+        wait_until("it exits", || {
             status = self.child.try_wait().expect("its status");
             status.is_some()
         });
@@ -376,21 +376,21 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.clients).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         stream
     }
 }
 
 impl Drop for Gatherer {
     fn drop(&mut self) {
-        // Also where the test fails: no process outlives it.
+        // Also where the test fails: no process outlives its test.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// An address for two processes to share. It is one that no stand-in and no client uses: a port that was free a moment
-/// ago on the usual one may be another test's by now.
+/// A loopback address that no other test uses: a port that was free a moment ago on 127.0.0.1 may be in use by another
+/// test now.
 pub fn unused_address() -> String {
     listen().local_addr().expect("an address").to_string()
 }
@@ -401,7 +401,7 @@
     TcpListener::bind((std::net::Ipv4Addr::new(127, a.max(1), b, c), 0)).expect("a port")
 }
 
-/// A configuration with addresses of its own.
+/// The scenarios' configuration with unused addresses and this discovery.
 pub fn config(discovery: &Discovery) -> serde_json::Value {
     let mut config: serde_json::Value =
         serde_json::from_str(include_str!("../scenario/platform.json")).expect("JSON");
