--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! Operators' calls to a real process: ready, figures, drain and resume, whoever else holds the listener.
+//! Operators' calls to a real process: readiness, metrics, drain and resume, and disabling workers, while silent callers
+//! hold connections.
 
 mod common;
 
@@ -7,13 +8,13 @@
 use std::net::TcpStream;
 
 #[test]
-fn staff_are_answered_while_silent_callers_hold_connections() {
+fn operators_are_answered_while_silent_callers_hold_connections() {
     let worker = Worker::start();
     let discovery = Discovery::start(&member("w1", &worker.address));
     let folder = TempFolder::new("operators");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
     let at = &gatherer.operators;
-    // Guards against callers who finish no call: many times as many as may be in at once, silent or in mid-call.
+    // Many times as many callers as may be connected at once, silent or in the middle of a request.
     let mut silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(at).expect("connected")).collect();
     silent.iter_mut().step_by(2).for_each(|caller| caller.write_all(b"GET /-/rea").expect("written"));
     assert_eq!(call_operator_api(at, "GET", "/-/ready"), (200, "ready\n".to_owned()));
@@ -26,12 +27,12 @@
         let (answered, text) = call_operator_api(at, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
-    let mut rubbish = TcpStream::connect(at).expect("connected");
-    rubbish.write_all(b"\x00\x01 nothing\r\n\r\n").expect("written");
-    assert_eq!(response(&mut rubbish).expect("an answer").status, 400);
-    // One call to a connection.
+    let mut malformed = TcpStream::connect(at).expect("connected");
+    malformed.write_all(b"\x00\x01 nothing\r\n\r\n").expect("written");
+    assert_eq!(response(&mut malformed).expect("an answer").status, 400);
+    // One call for each connection.
     let mut end = Vec::new();
-    assert_eq!(rubbish.read_to_end(&mut end).expect("the end"), 0);
+    assert_eq!(malformed.read_to_end(&mut end).expect("the end"), 0);
 
     let mut client = gatherer.connect();
     for id in ["a1", "a2", "a3"] {
@@ -40,8 +41,8 @@
     }
     worker.set_paused(true);
     query(&mut client, "a4", "search").expect("written");
-    wait_until("four are written", || metric_value(at, "gatherer.forwards") == 4);
-    let figures = [
+    wait_until("four attempts are written", || metric_value(at, "gatherer.forwards") == 4);
+    let metrics = [
         ("succeeded.search", 2),
         ("succeeded.seal", 1),
         ("declined.search", 0),
@@ -50,11 +51,11 @@
         ("discovered", 1),
         ("ejected", 0),
     ];
-    for (name, value) in figures {
+    for (name, value) in metrics {
         assert_eq!(metric_value(at, &format!("gatherer.{name}")), value, "{name}");
     }
 
-    // Told to drain: unhealthy at once, what is taken is answered, and its connection ends behind the answer.
+    // Draining: unhealthy at once, accepted queries are answered, and their connections end after the response.
     assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(at, "GET", "/-/ready"), (503, "drained\n".to_owned()));
@@ -66,28 +67,28 @@
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     assert_eq!(client.read(&mut [0]).expect("the end"), 0);
     assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 200);
-    let mut again = gatherer.connect();
-    again.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
-    assert_eq!(response(&mut again).expect("an answer").status, 200);
+    let mut resumed = gatherer.connect();
+    resumed.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
+    assert_eq!(response(&mut resumed).expect("an answer").status, 200);
     assert_eq!(metric_value(at, "gatherer.succeeded.search"), 3);
 
-    // SIGTERM during a drain ends the process, and no call leads back.
+    // SIGTERM during a drain ends the process, and no call undoes it.
     assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
     worker.set_paused(true);
-    let mut last = gatherer.connect();
-    query(&mut last, "a5", "search").expect("written");
-    wait_until("one is out", || metric_value(at, "gatherer.outstanding") == 1);
+    let mut last_client = gatherer.connect();
+    query(&mut last_client, "a5", "search").expect("written");
+    wait_until("one query is open", || metric_value(at, "gatherer.outstanding") == 1);
     gatherer.signal("-TERM");
     gatherer.wait_for_log("stopping: ");
     assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 409);
     worker.set_paused(false);
-    assert_eq!(response(&mut last).expect("an answer").status, 200);
+    assert_eq!(response(&mut last_client).expect("an answer").status, 200);
     let mut gatherer = gatherer;
     assert!(gatherer.wait_for_exit());
 }
 
 #[test]
-fn a_worker_that_is_out_gets_nothing_until_the_call_back() {
+fn a_disabled_worker_receives_nothing_until_it_is_enabled() {
     let (first, second) = (Worker::start(), Worker::start());
     let both = |since: u64| {
         let up = format!(r#""up_since_ms":{since},"id":"w%1""#);
@@ -100,14 +101,14 @@
     let at = &gatherer.operators;
     let mut client = gatherer.connect();
     let mut number = 0;
-    let mut ask = |times: usize| {
+    let mut send_queries = |times: usize| {
         for _ in 0..times {
             number += 1;
             query(&mut client, &format!("a{number}"), "search").expect("written");
             assert_eq!(response(&mut client).expect("an answer").status, 200);
         }
     };
-    ask(40);
+    send_queries(40);
     assert!(first.parts_received() > 0 && second.parts_received() > 0, "both are in use");
     for (method, path, status) in [
         ("PUT", "/-/workers/w9/disable", 404),
@@ -120,23 +121,23 @@
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
     assert_eq!(metric_value(at, "gatherer.ejected"), 0, "none of these changes anything");
-    // Out twice; what discovery says in between, that it restarted among it, undoes nothing.
+    // Disabled twice; no update of discovery in between undoes it, nor does a restart of the worker.
     assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
     assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
     assert_eq!(metric_value(at, "gatherer.ejected"), 1);
     let before = first.parts_received();
-    ask(20);
+    send_queries(20);
     for list in [both(1), member("w2", &second.address), both(2)] {
         let listed = list.matches("host_port").count() as u64;
         discovery.publish(&list);
-        wait_until("told", || metric_value(at, "gatherer.discovered") == listed);
-        ask(20);
+        wait_until("the list is received", || metric_value(at, "gatherer.discovered") == listed);
+        send_queries(20);
     }
     assert_eq!(first.parts_received(), before);
-    // One call back undoes both.
+    // One call to enable it undoes both.
     assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/enable").0, 200);
     assert_eq!(metric_value(at, "gatherer.ejected"), 0);
     while first.parts_received() == before {
-        ask(1);
+        send_queries(1);
     }
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program itself, on loopback sockets: start, one query, SIGTERM, exit.
+//! The program itself, on loopback sockets: start, one query, reload, SIGTERM, exit; the sub-commands; and the errors
+//! that name a key of a file.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, ReceivedResponse};
@@ -7,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// A list of one worker, as discovery tells it; after that it stays silent, as when it is down.
+/// A discovery that sends this list once and then nothing more, as when it is down.
 fn discovery(list: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -23,7 +24,7 @@
     address
 }
 
-/// A worker that serves every part with the same value.
+/// A worker that answers every part with the same value.
 fn worker() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -63,7 +64,7 @@
     }
 }
 
-/// Starts the program; returns where it serves, and the rest of its log.
+/// Starts the program; returns the address at which it serves, and the rest of its log.
 fn start(command: &mut Command) -> (Child, String, impl BufRead + use<>) {
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
@@ -77,8 +78,8 @@
     assert!(kill.success());
 }
 
-/// The next line of the log that holds these words.
-fn logged(log: &mut impl BufRead, words: &str) -> String {
+/// The next line of the log that contains these words.
+fn wait_for_log(log: &mut impl BufRead, words: &str) -> String {
     log.lines().map(|line| line.expect("a line")).find(|line| line.contains(words)).expect("such a line")
 }
 
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_query_is_served_and_sigterm_ends_the_program() {
+fn a_query_is_answered_and_sigterm_ends_the_program() {
     let list = format!(
         r#"{{"revision":2,"complete":true,"members":[{{"id":"w1","host_port":"{}","phase":"SERVING"}}]}}"#,
         worker()
@@ -103,7 +104,7 @@
     let path = std::env::temp_dir().join(format!("clayshore-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
-    // The file goes before the variables: it alone can be replaced while the program runs.
+    // The file takes precedence over the variables: it alone can be replaced while the program runs.
     let first = config["discovery"].as_str().expect("an address").to_owned();
     let (child, address, log) = start(command.env_clear().env("LB_CONFIG", &path).env("LB_DISCOVERY", first));
 
@@ -121,16 +122,16 @@
     client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     assert!(response(&mut client).body.starts_with(b"counters: taken=1 "));
 
-    // Guards against ending on SIGHUP, and against a faulty file that replaces a good configuration.
+    // SIGHUP must not end the process, and an invalid file must not replace a valid configuration.
     let mut log = log;
     std::fs::write(&path, config.to_string().replace("\"seed\":\"07\"", "\"seed\":\"x\"")).expect("written");
     send_signal(&child, "-HUP");
-    assert!(logged(&mut log, "not read again").contains("seed: no hexadecimal"));
+    assert!(wait_for_log(&mut log, "not read again").contains("seed: no hexadecimal"));
     let moved = discovery(list);
     config["discovery"] = moved.clone().into();
     std::fs::write(&path, config.to_string()).expect("written");
     send_signal(&child, "-HUP");
-    logged(&mut log, &format!("discovery at {moved}: list 2 with 1 workers"));
+    wait_for_log(&mut log, &format!("discovery at {moved}: list 2 with 1 workers"));
 
     let log = stop(child, log);
     assert!(log.contains("counters: taken=1 malformed=0 answered_whole=1 "), "{log}");
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn the_front_of_the_file_starts_alone() {
+fn the_opensearch_front_starts_without_the_platform() {
     let text = include_str!("scenario/opensearch.toml");
     let path = std::env::temp_dir().join(format!("clayshore-{}.toml", std::process::id()));
     std::fs::write(&path, text).expect("written");
@@ -153,32 +154,35 @@
 }
 
 #[test]
-fn the_process_s_own_limit_of_descriptors_holds_where_it_is_lower() {
-    // Guards against a budget of descriptors that the system does not give: accepting would fail under a crowd.
+fn the_system_s_limit_of_descriptors_holds_where_it_is_lower() {
+    // With a budget above the system's limit, accepting would fail under many connections.
     let path = std::env::temp_dir().join(format!("clayshore-limit-{}.toml", std::process::id()));
     std::fs::write(&path, include_str!("scenario/opensearch.toml")).expect("written");
-    let limited = |most: u32| {
+    let start_with_limit = |most: u32| {
         let mut shell = Command::new("sh");
         let line = format!("ulimit -n {most}; exec {} {}", env!("CARGO_BIN_EXE_gatherer"), path.display());
         shell.args(["-c", &line]).stderr(Stdio::piped());
         let mut child = shell.spawn().expect("the shell starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut said = String::new();
-        while !said.contains(" serving on ") && log.read_line(&mut said).expect("a line") > 0 {}
-        (child, log, said)
+        let mut output = String::new();
+        while !output.contains(" serving on ") && log.read_line(&mut output).expect("a line") > 0 {}
+        (child, log, output)
     };
-    let (child, log, said) = limited(100);
-    assert!(said.contains("of 1024 descriptors configured the system allows 100"), "{said}");
-    assert!(said.contains("100 descriptors, ") && said.contains(" serving on "), "{said}");
+    let (child, log, output) = start_with_limit(100);
+    assert!(output.contains("of 1024 descriptors configured the system allows 100"), "{output}");
+    assert!(output.contains("100 descriptors, ") && output.contains(" serving on "), "{output}");
     stop(child, log);
-    let (mut child, _, said) = limited(40);
-    assert!(said.contains("40 descriptors, of which ") && said.contains("64 at least are needed"), "{said}");
+    let (mut child, _, output) = start_with_limit(40);
+    assert!(
+        output.contains("40 descriptors, of which ") && output.contains("64 at least are needed"),
+        "{output}"
+    );
     assert_eq!(child.wait().expect("it ends").code(), Some(1));
     std::fs::remove_file(path).expect("removed");
 }
 
-/// Runs the program to its end: its status, and what it printed.
-fn told(arguments: &[&str]) -> (Option<i32>, String) {
+/// Runs the program to its end; returns its exit status and its output.
+fn run_to_end(arguments: &[&str]) -> (Option<i32>, String) {
     let run = Command::new(env!("CARGO_BIN_EXE_gatherer")).args(arguments).output().expect("it runs");
     let text = [run.stdout, run.stderr].concat();
     (run.status.code(), String::from_utf8(text).expect("text"))
@@ -197,7 +201,7 @@
     let serve = || {
         start(Command::new(env!("CARGO_BIN_EXE_gatherer")).args(["serve", &front, "--operator", &operator]))
     };
-    let ask = |address: &str, times: usize| {
+    let send_searches = |address: &str, times: usize| {
         let mut client = TcpStream::connect(address).expect("connected");
         for _ in 0..times {
             let head =
@@ -216,8 +220,8 @@
         })
     };
     let (mut killed, address, log) = serve();
-    ask(&address, 3);
-    // The start, the list and its worker, and the first line of figures.
+    send_searches(&address, 3);
+    // The start, the list and its worker, and the first record of metrics.
     while lines() < 4 {
         thread::yield_now();
     }
@@ -225,32 +229,36 @@
     killed.wait().expect("it ends");
     drop(log);
     let (child, address, log) = serve();
-    ask(&address, 2);
+    send_searches(&address, 2);
     stop(child, log);
-    let (status, said) = told(&["records", "verify", &records]);
-    assert_eq!(status, Some(0), "{said}");
-    let (_, json) = told(&["report", "--json", &records]);
+    let (status, output) = run_to_end(&["records", "verify", &records]);
+    assert_eq!(status, Some(0), "{output}");
+    let (_, json) = run_to_end(&["report", "--json", &records]);
     let report: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     let counts = &report["classes"]["search"];
     assert_eq!((&counts["asked"], &counts["refused"], &counts["unknown"]), (&5.into(), &5.into(), &0.into()));
-    let found: Vec<_> = report["findings"].as_array().expect("findings").iter().map(|f| &f["what"]).collect();
-    assert_eq!(found, ["worker_loses", "death"], "{json}");
+    let findings: Vec<_> =
+        report["findings"].as_array().expect("findings").iter().map(|f| &f["what"]).collect();
+    assert_eq!(findings, ["worker_loses", "death"], "{json}");
     let page = text(&folder.join("page.html"));
-    assert_eq!(told(&["report", &records, "--out", &page]).0, Some(0));
+    assert_eq!(run_to_end(&["report", &records, "--out", &page]).0, Some(0));
     let page = std::fs::read_to_string(page).expect("a page");
     assert!(page.contains("died") && ["src=", "href=", "<script"].iter().all(|other| !page.contains(other)));
-    // One changed byte is told of by file and line, and no longer counts.
+    // One changed byte is reported by file and line, and the line is no longer counted.
     let file = std::fs::read_dir(&records).expect("a folder").next().expect("one").expect("one").path();
     let mut bytes = std::fs::read(&file).expect("read");
     bytes[20] ^= 1;
     std::fs::write(&file, bytes).expect("written");
-    let (status, said) = told(&["records", "verify", &records]);
-    assert!(status == Some(1) && said.contains(&format!("{}:1: its checksum is", file.display())), "{said}");
+    let (status, output) = run_to_end(&["records", "verify", &records]);
+    assert!(
+        status == Some(1) && output.contains(&format!("{}:1: its checksum is", file.display())),
+        "{output}"
+    );
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
 #[test]
-fn a_faulty_configuration_is_named_by_its_key() {
+fn an_invalid_configuration_is_named_by_its_key() {
     let good: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let cases = [
         ("/listen", "listen: no address"),
@@ -266,8 +274,8 @@
         let error = gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
         assert!(error.contains(message), "{at}: {error}");
     }
-    // Operators are called at an address of the file or of the environment; without either, nowhere.
-    let operated = |value: serde_json::Value, variable: Option<&str>| {
+    // The operators' address is taken from the file, else from the environment; without either the API is off.
+    let operator_address_of = |value: serde_json::Value, variable: Option<&str>| {
         let mut json = good.clone();
         json["operator"] = value;
         let variable = variable.map(str::to_owned);
@@ -278,10 +286,13 @@
         .map_err(|error| error.to_string())
     };
     let null = serde_json::Value::Null;
-    assert_eq!(operated(null.clone(), None), Ok(None));
-    assert_eq!(operated(null, Some("127.0.0.1:8")), Ok(Some("127.0.0.1:8".to_owned())));
-    assert_eq!(operated("127.0.0.1:7".into(), Some("127.0.0.1:8")), Ok(Some("127.0.0.1:7".to_owned())));
-    assert_eq!(operated("x".into(), None), Err("operator: no address \"x\"".to_owned()));
+    assert_eq!(operator_address_of(null.clone(), None), Ok(None));
+    assert_eq!(operator_address_of(null, Some("127.0.0.1:8")), Ok(Some("127.0.0.1:8".to_owned())));
+    assert_eq!(
+        operator_address_of("127.0.0.1:7".into(), Some("127.0.0.1:8")),
+        Ok(Some("127.0.0.1:7".to_owned()))
+    );
+    assert_eq!(operator_address_of("x".into(), None), Err("operator: no address \"x\"".to_owned()));
     let toml = include_str!("scenario/opensearch.toml");
     let cases = [
         ("zone = \"a\"", "colour = 1\nzone = \"a\"", "colour"),
@@ -298,9 +309,9 @@
         assert!(error.contains(key), "{key}: {error}");
     }
     let operator = include_str!("../deploy/operator.toml");
-    let parse = gatherer::program::operator::Operator::parse;
+    let parse = gatherer::program::operator::OperatorFile::parse;
     assert!(parse(operator).is_ok_and(|operator| operator.records.is_some()));
-    // What is added stands behind the file's last line.
+    // The added line comes after the file's last one.
     let added = format!("line {}: records.", operator.lines().count() + 1);
     let cases = [
         ("segment_kb = 1", format!("{added}segment_kb: 64 kB")),
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,9 +1,10 @@
-//! The scenario language: `send`, `expect`, `close`, `open`, `wait`, a line each, played on pipes under a clock that stands
-//! still until all is quiet. The transcript tells everything that each party received, and when.
+//! The scenario language: `send`, `expect`, `close`, `open`, `wait`, one command to a line, run on in-memory pipes under a
+//! paused clock that advances only when all tasks are idle. The transcript lists everything that each party received, and
+//! when.
 
 use bytes::{BufMut, BytesMut};
-use gatherer::fronts::opensearch::OpenSearch;
-use gatherer::fronts::platform::Platform;
+use gatherer::fronts::opensearch::OpenSearchFront;
+use gatherer::fronts::platform::PlatformFront;
 use gatherer::limits::client_connections::Source;
 use gatherer::limits::{Backoff, DescriptorBudget};
 use gatherer::policy::{EndpointStatus, Time};
@@ -30,102 +31,111 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-const UNIX: Time = Time(1_700_000_000_000_000_000);
-const PIPE: usize = 1 << 16;
-const PATIENCE: Duration = Duration::from_secs(30);
+const START_TIME: Time = Time(1_700_000_000_000_000_000);
+const PIPE_BYTES: usize = 1 << 16;
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, PartialEq)]
-enum Port {
+enum PortState {
     Open,
     Closed,
     Silent,
-    /// It comes up so much later.
-    Late(Duration),
+    /// Connections are established after this delay.
+    DelayedOpen(Duration),
 }
 
 #[derive(Clone, Copy)]
-enum Form {
+enum WireFormat {
     Frames,
     Requests,
     Responses,
 }
 
 struct Party {
-    form: Form,
-    port: Port,
-    /// Its connections, and those on which a request waits for its response, in order.
-    lines: Vec<Option<Line>>,
-    asked: Rc<RefCell<VecDeque<usize>>>,
-    heard: mpsc::UnboundedSender<String>,
+    form: WireFormat,
+    port: PortState,
+    /// Its connections; a closed one leaves `None`.
+    connections: Vec<Option<Connection>>,
+    /// Indexes of connections on which a request waits for its response, in order.
+    pending: Rc<RefCell<VecDeque<usize>>>,
+    inbox_sender: mpsc::UnboundedSender<String>,
     inbox: Rc<RefCell<mpsc::UnboundedReceiver<String>>>,
 }
 
-struct Line {
-    say: mpsc::UnboundedSender<Vec<u8>>,
+struct Connection {
+    sender: mpsc::UnboundedSender<Vec<u8>>,
     tasks: [tokio::task::JoinHandle<()>; 2],
 }
 
 impl Party {
-    fn new(form: Form) -> Party {
-        let (heard, inbox) = mpsc::unbounded_channel();
+    fn new(form: WireFormat) -> Party {
+        let (inbox_sender, inbox) = mpsc::unbounded_channel();
         let inbox = Rc::new(RefCell::new(inbox));
-        Party { form, port: Port::Open, lines: Vec::new(), asked: Rc::default(), heard, inbox }
+        Party {
+            form,
+            port: PortState::Open,
+            connections: Vec::new(),
+            pending: Rc::default(),
+            inbox_sender,
+            inbox,
+        }
     }
     fn connect(&mut self, end: DuplexStream) {
         let (read, mut write) = split(end);
-        let (say, mut said) = mpsc::unbounded_channel::<Vec<u8>>();
-        let (heard, asked, at) = (self.heard.clone(), self.asked.clone(), self.lines.len());
-        let reader = spawn_local(listen(read, self.form, heard, asked, at));
+        let (sender, mut outgoing) = mpsc::unbounded_channel::<Vec<u8>>();
+        let (inbox_sender, pending, index) =
+            (self.inbox_sender.clone(), self.pending.clone(), self.connections.len());
+        let reader = spawn_local(listen(read, self.form, inbox_sender, pending, index));
         let writer = spawn_local(async move {
-            while let Some(bytes) = said.recv().await {
+            while let Some(bytes) = outgoing.recv().await {
                 let _ = write.write_all(&bytes).await;
             }
         });
-        self.lines.push(Some(Line { say, tasks: [reader, writer] }));
+        self.connections.push(Some(Connection { sender, tasks: [reader, writer] }));
     }
-    /// The connection that is spoken on next: the one asked first, else the newest.
-    fn line(&mut self) -> Option<&mut Option<Line>> {
-        let at = self.asked.borrow_mut().pop_front().or(self.lines.len().checked_sub(1))?;
-        self.lines.get_mut(at)
+    /// The connection to send on next: the one with the oldest pending request, else the newest.
+    fn next_connection(&mut self) -> Option<&mut Option<Connection>> {
+        let index = self.pending.borrow_mut().pop_front().or(self.connections.len().checked_sub(1))?;
+        self.connections.get_mut(index)
     }
 }
 
-/// Puts what a party receives into words.
+/// Turns what a party receives into lines of the transcript.
 async fn listen(
     mut read: ReadHalf<DuplexStream>,
-    form: Form,
-    heard: mpsc::UnboundedSender<String>,
-    asked: Rc<RefCell<VecDeque<usize>>>,
-    at: usize,
+    form: WireFormat,
+    inbox_sender: mpsc::UnboundedSender<String>,
+    pending: Rc<RefCell<VecDeque<usize>>>,
+    index: usize,
 ) {
     let mut buffer = BytesMut::new();
     loop {
         while let Some(words) = message(&mut buffer, form) {
-            if matches!(form, Form::Requests) {
-                asked.borrow_mut().push_back(at);
+            if matches!(form, WireFormat::Requests) {
+                pending.borrow_mut().push_back(index);
             }
-            let _ = heard.send(words);
+            let _ = inbox_sender.send(words);
         }
         if !matches!(read.read_buf(&mut buffer).await, Ok(1..)) {
-            asked.borrow_mut().retain(|other| *other != at);
-            let _ = heard.send("closed".to_owned());
+            pending.borrow_mut().retain(|other| *other != index);
+            let _ = inbox_sender.send("closed".to_owned());
             return;
         }
     }
 }
 
-fn message(buffer: &mut BytesMut, form: Form) -> Option<String> {
+fn message(buffer: &mut BytesMut, form: WireFormat) -> Option<String> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().replace('\n', "|");
     match form {
-        Form::Frames => {
+        WireFormat::Frames => {
             let length = u32::from_le_bytes(*buffer.first_chunk::<4>()?) as usize;
             (buffer.len() >= 4 + length).then(|| text(&buffer.split_to(4 + length)[4..]))
         }
-        Form::Requests => {
+        WireFormat::Requests => {
             let request = http::take_request(buffer).expect("a request")?;
             Some(format!("{} {}?{} {}", request.method, request.path, request.query, text(&request.body)))
         }
-        Form::Responses => {
+        WireFormat::Responses => {
             let response = http::take_response(buffer, 1 << 20).expect("a response")?;
             let after = response.headers.get("Retry-After").map(|after| format!(" after={after}"));
             Some(format!("{}{} {}", response.status, after.unwrap_or_default(), text(&response.body)))
@@ -133,46 +143,50 @@
     }
 }
 
-/// Stands in for the network.
+/// A fake network of in-memory pipes, by address.
 #[derive(Clone, Default)]
-struct Pipes(Rc<RefCell<BTreeMap<String, Party>>>);
+struct FakeNetwork(Rc<RefCell<BTreeMap<String, Party>>>);
 
-impl Connector for Pipes {
+impl Connector for FakeNetwork {
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            let port = self.0.borrow().get(address).map_or(Port::Closed, |party| party.port);
+            let port = self.0.borrow().get(address).map_or(PortState::Closed, |party| party.port);
             match port {
-                Port::Closed => return Err(io::ErrorKind::ConnectionRefused.into()),
-                Port::Silent => std::future::pending().await,
-                Port::Late(late) => tokio::time::sleep(late).await,
-                Port::Open => {}
+                PortState::Closed => return Err(io::ErrorKind::ConnectionRefused.into()),
+                PortState::Silent => std::future::pending().await,
+                PortState::DelayedOpen(late) => tokio::time::sleep(late).await,
+                PortState::Open => {}
             }
-            let (near, far) = tokio::io::duplex(PIPE);
+            let (near, far) = tokio::io::duplex(PIPE_BYTES);
             self.0.borrow_mut().get_mut(address).expect("known").connect(far);
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-struct Play {
-    pipes: Pipes,
+struct ScenarioRun {
+    network: FakeNetwork,
     start: Instant,
     transcript: String,
-    seen: String,
+    sent_text: String,
     broker: Broker,
-    gate: Rc<ConnectionManager>,
+    connection_manager: Rc<ConnectionManager>,
     /// Where discovery is.
     agent: tokio::sync::watch::Sender<String>,
 }
 
 /// Plays a scenario; its first line names the front.
-pub fn play(script: &str) -> String {
+pub fn run_script(script: &str) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let (first, rest) = script.split_once('\n').expect("a first line");
-        let places = DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
-        let (clock, gate, pipes) =
-            (Clock::starting_at(UNIX), ConnectionManager::new(places.clone()), Pipes::default());
+        let descriptor_pool =
+            DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
+        let (clock, connection_manager, network) = (
+            Clock::starting_at(START_TIME),
+            ConnectionManager::new(descriptor_pool.clone()),
+            FakeNetwork::default(),
+        );
         let agent = tokio::sync::watch::Sender::new("agent".to_owned());
         match first {
             "front platform"
@@ -184,42 +198,54 @@
                 json["settings"]["allowed"]["cancel"] = (!first.ends_with("without cancelling")).into();
                 let config = Config::from_json(&json, |_| None).expect("a configuration");
                 let known = config.initial_workers.expect("a list");
-                let broker = broker(config.contracts, &known, clock, &pipes, Form::Frames);
-                let workers = Workers::new(broker.clone(), Rc::new(pipes.clone()), places.clone());
+                let broker = broker(config.contracts, &known, clock, &network, WireFormat::Frames);
+                let workers = Workers::new(broker.clone(), Rc::new(network.clone()), descriptor_pool.clone());
                 if first.ends_with("agent") {
                     for name in ["agent", "agent2"] {
-                        pipes.0.borrow_mut().insert(name.to_owned(), Party::new(Form::Requests));
+                        network.0.borrow_mut().insert(name.to_owned(), Party::new(WireFormat::Requests));
                     }
-                    let (dial, watcher, address) = (pipes.clone(), broker.clone(), agent.subscribe());
+                    let (dial, watcher, address) = (network.clone(), broker.clone(), agent.subscribe());
                     let (held, backoff) = match first.contains("asking") {
                         true => (Some(known.revision), Backoff::new(1, 48, Duration::from_secs(10))),
                         false => (None, Backoff::for_local_agent(1, Duration::from_millis(250))),
                     };
                     spawn_local(async move {
-                        discovery::follow(&dial, address, held, &watcher, &places, backoff).await
+                        discovery::follow(&dial, address, held, &watcher, &descriptor_pool, backoff).await
                     });
                 }
-                let front = Platform { broker: broker.clone(), gate: gate.clone() };
-                run(rest, broker, workers, front, gate, pipes, agent).await
+                let front = PlatformFront { broker: broker.clone(), connections: connection_manager.clone() };
+                run(rest, broker, workers, front, connection_manager, network, agent).await
             }
             "front opensearch" => {
                 let file = FrontFile::parse(include_str!("opensearch.toml"), 7).expect("a file");
-                let broker = broker(file.contracts, &file.servers, clock, &pipes, Form::Requests);
-                let servers = IndexServers::new(broker.clone(), Rc::new(pipes.clone()), places);
-                let front =
-                    OpenSearch::new(broker.clone(), clock, gate.clone(), file.names, "start-1".to_owned(), 7);
-                run(rest, broker, servers, front, gate, pipes, agent).await
+                let broker = broker(file.contracts, &file.servers, clock, &network, WireFormat::Requests);
+                let servers = IndexServers::new(broker.clone(), Rc::new(network.clone()), descriptor_pool);
+                let front = OpenSearchFront::new(
+                    broker.clone(),
+                    clock,
+                    connection_manager.clone(),
+                    file.names,
+                    "start-1".to_owned(),
+                    7,
+                );
+                run(rest, broker, servers, front, connection_manager, network, agent).await
             }
             other => panic!("unknown first line {other:?}"),
         }
     })
 }
 
-fn broker(contracts: Contracts, list: &WorkerListUpdate, clock: Clock, pipes: &Pipes, form: Form) -> Broker {
+fn broker(
+    contracts: Contracts,
+    list: &WorkerListUpdate,
+    clock: Clock,
+    network: &FakeNetwork,
+    form: WireFormat,
+) -> Broker {
     let broker = Broker::new(Core::new(contracts), clock);
     broker.apply_endpoint_update(list, true);
     for member in &list.workers {
-        pipes.0.borrow_mut().insert(member.address.clone(), Party::new(form));
+        network.0.borrow_mut().insert(member.address.clone(), Party::new(form));
     }
     broker
 }
@@ -229,60 +255,61 @@
     broker: Broker,
     carrier: impl WorkerTransport + 'static,
     front: F,
-    gate: Rc<ConnectionManager>,
-    pipes: Pipes,
+    connection_manager: Rc<ConnectionManager>,
+    network: FakeNetwork,
     agent: tokio::sync::watch::Sender<String>,
 ) -> String {
     let driver = broker.clone();
     spawn_local(async move { driver.drive(&carrier).await });
-    let tended = gate.clone();
-    spawn_local(async move { tended.run_evictions().await });
-    let aged = gate.clone();
-    spawn_local(async move { aged.run_lifecycle_timers().await });
+    let evicting = connection_manager.clone();
+    spawn_local(async move { evicting.run_evictions().await });
+    let timed = connection_manager.clone();
+    spawn_local(async move { timed.run_lifecycle_timers().await });
     let (start, front) = (Instant::now(), Rc::new(front));
-    let (transcript, seen) = (String::new(), String::new());
-    let mut play = Play { pipes, start, transcript, seen, broker, gate, agent };
+    let (transcript, sent_text) = (String::new(), String::new());
+    let mut scenario =
+        ScenarioRun { network, start, transcript, sent_text, broker, connection_manager, agent };
     for (number, line) in script.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
-        let words = play.fill(line);
-        let _ = writeln!(play.transcript, "{words}");
+        let words = scenario.fill(line);
+        let _ = writeln!(scenario.transcript, "{words}");
         let (verb, rest) = words.split_once(' ').unwrap_or((&words, ""));
         let (who, what) = rest.split_once(' ').unwrap_or((rest, ""));
         match verb {
             "#" => {}
             "wait" => tokio::time::sleep(Duration::from_millis(who.parse().expect("milliseconds"))).await,
-            "expect" => play.expect(who, what, number + 2).await,
-            "close" => play.close(who, what),
-            "open" => play.open(who, what),
-            "send" => play.send(who, what, &front),
+            "expect" => scenario.expect(who, what, number + 2).await,
+            "close" => scenario.close(who, what),
+            "open" => scenario.open(who, what),
+            "send" => scenario.send(who, what, &front),
             other => panic!("line {}: unknown verb {other:?}", number + 2),
         }
     }
-    play.finish().await
+    scenario.finish().await
 }
 
-impl Play {
-    /// Puts the last idempotency key and scroll id that anyone saw in their places.
+impl ScenarioRun {
+    /// Replaces `$key` and `$scroll` by the last idempotency key and scroll id that any party received.
     fn fill(&self, line: &str) -> String {
         let last = |name: &str| {
-            let at = self.seen.rfind(&format!("\"{name}\":\""))? + name.len() + 4;
-            self.seen[at..].split('"').next()
+            let at = self.sent_text.rfind(&format!("\"{name}\":\""))? + name.len() + 4;
+            self.sent_text[at..].split('"').next()
         };
         let line = line.replace("$key", last("key").unwrap_or("none"));
         line.replace("$scroll", last("_scroll_id").unwrap_or("none"))
     }
 
     fn note(&mut self, who: &str, words: &str) {
-        self.seen.push_str(words);
+        self.sent_text.push_str(words);
         let _ = writeln!(self.transcript, "  {} ms, to {who}: {words}", self.start.elapsed().as_millis());
     }
 
     async fn expect(&mut self, who: &str, what: &str, line: usize) {
-        let inbox = self.pipes.0.borrow().get(who).map(|party| party.inbox.clone()).expect("a party");
+        let inbox = self.network.0.borrow().get(who).map(|party| party.inbox.clone()).expect("a party");
         let words = loop {
             let next = std::future::poll_fn(|cx| inbox.borrow_mut().poll_recv(cx));
-            let heard = tokio::time::timeout(PATIENCE, next).await.ok().flatten();
-            let words = heard.unwrap_or_else(|| panic!("line {line}: nothing came\n{}", self.transcript));
-            // Connections come and go; their ends count where a scenario asks for them.
+            let received = tokio::time::timeout(EVENT_TIMEOUT, next).await.ok().flatten();
+            let words = received.unwrap_or_else(|| panic!("line {line}: nothing came\n{}", self.transcript));
+            // The end of a connection matters only where a scenario expects it.
             if words != "closed" || what == "closed" {
                 break words;
             }
@@ -292,25 +319,25 @@
     }
 
     fn close(&mut self, who: &str, what: &str) {
-        let mut parties = self.pipes.0.borrow_mut();
+        let mut parties = self.network.0.borrow_mut();
         let party = parties.get_mut(who).expect("a party");
         match what {
             "" => {
-                if let Some(line) = party.line().and_then(Option::take) {
-                    line.tasks.iter().for_each(tokio::task::JoinHandle::abort);
+                if let Some(connection) = party.next_connection().and_then(Option::take) {
+                    connection.tasks.iter().for_each(tokio::task::JoinHandle::abort);
                 }
             }
-            "port" => party.port = Port::Closed,
-            "silently" => party.port = Port::Silent,
+            "port" => party.port = PortState::Closed,
+            "silently" => party.port = PortState::Silent,
             other => panic!("close what? {other:?}"),
         }
     }
 
-    /// Its port takes connections, from so many milliseconds after each is asked for.
+    /// Opens a party's port; with a number, each connection is established so many milliseconds late.
     fn open(&mut self, who: &str, what: &str) {
-        let late = what.parse().map(Duration::from_millis);
-        let mut parties = self.pipes.0.borrow_mut();
-        parties.get_mut(who).expect("a party").port = late.map_or(Port::Open, Port::Late);
+        let delay = what.parse().map(Duration::from_millis);
+        let mut parties = self.network.0.borrow_mut();
+        parties.get_mut(who).expect("a party").port = delay.map_or(PortState::Open, PortState::DelayedOpen);
     }
 
     fn send<F: Front + 'static>(&mut self, who: &str, what: &str, front: &Rc<F>) {
@@ -318,7 +345,7 @@
             let (status, name) = what.split_once(' ').expect("a status and a worker");
             let (status, since) = match status {
                 "SERVING" => (EndpointStatus::Active, None),
-                "RESTARTED" => (EndpointStatus::Active, Some(UNIX.after(self.start.elapsed()))),
+                "RESTARTED" => (EndpointStatus::Active, Some(START_TIME.after(self.start.elapsed()))),
                 "DRAINING" => (EndpointStatus::Draining, None),
                 _ => (EndpointStatus::Gone, None),
             };
@@ -334,43 +361,48 @@
             return;
         }
         if who == "SIGTERM" {
-            return self.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+            return self.connection_manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
         }
         if who == "operator" {
             let call = if what == "drain" { LifecycleRequest::Drain } else { LifecycleRequest::Resume };
-            return self.gate.apply_lifecycle(call).expect("taken");
+            return self.connection_manager.apply_lifecycle(call).expect("taken");
         }
-        // `NAME.N` speaks on the party's Nth connection, `NAME` on the one that is next.
+        // `NAME.N` sends on the party's Nth connection, `NAME` on the next one.
         let (who, number) = who.split_once('.').map_or((who, None), |(who, at)| (who, at.parse().ok()));
-        let mut parties = self.pipes.0.borrow_mut();
-        let party = parties.entry(who.to_owned()).or_insert_with(|| Party::new(Form::Responses));
-        if matches!(party.form, Form::Responses) && !matches!(party.lines.last(), Some(Some(_))) {
-            let (near, far) = tokio::io::duplex(PIPE);
+        let mut parties = self.network.0.borrow_mut();
+        let party = parties.entry(who.to_owned()).or_insert_with(|| Party::new(WireFormat::Responses));
+        if matches!(party.form, WireFormat::Responses) && !matches!(party.connections.last(), Some(Some(_))) {
+            let (near, far) = tokio::io::duplex(PIPE_BYTES);
             party.connect(far);
-            let (front, gate) = (front.clone(), self.gate.clone());
+            let (front, connection_manager) = (front.clone(), self.connection_manager.clone());
             spawn_local(async move {
-                let pass = gate.admit(Source(1), PATIENCE).await.expect("a place");
-                listener::serve(near, ([127, 0, 0, 1], 1).into(), &*front, pass).await;
+                let connection_permit =
+                    connection_manager.admit(Source(1), EVENT_TIMEOUT).await.expect("a place");
+                listener::serve(near, ([127, 0, 0, 1], 1).into(), &*front, connection_permit).await;
             });
         }
         let bytes = match party.form {
-            Form::Frames if what.starts_with("raw ") => what[4..].replace("\\0", "\0").into_bytes(),
-            Form::Frames => {
+            WireFormat::Frames if what.starts_with("raw ") => what[4..].replace("\\0", "\0").into_bytes(),
+            WireFormat::Frames => {
                 let mut bytes = BytesMut::new();
                 let what = what.replacen(' ', "", 1);
                 bytes.put_u32_le(what.len() as u32);
                 bytes.put_slice(what.replace('|', "\n").as_bytes());
                 bytes.to_vec()
             }
-            Form::Requests if what.starts_with("raw ") => what[4..].replace("\\r\\n", "\r\n").into_bytes(),
-            Form::Requests => {
+            WireFormat::Requests if what.starts_with("raw ") => {
+                what[4..].replace("\\r\\n", "\r\n").into_bytes()
+            }
+            WireFormat::Requests => {
                 let (status, body) = what.split_once(' ').expect("a status and a body");
                 http::Response::json(status.parse().expect("a status"), body.to_owned())
                     .encode(false)
                     .to_vec()
             }
-            Form::Responses if what.starts_with("raw ") => what[4..].replace("\\r\\n", "\r\n").into_bytes(),
-            Form::Responses => {
+            WireFormat::Responses if what.starts_with("raw ") => {
+                what[4..].replace("\\r\\n", "\r\n").into_bytes()
+            }
+            WireFormat::Responses => {
                 let (head, body) = what.split_at(what.find(" {").map_or(what.len(), |at| at + 1));
                 let mut words = head.split_whitespace();
                 let mut text = format!(
@@ -382,19 +414,19 @@
                 format!("{text}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
             }
         };
-        let line = match number {
-            Some(number) => party.lines.get_mut::<usize>(number),
-            None => party.line(),
+        let connection = match number {
+            Some(number) => party.connections.get_mut::<usize>(number),
+            None => party.next_connection(),
         };
-        let line = line.and_then(Option::as_mut).expect("a connection");
-        line.say.send(bytes).expect("an open connection");
+        let connection = connection.and_then(Option::as_mut).expect("a connection");
+        connection.sender.send(bytes).expect("an open connection");
     }
 
-    /// Lets the rest of the time pass; whatever comes then, nobody expected.
+    /// Lets the remaining time pass; whatever is received then was not expected.
     async fn finish(mut self) -> String {
-        tokio::time::sleep(PATIENCE).await;
+        tokio::time::sleep(EVENT_TIMEOUT).await;
         let parties: Vec<_> =
-            self.pipes.0.borrow().iter().map(|(name, party)| (name.clone(), party.inbox.clone())).collect();
+            self.network.0.borrow().iter().map(|(name, party)| (name.clone(), party.inbox.clone())).collect();
         for (name, inbox) in parties {
             while let Ok(words) = inbox.borrow_mut().try_recv() {
                 if words != "closed" {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,9 +1,9 @@
-//! Both fronts, played against stand-ins: every scenario in `tests/scenarios/`, its transcript as a snapshot.
+//! Both fronts against fake parties: runs every scenario in `tests/scenarios/` and compares its transcript with a snapshot.
 
 mod scenario;
 
 #[test]
-fn scenarios() {
+fn every_scenario_gives_its_transcript() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     let mut names: Vec<String> = std::fs::read_dir(folder)
         .expect("the folder")
@@ -16,7 +16,7 @@
     for name in names {
         let script = std::fs::read_to_string(format!("{folder}/{name}.txt")).expect("a script");
         insta::with_settings!({ prepend_module_to_snapshot => false, omit_expression => true }, {
-            insta::assert_snapshot!(name.clone(), scenario::play(&script));
+            insta::assert_snapshot!(name.clone(), scenario::run_script(&script));
         });
     }
 }
--- a/tests/endings.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! What ends while something is owed, on real processes and sockets, with the crossing forced: the process stands still
-//! while both events come, so that both lie there at the same wake. Counted at both ends.
+//! Connections and processes that end while a response is pending, on real processes and sockets. Races are forced: the
+//! process is paused while both events arrive, so that it sees both at the same wake-up. Counted at clients and workers.
 
 mod common;
 
@@ -15,13 +15,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// As on the platform: no operators, and deadlines so short that SIGKILL may come 1.7 s after SIGTERM.
-fn hurried(discovery: &Discovery) -> Value {
+/// As on the platform: no operators' API, and deadlines so short that SIGKILL may follow 1.7 s after SIGTERM.
+fn config_with_short_deadlines(discovery: &Discovery) -> Value {
     with_times(discovery, 600, 1000)
 }
 
-/// The same, where no machine is so busy that anything runs out of time.
-fn patient(discovery: &Discovery) -> Value {
+/// The same with deadlines so long that nothing times out on a busy machine.
+fn config_with_long_deadlines(discovery: &Discovery) -> Value {
     with_times(discovery, 60_000, 60_000)
 }
 
@@ -34,8 +34,8 @@
     config
 }
 
-/// A figure of the process, asked for on this connection.
-fn count(watch: &mut TcpStream, name: &str) -> u64 {
+/// A counter of the process, requested on this connection.
+fn counter(watch: &mut TcpStream, name: &str) -> u64 {
     watch.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     let text = response(watch).expect("an answer").body;
     let text = String::from_utf8(text.to_vec()).expect("text");
@@ -43,41 +43,41 @@
     found.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
 }
 
-/// Asks for one part of shard 0, of little work: as many as a test asks for are expected to be served in time.
+/// Sends a query for one part of shard 0, of so little cost that all those of a test are expected to be answered in time.
 fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0,"price":9000}],"predicate":"c41e"}"#;
     let head = format!(
-        "POST /api HTTP/1.1\r\nX-LifecycleRequest-Id: {id}\r\nX-LifecycleRequest-Class: {class}\r\nX-Caller: bank\r\nX-Budget-Ms: 60000\r\n"
+        "POST /api HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: bank\r\nX-Budget-Ms: 60000\r\n"
     );
     stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// Its end, with nothing said before; a reset is none.
-fn ends(stream: &mut TcpStream) {
+/// Expects the end of the connection, with nothing sent before it and no reset.
+fn expect_close(stream: &mut TcpStream) {
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).expect("no reset");
     assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
 }
 
 #[test]
-fn a_request_beside_sigterm_has_its_one_answer() {
+fn a_request_that_arrives_with_sigterm_gets_one_response() {
     let (folder, worker) = (TempFolder::new("beside"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let mut gatherer = Gatherer::start(&folder, &hurried(&discovery));
-    let mut resting: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
-    for (at, client) in resting.iter_mut().enumerate() {
+    let mut gatherer = Gatherer::start(&folder, &config_with_short_deadlines(&discovery));
+    let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
+    for (at, client) in idle_clients.iter_mut().enumerate() {
         query(client, &format!("a{at}"), "seal").expect("written");
         assert_eq!(response(client).expect("an answer").status, 200);
     }
     gatherer.pause();
-    let (whole, half) = resting.split_at_mut(4);
-    for (at, client) in whole.iter_mut().enumerate() {
+    let (complete, partial) = idle_clients.split_at_mut(4);
+    for (at, client) in complete.iter_mut().enumerate() {
         query(client, &format!("b{at}"), "seal").expect("written");
     }
-    for client in half.iter_mut() {
-        client.write_all(b"POST /api HTTP/1.1\r\nX-LifecycleRequest").expect("written");
+    for client in partial.iter_mut() {
+        client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("written");
     }
-    // Some have only just connected: nobody has let them in yet.
+    // Some have only just connected and are not accepted yet.
     let mut new: Vec<_> = (0..4).map(|_| gatherer.connect()).collect();
     for (at, client) in new.iter_mut().enumerate() {
         query(client, &format!("c{at}"), "seal").expect("written");
@@ -85,68 +85,68 @@
     gatherer.signal("-TERM");
     gatherer.signal("-CONT");
     let mut statuses = Vec::new();
-    for client in whole.iter_mut().chain(&mut new) {
+    for client in complete.iter_mut().chain(&mut new) {
         statuses.push(response(client).expect("an answer").status);
     }
-    // Half a request is none: it is told that it did not come in time, or why it is refused, never dropped.
-    for client in half {
+    // A partial request is answered with its time-out or its error, and never dropped.
+    for client in partial {
         client.write_all(b"-Id: d\r\nContent-Length: 0\r\n\r\n").expect("written");
         assert_eq!(response(client).expect("an answer").status, 400);
     }
     assert!(gatherer.wait_for_exit());
-    // So many at once may be more than the module expects to be served in time: what it refused was not sent.
+    // So many at once may exceed what admission expects to be answered in time; rejected queries were not sent.
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served > 0 && statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
     assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (8 + served, 1));
 }
 
 #[test]
-fn what_comes_after_the_linger_is_refused_though_the_process_stood_still() {
-    // Guards against taking what SIGKILL may find unanswered: where deadlines are short it comes soon.
+fn a_request_after_the_grace_period_is_rejected_though_the_process_was_paused() {
+    // Guards against accepting what SIGKILL may find unanswered: where deadlines are short it follows soon.
     let (folder, worker) = (TempFolder::new("after"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let mut config = hurried(&discovery);
+    let mut config = config_with_short_deadlines(&discovery);
     config["settings"]["allowed"]["retry-after"] = json!(false);
     let mut gatherer = Gatherer::start(&folder, &config);
-    let mut kept: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
-    for (at, client) in kept.iter_mut().enumerate() {
+    let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
+    for (at, client) in idle_clients.iter_mut().enumerate() {
         query(client, &format!("a{at}"), "seal").expect("written");
         assert_eq!(response(client).expect("an answer").status, 200);
     }
     gatherer.signal("-TERM");
     gatherer.wait_for_log("stopping: ");
     gatherer.pause();
-    // Not a wait for anything: the time after which nothing is taken passes while the process stands still.
+    // Not a wait for an event: the grace period passes while the process is paused.
     thread::sleep(GRACE_PERIOD);
-    for (at, client) in kept.iter_mut().enumerate() {
+    for (at, client) in idle_clients.iter_mut().enumerate() {
         query(client, &format!("b{at}"), "seal").expect("written");
     }
     gatherer.signal("-CONT");
-    for client in &mut kept {
+    for client in &mut idle_clients {
         match response(client) {
-            // Where clients take no advice, none is given.
+            // No `Retry-After` where the configuration switches it off.
             Ok(answer) => assert_eq!((answer.status, answer.headers.get("Retry-After")), (503, None)),
-            // Or its close crossed the request, which its client sees by the end of the connection.
+            // Or the close raced with the request, and the client sees the end of the connection.
             Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::UnexpectedEof),
         }
     }
     assert!(gatherer.wait_for_exit());
-    assert_eq!(worker.parts_received(), 8, "nothing of what came later was sent on");
+    assert_eq!(worker.parts_received(), 8, "nothing that arrived later was forwarded");
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on() {
+fn a_request_that_races_with_the_close_of_an_idle_connection_is_not_forwarded() {
     let (folder, worker) = (TempFolder::new("crosses"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let mut gatherer = Gatherer::start(&folder, &hurried(&discovery));
+    let mut gatherer = Gatherer::start(&folder, &config_with_short_deadlines(&discovery));
     let mut client = gatherer.connect();
     query(&mut client, "a", "seal").expect("written");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     gatherer.signal("-TERM");
-    // It rests until the gatherer ends its connection for writing, and asks just then.
-    ends(&mut client);
+    // The client is idle until the gatherer closes its side, and sends a request just then.
+    expect_close(&mut client);
     query(&mut client, "b", "seal").expect("written");
-    ends(&mut client);
+    expect_close(&mut client);
     drop(client);
     assert!(gatherer.wait_for_exit());
     gatherer.wait_for_log("crossed=1");
@@ -154,18 +154,18 @@
 }
 
 #[test]
-fn signals_are_heard_before_the_configuration_is_read() {
-    // Guards a process that has just started: SIGHUP ended it, which is a crash.
+fn signals_are_handled_before_the_configuration_is_read() {
+    // Guards a process that has just started: without a handler SIGHUP ends it, which counts as a crash.
     let (folder, worker) = (TempFolder::new("early"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let (config, file) = (hurried(&discovery), folder.0.join("config.json"));
+    let (config, file) = (config_with_short_deadlines(&discovery), folder.0.join("config.json"));
     let made = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
     assert!(made.success());
     let mut gatherer = Gatherer::spawn(&file, &config, &folder, None);
     // Opening it waits until the process has opened it for reading.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).expect("opened");
     gatherer.signal("-HUP");
-    // What is read again is a usual file.
+    // The reload reads a regular file.
     let usual = folder.0.join("usual.json");
     std::fs::write(&usual, config.to_string()).expect("written");
     std::fs::rename(&usual, &file).expect("in its place");
@@ -180,23 +180,23 @@
     assert!(gatherer.wait_for_exit());
 }
 
-/// A worker whose connections the test holds: it answers nothing by itself.
+/// A worker whose connections are handed to the test; it answers nothing by itself.
 fn silent_worker() -> (String, mpsc::Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let (tell, told) = mpsc::channel();
+    let (connection_sender, connections) = mpsc::channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            if tell.send(stream).is_err() {
+            if connection_sender.send(stream).is_err() {
                 return;
             }
         }
     });
-    (address, told)
+    (address, connections)
 }
 
-/// The part that comes next on a worker's connection.
-fn part(stream: &mut TcpStream) -> String {
+/// Reads the next part on a worker's connection; returns its id.
+fn read_part(stream: &mut TcpStream) -> String {
     let mut length = [0; 4];
     stream.read_exact(&mut length).expect("a frame");
     let mut rest = vec![0; u32::from_le_bytes(length) as usize];
@@ -211,34 +211,34 @@
 }
 
 #[test]
-fn half_an_answer_and_the_end_at_the_same_wake_leave_a_part_that_may_have_run() {
+fn a_partial_answer_and_the_close_at_the_same_wake_up_leave_a_part_that_may_have_run() {
     for (name, by_reset) in [("half-end", false), ("half-reset", true)] {
         let folder = TempFolder::new(name);
-        let ((first, told), second) = (silent_worker(), Worker::start());
+        let ((first, connections), second) = (silent_worker(), Worker::start());
         let discovery = Discovery::start(&member("w1", &first));
-        let mut gatherer = Gatherer::start(&folder, &patient(&discovery));
+        let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
         let mut watch = gatherer.connect();
         let mut asked = Vec::new();
         for class in ["seal", "search"] {
             let mut client = gatherer.connect();
             query(&mut client, class, class).expect("written");
-            let mut line = told.recv_timeout(Duration::from_secs(60)).expect("a connection");
-            assert_eq!(part(&mut line), format!("{class}.0"));
-            asked.push((client, line));
+            let mut connection = connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
+            assert_eq!(read_part(&mut connection), format!("{class}.0"));
+            asked.push((client, connection));
         }
-        // From here on there is another worker, which may take what may be repeated.
+        // From here on there is another worker, which may receive retries of idempotent parts.
         let both = format!("{},{}", member("w1", &first), member("w2", &second.address));
-        let listings = count(&mut watch, "listings");
+        let listings = counter(&mut watch, "listings");
         discovery.publish(&both);
-        wait_until("the list is told", || count(&mut watch, "listings") > listings);
+        wait_until("the list is received", || counter(&mut watch, "listings") > listings);
         gatherer.pause();
         let mut clients = Vec::new();
-        for (client, mut line) in asked {
-            line.write_all(&[30, 0, 0, 0, b'q', b's']).expect("written");
+        for (client, mut connection) in asked {
+            connection.write_all(&[30, 0, 0, 0, b'q', b's']).expect("written");
             if by_reset {
-                reset(line);
+                reset(connection);
             } else {
-                drop(line);
+                drop(connection);
             }
             clients.push(client);
         }
@@ -248,7 +248,7 @@
         assert_eq!(
             (second.parts_received(), second.max_deliveries_of_a_part()),
             (1, 1),
-            "{name}: only what may be repeated came"
+            "{name}: only the idempotent part was retried"
         );
         drop((clients, watch));
         gatherer.signal("-TERM");
@@ -256,26 +256,26 @@
     }
 }
 
-/// A listener whose queue is full, and who fills it: further connections do not come up until it accepts.
-fn full_door() -> (TcpListener, Vec<TcpStream>) {
+/// A listener whose queue is full, and the connections that fill it: further ones are not established until it accepts.
+fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     rustix::net::listen(&socket, 0).expect("it listens");
-    let door = TcpListener::from(socket);
-    let (address, mut queue) = (door.local_addr().expect("an address"), Vec::new());
+    let listener = TcpListener::from(socket);
+    let (address, mut queue) = (listener.local_addr().expect("an address"), Vec::new());
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
         queue.push(stream);
     }
-    (door, queue)
+    (listener, queue)
 }
 
 #[test]
-fn nothing_is_sent_for_clients_that_left_in_one_burst_while_their_parts_waited() {
+fn nothing_is_sent_for_clients_that_disconnect_in_one_burst_while_their_parts_wait() {
     let folder = TempFolder::new("burst");
-    let (door, queue) = full_door();
-    let address = door.local_addr().expect("an address");
+    let (listener, queue) = full_listener();
+    let address = listener.local_addr().expect("an address");
     let discovery = Discovery::start(&member("w1", &address.to_string()));
-    let mut config = patient(&discovery);
+    let mut config = config_with_long_deadlines(&discovery);
     config["settings"]["allowed"]["connect-timeout"] = json!(60_000_000_000_u64);
     config["settings"]["allowed"]["max-open"] = json!(200);
     let mut gatherer = Gatherer::start(&folder, &config);
@@ -286,8 +286,8 @@
         query(&mut client, &format!("a{at}"), if at % 2 == 0 { "seal" } else { "search" }).expect("written");
         clients.push(client);
     }
-    wait_until("all are sent", || count(&mut watch, "sent") >= 12);
-    // All leave while the process stands still, some by a reset, some behind the beginning of another request.
+    wait_until("all attempts are dispatched", || counter(&mut watch, "sent") >= 12);
+    // All disconnect while the process is paused, some by a reset, some after the beginning of another request.
     gatherer.pause();
     for (at, mut client) in clients.into_iter().enumerate() {
         if at % 3 > 0 {
@@ -298,36 +298,36 @@
         }
     }
     gatherer.signal("-CONT");
-    wait_until("all have left", || count(&mut watch, "left") >= 12);
-    // Now the worker takes connections, those that were coming up among them: none may bring a part.
+    wait_until("all have disconnected", || counter(&mut watch, "left") >= 12);
+    // Now the worker accepts connections, among them those being established: none may carry a part.
     let filled = queue.len();
     drop(queue);
-    let (tell, told) = mpsc::channel();
+    let (connection_sender, connections) = mpsc::channel();
     thread::spawn(move || {
-        for stream in door.incoming().map_while(Result::ok) {
-            if tell.send(stream).is_err() {
+        for stream in listener.incoming().map_while(Result::ok) {
+            if connection_sender.send(stream).is_err() {
                 return;
             }
         }
     });
-    assert_eq!(count(&mut watch, "written"), 0);
+    assert_eq!(counter(&mut watch, "written"), 0);
     drop(watch);
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
     let last = TcpStream::connect(address).expect("connected");
     let last = last.local_addr().expect("an address");
-    let mut came = 0;
-    for mut stream in told.iter() {
+    let mut connections_closed = 0;
+    for mut stream in connections.iter() {
         if stream.peer_addr().ok() == Some(last) {
             break;
         }
         let mut bytes = Vec::new();
-        // One that was given up while it came up may end in a reset.
+        // A connection that was cancelled while being established may end in a reset.
         let _ = stream.read_to_end(&mut bytes);
         assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
-        came += 1;
+        connections_closed += 1;
     }
-    assert!(came >= filled, "{came} connections came");
+    assert!(connections_closed >= filled, "{connections_closed} connections came");
 }
 
 /// Answers a part on a worker's connection.
@@ -339,35 +339,35 @@
 }
 
 #[test]
-fn an_idle_connection_that_ends_as_a_part_is_to_be_written_costs_no_query() {
+fn an_idle_connection_that_closes_as_a_part_is_written_costs_no_query() {
     for (name, by_reset) in [("idle-end", false), ("idle-reset", true)] {
-        let (folder, (address, told)) = (TempFolder::new(name), silent_worker());
-        let next = || told.recv_timeout(Duration::from_secs(60)).expect("a connection");
+        let (folder, (address, connections)) = (TempFolder::new(name), silent_worker());
+        let next = || connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
         let discovery = Discovery::start(&member("w1", &address));
-        let mut gatherer = Gatherer::start(&folder, &patient(&discovery));
+        let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
         let mut client = gatherer.connect();
         query(&mut client, "a", "search").expect("written");
-        let mut kept = next();
-        let id = part(&mut kept);
-        serve(&mut kept, &id);
+        let mut idle_clients = next();
+        let id = read_part(&mut idle_clients);
+        serve(&mut idle_clients, &id);
         assert_eq!(response(&mut client).expect("an answer").status, 200);
-        // The end of the kept connection and two requests lie there at the same wake.
+        // The close of the idle connection and two requests are seen at the same wake-up.
         gatherer.pause();
         let mut once = gatherer.connect();
         query(&mut client, "b", "search").expect("written");
         query(&mut once, "c", "seal").expect("written");
         if by_reset {
-            reset(kept);
+            reset(idle_clients);
         } else {
-            drop(kept);
+            drop(idle_clients);
         }
         gatherer.signal("-CONT");
         let mut parts = Vec::new();
         for _ in 0..2 {
-            let mut line = next();
-            let id = part(&mut line);
-            serve(&mut line, &id);
-            parts.push((id, line));
+            let mut connection = next();
+            let id = read_part(&mut connection);
+            serve(&mut connection, &id);
+            parts.push((id, connection));
         }
         parts.sort_by(|a, b| a.0.cmp(&b.0));
         assert_eq!([&*parts[0].0, &*parts[1].0], ["b.0", "c.0"], "{name}");
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,5 +1,5 @@
-//! Upgrades with real processes: two or three on one address, killed, stopped and restarted at every stage, while
-//! clients ask. No request is lost and none runs twice, counted at both ends.
+//! Upgrades with real processes: two or three on one address, killed, paused and restarted at every stage, while clients
+//! send queries. No request is lost and none runs twice, counted at the clients and at the workers.
 
 mod common;
 
@@ -27,25 +27,25 @@
         let members = format!("{},{}", member("w1", &worker.address), member("w2", &other.address));
         let discovery = Discovery::start(&members);
         let (folder, mut config) = (TempFolder::new(name), config(&discovery));
-        // Two processes have half each: room for all that the clients here ask at once.
+        // Each of two processes may use half: enough for all queries that the clients here have open at once.
         config["settings"]["allowed"]["max-open"] = 100.into();
         Fleet { worker, other, discovery, folder, config }
     }
-    /// The same gatherer's configuration for a further start: its operators call elsewhere.
-    fn again(&self) -> serde_json::Value {
+    /// The same gatherer's configuration for the next process, with another operators' address.
+    fn next_config(&self) -> serde_json::Value {
         let mut config = self.config.clone();
         config["operator"] = unused_address().into();
         config
     }
-    /// The same where discovery says nothing: such a one waits a moment before its yes.
-    fn unsure(&self) -> (serde_json::Value, TcpListener) {
+    /// The same with a discovery that accepts connections and never answers, so that the process is not ready at once.
+    fn config_with_silent_discovery(&self) -> (serde_json::Value, TcpListener) {
         let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let mut config = self.again();
+        let mut config = self.next_config();
         config["discovery"] = silent.local_addr().expect("an address").to_string().into();
         (config, silent)
     }
-    /// Where its processes find each other.
-    fn meeting(&self) -> PathBuf {
+    /// Path of the takeover socket.
+    fn takeover_socket_path(&self) -> PathBuf {
         let user = std::fs::metadata(&self.folder.0).expect("a folder").uid();
         let listen = self.config["listen"].as_str().expect("an address").replace(':', "-");
         self.folder.0.join(format!("clayshore-{user}-{listen}.sock"))
@@ -55,27 +55,28 @@
     }
 }
 
-fn ready(gatherer: &Gatherer) -> bool {
+fn is_ready(gatherer: &Gatherer) -> bool {
     call_operator_api(&gatherer.operators, "GET", "/-/ready").0 == 200
 }
 
-/// Asks once, on a connection of its own, and is answered.
-fn served(gatherer: &Gatherer, class: &str) {
+/// Sends one query on a new connection, which is answered.
+fn assert_one_query_is_answered(gatherer: &Gatherer, class: &str) {
     let mut client = gatherer.connect();
     query(&mut client, "a1", class).expect("written");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
 }
 
-/// A client that asks without a pause, on connections that it keeps, until it is told to stop; how many answers it got.
-/// Where a connection is closed between two requests it asks once more on a new one, as the protocol has it.
-fn client(
+/// A client that sends queries without a pause, on kept connections, while `go` is set; returns the number of its answers.
+/// Where a connection is closed between two requests it retries once on a new one, as the protocol allows.
+fn spawn_client(
     address: String,
     name: String,
     go: Arc<AtomicBool>,
     answers: Arc<AtomicUsize>,
 ) -> JoinHandle<usize> {
     thread::spawn(move || {
-        let connect = || std::net::TcpStream::connect(&address).expect("the door is never shut");
+        let connect =
+            || std::net::TcpStream::connect(&address).expect("the address always accepts connections");
         let (mut stream, mut asked, mut crossed) = (connect(), 0, 0);
         while go.load(Ordering::Relaxed) {
             let id = format!("{name}.{asked}");
@@ -93,7 +94,7 @@
             assert_eq!(answer.status, 200, "{id}");
             asked += 1;
             answers.fetch_add(1, Ordering::Relaxed);
-            // Every few requests a new connection, so that some always wait in the queue.
+            // A new connection every few requests, so that some always wait to be accepted.
             if asked % 5 == 0 || !answer.keep_alive {
                 stream = connect();
             }
@@ -103,8 +104,8 @@
     })
 }
 
-/// What a process counted under this name, as it said at its end.
-fn counted(gatherer: &Gatherer, name: &str) -> usize {
+/// A counter of a process, from the log line at its exit.
+fn counter_at_exit(gatherer: &Gatherer, name: &str) -> usize {
     let line = gatherer.wait_for_log("counters: ");
     let value = line.split(' ').find_map(|pair| pair.strip_prefix(&format!("{name}=")));
     value.expect("counted").parse().expect("a number")
@@ -116,9 +117,9 @@
     let mut serving = Gatherer::start(&fleet.folder, &fleet.config);
     let (go, answers) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..4)
-        .map(|at| client(serving.clients.clone(), format!("c{at}"), go.clone(), answers.clone()))
+        .map(|at| spawn_client(serving.clients.clone(), format!("c{at}"), go.clone(), answers.clone()))
         .collect();
-    let further = |more: usize| {
+    let wait_for_answers = |more: usize| {
         let until = answers.load(Ordering::Relaxed) + more;
         while answers.load(Ordering::Relaxed) < until {
             assert!(clients.iter().all(|client| !client.is_finished()), "a client has failed");
@@ -127,55 +128,55 @@
     };
     let mut taken = 0;
     for _ in 0..3 {
-        further(40);
-        let next = Gatherer::start_without_waiting(&fleet.folder, &fleet.again());
+        wait_for_answers(40);
+        let next = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
         next.wait_for_log(" serving on ");
-        wait_until("ready", || ready(&next));
-        further(40);
+        wait_until("ready", || is_ready(&next));
+        wait_for_answers(40);
         serving.signal("-TERM");
         assert!(serving.wait_for_exit());
-        taken += counted(&serving, "taken");
+        taken += counter_at_exit(&serving, "taken");
         serving = next;
     }
-    further(40);
+    wait_for_answers(40);
     go.store(false, Ordering::Relaxed);
-    let asked: usize = clients.into_iter().map(|client| client.join().expect("it lost nothing")).sum();
+    let asked: usize = clients.into_iter().map(|client| client.join().expect("it lost no request")).sum();
     serving.signal("-TERM");
     assert!(serving.wait_for_exit());
-    taken += counted(&serving, "taken");
-    // At the clients' end and at the gatherers': each query was taken once and answered once. At the workers' end: each
-    // part that may not run twice came once.
+    taken += counter_at_exit(&serving, "taken");
+    // At the clients and at the gatherers: each query was accepted once and answered once. At the workers: each
+    // non-idempotent part was delivered once.
     assert_eq!(taken, asked);
     assert!(fleet.parts() >= asked);
     for worker in [&fleet.worker, &fleet.other] {
-        let came = worker.received.lock().expect("sound");
-        let twice = came.iter().filter(|(id, times)| {
+        let deliveries = worker.received.lock().expect("sound");
+        let delivered_twice = deliveries.iter().filter(|(id, times)| {
             let number = id.split('.').nth(1).and_then(|number| number.parse::<usize>().ok());
             number.is_some_and(|number| number % 2 == 0) && **times > 1
         });
-        assert_eq!(twice.count(), 0);
+        assert_eq!(delivered_twice.count(), 0);
     }
 }
 
 #[test]
-fn what_is_out_by_hand_stays_out_and_changes_reach_both() {
+fn disabled_workers_survive_an_upgrade_and_changes_reach_both_processes() {
     let fleet = Fleet::new("handed");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
-    let second = Gatherer::start(&fleet.folder, &fleet.again());
-    second.wait_for_log("upgrade: taking over: 2 workers, 1 out by hand");
+    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    second.wait_for_log("upgrade: taking over, workers=2 disabled=1");
     let ejected = |gatherer: &Gatherer| metric_value(&gatherer.operators, "gatherer.ejected");
-    wait_until("ready", || ready(&second));
+    wait_until("ready", || is_ready(&second));
     assert_eq!(ejected(&second), 1);
-    // While both run, a call to either holds for both.
+    // While both run, a call to either applies to both.
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w2/disable").0, 200);
-    wait_until("out at both", || ejected(&second) == 2);
+    wait_until("disabled at both", || ejected(&second) == 2);
     assert_eq!(call_operator_api(&second.operators, "PUT", "/-/workers/w1/enable").0, 200);
-    wait_until("back at both", || ejected(&first) == 1);
+    wait_until("enabled at both", || ejected(&first) == 1);
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     let mut client = second.connect();
-    // The one that is back counts as cold, so that some are refused.
+    // The worker that was enabled again is warming up, so that some queries are rejected.
     for at in 0.. {
         query(&mut client, &format!("a{at}"), "search").expect("written");
         let status = response(&mut client).expect("an answer").status;
@@ -185,35 +186,35 @@
         }
     }
     assert_eq!(fleet.other.parts_received(), 0);
-    // A worker that is out and in no list is still known to the next process.
+    // A worker that is disabled and no longer listed is still known to the next process.
     fleet.discovery.publish(&member("w1", &fleet.worker.address));
-    wait_until("told", || metric_value(&second.operators, "gatherer.discovered") == 1);
-    let third = Gatherer::start(&fleet.folder, &fleet.again());
+    wait_until("the list is received", || metric_value(&second.operators, "gatherer.discovered") == 1);
+    let third = Gatherer::start(&fleet.folder, &fleet.next_config());
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w2/enable").0, 200);
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w3/enable").0, 404);
 }
 
 #[test]
-fn a_drain_is_passed_on_and_does_not_hold_up_the_upgrade() {
+fn a_drain_is_handed_over_and_does_not_hold_up_the_upgrade() {
     let fleet = Fleet::new("drained");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
-    let second = Gatherer::start(&fleet.folder, &fleet.again());
-    wait_until("ready", || ready(&second));
+    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    wait_until("ready", || is_ready(&second));
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    second.wait_for_log("upgrade: the process before has ended");
-    assert!(!ready(&second), "it is drained still");
+    second.wait_for_log("upgrade: the predecessor has ended");
+    assert!(!is_ready(&second), "it is still drained");
     assert_eq!(call_operator_api(&second.operators, "PUT", "/-/resume").0, 200);
-    assert!(ready(&second));
+    assert!(is_ready(&second));
 }
 
 #[test]
-fn drain_and_resume_during_an_upgrade_hold_for_both() {
+fn drain_and_resume_during_an_upgrade_apply_to_both_processes() {
     let fleet = Fleet::new("both");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.wait_for_log(" serving on ");
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
@@ -221,50 +222,50 @@
         call_operator_api(&second.operators, "GET", "/-/ready").1 == "ready, drained\n"
     });
     assert_eq!(call_operator_api(&second.operators, "PUT", "/-/resume").0, 200);
-    wait_until("both serve", || ready(&first) && ready(&second));
+    wait_until("both serve", || is_ready(&first) && is_ready(&second));
 }
 
 #[test]
-fn a_successor_that_is_told_to_stop_leaves_the_gatherer_to_the_first() {
+fn the_predecessor_continues_if_the_successor_is_stopped() {
     let fleet = Fleet::new("undone");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let mut second = Gatherer::start(&fleet.folder, &fleet.again());
-    wait_until("ready", || ready(&second));
+    let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    wait_until("ready", || is_ready(&second));
     second.signal("-TERM");
     assert!(second.wait_for_exit());
-    first.wait_for_log("upgrade: the successor has ended, this process goes on");
-    served(&first, "seal");
-    assert_eq!(counted(&second, "refused_stopping"), 0);
-    // And it may be taken over from again.
-    Gatherer::start(&fleet.folder, &fleet.again()).wait_for_log("upgrade: taking over");
+    first.wait_for_log("upgrade: the successor has ended, this process continues");
+    assert_one_query_is_answered(&first, "seal");
+    assert_eq!(counter_at_exit(&second, "refused_stopping"), 0);
+    // It can hand over again.
+    Gatherer::start(&fleet.folder, &fleet.next_config()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
-fn a_successor_that_dies_before_its_yes_changes_nothing() {
+fn a_successor_that_dies_before_it_is_ready_changes_nothing() {
     let fleet = Fleet::new("stillborn");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (unsure, _silent) = fleet.unsure();
-    let mut second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
+    let mut second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
     first.wait_for_log("upgrade: a successor has started");
     second.signal("-KILL");
     assert!(!second.wait_for_exit());
-    first.wait_for_log("upgrade: the successor has ended, this process goes on");
-    served(&first, "seal");
-    // The next one may take over.
-    let third = Gatherer::start(&fleet.folder, &fleet.again());
+    first.wait_for_log("upgrade: the successor has ended, this process continues");
+    assert_one_query_is_answered(&first, "seal");
+    // The next process can take over.
+    let third = Gatherer::start(&fleet.folder, &fleet.next_config());
     third.wait_for_log("upgrade: taking over");
-    wait_until("ready", || ready(&third));
+    wait_until("ready", || is_ready(&third));
 }
 
 #[test]
-fn a_successor_that_hangs_finds_what_waited_for_it() {
+fn a_paused_successor_serves_the_connections_that_waited_for_it() {
     let fleet = Fleet::new("hung");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.signal("-STOP");
-    // SIGTERM before the yes: the first ends as it always did, and the queue of connections outlives it.
+    // SIGTERM before the successor is ready: the first process ends as usual, and the queue of connections outlives it.
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     let mut client = first.connect();
@@ -275,93 +276,93 @@
 }
 
 #[test]
-fn a_first_that_dies_midway_leaves_its_queue_and_its_bans() {
+fn a_predecessor_that_dies_midway_leaves_its_connection_queue_and_its_disabled_workers() {
     let fleet = Fleet::new("midway");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
-    let (unsure, _silent) = fleet.unsure();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &unsure);
+    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     first.signal("-KILL");
     first.wait_for_exit();
-    served(&first, "search");
-    second.wait_for_log("upgrade: the process before has ended");
+    assert_one_query_is_answered(&first, "search");
+    second.wait_for_log("upgrade: the predecessor has ended");
     assert_eq!((fleet.worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")), (0, 1));
 }
 
 #[test]
-fn a_first_that_hangs_is_not_waited_for_for_ever() {
+fn a_predecessor_that_hangs_is_not_waited_for_forever() {
     let fleet = Fleet::new("deaf");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     first.signal("-STOP");
-    let second = Gatherer::start(&fleet.folder, &fleet.again());
+    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
     second.wait_for_log(
-        "upgrade: nothing is taken over, and this process listens beside another: it does not answer",
+        "upgrade: nothing was taken over, this process listens beside another: it does not reply",
     );
-    assert_eq!(metric_value(&second.operators, "gatherer.violations.started_alone"), 1, "and it is counted");
-    wait_until("ready", || ready(&second));
+    assert_eq!(metric_value(&second.operators, "gatherer.violations.started_alone"), 1, "it is counted");
+    wait_until("ready", || is_ready(&second));
     first.signal("-CONT");
     first.wait_for_log("upgrade: a successor has started");
-    first.wait_for_log("upgrade: the successor has ended, this process goes on");
-    // The end of the first takes nothing from the second: a third still finds it.
+    first.wait_for_log("upgrade: the successor has ended, this process continues");
+    // The end of the first process does not affect the second: a third one still finds it.
     let mut first = first;
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    Gatherer::start(&fleet.folder, &fleet.again()).wait_for_log("upgrade: taking over");
+    Gatherer::start(&fleet.folder, &fleet.next_config()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
-fn one_that_connects_and_says_nothing_holds_up_no_upgrade() {
+fn a_silent_connection_holds_up_no_upgrade() {
     let fleet = Fleet::new("mute");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let _mute = UnixStream::connect(fleet.meeting()).expect("connected");
-    let second = Gatherer::start(&fleet.folder, &fleet.again());
+    let _silent = UnixStream::connect(fleet.takeover_socket_path()).expect("connected");
+    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
     second.wait_for_log("upgrade: taking over");
-    let mute = first.log.0.lock().expect("sound").iter().any(|line| line.contains("says nothing"));
-    assert!(!mute, "it was heard beside the mute one, not after it");
-    first.wait_for_log("upgrade: no successor: it says nothing");
+    let timed_out = first.log.0.lock().expect("sound").iter().any(|line| line.contains("sends nothing"));
+    assert!(!timed_out, "the successor was received beside the silent connection, not after it");
+    first.wait_for_log("upgrade: a connection was rejected: it sends nothing");
 }
 
 #[test]
 fn a_third_start_waits_for_the_end_of_the_upgrade() {
     let fleet = Fleet::new("third");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    let mut second = Gatherer::start(&fleet.folder, &fleet.again());
-    wait_until("ready", || ready(&second));
-    let third = Gatherer::start_without_waiting(&fleet.folder, &fleet.again());
-    third.wait_for_log("upgrade: another one is under way");
+    let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    wait_until("ready", || is_ready(&second));
+    let third = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
+    third.wait_for_log("upgrade: waiting, another upgrade is under way");
     let (status, text) = call_operator_api(&third.operators, "GET", "/-/ready");
     assert_eq!((status, text.as_str()), (503, "another upgrade is under way\n"));
-    // What the state that it waits for would undo gets no yes.
+    // A change that the predecessor's state would overwrite is rejected.
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w1/disable").0, 503);
-    assert!(ready(&second));
+    assert!(is_ready(&second));
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     third.wait_for_log("upgrade: taking over");
-    wait_until("ready", || ready(&third));
+    wait_until("ready", || is_ready(&third));
     second.signal("-TERM");
     assert!(second.wait_for_exit());
-    served(&third, "seal");
+    assert_one_query_is_answered(&third, "seal");
 }
 
 #[test]
-fn a_folder_that_cannot_be_written_is_no_hindrance() {
+fn upgrades_work_without_a_writable_folder() {
     let fleet = Fleet::new("unwritable");
     let missing = TempFolder(fleet.folder.0.join("missing"));
     let mut first = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.config, &missing);
     first.wait_for_log("further starts find this one by name");
-    let second = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.again(), &missing);
+    let second = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.next_config(), &missing);
     second.wait_for_log("upgrade: taking over");
-    wait_until("ready", || ready(&second));
+    wait_until("ready", || is_ready(&second));
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    served(&second, "seal");
+    assert_one_query_is_answered(&second, "seal");
 }
 
 #[test]
-fn what_is_no_hand_over_is_refused_with_one_line() {
+fn an_invalid_hand_over_is_rejected_with_one_log_line() {
     let fleet = Fleet::new("foreign");
-    let path = fleet.meeting();
+    let path = fleet.takeover_socket_path();
     let cases: [(&[u8], &str); 4] = [
         (b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nConnection: close\r\nServer: other\r\n\r\n", "form of a hand-over"),
         (b"clayshore-handover 0 2 0\n{}", "version 0, not 1"),
@@ -371,19 +372,19 @@
     for (bytes, why) in cases {
         let _ = std::fs::remove_file(&path);
         let other = UnixListener::bind(&path).expect("bound");
-        let said = thread::spawn(move || {
-            let (mut stream, _) = other.accept().expect("a start");
+        let predecessor = thread::spawn(move || {
+            let (mut stream, _) = other.accept().expect("a starting process");
             let mut line = String::new();
-            BufReader::new(&stream).read_line(&mut line).expect("it asks to join");
+            BufReader::new(&stream).read_line(&mut line).expect("it requests to join");
             assert!(line.starts_with("clayshore-handover 1 "), "{line}");
             stream.write_all(bytes).expect("written");
         });
-        let mut gatherer = Gatherer::start(&fleet.folder, &fleet.again());
-        said.join().expect("said");
+        let mut gatherer = Gatherer::start(&fleet.folder, &fleet.next_config());
+        predecessor.join().expect("it has replied");
         let lines = gatherer.log.0.lock().expect("sound").clone();
-        let told: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
-        assert!(told.len() == 1 && told[0].contains(why), "{told:?}");
-        wait_until("ready", || ready(&gatherer));
+        let warnings: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
+        assert!(warnings.len() == 1 && warnings[0].contains(why), "{warnings:?}");
+        wait_until("ready", || is_ready(&gatherer));
         gatherer.signal("-TERM");
         assert!(gatherer.wait_for_exit());
     }
