--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -4,6 +4,8 @@
 use gatherer::protocol::handover::{self, HandoverError, Message};
 use gatherer::protocol::statsd::MetricLines;
 use proptest::prelude::{prop_assert, proptest};
+use serde_json::{Value, json};
+use xxhash_rust::xxh3::xxh3_64;
 
 #[test]
 fn foreign_incompatible_torn_and_damaged_handover_messages_are_distinguished() {
@@ -43,3 +45,58 @@
     lines.gauge(&["outstanding"], 14);
     assert_eq!(lines.text(), "gatherer.succeeded.seal_rec_ord:812|c\ngatherer.outstanding:14|g\n");
 }
+
+/// The body of an encoded hand-over message.
+fn body(message: &[u8]) -> Value {
+    let end = message.iter().position(|byte| *byte == b'\n').expect("a first line");
+    serde_json::from_slice(&message[end + 1..]).expect("JSON")
+}
+
+/// A state with every field that version 1 has.
+fn version_1_state() -> Value {
+    let duration = json!({"secs": 1, "nanos": 500_000_000});
+    json!({
+        "list": {"revision": 7, "complete": true, "members": [
+            {"name": "w1", "address": "10.0.0.1:9", "zone": "a", "cell": 3, "status": "Active", "units": 1.5, "since": 5},
+            {"name": "w2", "address": "10.0.0.2:9", "zone": "b", "cell": 4, "status": "Draining", "units": 1.0, "since": null},
+            {"name": "w3", "address": "10.0.0.3:9", "zone": "b", "cell": 5, "status": "Gone", "units": 1.0, "since": null},
+        ]},
+        "bans": {"out": ["w2"], "back": {"w1": 11}},
+        "drained": true,
+        "learned": {
+            "leaves": [{
+                "name": "w1", "since": 5, "cold_from": 6, "sent": [[7, 0.5]], "utilization": 0.25, "heard": 8, "seen": 0.5,
+                "planned": 1.5, "last_done": 9, "spoke": 10, "silent": true, "inferred": false, "unreached": 11,
+                "strikes": 2, "lost": [[0, 0.5, 12], [null, 0.25, 13]], "suspect": [14, duration], "served": 2.5,
+            }],
+            "shards": [[3, [["w1", 0.5]]]],
+            "shares": [[0, 0.5, 15]],
+            "patience": [[0, duration, 2]], "marked": true, "mean_wait": 0.25,
+            "model": {"sums": [1.0, 2.0, 3.0, 4.0, 5.0], "deviation": 0.5},
+            "lost": 0.125, "gap": 0.25, "asked": 16, "answered": 17, "base": [0.5],
+        },
+    })
+}
+
+// Another version of the program reads these names: a process that is upgraded to or from this one.
+#[test]
+fn handover_messages_of_version_1_are_decoded_and_encoded_under_the_same_names() {
+    let bodies = [
+        json!({"join": {"listen": "127.0.0.1:9"}}),
+        json!("busy"),
+        json!({"state": version_1_state()}),
+        json!({"out": {"worker": "w1"}}),
+        json!({"back": {"worker": "w1"}}),
+        json!("drain"),
+        json!("resume"),
+        json!("serving"),
+        json!("stopping"),
+    ];
+    for expected in bodies {
+        let text = expected.to_string();
+        let line = format!("clayshore-handover 1 {} {:016x}\n{text}", text.len(), xxh3_64(text.as_bytes()));
+        let message = handover::take_message(&mut BytesMut::from(line.as_bytes()));
+        let message = message.expect(&text).expect("a complete message");
+        assert_eq!(body(&handover::encode(&message).expect("encoded")), expected);
+    }
+}
