--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,11 @@
-//! The broker between fronts and servers. It knows no wire: it hosts one decision module with its clock and timers,
-//! maps names to the module's ids, delivers the module's actions, and sees each query through to its one answer.
+//! The broker between fronts and workers: it hosts the decision module with its clock and timers, maps names to the
+//! module's ids, carries out the module's actions, and gives each query its one final outcome.
+//!
+//! It owns the open queries, the attempts in flight and the worker list. It knows no wire format and does no I/O.
 
 pub mod attempt;
 pub mod broker;
+pub mod clock;
 pub mod command;
 pub mod contracts;
 pub mod core;
@@ -19,7 +22,8 @@
 mod worker_states;
 
 pub use attempt::{AttemptCompletion, AttemptId, Dispatch};
-pub use broker::{Broker, Clock, WorkerTransport};
+pub use broker::{Broker, WorkerTransport};
+pub use clock::Clock;
 pub use command::Command;
 pub use contracts::{BrokerLimits, Contracts};
 pub use core::Core;
