--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -27,7 +27,7 @@
 
 impl MembershipObserver for Told {
     fn on_member_change(&self, change: &MemberChange) {
-        log::info!("members: {} is {}", change.name, format!("{:?}", change.state).to_lowercase());
+        log::info!("members: {} is {}", change.name, change.state);
         let (member, process) = (change.name.clone(), change.start);
         self.recording.record(RecordBody::Member { member, process, state: change.state });
     }
