--- a/src/transport/connection_manager.rs
+++ b/src/transport/connection_manager.rs
@@ -1,8 +1,9 @@
-//! The clients' connections of one process: who is let in, who is told to leave, and how all are told to end. The
-//! order and the time limits are decided in [`crate::limits::crowd`].
+//! The clients' connections of one process: who is admitted, who is evicted, and how all of them learn that they are to
+//! end. It owns the set of open connections and the process's lifecycle. It reads and writes no bytes; the order and the
+//! time limits of evictions are decided in [`crate::limits::client_connections`].
 
 use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
-use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
+use crate::limits::client_connections::{EVICTION_REASONS, EvictionReason, RequestValidity, Source};
 use crate::limits::{
     ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
 };
@@ -14,302 +15,326 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How often time limits are looked at while any connection could leave: they move with pressure.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between two lines of the log about who was made to leave.
-const TELL: Duration = Duration::from_secs(5);
+/// How often time limits are checked while any connection could be evicted: they move with pressure.
+const EVICTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The least time between two log lines about early evictions.
+const EVICTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The connections of one process, and how they are told to end.
+/// The clients' connections of one process, and what notifies them that they are to end.
 pub struct ConnectionManager {
-    places: Rc<DescriptorPool>,
-    crowd: RefCell<ClientConnections>,
-    signals: RefCell<HashMap<u64, Rc<Signal>>>,
-    /// A connection has become one that may be made to leave.
-    loosened: Notify,
-    stages: RefCell<Lifecycle>,
-    stage: watch::Sender<LifecycleState>,
+    descriptor_pool: Rc<DescriptorPool>,
+    connections: RefCell<ClientConnections>,
+    evictions: RefCell<HashMap<u64, Rc<Eviction>>>,
+    /// Notified when a connection has become evictable.
+    evictable: Notify,
+    lifecycle: RefCell<Lifecycle>,
+    lifecycle_state: watch::Sender<LifecycleState>,
 }
 
+/// Notifies one connection's task that it is to close.
 #[derive(Default)]
-struct Signal {
-    why: Cell<Option<EvictionReason>>,
-    told: Notify,
+struct Eviction {
+    reason: Cell<Option<EvictionReason>>,
+    requested: Notify,
 }
 
 impl ConnectionManager {
-    /// A gate to these places.
-    pub fn new(places: Rc<DescriptorPool>) -> Rc<ConnectionManager> {
-        let stages = Lifecycle::new(places.now());
+    /// Creates the manager of a process that serves; its connections take their descriptors from this pool.
+    pub fn new(descriptor_pool: Rc<DescriptorPool>) -> Rc<ConnectionManager> {
+        let lifecycle = Lifecycle::new(descriptor_pool.now());
         Rc::new(ConnectionManager {
-            places,
-            crowd: RefCell::default(),
-            signals: RefCell::default(),
-            loosened: Notify::new(),
-            stage: watch::Sender::new(stages.stage()),
-            stages: RefCell::new(stages),
+            descriptor_pool,
+            connections: RefCell::default(),
+            evictions: RefCell::default(),
+            evictable: Notify::new(),
+            lifecycle_state: watch::Sender::new(lifecycle.stage()),
+            lifecycle: RefCell::new(lifecycle),
         })
     }
-    /// Where the process is now. Guards a process that stood still: what lies there at its wake is read before its timers
-    /// have run, and would be taken as if no time had passed.
+    /// The state that the process is in now. It is advanced first: after a pause of the whole process, sockets are read
+    /// before its timers have run, and the state would be taken as if no time had passed.
     pub fn lifecycle_state(&self) -> LifecycleState {
-        self.pass();
-        *self.stage.borrow()
-    }
-    fn pass(&self) {
-        self.stages.borrow_mut().advance(self.places.now());
-        self.tell_stage();
-    }
-    /// Moves the process on, or tells why not.
-    pub fn apply_lifecycle(&self, call: LifecycleRequest) -> Result<(), LifecycleError> {
-        let done = self.stages.borrow_mut().apply(self.places.now(), call);
-        self.tell_stage();
-        done
-    }
-    fn tell_stage(&self) {
-        let stage = self.stages.borrow().stage();
-        self.stage.send_if_modified(|told| {
-            let before = std::mem::replace(told, stage);
-            if before != stage {
-                log::info!("stage: {before:?} -> {stage:?}, {} connections open", self.open_connections());
+        self.advance_lifecycle();
+        *self.lifecycle_state.borrow()
+    }
+    fn advance_lifecycle(&self) {
+        self.lifecycle.borrow_mut().advance(self.descriptor_pool.now());
+        self.publish_lifecycle_state();
+    }
+    /// Applies a request to the lifecycle.
+    ///
+    /// # Errors
+    /// The request is not possible in the present state, which stays as it is.
+    pub fn apply_lifecycle(&self, request: LifecycleRequest) -> Result<(), LifecycleError> {
+        let applied = self.lifecycle.borrow_mut().apply(self.descriptor_pool.now(), request);
+        self.publish_lifecycle_state();
+        applied
+    }
+    fn publish_lifecycle_state(&self) {
+        let state = self.lifecycle.borrow().stage();
+        self.lifecycle_state.send_if_modified(|published| {
+            let before = std::mem::replace(published, state);
+            if before != state {
+                log::info!(
+                    "lifecycle state changed: from={before:?} to={state:?} open_connections={}",
+                    self.open_connections()
+                );
             }
-            before != stage
+            before != state
         });
     }
-    /// Lets time lead from stage to stage, for as long as the process lives.
+    /// Advances the lifecycle whenever a deadline of it passes, for as long as the process lives.
     pub async fn run_lifecycle_timers(&self) {
-        let mut stage = self.stage.subscribe();
+        let mut state = self.lifecycle_state.subscribe();
         loop {
-            let due = self.stages.borrow().next_deadline();
+            let due = self.lifecycle.borrow().next_deadline();
             tokio::select! {
-                // The sender lives as long as the gate, so waiting cannot fail.
-                _ = stage.changed() => {}
-                () = tokio::time::sleep_until(self.places.instant_at(due.unwrap_or_default())), if due.is_some() => {
-                    self.pass();
+                // The sender lives as long as the manager, so waiting cannot fail.
+                _ = state.changed() => {}
+                () = tokio::time::sleep_until(self.descriptor_pool.instant_at(due.unwrap_or_default())), if due.is_some() => {
+                    self.advance_lifecycle();
                 }
             }
         }
     }
-    /// The places that it gives out.
+    /// The pool that connections take their descriptors from.
     pub fn descriptor_pool(&self) -> &Rc<DescriptorPool> {
-        &self.places
+        &self.descriptor_pool
     }
-    /// Open connections.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.crowd.borrow().len()
+        self.connections.borrow().len()
     }
-    /// Waits for the stage in which nothing new is taken.
+    /// Waits for the state in which new queries are no longer accepted.
     pub async fn wait_for_closing(&self) {
-        self.reaches(|stage| !stage.accepts_queries()).await;
+        self.wait_for_state(|state| !state.accepts_queries()).await;
     }
-    /// Waits until connections are to end as soon as nothing is open on them.
+    /// Waits until connections are to close as soon as nothing is in flight on them.
     pub async fn wait_for_idle_close(&self) {
-        self.reaches(LifecycleState::closes_idle_connections).await;
+        self.wait_for_state(LifecycleState::closes_idle_connections).await;
     }
-    /// Waits until connections are no longer let in.
+    /// Waits until new connections are no longer accepted.
     pub async fn wait_for_accept_end(&self) {
-        self.reaches(|stage| !stage.accepts_connections()).await;
+        self.wait_for_state(|state| !state.accepts_connections()).await;
     }
-    async fn reaches(&self, there: impl Fn(LifecycleState) -> bool) {
-        let mut stage = self.stage.subscribe();
-        // The sender lives as long as the gate, so waiting cannot fail.
-        let _ = stage.wait_for(|stage| there(*stage)).await;
+    async fn wait_for_state(&self, is_reached: impl Fn(LifecycleState) -> bool) {
+        let mut state = self.lifecycle_state.subscribe();
+        // The sender lives as long as the manager, so waiting cannot fail.
+        let _ = state.wait_for(|state| is_reached(*state)).await;
     }
 
-    /// How scarce places are for clients. Their own level comes first: what clients may hold at their end is less
-    /// than what there is here, and who asked once and stays takes it from those who would come back.
+    /// How scarce descriptors are for clients. The clients' own level counts beside that of the process: their guaranteed
+    /// part is less than the whole, and clients that stay after a single request take it from those that come back.
     pub fn pressure(&self) -> ResourcePressure {
-        let floor = self.places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
-        ResourcePressure::from_usage(self.open_connections(), floor / 3, floor * 3 / 4)
-            .max(self.places.pressure())
+        let guaranteed =
+            self.descriptor_pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+        ResourcePressure::from_usage(self.open_connections(), guaranteed / 3, guaranteed * 3 / 4)
+            .max(self.descriptor_pool.pressure())
     }
 
-    /// Lets a connection in. Where there is no place, the one of least worth is told to leave; none at all is to be
-    /// had only while a query is open on each.
-    pub async fn admit(self: &Rc<Self>, source: Source, longest: Duration) -> Option<ConnectionPermit> {
-        let place = loop {
-            let freed = self.places.wait_for_release();
-            match self.places.try_acquire(DescriptorClass::Clients) {
-                Ok(place) => break place,
-                Err(DescriptorDenied::Exhausted) if !self.leaving() => return None,
+    /// Admits a connection, waiting at most `timeout` for each release of a descriptor. `None` where none is to be had:
+    /// a query is in flight on every connection, or no release came in time.
+    pub async fn admit(self: &Rc<Self>, source: Source, timeout: Duration) -> Option<ConnectionPermit> {
+        let descriptor = loop {
+            let released = self.descriptor_pool.wait_for_release();
+            match self.descriptor_pool.try_acquire(DescriptorClass::Clients) {
+                Ok(descriptor) => break descriptor,
+                Err(DescriptorDenied::Exhausted) if !self.eviction_in_progress() => return None,
                 Err(_) => {}
             }
-            if tokio::time::timeout(longest, freed).await.is_err() {
+            if tokio::time::timeout(timeout, released).await.is_err() {
                 return None;
             }
         };
-        let now = self.places.now();
-        let id = self.crowd.borrow_mut().accept(now, source);
-        let signal = Rc::new(Signal::default());
-        self.signals.borrow_mut().insert(id, signal.clone());
-        self.places.counters.borrow_mut().admitted += 1;
-        self.loosened.notify_one();
-        let bytes = BufferReservation::new(&self.places);
-        let waited = Cell::default();
-        let pass =
-            ConnectionPermit { gate: self.clone(), id, place, signal, buffer_reservation: bytes, waited };
-        // The next one who comes is to find a place free. It is made only now, so that it costs nobody theirs before
-        // it is needed, and so that the newcomer is judged beside the others.
-        let (free, door) = self.places.descriptors(|all| (all.free(), all.budget().headroom));
-        if free < door
-            && let Some(lender) = self.places.descriptors(|all| all.lender(DescriptorClass::Clients))
+        let now = self.descriptor_pool.now();
+        let id = self.connections.borrow_mut().accept(now, source);
+        let eviction = Rc::new(Eviction::default());
+        self.evictions.borrow_mut().insert(id, eviction.clone());
+        self.descriptor_pool.counters.borrow_mut().admitted += 1;
+        self.evictable.notify_one();
+        let buffer_reservation = BufferReservation::new(&self.descriptor_pool);
+        let queue_time = Cell::default();
+        let permit = ConnectionPermit {
+            manager: self.clone(),
+            id,
+            descriptor,
+            eviction,
+            buffer_reservation,
+            queue_time,
+        };
+        // The next connection is to find a free descriptor. It is freed only now, so that nobody is evicted before it is
+        // needed, and so that the new connection is compared with the others.
+        let (free, headroom) = self.descriptor_pool.descriptors(|all| (all.free(), all.budget().headroom));
+        if free < headroom
+            && let Some(lender) = self.descriptor_pool.descriptors(|all| all.lender(DescriptorClass::Clients))
         {
             match lender {
-                DescriptorClass::Clients => self.make_room(),
-                other => self.places.reclaim(other),
+                DescriptorClass::Clients => self.evict_one(),
+                other => self.descriptor_pool.reclaim(other),
             }
         }
-        Some(pass)
+        Some(permit)
     }
 
-    /// Whether anyone has been told to leave who has not left yet.
-    fn leaving(&self) -> bool {
-        let crowd = self.crowd.borrow();
-        self.signals.borrow().keys().any(|id| !crowd.is_evictable(*id) && !crowd.is_busy(*id))
+    /// Whether any connection has been evicted and is not closed yet.
+    fn eviction_in_progress(&self) -> bool {
+        let connections = self.connections.borrow();
+        self.evictions.borrow().keys().any(|id| !connections.is_evictable(*id) && !connections.is_busy(*id))
     }
 
-    fn make_room(&self) {
-        let chosen = self.crowd.borrow_mut().evict(self.places.now());
-        if let Some((id, why)) = chosen {
-            self.places.counters.borrow_mut().evicted_early += 1;
-            self.tell(id, why);
+    fn evict_one(&self) {
+        let chosen = self.connections.borrow_mut().evict(self.descriptor_pool.now());
+        if let Some((id, reason)) = chosen {
+            self.descriptor_pool.counters.borrow_mut().evicted_early += 1;
+            self.notify_evicted(id, reason);
         }
     }
 
-    fn tell(&self, id: u64, why: EvictionReason) {
-        self.places.counters.borrow_mut().count_eviction(why);
-        if let Some(signal) = self.signals.borrow().get(&id) {
-            signal.why.set(Some(why));
-            signal.told.notify_one();
+    fn notify_evicted(&self, id: u64, reason: EvictionReason) {
+        self.descriptor_pool.counters.borrow_mut().count_eviction(reason);
+        if let Some(eviction) = self.evictions.borrow().get(&id) {
+            eviction.reason.set(Some(reason));
+            eviction.requested.notify_one();
         }
     }
 
-    /// Tells those to leave whose time is up, and those whose place another side needs, for as long as the process
-    /// lives.
+    /// Evicts connections whose time limit has passed, and one for each descriptor that another class reclaims, for as
+    /// long as the process lives.
     pub async fn run_evictions(&self) {
-        let (mut said, mut said_at) = (0, self.places.now());
+        let (mut logged, mut logged_at) = (0, self.descriptor_pool.now());
         loop {
-            if !self.crowd.borrow().has_evictable() {
+            if !self.connections.borrow().has_evictable() {
                 tokio::select! {
-                    () = self.loosened.notified() => {}
-                    () = self.places.wait_for_reclaim(DescriptorClass::Clients) => continue,
+                    () = self.evictable.notified() => {}
+                    () = self.descriptor_pool.wait_for_reclaim(DescriptorClass::Clients) => continue,
                 }
             }
             let pressure = self.pressure();
-            let due = self.crowd.borrow().next_deadline(pressure);
-            let now = self.places.now();
-            let due = due.map_or(TICK, |due| due.since(now)).min(TICK);
+            let due = self.connections.borrow().next_deadline(pressure);
+            let now = self.descriptor_pool.now();
+            let wait = due.map_or(EVICTION_CHECK_INTERVAL, |due| due.since(now)).min(EVICTION_CHECK_INTERVAL);
             tokio::select! {
-                () = self.places.wait_for_reclaim(DescriptorClass::Clients) => self.make_room(),
-                () = tokio::time::sleep_until(self.places.instant_at(now.after(due))) => {}
+                () = self.descriptor_pool.wait_for_reclaim(DescriptorClass::Clients) => self.evict_one(),
+                () = tokio::time::sleep_until(self.descriptor_pool.instant_at(now.after(wait))) => {}
             }
             let pressure = self.pressure();
-            let late = self.crowd.borrow_mut().evict_expired(self.places.now(), pressure);
-            late.into_iter().for_each(|(id, why)| self.tell(id, why));
-            let now = self.places.now();
-            let early = self.places.counters.borrow().evicted_early;
-            if early > said && now.since(said_at) >= TELL {
-                let left = self.places.counters.borrow().evicted.map(|count| count.to_string()).join(" ");
+            let expired = self.connections.borrow_mut().evict_expired(self.descriptor_pool.now(), pressure);
+            expired.into_iter().for_each(|(id, reason)| self.notify_evicted(id, reason));
+            let now = self.descriptor_pool.now();
+            let early = self.descriptor_pool.counters.borrow().evicted_early;
+            if early > logged && now.since(logged_at) >= EVICTION_LOG_INTERVAL {
+                let by_reason = self.evictions_by_reason();
                 log::warn!(
-                    "crowded: {} clients, {} left for others; since the start, silent, slow, asked once, marked, idle and over share: {left}",
+                    "connections evicted early: open_connections={} evicted_early={} since_start: {by_reason}",
                     self.open_connections(),
-                    early - said
+                    early - logged
                 );
-                (said, said_at) = (early, now);
+                (logged, logged_at) = (early, now);
             }
         }
     }
+
+    /// All evictions since the start of the process, as `reason=count` pairs.
+    fn evictions_by_reason(&self) -> String {
+        let counters = self.descriptor_pool.counters.borrow();
+        let pairs = EVICTION_REASONS.map(|reason| format!("{reason}={}", counters.evicted[reason as usize]));
+        pairs.join(" ")
+    }
 }
 
-/// A client's connection, from its being let in to its end.
+/// The right of one client's connection to exist, from its admission to its close. Dropping it releases the descriptor
+/// and forgets the connection.
 pub struct ConnectionPermit {
-    gate: Rc<ConnectionManager>,
+    manager: Rc<ConnectionManager>,
     id: u64,
-    place: DescriptorPermit,
-    signal: Rc<Signal>,
-    /// What is buffered for it.
+    descriptor: DescriptorPermit,
+    eviction: Rc<Eviction>,
+    /// The bytes that are buffered for this connection.
     pub buffer_reservation: BufferReservation,
-    /// How long it may have waited to be let in.
-    waited: Cell<Duration>,
+    /// How long the connection may have waited in the backlog before it was accepted.
+    queue_time: Cell<Duration>,
 }
 
 impl ConnectionPermit {
-    /// The gate that it came through.
+    /// The manager that admitted the connection.
     pub fn connection_manager(&self) -> &ConnectionManager {
-        &self.gate
+        &self.manager
     }
-    fn crowd<T>(&self, change: impl FnOnce(&mut ClientConnections) -> T) -> T {
-        change(&mut self.gate.crowd.borrow_mut())
+    fn with_connections<T>(&self, change: impl FnOnce(&mut ClientConnections) -> T) -> T {
+        change(&mut self.manager.connections.borrow_mut())
     }
 
-    /// It may have waited for so long to be let in.
+    /// Notes how long the connection may have waited in the backlog before it was accepted.
     pub fn set_queue_time(&self, waited: Duration) {
-        self.waited.set(waited);
+        self.queue_time.set(waited);
     }
-    /// How long its next request may have waited unread: only the first of a connection does.
+    /// How long the next request may have waited unread: zero from a connection's second request on.
     pub fn take_queue_time(&self) -> Duration {
-        self.waited.take()
+        self.queue_time.take()
     }
 
-    /// Waits until it is told to leave.
+    /// Waits until the connection is evicted; says why it is.
     pub async fn evicted(&self) -> EvictionReason {
         loop {
-            match self.signal.why.take() {
-                Some(why) => return why,
-                None => self.signal.told.notified().await,
+            match self.eviction.reason.take() {
+                Some(reason) => return reason,
+                None => self.eviction.requested.notified().await,
             }
         }
     }
-    /// Bytes of a request have come, which is not all there yet. One that was told to leave stays.
+    /// Bytes of a request that is not complete yet have arrived. They cancel an eviction.
     pub fn on_bytes_received(&self, bytes: usize) {
-        if self.signal.why.take().is_some() {
-            self.gate.places.counters.borrow_mut().eviction_cancelled += 1;
+        if self.eviction.reason.take().is_some() {
+            self.update_counters(|counters| counters.eviction_cancelled += 1);
         }
-        self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
+        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool.now(), self.id, bytes));
     }
     /// The client has said who it is.
     pub fn set_source(&self, source: Source) {
-        self.crowd(|crowd| crowd.set_source(self.id, source));
+        self.with_connections(|all| all.set_source(self.id, source));
     }
-    /// Its request is all there; false where it cannot be served without touching what others are promised.
+    /// A request is complete: makes the connection busy. False where that would take a descriptor that another class is
+    /// guaranteed; the request is then to be rejected.
+    #[must_use]
     pub fn try_begin_request(&self) -> bool {
-        let pinned = self.place.try_mark_busy();
-        if pinned {
-            self.signal.why.take();
-            self.crowd(|crowd| crowd.start_query(self.gate.places.now(), self.id));
+        let marked = self.descriptor.try_mark_busy();
+        if marked {
+            self.eviction.reason.take();
+            self.with_connections(|all| all.start_query(self.manager.descriptor_pool.now(), self.id));
         } else {
-            self.gate.places.counters.borrow_mut().rejected_no_descriptor += 1;
-            self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
+            self.update_counters(|counters| counters.rejected_no_descriptor += 1);
+            self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool.now(), self.id));
         }
-        pinned
+        marked
     }
-    /// Its request has had its answer.
-    pub fn on_response_sent(&self, record: RequestValidity) {
-        self.place.mark_idle();
-        self.crowd(|crowd| crowd.finish_query(self.gate.places.now(), self.id, record));
-        self.gate.loosened.notify_one();
+    /// The response was written: the connection is idle again.
+    pub fn on_response_sent(&self, validity: RequestValidity) {
+        self.descriptor.mark_idle();
+        self.with_connections(|all| all.finish_query(self.manager.descriptor_pool.now(), self.id, validity));
+        self.manager.evictable.notify_one();
     }
-    /// Counts something of it.
+    /// Changes the process's counters.
     pub fn update_counters(&self, change: impl FnOnce(&mut ConnectionCounters)) {
-        change(&mut self.gate.places.counters.borrow_mut());
+        change(&mut self.manager.descriptor_pool.counters.borrow_mut());
     }
-    /// What it sent was no request.
+    /// The bytes that arrived are not a valid request.
     pub fn on_malformed_input(&self) {
-        self.crowd(|crowd| crowd.reject_malformed(self.gate.places.now(), self.id));
+        self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool.now(), self.id));
     }
-    /// It stays after all: a request came as it was to leave.
+    /// Bytes of a request arrived as the connection was about to be closed: it stays open.
     pub fn cancel_eviction(&self, bytes: usize) {
-        self.gate.places.counters.borrow_mut().eviction_cancelled += 1;
-        self.crowd(|crowd| crowd.receive_bytes(self.gate.places.now(), self.id, bytes));
+        self.update_counters(|counters| counters.eviction_cancelled += 1);
+        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool.now(), self.id, bytes));
     }
-    /// Its close crossed a request.
+    /// Bytes arrived after the connection was closed from this side.
     pub fn on_request_after_close(&self) {
-        self.gate.places.counters.borrow_mut().close_races += 1;
+        self.update_counters(|counters| counters.close_races += 1);
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.crowd(|crowd| crowd.close(self.id));
-        self.gate.signals.borrow_mut().remove(&self.id);
+        self.with_connections(|all| all.close(self.id));
+        self.manager.evictions.borrow_mut().remove(&self.id);
     }
 }
--- a/src/transport/connector.rs
+++ b/src/transport/connector.rs
@@ -1,4 +1,4 @@
-//! Connections out, by TCP or by whatever stands in for it.
+//! Outgoing connections, by TCP or by what stands in for it in tests. It opens connections and never decides to whom.
 
 use super::errors;
 use super::socket::Socket;
@@ -10,20 +10,20 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A connection.
+/// The bytes of one connection, in both directions.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// A connection that is about to be up.
+/// Resolves to a connection that is up.
 pub type ConnectFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>> + 'a>>;
 
 /// Opens connections.
 pub trait Connector {
-    /// Opens one to this address.
+    /// Opens a connection to this address.
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a>;
 }
 
-/// TCP.
+/// Opens TCP connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpConnector;
 
@@ -37,19 +37,21 @@
     }
 }
 
-/// Dials, but not for longer than this: a machine that has vanished never answers. The one way by which connections are
-/// opened: what fails for want of something here is tried again, and if it still fails then, the error tells so
-/// ([`failure::is_local`]): it says nothing of the peer.
+/// Connects within `limit`: a machine that has vanished never answers. All connections are opened here. A failure for
+/// want of a local resource is retried until then.
+///
+/// # Errors
+/// The last failure. Where [`errors::is_local`] holds for it, it says nothing about the peer.
 pub async fn connect_with_timeout(
-    dial: &dyn Connector,
+    connector: &dyn Connector,
     address: &str,
     limit: Duration,
 ) -> io::Result<Box<dyn Stream>> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     errors::retry(limit, errors::is_local, async || {
-        let left = limit.saturating_sub(began.elapsed());
-        let dialled = tokio::time::timeout(left, dial.connect(address)).await;
-        dialled.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+        let time_left = limit.saturating_sub(started_at.elapsed());
+        let connected = tokio::time::timeout(time_left, connector.connect(address)).await;
+        connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     })
     .await
 }
--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -1,5 +1,5 @@
-//! The process's descriptors and buffered bytes as the sockets see them: places that give themselves back, and waiting
-//! for one. Who gets what is decided in [`crate::limits`].
+//! The process's descriptors and buffered bytes as the sockets use them: permits that release themselves when dropped,
+//! and waiting for one. It owns the one budget that all classes share. Who gets what is decided in [`crate::limits`].
 
 use crate::limits::connection_pool::{self, ConnectQueue, ConnectTicket, ConnectWaitError};
 use crate::limits::descriptors::DESCRIPTOR_CLASSES;
@@ -15,285 +15,306 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// Calls that may wait for a connection, for each descriptor that there is: wide queries wait part by part.
-const WAITS_EACH: usize = 2;
-/// How long one that is called back is waited for.
-const RECALL: Duration = Duration::from_millis(20);
-/// Share of the servers' floor that may be coming up at once.
-const OPENING: usize = 4;
+/// How many calls may wait for a connection for each usable descriptor: the parts of a query wait one by one.
+const CONNECT_WAITS_PER_DESCRIPTOR: usize = 2;
+/// How long [`DescriptorPool::set_budget`] waits for each descriptor that it reclaims.
+const RECLAIM_TIMEOUT: Duration = Duration::from_millis(20);
+/// One in so many of the descriptors guaranteed to workers may be connecting at once.
+const CONNECTING_DIVISOR: usize = 4;
 
-/// What all sides of one process share.
+/// The descriptors and buffered bytes of one process, shared by all classes.
 pub struct DescriptorPool {
     start: Instant,
     descriptors: RefCell<DescriptorAllocator>,
-    bytes: RefCell<BufferBudget>,
-    openings: RefCell<ConnectQueue>,
-    waiting: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<ConnectPermit>>>,
-    recalls: [Recall; DESCRIPTOR_CLASSES.len()],
-    freed: Notify,
-    room: Notify,
-    /// What it has counted so far.
+    buffers: RefCell<BufferBudget>,
+    connect_queue: RefCell<ConnectQueue>,
+    connect_waiters: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<ConnectPermit>>>,
+    reclaims: [ReclaimRequest; DESCRIPTOR_CLASSES.len()],
+    /// Notified when a descriptor is released.
+    released: Notify,
+    /// Notified when fewer bytes are buffered.
+    buffer_space: Notify,
+    /// What was counted since the start of the process.
     pub counters: RefCell<ConnectionCounters>,
 }
 
+/// Asks one class to release an idle descriptor.
 #[derive(Default)]
-struct Recall {
-    wanted: Cell<bool>,
-    notify: Notify,
+struct ReclaimRequest {
+    pending: Cell<bool>,
+    requested: Notify,
 }
 
 impl DescriptorPool {
-    /// All places are free; `bytes` may be buffered.
-    pub fn new(plan: DescriptorBudget, bytes: usize) -> Rc<DescriptorPool> {
-        let floor = plan.floors[DescriptorClass::Workers as usize];
+    /// Creates a pool in which all descriptors are free and `max_buffered_bytes` may be buffered.
+    pub fn new(budget: DescriptorBudget, max_buffered_bytes: usize) -> Rc<DescriptorPool> {
+        let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         Rc::new(DescriptorPool {
             start: Instant::now(),
-            bytes: RefCell::new(BufferBudget::new(bytes, plan.usable)),
-            openings: RefCell::new(ConnectQueue::new(plan.usable * WAITS_EACH, (floor / OPENING).max(4))),
-            descriptors: RefCell::new(DescriptorAllocator::new(plan)),
-            waiting: RefCell::default(),
-            recalls: Default::default(),
-            freed: Notify::new(),
-            room: Notify::new(),
+            buffers: RefCell::new(BufferBudget::new(max_buffered_bytes, budget.usable)),
+            connect_queue: RefCell::new(ConnectQueue::new(
+                budget.usable * CONNECT_WAITS_PER_DESCRIPTOR,
+                (guaranteed / CONNECTING_DIVISOR).max(4),
+            )),
+            descriptors: RefCell::new(DescriptorAllocator::new(budget)),
+            connect_waiters: RefCell::default(),
+            reclaims: Default::default(),
+            released: Notify::new(),
+            buffer_space: Notify::new(),
             counters: RefCell::default(),
         })
     }
 
-    /// Time for the limits, from the start of the process.
+    /// The time that the limits go by: it counts from the start of the process.
     pub fn now(&self) -> Time {
         Time(0).after(self.start.elapsed())
     }
-    /// The moment at which [`DescriptorPool::now`] will show this time.
+    /// The instant at which [`DescriptorPool::now`] shows this time.
     pub fn instant_at(&self, at: Time) -> Instant {
         self.start + at.since(Time(0))
     }
-    /// Reads the budget of descriptors; not to be held.
+    /// Reads the state of the descriptors. The borrow ends with the call.
     pub fn descriptors<T>(&self, read: impl FnOnce(&DescriptorAllocator) -> T) -> T {
         read(&self.descriptors.borrow())
     }
-    /// Bytes that are buffered for peers.
+    /// The number of bytes that are buffered for peers.
     pub fn buffered_bytes(&self) -> usize {
-        self.bytes.borrow().used()
+        self.buffers.borrow().used()
     }
-    /// How scarce descriptors and bytes are for all sides together.
+    /// How scarce descriptors and bytes are for all classes together.
     pub fn pressure(&self) -> ResourcePressure {
         let descriptors = self.descriptors.borrow();
         let usable = descriptors.budget().usable;
-        let bytes = self.bytes.borrow();
+        let buffers = self.buffers.borrow();
         ResourcePressure::from_usage(usable - descriptors.free(), usable * 3 / 4, usable)
-            .max(ResourcePressure::from_usage(bytes.used(), bytes.total() / 2, bytes.total()))
+            .max(ResourcePressure::from_usage(buffers.used(), buffers.total() / 2, buffers.total()))
     }
 
-    /// A loose place, if one is free; else someone is asked for theirs.
-    pub fn try_acquire(self: &Rc<Self>, side: DescriptorClass) -> Result<DescriptorPermit, DescriptorDenied> {
-        let taken = self.descriptors.borrow_mut().acquire(side);
-        if let Err(denied) = taken {
+    /// Acquires an idle descriptor, if one is free; else asks the class that lent one to release it.
+    ///
+    /// # Errors
+    /// None is free.
+    pub fn try_acquire(
+        self: &Rc<Self>,
+        class: DescriptorClass,
+    ) -> Result<DescriptorPermit, DescriptorDenied> {
+        let acquired = self.descriptors.borrow_mut().acquire(class);
+        if let Err(denied) = acquired {
             if let DescriptorDenied::Reclaim(lender) = denied {
                 self.reclaim(lender);
             }
             return Err(denied);
         }
-        let (held, free) = self.descriptors(|all| (all.held(side), all.budget().usable - all.free()));
-        self.counters.borrow_mut().record_held(side, held, free);
-        Ok(DescriptorPermit { places: self.clone(), side, firm: Cell::new(false) })
+        let (held, in_use) = self.descriptors(|all| (all.held(class), all.budget().usable - all.free()));
+        self.counters.borrow_mut().record_held(class, held, in_use);
+        Ok(DescriptorPermit { pool: self.clone(), class, busy: Cell::new(false) })
     }
 
-    /// A loose place for a side that never wants more than its floor.
-    pub async fn acquire(self: &Rc<Self>, side: DescriptorClass) -> DescriptorPermit {
+    /// Acquires an idle descriptor for a class that never needs more than it is guaranteed, waiting until one is free.
+    pub async fn acquire(self: &Rc<Self>, class: DescriptorClass) -> DescriptorPermit {
         loop {
-            let freed = self.freed.notified();
-            if let Ok(place) = self.try_acquire(side) {
-                return place;
+            let released = self.released.notified();
+            if let Ok(permit) = self.try_acquire(class) {
+                return permit;
             }
-            freed.await;
+            released.await;
         }
     }
 
-    /// Divides descriptors and bytes anew, and calls back what is held beyond that, as far as it is held loosely.
-    pub async fn set_budget(&self, plan: DescriptorBudget, bytes: usize) {
-        self.bytes.borrow_mut().resize(bytes, plan.usable);
-        self.descriptors.borrow_mut().set_budget(plan);
-        self.freed.notify_waiters();
+    /// Divides descriptors and bytes anew, and reclaims idle descriptors that are held beyond the new budget.
+    pub async fn set_budget(&self, budget: DescriptorBudget, max_buffered_bytes: usize) {
+        self.buffers.borrow_mut().resize(max_buffered_bytes, budget.usable);
+        self.descriptors.borrow_mut().set_budget(budget);
+        self.released.notify_waiters();
         for _ in 0..self.descriptors(|all| all.excess()) {
-            let freed = self.wait_for_release();
-            let side = self.descriptors(|all| all.class_to_reclaim_from().filter(|_| all.excess() > 0));
-            let Some(side) = side else { return };
-            self.reclaim(side);
-            // Whoever is called may have nothing left to give: it is not waited for for long.
-            let _ = tokio::time::timeout(RECALL, freed).await;
+            let released = self.wait_for_release();
+            let class = self.descriptors(|all| all.class_to_reclaim_from().filter(|_| all.excess() > 0));
+            let Some(class) = class else { return };
+            self.reclaim(class);
+            // The class may have no idle one left to release, so the wait is short.
+            let _ = tokio::time::timeout(RECLAIM_TIMEOUT, released).await;
         }
     }
 
-    /// Asks a side to let one go.
-    pub fn reclaim(&self, side: DescriptorClass) {
-        self.recalls[side as usize].wanted.set(true);
-        self.recalls[side as usize].notify.notify_one();
+    /// Asks a class to release an idle descriptor.
+    pub fn reclaim(&self, class: DescriptorClass) {
+        self.reclaims[class as usize].pending.set(true);
+        self.reclaims[class as usize].requested.notify_one();
     }
-    /// Waits until this side is to let one go.
-    pub async fn wait_for_reclaim(&self, side: DescriptorClass) {
-        let recall = &self.recalls[side as usize];
-        while !recall.wanted.replace(false) {
-            recall.notify.notified().await;
+    /// Waits until this class is asked to release an idle descriptor.
+    pub async fn wait_for_reclaim(&self, class: DescriptorClass) {
+        let request = &self.reclaims[class as usize];
+        while !request.pending.replace(false) {
+            request.requested.notified().await;
         }
     }
-    /// Resolves when a place has been given back after this call.
+    /// Resolves when a descriptor has been released after this call.
     pub fn wait_for_release(&self) -> impl Future<Output = ()> {
-        self.freed.notified()
+        self.released.notified()
     }
 
-    /// Waits for the right to open a connection to a server, for a call of so much time. Dropped, it waits no longer.
+    /// Waits for the right to connect to a server, for a call with `time_left` before its deadline. A dropped wait is
+    /// removed from the queue.
+    ///
+    /// # Errors
+    /// The queue is full of calls with less time left, or the wait has taken as much of the call's time as it may.
     pub async fn acquire_connect_permit(
         self: &Rc<Self>,
-        leaf: WorkerId,
-        left: Duration,
+        worker: WorkerId,
+        time_left: Duration,
     ) -> Result<ConnectPermit, ConnectWaitError> {
-        let (number, out) = self.openings.borrow_mut().enqueue(self.now(), leaf, left);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, tell);
-        // Whoever is turned out learns it from the channel's end.
-        let turned_out = out.and_then(|out| self.waiting.borrow_mut().remove(&out));
-        drop(turned_out);
-        let _waiting = Waiting { places: self, number };
-        self.pump();
-        let end = match tokio::time::timeout(connection_pool::connect_wait_limit(left), told).await {
-            Ok(Ok(opening)) => return Ok(opening),
+        let (ticket, displaced) = self.connect_queue.borrow_mut().enqueue(self.now(), worker, time_left);
+        let (sender, receiver) = oneshot::channel();
+        self.connect_waiters.borrow_mut().insert(ticket, sender);
+        // A displaced call learns of it as its channel closes.
+        let displaced = displaced.and_then(|ticket| self.connect_waiters.borrow_mut().remove(&ticket));
+        drop(displaced);
+        let _queued = QueuedConnect { pool: self, ticket };
+        self.start_waiting_connects();
+        let limit = connection_pool::connect_wait_limit(time_left);
+        let error = match tokio::time::timeout(limit, receiver).await {
+            Ok(Ok(permit)) => return Ok(permit),
             Ok(Err(_)) => ConnectWaitError::QueueFull,
             Err(_) => ConnectWaitError::TimedOut,
         };
         self.counters.borrow_mut().worker_connect_waits_failed += 1;
-        Err(end)
+        Err(error)
     }
 
-    /// Lets in whoever waits, as far as there are places.
-    fn pump(self: &Rc<Self>) {
-        while self.openings.borrow().can_start_next()
+    /// Gives connect permits to waiting calls, as far as descriptors allow.
+    fn start_waiting_connects(self: &Rc<Self>) {
+        while self.connect_queue.borrow().can_start_next()
             && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
         {
-            let Ok(place) = self.try_acquire(DescriptorClass::Workers) else { return };
-            place.try_mark_busy();
-            let admitted = self.openings.borrow_mut().start_next();
-            let Some((number, leaf)) = admitted else { return };
+            let Ok(descriptor) = self.try_acquire(DescriptorClass::Workers) else { return };
+            descriptor.try_mark_busy();
+            let next = self.connect_queue.borrow_mut().start_next();
+            let Some((ticket, worker)) = next else { return };
             self.counters.borrow_mut().worker_connects_started += 1;
-            let tell = self.waiting.borrow_mut().remove(&number);
-            let opening = ConnectPermit { place, _coming_up: ComingUp { places: self.clone(), leaf } };
-            if let Some(tell) = tell {
-                // Nobody waits any longer if it fails: the opening comes back, and gives its place back.
-                drop(tell.send(opening));
+            let waiter = self.connect_waiters.borrow_mut().remove(&ticket);
+            let permit =
+                ConnectPermit { descriptor, _connecting: ConnectingSlot { pool: self.clone(), worker } };
+            if let Some(waiter) = waiter {
+                // A failed send means that nobody waits any longer: the permit comes back and is released here.
+                drop(waiter.send(permit));
             }
         }
     }
 
-    fn change_bytes(&self, before: usize, after: usize) {
-        let mut bytes = self.bytes.borrow_mut();
-        bytes.update(before, after);
-        let mut tally = self.counters.borrow_mut();
-        tally.peak_buffered_bytes = tally.peak_buffered_bytes.max(bytes.used());
+    fn update_buffered(&self, before: usize, after: usize) {
+        let mut buffers = self.buffers.borrow_mut();
+        buffers.update(before, after);
+        let mut counters = self.counters.borrow_mut();
+        counters.peak_buffered_bytes = counters.peak_buffered_bytes.max(buffers.used());
         if after < before {
-            self.room.notify_waiters();
+            self.buffer_space.notify_waiters();
         }
     }
 }
 
-/// Leaves the queue when nobody waits any longer.
-struct Waiting<'a> {
-    places: &'a DescriptorPool,
-    number: ConnectTicket,
+/// A call in the connect queue; dropping it removes it from the queue.
+struct QueuedConnect<'a> {
+    pool: &'a DescriptorPool,
+    ticket: ConnectTicket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedConnect<'_> {
     fn drop(&mut self) {
-        self.places.openings.borrow_mut().cancel(self.number);
-        self.places.waiting.borrow_mut().remove(&self.number);
+        self.pool.connect_queue.borrow_mut().cancel(self.ticket);
+        self.pool.connect_waiters.borrow_mut().remove(&self.ticket);
     }
 }
 
-/// One descriptor of the budget, for as long as it is held.
+/// One descriptor of the budget, held until it is dropped. It is idle (it may be reclaimed) or busy (it may not).
+#[must_use]
 pub struct DescriptorPermit {
-    places: Rc<DescriptorPool>,
-    side: DescriptorClass,
-    firm: Cell<bool>,
+    pool: Rc<DescriptorPool>,
+    class: DescriptorClass,
+    busy: Cell<bool>,
 }
 
 impl DescriptorPermit {
-    /// Makes it firm; false where floors forbid it.
+    /// Makes it busy; false where that would take a descriptor that another class is guaranteed.
     pub fn try_mark_busy(&self) -> bool {
-        if !self.firm.get() {
-            self.firm.set(self.places.descriptors.borrow_mut().mark_busy(self.side));
+        if !self.busy.get() {
+            self.busy.set(self.pool.descriptors.borrow_mut().mark_busy(self.class));
         }
-        self.firm.get()
+        self.busy.get()
     }
-    /// Makes it loose.
+    /// Makes it idle.
     pub fn mark_idle(&self) {
-        if self.firm.replace(false) {
-            self.places.descriptors.borrow_mut().mark_evictable(self.side);
-            self.places.pump();
+        if self.busy.replace(false) {
+            self.pool.descriptors.borrow_mut().mark_evictable(self.class);
+            self.pool.start_waiting_connects();
         }
     }
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        let mut descriptors = self.places.descriptors.borrow_mut();
-        if self.firm.get() {
-            descriptors.mark_evictable(self.side);
+        let mut descriptors = self.pool.descriptors.borrow_mut();
+        if self.busy.get() {
+            descriptors.mark_evictable(self.class);
         }
-        descriptors.release(self.side);
+        descriptors.release(self.class);
         drop(descriptors);
-        self.places.freed.notify_waiters();
-        self.places.pump();
+        self.pool.released.notify_waiters();
+        self.pool.start_waiting_connects();
     }
 }
 
-/// The right to open a connection to a server: a firm place, and one of those that may be coming up at once.
+/// The right to connect to a server: a busy descriptor, and one of the connections that may be coming up at once.
+#[must_use]
 pub struct ConnectPermit {
-    place: DescriptorPermit,
-    _coming_up: ComingUp,
+    descriptor: DescriptorPermit,
+    _connecting: ConnectingSlot,
 }
 
 impl ConnectPermit {
-    /// The connection is up; it keeps the place.
+    /// The connection is up: it keeps the descriptor, and another may come up.
     pub fn into_descriptor_permit(self) -> DescriptorPermit {
-        self.place
+        self.descriptor
     }
 }
 
-struct ComingUp {
-    places: Rc<DescriptorPool>,
-    leaf: WorkerId,
+/// One of the connections that may be coming up at once.
+struct ConnectingSlot {
+    pool: Rc<DescriptorPool>,
+    worker: WorkerId,
 }
 
-impl Drop for ComingUp {
+impl Drop for ConnectingSlot {
     fn drop(&mut self) {
-        self.places.openings.borrow_mut().finish_connect(self.leaf);
-        self.places.pump();
+        self.pool.connect_queue.borrow_mut().finish_connect(self.worker);
+        self.pool.start_waiting_connects();
     }
 }
 
-/// Bytes buffered for one peer, booked for as long as it lives.
+/// The bytes buffered for one peer, counted against the budget until they are dropped.
 pub struct BufferReservation {
-    places: Rc<DescriptorPool>,
+    pool: Rc<DescriptorPool>,
     held: Cell<usize>,
 }
 
 impl BufferReservation {
-    /// Nothing yet.
-    pub fn new(places: &Rc<DescriptorPool>) -> BufferReservation {
-        BufferReservation { places: places.clone(), held: Cell::new(0) }
+    /// Creates a reservation of no bytes.
+    pub fn new(pool: &Rc<DescriptorPool>) -> BufferReservation {
+        BufferReservation { pool: pool.clone(), held: Cell::new(0) }
     }
-    /// Books what is held now.
+    /// Sets the number of bytes that are held now.
     pub fn set(&self, held: usize) {
         let before = self.held.replace(held);
         if before != held {
-            self.places.change_bytes(before, held);
+            self.pool.update_buffered(before, held);
         }
     }
-    /// What may be held now.
+    /// The number of bytes that may be held now.
     pub fn allowance(&self) -> usize {
-        self.places.bytes.borrow().allowance(self.held.get())
+        self.pool.buffers.borrow().allowance(self.held.get())
     }
-    /// Waits until somebody else holds less.
+    /// Waits until another reservation has become smaller.
     pub async fn wait_for_space(&self) {
-        self.places.room.notified().await;
+        self.pool.buffer_space.notified().await;
     }
 }
 
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -1,4 +1,7 @@
-//! Follows discovery: the whole list once, where no list is held, then one watch after the other.
+//! Follows the discovery agent: the complete endpoint list once, where none is held, then one long poll after the other.
+//!
+//! It owns the connection to the agent and the revision that it has seen. Serving never waits for it, and what an update
+//! means for a worker is decided in `routing`.
 
 use super::connector::{Connector, connect_with_timeout};
 use super::descriptor_pool::DescriptorPool;
@@ -11,105 +14,108 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long past its wait an answer may take.
-const SLACK: Duration = Duration::from_secs(1);
-/// How long an answer may take to a call that does not wait: many ask discovery at once, and it answers in turn.
-const ANSWER: Duration = Duration::from_secs(4);
+/// How long a response may take beyond the time-out of its long poll.
+const LONG_POLL_SLACK: Duration = Duration::from_secs(1);
+/// How long the response to a plain poll may take: many processes poll the agent at once, and it answers in turn.
+const POLL_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest endpoint list, in bytes.
+const MAX_LIST_BYTES: usize = 4 * http::MAX_BODY_BYTES;
 
-/// Tells the broker whatever discovery says, for as long as the process lives. Serving never waits for it. `held` is the
-/// revision of the list that the broker has already, if the first call is to ask for what is newer alone.
+/// Applies each update of the agent to the broker, for as long as the process lives. `held_revision` is the revision of
+/// the list that the broker has already, if the first poll is to ask only for what is newer.
 pub async fn follow(
-    dial: &dyn Connector,
+    connector: &dyn Connector,
     mut address: watch::Receiver<String>,
-    held: Option<u64>,
+    held_revision: Option<u64>,
     broker: &Broker,
-    places: &Rc<DescriptorPool>,
+    descriptor_pool: &Rc<DescriptorPool>,
     mut backoff: Backoff,
 ) {
-    let (mut at, mut said) = (address.borrow_and_update().clone(), String::new());
-    let mut revision = held;
-    // Where there is a list, it serves meanwhile.
-    let mut pause =
+    let (mut agent, mut logged_error) = (address.borrow_and_update().clone(), String::new());
+    let mut revision = held_revision;
+    // A process with a list serves with it meanwhile, so its first poll may wait.
+    let mut delay =
         if broker.with_core(|core| core.has_workers()) { backoff.initial_delay() } else { Duration::ZERO };
     loop {
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             Ok(()) = address.changed() => address.mark_changed(),
         }
-        pause = Duration::ZERO;
-        let next = address.borrow_and_update().clone();
-        if next != at {
-            // Guards against changes missed between the two: another agent is asked for its whole list.
-            (at, revision, said) = (next, None, String::new());
+        delay = Duration::ZERO;
+        let configured = address.borrow_and_update().clone();
+        if configured != agent {
+            // Another agent counts its own revisions, and changes between the two could be missed: it is polled for its
+            // complete list.
+            (agent, revision, logged_error) = (configured, None, String::new());
             backoff.record_success();
         }
-        // Its floor holds it: it never has to wait for long, whatever the crowd.
-        let _place = places.acquire(DescriptorClass::Discovery).await;
-        let (error, overbooked) = tokio::select! {
+        // The class is guaranteed this descriptor, so the wait is short under any load.
+        let _descriptor = descriptor_pool.acquire(DescriptorClass::Discovery).await;
+        let (error, overloaded) = tokio::select! {
             biased;
             Ok(()) = address.changed() => continue,
-            fault = session(dial, &at, broker, &mut revision, &mut backoff) => fault,
+            failure = session(connector, &agent, broker, &mut revision, &mut backoff) => failure,
         };
-        // An agent that is down is told of once, not at each try.
-        if error != said {
-            log::warn!("discovery at {at}: {error}; serving goes on with the last list");
-            said = error;
+        // An agent that is down is logged once, not at each poll.
+        if error != logged_error {
+            log::warn!("discovery at {agent}: {error}; serving goes on with the last list");
+            logged_error = error;
         }
         backoff.set_callers(broker.with_core(|core| core.fleet_size()));
-        // Guards against keeping an overbooked discovery so: a constant pause of all gatherers never let it recover.
-        pause = backoff.next_delay(overbooked);
+        // An overloaded agent never recovers while all processes poll it at a constant delay: the delay grows.
+        delay = backoff.next_delay(overloaded);
     }
 }
 
-/// Watches on one connection until that fails; says why, and whether discovery has more to do than it bears.
+/// Polls on one connection until that fails. Returns why it did, and whether the agent is overloaded.
 async fn session(
-    dial: &dyn Connector,
+    connector: &dyn Connector,
     address: &str,
     broker: &Broker,
     revision: &mut Option<u64>,
     backoff: &mut Backoff,
 ) -> (String, bool) {
-    let wait = backoff.long_poll_timeout();
-    let mut stream = match connect_with_timeout(dial, address, CONNECT).await {
+    let long_poll_timeout = backoff.long_poll_timeout();
+    let mut stream = match connect_with_timeout(connector, address, CONNECT_TIMEOUT).await {
         Ok(stream) => stream,
         Err(error) => return (format!("cannot connect: {error}"), false),
     };
     let mut buffer = BytesMut::new();
     loop {
-        let watch = revision.map(|revision| (revision, wait.as_millis() as u64));
-        let request = http::encode_request("GET", &discovery::endpoint_list_target(watch), address, None);
-        let exchange = http_client::exchange(&mut *stream, &mut buffer, &request, 4 * http::MAX_BODY_BYTES);
-        // Guards against a watch that has fallen silent: what it misses counts as told 2 s after its wait is over, and 6 s
-        // after a call that does not wait.
-        let longest = if watch.is_some() { wait + SLACK } else { ANSWER };
-        let response = match tokio::time::timeout(longest, exchange).await {
+        let long_poll = revision.map(|revision| (revision, long_poll_timeout.as_millis() as u64));
+        let request = http::encode_request("GET", &discovery::endpoint_list_target(long_poll), address, None);
+        let exchange = http_client::exchange(&mut *stream, &mut buffer, &request, MAX_LIST_BYTES);
+        // An agent may stop answering: a change counts as notified up to 2 s after the end of a long poll, and up to 6 s
+        // after a plain poll.
+        let limit = if long_poll.is_some() { long_poll_timeout + LONG_POLL_SLACK } else { POLL_TIMEOUT };
+        let response = match tokio::time::timeout(limit, exchange).await {
             Ok(Ok(response)) if response.status == 200 => response,
             Ok(Ok(response)) => return (format!("status {}", response.status), true),
             Ok(Err(error)) => return (error.to_string(), false),
-            Err(_) => return ("silent".to_owned(), false),
+            Err(_) => return ("no response in time".to_owned(), false),
         };
         match discovery::decode_endpoint_list(&response.body) {
-            Ok(listing) => {
+            Ok(update) => {
                 if revision.is_none() || !broker.with_core(|core| core.has_discovery_list()) {
-                    let what = if listing.complete { "workers" } else { "changes" };
+                    let what = if update.complete { "workers" } else { "changes" };
                     log::info!(
                         "discovery at {address}: list {} with {} {what}",
-                        listing.revision,
-                        listing.workers.len()
+                        update.revision,
+                        update.workers.len()
                     );
                 }
-                // Guards against a discovery that counts anew: its changes are not changes of the list held here.
-                if revision.is_some_and(|held| listing.revision < held) && !listing.complete {
+                // An agent that counts from the beginning again: its changes do not apply to the list that is held here.
+                if revision.is_some_and(|held| update.revision < held) && !update.complete {
                     *revision = None;
                     continue;
                 }
-                *revision = Some(listing.revision);
+                *revision = Some(update.revision);
                 backoff.record_success();
-                // A list without entries says only that the wait is over, unless it is the whole list.
-                if listing.complete || !listing.workers.is_empty() {
-                    broker.apply_endpoint_update(&listing, false);
+                // A partial update without entries only says that the long poll is over.
+                if update.complete || !update.workers.is_empty() {
+                    broker.apply_endpoint_update(&update, false);
                 }
             }
             Err(error) => return (format!("unreadable list: {error}"), false),
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -1,4 +1,5 @@
-//! Failures of system calls that say something of this process or machine, and nothing of a peer: they pass.
+//! Errors of system calls that are this process's or machine's own and pass: which they are, and how calls are retried.
+//! It says nothing about peers, and never retries what a peer may have executed.
 
 use rustix::io::Errno;
 use std::cell::Cell;
@@ -6,20 +7,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The pause after the first failure, and the longest one.
-const FIRST_PAUSE: Duration = Duration::from_millis(2);
-const LONGEST_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after the first failure.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
+/// The longest delay.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 thread_local! {
-    static REPEATED: Cell<u64> = const { Cell::new(0) };
+    static RETRIED_CALLS: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Calls that failed and were made again, since the start of this thread.
+/// The number of calls that failed and were retried by [`retry`], since the start of this thread.
 pub fn retried_calls() -> u64 {
-    REPEATED.get()
+    RETRIED_CALLS.get()
 }
 
-/// Whether a call failed for want of something here: descriptors, buffers, memory, ports; or was interrupted.
+/// Whether a call failed for want of a local resource (descriptors, buffers, memory, ports), or was interrupted.
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -35,12 +37,12 @@
     )
 }
 
-/// Whether a call for descriptors failed because there are none.
+/// Whether a call that creates a descriptor failed because none is to be had.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether a call may do better in a moment: what is local, a network that is not there yet, a disk that fails.
+/// Whether a call may succeed in a moment: local errors, a network that is not up yet, a disk that fails or is full.
 pub fn is_transient(error: &io::Error) -> bool {
     let other = matches!(
         Errno::from_io_error(error),
@@ -49,54 +51,62 @@
     other || is_local(error)
 }
 
-/// The pauses between tries of a call that fails for a moment: they grow.
+/// The delays between retries of a call: each is twice the one before, up to a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryDelays(Duration);
+pub struct RetryDelays {
+    next: Duration,
+}
 
 impl Default for RetryDelays {
     fn default() -> RetryDelays {
-        RetryDelays(FIRST_PAUSE)
+        RetryDelays { next: FIRST_RETRY_DELAY }
     }
 }
 
 impl RetryDelays {
-    /// The next one.
+    /// Returns the next delay.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = self.0;
-        self.0 = (pause * 2).min(LONGEST_PAUSE);
-        pause
+        let delay = self.next;
+        self.next = (delay * 2).min(MAX_RETRY_DELAY);
+        delay
     }
 }
 
-/// The same before there is a runtime: the thread sleeps.
+/// Does what [`retry`] does before there is a runtime: the thread sleeps.
+///
+/// # Errors
+/// The last error of the call.
 pub fn retry_blocking<T, E>(
     limit: Duration,
-    may_pass: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let (since, mut pauses) = (std::time::Instant::now(), RetryDelays::default());
+    let (since, mut delays) = (std::time::Instant::now(), RetryDelays::default());
     loop {
         match call() {
-            Err(error) if may_pass(&error) && since.elapsed() < limit => {
-                std::thread::sleep(pauses.next_delay());
+            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+                std::thread::sleep(delays.next_delay());
             }
             done => return done,
         }
     }
 }
 
-/// Makes a call again for as long as it fails in a way that may pass, but not for longer than `limit`.
+/// Retries a call while its error is transient, but not for longer than `limit`.
+///
+/// # Errors
+/// The last error of the call.
 pub async fn retry<T>(
     limit: Duration,
-    may_pass: impl Fn(&io::Error) -> bool,
+    is_transient: impl Fn(&io::Error) -> bool,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let (since, mut pauses) = (Instant::now(), RetryDelays::default());
+    let (since, mut delays) = (Instant::now(), RetryDelays::default());
     loop {
         match call().await {
-            Err(error) if may_pass(&error) && since.elapsed() < limit => {
-                REPEATED.set(REPEATED.get() + 1);
-                sleep(pauses.next_delay()).await;
+            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+                RETRIED_CALLS.set(RETRIED_CALLS.get() + 1);
+                sleep(delays.next_delay()).await;
             }
             done => return done,
         }
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -1,4 +1,5 @@
-//! One HTTP exchange on a connection of our own.
+//! One HTTP exchange on a connection of this process's own: writes a request and reads its response. It neither connects
+//! nor retries.
 
 use super::connector::Stream;
 use crate::protocol::http::{self, Malformed, ReceivedResponse};
@@ -6,37 +7,41 @@
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Why there is no response.
+/// Why an exchange brought no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection ended before the request's last byte was written.
+    /// The connection failed before the last byte of the request was written.
     #[error("not sent: {0}")]
     NotSent(io::Error),
-    /// It ended after that.
+    /// The connection failed or ended after the request was written, before the response was complete.
     #[error("sent, not answered: {0}")]
     NoResponse(io::Error),
-    /// The response cannot be read.
+    /// The response is malformed.
     #[error("unreadable response: {0}")]
     Malformed(#[from] Malformed),
 }
 
-/// Sends a request and reads its response, of at most so many bytes of body.
+/// Writes a request and reads its response, whose body may have `max_body_bytes` at most. Interim responses (1xx) are
+/// skipped.
+///
+/// # Errors
+/// Says how far the exchange came: see [`ExchangeError`].
 pub async fn exchange(
     stream: &mut dyn Stream,
     buffer: &mut BytesMut,
     request: &[u8],
-    most: usize,
+    max_body_bytes: usize,
 ) -> Result<ReceivedResponse, ExchangeError> {
     stream.write_all(request).await.map_err(ExchangeError::NotSent)?;
     loop {
-        if let Some(response) = http::take_response(buffer, most)? {
+        if let Some(response) = http::take_response(buffer, max_body_bytes)? {
             if response.status >= 200 {
                 return Ok(response);
             }
             continue;
         }
         if stream.read_buf(buffer).await.map_err(ExchangeError::NoResponse)? == 0 {
-            if let Some(response) = http::take_response_at_eof(buffer, most)?
+            if let Some(response) = http::take_response_at_eof(buffer, max_body_bytes)?
                 && response.status >= 200
             {
                 return Ok(response);
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -1,11 +1,14 @@
-//! Connections to index servers that speak the OpenSearch-style form: one search at a time on each.
+//! Connections to index servers that speak the OpenSearch-style form: one search at a time on each connection.
+//!
+//! It owns the connections to each server, in use or idle, and reports the outcome of every attempt once. It never
+//! chooses a server and never retries: both are the decision module's.
 
 use super::connector::{Connector, Stream, connect_with_timeout};
 use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
 use super::errors;
 use super::http_client::{self, ExchangeError};
 use crate::limits::DescriptorClass;
-use crate::policy::*;
+use crate::policy::{AttemptOutcome, WorkerId};
 use crate::protocol::{http, opensearch};
 use crate::routing::{AttemptCompletion, AttemptId, Broker, BrokerLimits, Dispatch, WorkerTransport};
 use bytes::BytesMut;
@@ -17,10 +20,11 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// Share of the server's idle time after which a connection is closed from this side.
-const IDLE_SHARE: f64 = 0.6;
-/// The longest result of one shard.
-const MOST_RESULT: usize = 512 << 10;
+/// The fraction of the server's idle time-out after which a connection is closed from this side, before the server can
+/// close it under a search that is being written.
+const IDLE_CLOSE_FRACTION: f64 = 0.6;
+/// The longest result of one shard, in bytes.
+const MAX_RESULT_BYTES: usize = 512 << 10;
 
 /// All connections to index servers.
 #[derive(Clone)]
@@ -28,96 +32,109 @@
 
 struct Shared {
     broker: Broker,
-    dial: Rc<dyn Connector>,
+    connector: Rc<dyn Connector>,
     limits: BrokerLimits,
-    places: Rc<DescriptorPool>,
-    links: RefCell<HashMap<WorkerId, Rc<Link>>>,
-    running: RefCell<HashMap<AttemptId, AbortHandle>>,
+    descriptor_pool: Rc<DescriptorPool>,
+    servers: RefCell<HashMap<WorkerId, Rc<Server>>>,
+    /// The tasks of the attempts in flight.
+    searches: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
 
-struct Link {
+/// One server at one address.
+struct Server {
     address: String,
-    open: Cell<bool>,
-    /// Searches that may be out at once; the others wait.
-    places: Semaphore,
-    idle: RefCell<Vec<Idle>>,
+    accepts_searches: Cell<bool>,
+    /// One permit for each search that may be in flight at once; further ones wait.
+    search_permits: Semaphore,
+    /// Idle connections, the one idle the longest first.
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
-/// A connection that waits for its next search; its place is loose.
-struct Idle {
+/// A connection that waits for its next search; its descriptor may be reclaimed.
+struct IdleConnection {
     stream: Box<dyn Stream>,
-    place: DescriptorPermit,
+    descriptor: DescriptorPermit,
     since: Instant,
 }
 
 impl IndexServers {
-    /// No connections yet; they are opened as searches need them and places allow.
-    pub fn new(broker: Broker, dial: Rc<dyn Connector>, places: Rc<DescriptorPool>) -> IndexServers {
+    /// Starts without connections; they are opened as searches need them and descriptors allow.
+    pub fn new(
+        broker: Broker,
+        connector: Rc<dyn Connector>,
+        descriptor_pool: Rc<DescriptorPool>,
+    ) -> IndexServers {
         let limits = broker.with_core(|core| core.contracts().limits.clone());
-        let (links, running) = (RefCell::default(), RefCell::default());
-        IndexServers(Rc::new(Shared { broker, dial, limits, places, links, running }))
+        let (servers, searches) = (RefCell::default(), RefCell::default());
+        IndexServers(Rc::new(Shared { broker, connector, limits, descriptor_pool, servers, searches }))
     }
 
-    /// The life of one attempt.
-    async fn search(self, leaf: WorkerId, link: Rc<Link>, part: Dispatch) {
-        let end = self.exchange(leaf, &link, &part).await;
-        self.0.running.borrow_mut().remove(&part.attempt_id);
-        self.0.broker.on_attempt_finished(part.attempt_id, end);
+    /// Runs one attempt and reports its outcome.
+    async fn run_search(self, worker: WorkerId, server: Rc<Server>, part: Dispatch) {
+        let completion = self.exchange(worker, &server, &part).await;
+        self.0.searches.borrow_mut().remove(&part.attempt_id);
+        self.0.broker.on_attempt_finished(part.attempt_id, completion);
     }
 
     /// Keeps a connection for the next search, and closes it before the server would.
-    fn keep(&self, link: &Rc<Link>, stream: Box<dyn Stream>, place: DescriptorPermit) {
-        link.idle.borrow_mut().push(Idle { stream, place, since: Instant::now() });
-        let (link, longest) = (link.clone(), self.0.limits.connection_idle_timeout.mul_f64(IDLE_SHARE));
+    fn keep_idle(&self, server: &Rc<Server>, stream: Box<dyn Stream>, descriptor: DescriptorPermit) {
+        server.idle.borrow_mut().push(IdleConnection { stream, descriptor, since: Instant::now() });
+        let (server, limit) =
+            (server.clone(), self.0.limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION));
         spawn_local(async move {
-            tokio::time::sleep(longest).await;
-            let old = link.idle.borrow_mut().extract_if(.., |idle| idle.since.elapsed() >= longest).collect();
-            close(old);
+            tokio::time::sleep(limit).await;
+            let expired =
+                server.idle.borrow_mut().extract_if(.., |idle| idle.since.elapsed() >= limit).collect();
+            close(expired);
         });
     }
 
-    /// Closes the connection that has been idle the longest whenever its place is needed, for as long as the process
-    /// lives.
+    /// Closes the connection that has been idle the longest whenever its descriptor is reclaimed, for as long as the
+    /// process lives.
     pub async fn close_idle_on_reclaim(self) {
         loop {
-            self.0.places.wait_for_reclaim(DescriptorClass::Workers).await;
-            let links = self.0.links.borrow();
-            let oldest = |link: &&Rc<Link>| link.idle.borrow().first().map(|idle| idle.since);
-            let link = links.values().filter(|link| oldest(link).is_some()).min_by_key(oldest).cloned();
-            drop(links);
-            if let Some(link) = link {
-                self.0.places.counters.borrow_mut().worker_connections_evicted += 1;
-                let oldest = link.idle.borrow_mut().remove(0);
+            self.0.descriptor_pool.wait_for_reclaim(DescriptorClass::Workers).await;
+            let servers = self.0.servers.borrow();
+            let idle_since = |server: &&Rc<Server>| server.idle.borrow().first().map(|idle| idle.since);
+            let server = servers
+                .values()
+                .filter(|server| idle_since(server).is_some())
+                .min_by_key(idle_since)
+                .cloned();
+            drop(servers);
+            if let Some(server) = server {
+                self.0.descriptor_pool.counters.borrow_mut().worker_connections_evicted += 1;
+                let oldest = server.idle.borrow_mut().remove(0);
                 close(vec![oldest]);
             }
         }
     }
 
-    async fn exchange(&self, leaf: WorkerId, link: &Rc<Link>, part: &Dispatch) -> AttemptCompletion {
-        let Ok(_place) = link.places.acquire().await else {
+    async fn exchange(&self, worker: WorkerId, server: &Rc<Server>, part: &Dispatch) -> AttemptCompletion {
+        let Ok(_search_permit) = server.search_permits.acquire().await else {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         };
-        if !link.open.get() {
+        if !server.accepts_searches.get() {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         }
-        // Guards what runs once against a kept connection that the server closes just then: it may have run, and is lost.
-        let kept = if part.at_most_once { None } else { self.kept(link).await };
-        let (mut stream, place) = match kept {
-            Some(kept) => kept,
+        // A non-idempotent search gets a new connection: the server could close an idle one just as the search is
+        // written, and whether it ran would then be unknown.
+        let idle = if part.at_most_once { None } else { self.take_idle(server).await };
+        let (mut stream, descriptor) = match idle {
+            Some(idle) => idle,
             None => {
-                // Nothing has run where there was no place for it.
-                let Ok(opening) =
-                    self.0.places.acquire_connect_permit(leaf, part.time_left(self.0.broker.now())).await
+                // Without a connect permit nothing was sent.
+                let time_left = part.time_left(self.0.broker.now());
+                let Ok(permit) = self.0.descriptor_pool.acquire_connect_permit(worker, time_left).await
                 else {
                     return AttemptCompletion::without_value(AttemptOutcome::NotSent);
                 };
-                match connect_with_timeout(&*self.0.dial, &link.address, self.0.limits.connect_timeout).await
-                {
-                    Ok(stream) => (stream, opening.into_descriptor_permit()),
+                let limit = self.0.limits.connect_timeout;
+                match connect_with_timeout(&*self.0.connector, &server.address, limit).await {
+                    Ok(stream) => (stream, permit.into_descriptor_permit()),
                     Err(error) => {
-                        log::warn!("index server at {}: cannot connect: {error}", link.address);
-                        let local = errors::is_local(&error);
-                        return AttemptCompletion::without_value(if local {
+                        log::warn!("index server at {}: cannot connect: {error}", server.address);
+                        return AttemptCompletion::without_value(if errors::is_local(&error) {
                             AttemptOutcome::NotSent
                         } else {
                             AttemptOutcome::ConnectFailed
@@ -126,21 +143,22 @@
                 }
             }
         };
-        let left = part.time_left(self.0.broker.now()).as_millis().max(1);
-        let target = format!("/{}/_search?preference=_shards:{}&timeout={left}ms", part.label, part.shard.0);
-        let request = http::encode_request("POST", &target, &link.address, Some(&part.payload));
+        let timeout_ms = part.time_left(self.0.broker.now()).as_millis().max(1);
+        let target =
+            format!("/{}/_search?preference=_shards:{}&timeout={timeout_ms}ms", part.label, part.shard.0);
+        let request = http::encode_request("POST", &target, &server.address, Some(&part.payload));
         let mut buffer = BytesMut::new();
-        let bytes = BufferReservation::new(&self.0.places);
-        bytes.set(request.len());
-        let exchanged = http_client::exchange(&mut *stream, &mut buffer, &request, MOST_RESULT).await;
+        let reservation = BufferReservation::new(&self.0.descriptor_pool);
+        reservation.set(request.len());
+        let exchanged = http_client::exchange(&mut *stream, &mut buffer, &request, MAX_RESULT_BYTES).await;
         if !matches!(exchanged, Err(ExchangeError::NotSent(_))) {
             self.0.broker.with_core(|core| core.count_written(1));
         }
         match exchanged {
             Ok(response) => {
                 if response.keep_alive && buffer.is_empty() {
-                    place.mark_idle();
-                    self.keep(link, stream, place);
+                    descriptor.mark_idle();
+                    self.keep_idle(server, stream, descriptor);
                 }
                 match response.status {
                     200 if opensearch::is_complete_result(&response.body) => AttemptCompletion {
@@ -148,16 +166,19 @@
                         value: response.body,
                         load_report: None,
                     },
-                    // The one status by which a server says that it turned the search away unseen.
+                    // The only status that says that the server rejected the search without executing it.
                     429 => AttemptCompletion::without_value(AttemptOutcome::Rejected),
                     status => {
-                        log::warn!("index server at {}: status {status}, no whole result", link.address);
+                        log::warn!(
+                            "index server at {}: response without a complete result: status={status}",
+                            server.address
+                        );
                         AttemptCompletion::without_value(AttemptOutcome::Failed)
                     }
                 }
             }
             Err(error) => {
-                log::warn!("index server at {}: {error}", link.address);
+                log::warn!("index server at {}: {error}", server.address);
                 AttemptCompletion::without_value(match error {
                     ExchangeError::NotSent(_) => AttemptOutcome::ConnectFailed,
                     ExchangeError::NoResponse(_) => AttemptOutcome::ConnectionReset,
@@ -167,79 +188,80 @@
         }
     }
 
-    /// An idle connection that the server has not closed meanwhile.
-    async fn kept(&self, link: &Link) -> Option<(Box<dyn Stream>, DescriptorPermit)> {
+    /// Takes an idle connection that the server has not closed meanwhile, and makes its descriptor busy.
+    async fn take_idle(&self, server: &Server) -> Option<(Box<dyn Stream>, DescriptorPermit)> {
         loop {
-            let latest = link.idle.borrow_mut().pop();
-            let Idle { mut stream, place, .. } = latest?;
-            let mut scrap = [0; 1];
-            let still = tokio::select! {
+            let latest = server.idle.borrow_mut().pop();
+            let IdleConnection { mut stream, descriptor, .. } = latest?;
+            let mut discarded = [0; 1];
+            let is_open = tokio::select! {
                 biased;
-                _ = stream.read(&mut scrap) => false,
+                _ = stream.read(&mut discarded) => false,
                 () = std::future::ready(()) => true,
             };
-            // Where no firm place may be had the connection goes, and the search waits for its turn.
-            if still && place.try_mark_busy() {
-                return Some((stream, place));
+            // Where no busy descriptor may be had the connection is closed, and the search waits for a permit.
+            if is_open && descriptor.try_mark_busy() {
+                return Some((stream, descriptor));
             }
         }
     }
 }
 
-/// Closes connections. Their places go on to those who wait, so nothing may be borrowed here.
-fn close(idle: Vec<Idle>) {
+/// Closes connections. Their descriptors go to calls that wait, so the caller may hold no borrow.
+fn close(idle: Vec<IdleConnection>) {
     drop(idle);
 }
 
 impl WorkerTransport for IndexServers {
-    fn upsert_worker(&self, leaf: WorkerId, _name: &str, address: &str, open: bool) {
-        let mut links = self.0.links.borrow_mut();
-        // One that moves is another server: what waits for the old one is not sent, what is out there goes on.
-        let moved = links.get(&leaf).is_some_and(|link| link.address != address);
-        let before = if moved { links.remove(&leaf) } else { None };
-        if let Some(before) = &before {
-            before.open.set(false);
+    fn upsert_worker(&self, worker: WorkerId, _name: &str, address: &str, accepts_work: bool) {
+        let mut servers = self.0.servers.borrow_mut();
+        // A server at a new address is another server: what waits for the old one is not sent, and what is in flight
+        // there goes on.
+        let moved = servers.get(&worker).is_some_and(|server| server.address != address);
+        let previous = if moved { servers.remove(&worker) } else { None };
+        if let Some(previous) = &previous {
+            previous.accepts_searches.set(false);
         }
-        let link = links.entry(leaf).or_insert_with(|| {
-            Rc::new(Link {
+        let server = servers.entry(worker).or_insert_with(|| {
+            Rc::new(Server {
                 address: address.to_owned(),
-                open: Cell::new(open),
-                places: Semaphore::new(self.0.limits.max_parts_per_connection),
+                accepts_searches: Cell::new(accepts_work),
+                search_permits: Semaphore::new(self.0.limits.max_parts_per_connection),
                 idle: RefCell::default(),
             })
         });
-        link.open.set(open);
-        drop(links);
-        // Its idle connections give their places back, so nothing may be borrowed here.
-        drop(before);
+        server.accepts_searches.set(accepts_work);
+        drop(servers);
+        // Its idle connections release their descriptors, which borrows the pool: no borrow may be held here.
+        drop(previous);
     }
 
-    fn remove_worker(&self, leaf: WorkerId) {
-        if let Some(link) = self.0.links.borrow_mut().remove(&leaf) {
-            link.open.set(false);
+    fn remove_worker(&self, worker: WorkerId) {
+        if let Some(server) = self.0.servers.borrow_mut().remove(&worker) {
+            server.accepts_searches.set(false);
         }
     }
 
-    fn call(&self, leaf: WorkerId, parts: Vec<Dispatch>) {
-        let link = self.0.links.borrow().get(&leaf).cloned();
+    fn call(&self, worker: WorkerId, parts: Vec<Dispatch>) {
+        let server = self.0.servers.borrow().get(&worker).cloned();
         for part in parts {
-            let ticket = part.attempt_id;
-            match &link {
-                Some(link) => {
-                    let task = spawn_local(self.clone().search(leaf, link.clone(), part));
-                    self.0.running.borrow_mut().insert(ticket, task.abort_handle());
+            let attempt_id = part.attempt_id;
+            match &server {
+                Some(server) => {
+                    let task = spawn_local(self.clone().run_search(worker, server.clone(), part));
+                    self.0.searches.borrow_mut().insert(attempt_id, task.abort_handle());
                 }
-                None => self
-                    .0
-                    .broker
-                    .on_attempt_finished(ticket, AttemptCompletion::without_value(AttemptOutcome::NotSent)),
+                None => self.0.broker.on_attempt_finished(
+                    attempt_id,
+                    AttemptCompletion::without_value(AttemptOutcome::NotSent),
+                ),
             }
         }
     }
 
-    /// Closing the connection is how the form gives a search up.
-    fn cancel(&self, _leaf: WorkerId, ticket: AttemptId) {
-        if let Some(task) = self.0.running.borrow_mut().remove(&ticket) {
+    /// The form cancels a search by closing its connection, which ends as its task is aborted.
+    fn cancel(&self, _worker: WorkerId, attempt_id: AttemptId) {
+        if let Some(task) = self.0.searches.borrow_mut().remove(&attempt_id) {
             task.abort();
         }
     }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -1,4 +1,7 @@
-//! Clients' connections: accepts them, reads requests, writes each its one response.
+//! Accepts clients' connections, reads their requests and writes exactly one response to each.
+//!
+//! It owns the bytes of a connection from accept to close. It never decides who is admitted or evicted, which is the
+//! [`ConnectionManager`]'s, nor what a response says, which is the [`Front`]'s.
 
 use super::connection_manager::{ConnectionManager, ConnectionPermit};
 use super::connector::Stream;
@@ -20,42 +23,44 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Time for a client to take its response.
-const SLOW: Duration = Duration::from_millis(2500);
-/// Time for a client to take what is said last on its connection, where there is room and where there is none.
-const LAST: Duration = Duration::from_millis(400);
-const LAST_TIGHT: Duration = Duration::from_millis(20);
-/// The longest pause after a failed accept: without one, a process out of descriptors would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a newcomer waits at most for one that is leaving, and for its refusal at the door.
-const DOOR: Duration = Duration::from_millis(50);
-/// What a client may have sent ahead of the response that it waits for.
-const MOST_AHEAD: usize = 2 * http::MAX_BODY_BYTES;
-/// Reading takes at most so much at once.
-const READ: usize = 4096;
+/// How long writing a response to a client may take.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long the last write on a connection, and the wait for the client's close behind it, may take each.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The same limit when descriptors or buffers are scarce.
+const FINAL_WRITE_TIMEOUT_UNDER_PRESSURE: Duration = Duration::from_millis(20);
+/// The longest delay after a failed accept: without a delay, a process out of descriptors would spin.
+const MAX_ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long a new connection waits for a descriptor that an evicted one is about to release, and how long writing the
+/// rejection of one that got none may take.
+const ADMISSION_TIMEOUT: Duration = Duration::from_millis(50);
+/// How many bytes a client may send ahead of the response that it waits for.
+const MAX_PIPELINED_BYTES: usize = 2 * http::MAX_BODY_BYTES;
+/// The most bytes of one read.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// What answers requests.
+/// Answers requests in one of the HTTP forms that clients speak.
 pub trait Front {
-    /// The response to one request. Dropped when the client leaves first.
+    /// Returns the response to one request. The future is dropped when the client closes its connection first.
     fn respond(&self, request: Request) -> impl Future<Output = Response>;
-    /// The response to bytes that are no request.
+    /// Returns the response to bytes that are not a valid request.
     fn malformed(&self, error: http::Malformed) -> Response;
-    /// The refusal of a request for which there is no place, where one is known; it has not run.
+    /// Returns the rejection of a request, where one was read, for which there is no capacity. It was not executed.
     fn overloaded(&self, request: Option<&Request>) -> Response;
-    /// Whom a request says it comes from, where the form has a way to say so.
+    /// Returns who a request says sent it, where the form has a field for that.
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str>;
-    /// What a request is called in the log, where the form names it.
+    /// Returns the request's name in the log, where the form has one.
     fn label<'a>(&self, request: &'a Request) -> Option<&'a str>;
-    /// A rule was broken on a connection.
+    /// Reports that an invariant was violated on a connection.
     fn violated(&self, invariant: Invariant, concerns: &str);
 }
 
-/// A connection that is about to come in.
+/// Resolves to an accepted connection and its peer's address.
 pub type AcceptFuture<'a> = Pin<Box<dyn Future<Output = io::Result<(Box<dyn Stream>, SocketAddr)>> + 'a>>;
 
-/// Where connections come in.
+/// A source of incoming connections: a listening socket, or what stands in for it in tests.
 pub trait Accept {
-    /// The next one.
+    /// Waits for the next connection.
     fn accept(&self) -> AcceptFuture<'_>;
 }
 
@@ -68,15 +73,16 @@
 impl Accept for TcpListener {
     fn accept(&self) -> AcceptFuture<'_> {
         Box::pin(async move {
-            let (stream, from) = TcpListener::accept(self).await?;
+            let (stream, peer) = TcpListener::accept(self).await?;
             if let Err(error) = stream.set_nodelay(true) {
                 log::debug!("client: {error}");
             }
-            Ok((Box::new(Socket::new(stream)) as Box<dyn Stream>, from))
+            Ok((Box::new(Socket::new(stream)) as Box<dyn Stream>, peer))
         })
     }
 }
 
+/// Hashes a client's address, and what it says of itself, to the source that connections are counted by.
 fn source(address: SocketAddr, caller: Option<&str>) -> Source {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     match address {
@@ -87,24 +93,26 @@
     Source(hash.digest())
 }
 
-/// Accepts connections until the gate closes; whoever has connected by then still gets an answer. It never waits for a
-/// place that nobody is about to leave, and takes its share of the time and no more while many come at once.
-pub async fn accept<F: Front + 'static>(listener: impl Accept, front: Rc<F>, gate: Rc<ConnectionManager>) {
-    let (mut pacer, mut pauses) = (AcceptPacer::default(), RetryDelays::default());
-    // Since when accepts have failed; whoever comes in then has waited for so long at most, until the queue is empty.
+/// Accepts connections until the lifecycle ends accepting; whoever has connected by then still gets a response. The loop
+/// never waits for a descriptor that nobody is about to release, and keeps to its share of processor time while many
+/// connections arrive at once.
+pub async fn accept<F: Front + 'static>(listener: impl Accept, front: Rc<F>, manager: Rc<ConnectionManager>) {
+    let (mut pacer, mut delays) = (AcceptPacer::default(), RetryDelays::default());
+    // When accepts began to fail: a connection accepted afterwards has waited at most since then, until the backlog has
+    // been seen empty.
     let mut failing_since = None;
     loop {
-        // What waits in the queue then is the successor's.
-        if matches!(gate.lifecycle_state(), LifecycleState::HandedOver { .. }) {
+        // After the takeover the backlog belongs to the successor.
+        if matches!(manager.lifecycle_state(), LifecycleState::HandedOver { .. }) {
             return;
         }
-        let mut begun = gate.descriptor_pool().now();
-        let waiting = tokio::select! {
+        let mut started_at = manager.descriptor_pool().now();
+        let ready = tokio::select! {
             biased;
             accepted = listener.accept() => Some(accepted),
             () = std::future::ready(()) => None,
         };
-        let accepted = match waiting {
+        let accepted = match ready {
             Some(accepted) => accepted,
             None => {
                 pacer.reset();
@@ -112,207 +120,225 @@
                 let accepted = tokio::select! {
                     biased;
                     accepted = listener.accept() => accepted,
-                    () = gate.wait_for_accept_end() => {
-                        // Guards those who wait in the queue: its close would reset them. Behind it the runtime has
-                        // looked at its sockets, and knows of all that have come by now.
+                    () = manager.wait_for_accept_end() => {
+                        // Closing the listening socket would reset the connections in its backlog, so they are taken
+                        // first. After the yield the runtime has polled its sockets and knows of all of them.
                         tokio::task::yield_now().await;
-                        match at_once(listener.accept()).await {
-                            Some(accepted) if !matches!(gate.lifecycle_state(), LifecycleState::HandedOver { .. }) => accepted,
+                        match poll_once(listener.accept()).await {
+                            Some(accepted)
+                                if !matches!(manager.lifecycle_state(), LifecycleState::HandedOver { .. }) =>
+                            {
+                                accepted
+                            }
                             _ => return,
                         }
                     }
                 };
-                begun = gate.descriptor_pool().now();
+                started_at = manager.descriptor_pool().now();
                 accepted
             }
         };
         match accepted {
-            Ok((stream, from)) => match gate.admit(source(from, None), DOOR).await {
-                Some(pass) => {
-                    pass.set_queue_time(
+            Ok((stream, peer)) => match manager.admit(source(peer, None), ADMISSION_TIMEOUT).await {
+                Some(permit) => {
+                    permit.set_queue_time(
                         failing_since
-                            .map_or(Duration::ZERO, |since| gate.descriptor_pool().now().since(since)),
+                            .map_or(Duration::ZERO, |since| manager.descriptor_pool().now().since(since)),
                     );
                     let front = front.clone();
-                    tokio::task::spawn_local(async move { serve(stream, from, &*front, pass).await });
+                    tokio::task::spawn_local(async move { serve(stream, peer, &*front, permit).await });
                 }
-                None => turn_away(stream, &front.overloaded(None), &gate).await,
+                None => reject_connection(stream, &front.overloaded(None), &manager).await,
             },
             Err(error) => {
-                failing_since.get_or_insert(begun);
-                after_failure(&gate, &error, &mut pauses).await;
+                failing_since.get_or_insert(started_at);
+                recover_from_accept_error(&manager, &error, &mut delays).await;
                 continue;
             }
         }
-        pauses = RetryDelays::default();
-        if let Some(pause) = pacer.record_accept(begun, gate.descriptor_pool().now()) {
-            tokio::time::sleep(pause).await;
+        delays = RetryDelays::default();
+        if let Some(delay) = pacer.record_accept(started_at, manager.descriptor_pool().now()) {
+            tokio::time::sleep(delay).await;
         }
     }
 }
 
-/// Makes the next accept possible. Those who wait in the queue wait for as long as this does.
-async fn after_failure(gate: &ConnectionManager, error: &io::Error, pauses: &mut RetryDelays) {
-    gate.descriptor_pool().counters.borrow_mut().accept_failed += 1;
+/// Waits until another accept may succeed. Connections in the backlog wait for as long as this does.
+async fn recover_from_accept_error(manager: &ConnectionManager, error: &io::Error, delays: &mut RetryDelays) {
+    manager.descriptor_pool().counters.borrow_mut().accept_failed += 1;
     if !errors::is_out_of_descriptors(error) {
-        // It was the connection's own end, or an interrupted call: the next one is as good as any.
+        // The error was that one connection's, or an interrupted call: the next accept may succeed at once.
         log::debug!("accept: {error}");
         return tokio::task::yield_now().await;
     }
     log::warn!("accept: {error}");
-    // Descriptors have run out beside the budget: one that a client holds loosely helps.
-    let freed = gate.descriptor_pool().wait_for_release();
-    gate.descriptor_pool().reclaim(DescriptorClass::Clients);
-    // Whether it frees one or not, the next try comes soon.
-    let _ = tokio::time::timeout(pauses.next_delay().min(ACCEPT_PAUSE), freed).await;
+    // Descriptors are exhausted outside the budget: closing an evictable client connection frees one.
+    let released = manager.descriptor_pool().wait_for_release();
+    manager.descriptor_pool().reclaim(DescriptorClass::Clients);
+    // The next accept is tried after the delay whether one was released or not.
+    let _ = tokio::time::timeout(delays.next_delay().min(MAX_ACCEPT_RETRY_DELAY), released).await;
 }
 
-/// Tells one for whom there is no place when to come back: a query is open on every connection.
-async fn turn_away(mut stream: Box<dyn Stream>, response: &Response, gate: &ConnectionManager) {
-    gate.descriptor_pool().counters.borrow_mut().rejected += 1;
+/// Writes a rejection to a connection that got no descriptor permit: a query is in flight on every other one.
+async fn reject_connection(mut stream: Box<dyn Stream>, response: &Response, manager: &ConnectionManager) {
+    manager.descriptor_pool().counters.borrow_mut().rejected += 1;
     let bytes = response.encode(true);
-    let told = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
-    // Whether it is read or not, nothing more can be done for it.
-    if tokio::time::timeout(DOOR, told).await == Ok(true) {
-        drain(&mut stream, DOOR).await;
+    let written = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
+    // The connection is closed whether its client has read the rejection or not.
+    if tokio::time::timeout(ADMISSION_TIMEOUT, written).await == Ok(true) {
+        linger(&mut stream, ADMISSION_TIMEOUT).await;
     }
 }
 
-/// What comes next on a connection.
-enum Next {
-    Request(Request),
-    /// These bytes are said last.
-    Last(Bytes),
-    /// There is nothing to be said.
-    End,
+/// What a connection's next step is, once it has read what came.
+enum NextStep {
+    /// A complete request was read.
+    Serve(Request),
+    /// These bytes are written, then the connection is closed.
+    CloseAfterWriting(Bytes),
+    /// The connection is closed without a further byte.
+    Close,
 }
 
-/// The life of one connection.
-pub async fn serve<F: Front>(stream: impl Stream, from: SocketAddr, front: &F, pass: ConnectionPermit) {
+/// Serves one connection until it is closed.
+pub async fn serve<F: Front>(stream: impl Stream, peer: SocketAddr, front: &F, permit: ConnectionPermit) {
     let (mut read, mut write) = tokio::io::split(stream);
-    let (mut buffer, mut answers) = (BytesMut::new(), 0_u64);
+    let (mut buffer, mut responses) = (BytesMut::new(), 0_u64);
     loop {
-        let request = match next(&mut read, &mut write, &mut buffer, front, &pass, answers).await {
-            Next::Request(request) => Request { waited: pass.take_queue_time(), ..request },
-            Next::Last(bytes) => {
-                last(&mut read, &mut write, &bytes, pass.connection_manager()).await;
+        let request = match next_step(&mut read, &mut write, &mut buffer, front, &permit, responses).await {
+            NextStep::Serve(request) => Request { waited: permit.take_queue_time(), ..request },
+            NextStep::CloseAfterWriting(bytes) => {
+                write_and_close(&mut read, &mut write, &bytes, permit.connection_manager()).await;
                 return;
             }
-            Next::End => return,
+            NextStep::Close => return,
         };
-        let owed = ResponseGuard::new(front, &request);
+        let guard = ResponseGuard::new(front, &request);
         if let Some(caller) = front.caller(&request) {
-            pass.set_source(source(from, Some(caller)));
+            permit.set_source(source(peer, Some(caller)));
         }
-        if !pass.try_begin_request() {
-            let refusal = front.overloaded(Some(&request)).encode(true);
-            if last(&mut read, &mut write, &refusal, pass.connection_manager()).await {
-                owed.mark_sent();
+        if !permit.try_begin_request() {
+            let rejection = front.overloaded(Some(&request)).encode(true);
+            if write_and_close(&mut read, &mut write, &rejection, permit.connection_manager()).await {
+                guard.mark_sent();
             }
             return;
         }
-        let (keep_alive, bodiless, body) = (request.keep_alive, request.method == "HEAD", request.body.len());
-        let mut lost = false;
+        let (keep_alive, is_head, body_bytes) =
+            (request.keep_alive, request.method == "HEAD", request.body.len());
+        let mut pipelining_overflowed = false;
         let response = tokio::select! {
             biased;
             response = front.respond(request) => response,
-            () = gone(&mut read, &mut buffer, &pass, body, &mut lost) => {
-                pass.update_counters(|tally| tally.client_closed_waiting += 1);
-                return owed.mark_client_gone();
+            () = client_closed(&mut read, &mut buffer, &permit, body_bytes, &mut pipelining_overflowed) => {
+                permit.update_counters(|counters| counters.client_closed_waiting += 1);
+                return guard.mark_client_gone();
             }
         };
-        let close =
-            !keep_alive || lost || pass.connection_manager().lifecycle_state().closes_after_response();
+        let close = !keep_alive
+            || pipelining_overflowed
+            || permit.connection_manager().lifecycle_state().closes_after_response();
         let mut bytes = response.encode(close);
-        if bodiless {
+        if is_head {
             bytes.truncate(bytes.len() - response.body.len());
         }
-        pass.buffer_reservation.set(buffer.capacity() + bytes.len());
-        match tokio::time::timeout(SLOW, write.write_all(&bytes)).await {
-            Ok(Ok(())) => owed.mark_sent(),
+        permit.buffer_reservation.set(buffer.capacity() + bytes.len());
+        match tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, write.write_all(&bytes)).await {
+            Ok(Ok(())) => guard.mark_sent(),
             Ok(Err(error)) => {
-                log::debug!("client at {from}: the answer could not be written: {error}");
-                pass.update_counters(|tally| tally.response_write_failed += 1);
-                return owed.mark_client_gone();
+                log::debug!("client at {peer}: the response could not be written: {error}");
+                permit.update_counters(|counters| counters.response_write_failed += 1);
+                return guard.mark_client_gone();
             }
-            Err(_) => return pass.update_counters(|tally| tally.response_write_timed_out += 1),
+            Err(_) => return permit.update_counters(|counters| counters.response_write_timed_out += 1),
         }
         if close {
             if write.shutdown().await.is_ok() {
-                drain(&mut read, last_time(pass.connection_manager())).await;
+                linger(&mut read, final_write_timeout(permit.connection_manager())).await;
             }
             return;
         }
-        answers += 1;
-        pass.on_response_sent(match response.status {
+        responses += 1;
+        permit.on_response_sent(match response.status {
             400 | 405 | 411..=414 | 431 | 501 => RequestValidity::Invalid,
             _ => RequestValidity::Valid,
         });
     }
 }
 
-/// Reads the next request. Its time limits, and those of a connection without any, are the crowd's.
-async fn next<F: Front>(
+/// Reads until the next request is complete or the connection has to end. Its time limits, and those of an idle
+/// connection, are decided in [`crate::limits::client_connections`] and arrive here as an eviction.
+async fn next_step<F: Front>(
     read: &mut (impl AsyncRead + Unpin),
     write: &mut (impl AsyncWrite + Unpin),
     buffer: &mut BytesMut,
     front: &F,
-    pass: &ConnectionPermit,
-    answers: u64,
-) -> Next {
-    let mut told = false;
+    permit: &ConnectionPermit,
+    responses: u64,
+) -> NextStep {
+    let mut continue_sent = false;
     if !buffer.is_empty() {
-        pass.on_bytes_received(buffer.len());
+        permit.on_bytes_received(buffer.len());
     }
     loop {
         match http::take_request(buffer) {
-            Ok(Some(request)) => return Next::Request(request),
+            Ok(Some(request)) => return NextStep::Serve(request),
             Ok(None) => {}
             Err(error) => {
-                pass.on_malformed_input();
-                return Next::Last(front.malformed(error).encode(true));
+                permit.on_malformed_input();
+                return NextStep::CloseAfterWriting(front.malformed(error).encode(true));
             }
         }
-        if !told && http::expects_continue(buffer) {
-            told = true;
+        if !continue_sent && http::expects_continue(buffer) {
+            continue_sent = true;
             if write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
-                return Next::End;
+                return NextStep::Close;
             }
         }
-        // Guards against many half requests that fill the memory together: the more there is, the less each may have.
-        let more = pass.buffer_reservation.allowance() >= buffer.len() + READ;
-        if more {
-            buffer.reserve(READ);
+        // Many incomplete requests could fill the memory together: the more is buffered in all, the less each may hold.
+        let may_read = permit.buffer_reservation.allowance() >= buffer.len() + READ_CHUNK_BYTES;
+        if may_read {
+            buffer.reserve(READ_CHUNK_BYTES);
         }
-        pass.buffer_reservation.set(buffer.capacity());
+        permit.buffer_reservation.set(buffer.capacity());
         tokio::select! {
             biased;
-            count = read.read_buf(buffer), if more => match count {
-                Ok(count @ 1..) => pass.on_bytes_received(count),
+            count = read.read_buf(buffer), if may_read => match count {
+                Ok(count @ 1..) => permit.on_bytes_received(count),
                 ended => {
                     if let Err(error) = ended {
                         log::debug!("client: {error}");
                     }
-                    let half = !buffer.is_empty();
-                    pass.update_counters(|tally| *if half { &mut tally.client_closed_mid_request } else { &mut tally.client_closed_idle } += 1);
-                    return Next::End;
+                    let mid_request = !buffer.is_empty();
+                    permit.update_counters(|counters| {
+                        *if mid_request {
+                            &mut counters.client_closed_mid_request
+                        } else {
+                            &mut counters.client_closed_idle
+                        } += 1;
+                    });
+                    return NextStep::Close;
                 }
             },
-            () = pass.buffer_reservation.wait_for_space(), if !more => {}
-            why = pass.evicted() => {
+            () = permit.buffer_reservation.wait_for_space(), if !may_read => {}
+            reason = permit.evicted() => {
                 if !buffer.is_empty() {
-                    let why = if why == EvictionReason::Slow { "the request did not end in time" } else { "no room" };
-                    return Next::Last(Response::text(408, why).encode(true));
+                    let reason = match reason {
+                        EvictionReason::Slow => "the request did not end in time",
+                        _ => "no room",
+                    };
+                    return NextStep::CloseAfterWriting(Response::text(408, reason).encode(true));
                 }
-                if let Some(end) = part(read, write, buffer, front, pass, answers).await {
+                if let Some(end) = close_if_idle(read, write, buffer, front, permit, responses).await {
                     return end;
                 }
             }
-            // Guards a newcomer who reaches a drained process: it still gets the answer to its first request.
-            () = parting(pass, answers),
-                if buffer.is_empty() && (answers > 0 || !pass.connection_manager().lifecycle_state().accepts_queries()) =>
+            // A new connection to a drained process still gets the response to its first request.
+            () = idle_close_due(permit, responses),
+                if buffer.is_empty()
+                    && (responses > 0 || !permit.connection_manager().lifecycle_state().accepts_queries()) =>
             {
-                if let Some(end) = part(read, write, buffer, front, pass, answers).await {
+                if let Some(end) = close_if_idle(read, write, buffer, front, permit, responses).await {
                     return end;
                 }
             }
@@ -320,55 +346,56 @@
     }
 }
 
-/// Ends a connection on which nothing is open, unless a request has come meanwhile. Guards the first request of a
-/// newcomer that crosses this: a refusal is said before, for it to find.
-async fn part<F: Front>(
+/// Ends a connection on which nothing is in flight, unless a request has arrived meanwhile. A connection that never had a
+/// response gets a rejection first: its first request may be on its way, and its client then finds that rejection in
+/// place of a close without any response.
+async fn close_if_idle<F: Front>(
     read: &mut (impl AsyncRead + Unpin),
     write: &mut (impl AsyncWrite + Unpin),
     buffer: &mut BytesMut,
     front: &F,
-    pass: &ConnectionPermit,
-    answers: u64,
-) -> Option<Next> {
-    buffer.reserve(READ);
-    if has_come(read, buffer, pass).await {
+    permit: &ConnectionPermit,
+    responses: u64,
+) -> Option<NextStep> {
+    buffer.reserve(READ_CHUNK_BYTES);
+    if request_arrived(read, buffer, permit).await {
         return None;
     }
-    if answers == 0 {
-        return Some(Next::Last(front.overloaded(None).encode(true)));
+    if responses == 0 {
+        return Some(NextStep::CloseAfterWriting(front.overloaded(None).encode(true)));
     }
-    leave(read, write, pass).await;
-    Some(Next::End)
+    close_idle(read, write, permit).await;
+    Some(NextStep::Close)
 }
 
-/// Whether a request has come by now.
-async fn has_come(
+/// Whether bytes of a request have arrived by now; if so, the connection is not closed.
+async fn request_arrived(
     read: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
-    pass: &ConnectionPermit,
+    permit: &ConnectionPermit,
 ) -> bool {
-    // Behind it the runtime has looked at its sockets, and knows of what has come by now.
+    // After the yield the runtime has polled its sockets and knows what has arrived.
     tokio::task::yield_now().await;
-    let Some(Ok(count @ 1..)) = at_once(read.read_buf(buffer)).await else { return false };
-    pass.cancel_eviction(count);
+    let Some(Ok(count @ 1..)) = poll_once(read.read_buf(buffer)).await else { return false };
+    permit.cancel_eviction(count);
     true
 }
 
-/// Closes a connection that had its answers. The close lingers:
-/// what crosses it is read and dropped, and its client sees the end of the connection in place of an answer. Guards the
-/// answer before, which a reset would take with it.
-async fn leave(
+/// Closes an idle connection that has had responses. The close lingers: bytes that cross it are read and discarded, so
+/// that no reset takes the last response with it, and the client sees an orderly end of the connection.
+async fn close_idle(
     read: &mut (impl AsyncRead + Unpin),
     write: &mut (impl AsyncWrite + Unpin),
-    pass: &ConnectionPermit,
+    permit: &ConnectionPermit,
 ) {
-    if write.shutdown().await.is_ok() && drain(read, last_time(pass.connection_manager())).await {
-        pass.on_request_after_close();
+    if write.shutdown().await.is_ok() && linger(read, final_write_timeout(permit.connection_manager())).await
+    {
+        permit.on_request_after_close();
     }
 }
 
-/// What a future has to say without waiting.
-async fn at_once<T>(future: impl Future<Output = T>) -> Option<T> {
+/// Polls a future a single time: its value, if it has one without waiting.
+async fn poll_once<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
         value = future => Some(value),
@@ -376,71 +403,71 @@
     }
 }
 
-/// Waits until an idle connection is to end. Guards a newcomer whose request is still on its way: an end without any answer
-/// tells its client nothing.
-async fn parting(pass: &ConnectionPermit, answers: u64) {
-    pass.connection_manager().wait_for_idle_close().await;
-    if answers == 0 {
-        tokio::time::sleep(last_time(pass.connection_manager())).await;
+/// Waits until idle connections are to be closed. A connection without a response so far gets some time more: its first
+/// request may be on its way, and a close without a response says nothing to its client.
+async fn idle_close_due(permit: &ConnectionPermit, responses: u64) {
+    permit.connection_manager().wait_for_idle_close().await;
+    if responses == 0 {
+        tokio::time::sleep(final_write_timeout(permit.connection_manager())).await;
     }
 }
 
-fn last_time(gate: &ConnectionManager) -> Duration {
-    gate.pressure().limit(LAST, LAST_TIGHT)
+fn final_write_timeout(manager: &ConnectionManager) -> Duration {
+    manager.pressure().limit(FINAL_WRITE_TIMEOUT, FINAL_WRITE_TIMEOUT_UNDER_PRESSURE)
 }
 
-/// Says something last; whether the client takes it or not, the connection ends. True if it was written whole.
-async fn last(
+/// Writes the last bytes of a connection and closes it, whether its client takes them or not. True if all were written.
+async fn write_and_close(
     read: &mut (impl AsyncRead + Unpin),
     write: &mut (impl AsyncWrite + Unpin),
     bytes: &[u8],
-    gate: &ConnectionManager,
+    manager: &ConnectionManager,
 ) -> bool {
     let end = async { write.write_all(bytes).await.is_ok() && write.shutdown().await.is_ok() };
-    let written = tokio::time::timeout(last_time(gate), end).await == Ok(true);
+    let written = tokio::time::timeout(final_write_timeout(manager), end).await == Ok(true);
     if written {
-        drain(read, last_time(gate)).await;
+        linger(read, final_write_timeout(manager)).await;
     }
     written
 }
 
-/// Returns when the client has closed its connection. What it sends ahead is kept for later as far as there is room; past
-/// that it is `lost`, and the connection ends behind its answer. Guards against a client that leaves unnoticed behind
-/// bytes that nobody reads.
-async fn gone(
+/// Returns when the client has closed its connection. Bytes that it sends ahead are kept up to a limit; past that they
+/// are discarded, `overflowed` is set and the connection ends after its response. Without these reads, a client that
+/// left behind unread bytes would not be noticed.
+async fn client_closed(
     read: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
-    pass: &ConnectionPermit,
-    body: usize,
-    lost: &mut bool,
+    permit: &ConnectionPermit,
+    body_bytes: usize,
+    overflowed: &mut bool,
 ) {
     loop {
-        let most = MOST_AHEAD.min(pass.buffer_reservation.allowance().saturating_sub(body));
-        if *lost || buffer.len() + READ > most.max(READ) {
-            *lost = true;
+        let limit = MAX_PIPELINED_BYTES.min(permit.buffer_reservation.allowance().saturating_sub(body_bytes));
+        if *overflowed || buffer.len() + READ_CHUNK_BYTES > limit.max(READ_CHUNK_BYTES) {
+            *overflowed = true;
             buffer.clear();
         }
-        buffer.reserve(READ);
-        pass.buffer_reservation.set(buffer.capacity() + body);
+        buffer.reserve(READ_CHUNK_BYTES);
+        permit.buffer_reservation.set(buffer.capacity() + body_bytes);
         if !matches!(read.read_buf(buffer).await, Ok(1..)) {
             return;
         }
     }
 }
 
-/// Reads on for a moment behind a shutdown, a lingering close: closing with unread bytes would reset the connection and
-/// could take the last response with it. Whether anything came.
-pub(super) async fn drain(read: &mut (impl AsyncRead + Unpin), longest: Duration) -> bool {
-    let (mut scrap, mut came) = ([0; READ], false);
+/// Reads and discards for a while after a shutdown (a lingering close): closing a socket with unread bytes would reset
+/// the connection, and the reset could take the last response with it. True if any bytes arrived.
+pub(super) async fn linger(read: &mut (impl AsyncRead + Unpin), limit: Duration) -> bool {
+    let (mut discarded, mut received) = ([0; READ_CHUNK_BYTES], false);
     let rest = async {
-        for _ in 0..MOST_AHEAD / READ {
-            if !matches!(read.read(&mut scrap).await, Ok(1..)) {
+        for _ in 0..MAX_PIPELINED_BYTES / READ_CHUNK_BYTES {
+            if !matches!(read.read(&mut discarded).await, Ok(1..)) {
                 return;
             }
-            came = true;
+            received = true;
         }
     };
-    // Either way the connection ends here.
-    let _ = tokio::time::timeout(longest, rest).await;
-    came
+    // The connection ends here whether the client has closed its side or not.
+    let _ = tokio::time::timeout(limit, rest).await;
+    received
 }
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -1,5 +1,8 @@
-//! The sockets of membership: datagrams, connections that prove whether a process is there, exchanges of whole tables.
-//! What is asked and concluded is decided in [`crate::membership`].
+//! The sockets of membership: datagrams, connection probes that prove whether a process is there, and exchanges of whole
+//! member tables.
+//!
+//! It owns the sockets of one member and its timers. What is sent and what is concluded is decided in
+//! [`crate::membership`].
 
 use super::errors;
 use super::socket::Socket;
@@ -21,198 +24,205 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Connections at once, of one's own and of others together: descriptors kept for them from the start.
+/// How many connections, outgoing and incoming together, membership has at once: as many descriptors are set aside for
+/// them from the start.
 pub const MEMBERSHIP_CONNECTIONS: usize = 6;
-/// Those of them that others may hold.
-const CALLERS: usize = 3;
-/// Time for a connection to come up: one that is refused is so within a round trip.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Time for an exchange of tables.
-const EXCHANGE: Duration = Duration::from_secs(2);
-/// How often an address is tried that a process before still holds.
-const BIND_AGAIN: Duration = Duration::from_millis(100);
-/// How often a datagram is sent again whose sending was interrupted.
-const SEND_AGAIN: u32 = 8;
-/// The pause after a socket's error that may last.
-const PAUSE: Duration = Duration::from_millis(20);
+/// How many of them may be incoming.
+const MAX_INCOMING: usize = 3;
+/// How long a connection may take to come up: a refusal takes a round trip.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long an exchange of tables may take.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The delay between tries to bind an address that the process before still holds.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often the send of a datagram is retried after an interrupt.
+const MAX_SEND_RETRIES: u32 = 8;
+/// The delay after an error of a socket, which may persist.
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
 
-/// Connects; a failure of this process's own calls is tried again for so long.
+/// Connects; local errors are retried until `limit`.
 async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     errors::retry(limit, errors::is_local, async || TcpStream::connect(address).await).await
 }
 
-/// Who is told of what membership finds.
+/// Is notified of what membership finds.
 pub trait MembershipObserver {
-    /// A member stands otherwise than before.
+    /// A member's state has changed.
     fn on_member_change(&self, change: &MemberChange);
-    /// So many gatherers share the fleet from now on.
+    /// The number of gatherers that share the fleet has changed.
     fn on_fleet_size(&self, count: u32);
 }
 
-/// One member's sockets.
+/// The sockets of one member.
 pub struct MembershipTransport {
     node: RefCell<Node>,
-    seal: ClusterKey,
+    cluster_key: ClusterKey,
     clock: Clock,
-    listen: SocketAddr,
-    /// The most bytes of a table.
-    most: usize,
-    listener: Box<dyn MembershipObserver>,
-    told: Cell<u32>,
-    /// Datagrams and tables that were not taken, by reason; and those that could not be sent.
-    refused: RefCell<BTreeMap<String, u64>>,
-    due: Notify,
-    left: Notify,
-    own: Semaphore,
-    callers: Semaphore,
+    listen_address: SocketAddr,
+    max_table_bytes: usize,
+    observer: Box<dyn MembershipObserver>,
+    /// The fleet size that the observer was last notified of.
+    notified_fleet_size: Cell<u32>,
+    /// Datagrams and tables that were discarded, by reason, and datagrams that could not be sent.
+    discarded: RefCell<BTreeMap<String, u64>>,
+    /// Notified when the node's next deadline may have changed.
+    deadline_changed: Notify,
+    stopped: Notify,
+    outgoing: Semaphore,
+    incoming: Semaphore,
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
-/// A member as operators are shown it.
+/// A member as the operators' API shows it. Operators' tools read these JSON names, so they outlive Rust names.
 #[derive(Serialize)]
-struct Row {
+struct MemberStatus {
     name: String,
     zone: String,
     address: SocketAddr,
+    /// A process's start identifies it among those of one name.
     start: u64,
     incarnation: u32,
     state: ObservedState,
-    since_s: f64,
-    heard_s: Option<f64>,
+    #[serde(rename = "since_s")]
+    state_age_s: f64,
+    #[serde(rename = "heard_s")]
+    last_message_age_s: Option<f64>,
 }
 
-/// What operators are shown.
+/// What the operators' API shows of membership. Operators' tools read these JSON names, so they outlive Rust names.
 #[derive(Serialize)]
-struct View {
-    gatherers: u32,
-    alone: bool,
-    own: Row,
-    members: Vec<Row>,
-    refused: BTreeMap<String, u64>,
+struct MembershipStatus {
+    #[serde(rename = "gatherers")]
+    fleet_size: u32,
+    #[serde(rename = "alone")]
+    is_isolated: bool,
+    own: MemberStatus,
+    members: Vec<MemberStatus>,
+    #[serde(rename = "refused")]
+    discarded: BTreeMap<String, u64>,
 }
 
 impl MembershipTransport {
-    /// A member that remembers so many others at most.
+    /// Creates the transport of a member that remembers `max_members` others at most.
     pub fn new(
         node: Node,
-        seal: ClusterKey,
+        cluster_key: ClusterKey,
         clock: Clock,
-        listen: SocketAddr,
-        most: usize,
-        listener: Box<dyn MembershipObserver>,
+        listen_address: SocketAddr,
+        max_members: usize,
+        observer: Box<dyn MembershipObserver>,
     ) -> Rc<MembershipTransport> {
         Rc::new(MembershipTransport {
             node: RefCell::new(node),
-            seal,
+            cluster_key,
             clock,
-            listen,
-            most: gossip::max_table_bytes(most),
-            listener,
-            told: Cell::new(0),
-            refused: RefCell::default(),
-            due: Notify::new(),
-            left: Notify::new(),
-            own: Semaphore::new(MEMBERSHIP_CONNECTIONS - CALLERS),
-            callers: Semaphore::new(CALLERS),
+            listen_address,
+            max_table_bytes: gossip::max_table_bytes(max_members),
+            observer,
+            notified_fleet_size: Cell::new(0),
+            discarded: RefCell::default(),
+            deadline_changed: Notify::new(),
+            stopped: Notify::new(),
+            outgoing: Semaphore::new(MEMBERSHIP_CONNECTIONS - MAX_INCOMING),
+            incoming: Semaphore::new(MAX_INCOMING),
             socket: RefCell::default(),
         })
     }
 
-    /// Takes part until [`MembershipTransport::leave`].
+    /// Takes part in membership until [`MembershipTransport::leave`].
     pub async fn run(self: Rc<MembershipTransport>) {
         let (socket, listener) = tokio::select! {
             sockets = self.bind() => sockets,
-            () = self.left.notified() => return,
+            () = self.stopped.notified() => return,
         };
         let socket = Rc::new(socket);
         self.socket.replace(Some(socket.clone()));
-        log::info!("members: {} takes part at {}", self.node.borrow().own().name, self.listen);
+        log::info!("members: {} takes part at {}", self.node.borrow().own().name, self.listen_address);
         let accepting = spawn_local(self.clone().accept(listener));
         tokio::select! {
-            () = self.clone().beat() => {}
-            () = self.clone().receive(socket) => {}
-            () = self.left.notified() => {}
+            () = self.clone().run_timers() => {}
+            () = self.clone().receive_datagrams(socket) => {}
+            () = self.stopped.notified() => {}
         }
         accepting.abort();
         self.socket.take();
     }
 
-    /// Binds both; in an upgrade the process before holds the address until it stops.
+    /// Binds the datagram socket and the listener. In an upgrade the process before holds the address until it stops.
     async fn bind(&self) -> (UdpSocket, TcpListener) {
-        let mut said = false;
+        let mut logged = false;
         loop {
             let bound = async {
-                let listener = TcpListener::bind(self.listen).await?;
-                Ok::<_, io::Error>((UdpSocket::bind(self.listen).await?, listener))
+                let listener = TcpListener::bind(self.listen_address).await?;
+                Ok::<_, io::Error>((UdpSocket::bind(self.listen_address).await?, listener))
             };
             match bound.await {
                 Ok(sockets) => return sockets,
-                Err(error) if !std::mem::replace(&mut said, true) => {
-                    log::info!("members: {} is not free yet: {error}", self.listen);
+                Err(error) if !std::mem::replace(&mut logged, true) => {
+                    log::info!("members: {} is not free yet: {error}", self.listen_address);
                 }
                 Err(_) => {}
             }
-            tokio::time::sleep(BIND_AGAIN).await;
+            tokio::time::sleep(BIND_RETRY_DELAY).await;
         }
     }
 
-    /// Tells the others that this process ends, and whether another of the same name takes over.
-    pub fn leave(&self, moving: bool) {
-        let orders = self.node.borrow_mut().leave(moving);
+    /// Broadcasts that this process ends, and whether another of the same name takes over.
+    pub fn leave(&self, handing_over: bool) {
+        let commands = self.node.borrow_mut().leave(handing_over);
         if let Some(socket) = &*self.socket.borrow() {
-            for order in orders {
-                if let Command::Send { to, message } = order {
+            for command in commands {
+                if let Command::Send { to, message } = command {
                     self.send(socket, to, &message);
                 }
             }
         }
-        self.left.notify_one();
+        self.stopped.notify_one();
     }
 
-    async fn beat(self: Rc<MembershipTransport>) {
+    /// Advances the node whenever a deadline of it passes.
+    async fn run_timers(self: Rc<MembershipTransport>) {
         loop {
             let now = self.clock.now();
             self.node.borrow_mut().tick(now);
-            self.carry_out();
+            self.execute_commands();
             let due = self.node.borrow().next_due();
             let wait = due.since(self.clock.now()).max(Duration::from_millis(1));
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
-                () = self.due.notified() => {}
+                () = self.deadline_changed.notified() => {}
             }
         }
     }
 
-    async fn receive(self: Rc<MembershipTransport>, socket: Rc<UdpSocket>) {
+    async fn receive_datagrams(self: Rc<MembershipTransport>, socket: Rc<UdpSocket>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv(&mut bytes).await {
-                Ok(length) => match self.seal.decode_datagram(&bytes[..length]) {
-                    Ok(message) => self.hear(message),
-                    Err(why) => self.refuse(why),
+                Ok(length) => match self.cluster_key.decode_datagram(&bytes[..length]) {
+                    Ok(message) => {
+                        self.node.borrow_mut().receive(self.clock.now(), message);
+                        self.on_input();
+                    }
+                    Err(error) => self.count_discarded(error),
                 },
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Another's machine refused what was sent: nothing to do with what comes next.
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                // The error reports that a peer's machine refused an earlier datagram; the next receive is unaffected.
+                Err(_) => tokio::time::sleep(SOCKET_ERROR_DELAY).await,
             }
         }
     }
 
-    fn hear(self: &Rc<MembershipTransport>, message: Message) {
-        self.node.borrow_mut().receive(self.clock.now(), message);
-        self.came();
-    }
-
-    fn refuse(&self, why: GossipError) {
-        *self.refused.borrow_mut().entry(why.to_string()).or_default() += 1;
+    fn count_discarded(&self, error: GossipError) {
+        *self.discarded.borrow_mut().entry(error.to_string()).or_default() += 1;
     }
 
-    /// Does what the node asks for, and tells of what has changed.
-    fn carry_out(self: &Rc<MembershipTransport>) {
-        let orders = self.node.borrow_mut().take_commands();
+    /// Executes the node's commands, and notifies the observer of what has changed.
+    fn execute_commands(self: &Rc<MembershipTransport>) {
+        let commands = self.node.borrow_mut().take_commands();
         let socket = self.socket.borrow().clone();
-        for order in orders {
-            match order {
+        for command in commands {
+            match command {
                 Command::Send { to, message } => {
                     if let Some(socket) = &socket {
                         self.send(socket, to, &message);
@@ -220,13 +230,13 @@
                 }
                 Command::ProbeConnection { name, start, address } => {
                     let members = self.clone();
-                    spawn_local(async move { members.knock(name, start, address).await });
+                    spawn_local(async move { members.probe_connection(name, start, address).await });
                 }
                 Command::ExchangeTables { with } => {
                     let members = self.clone();
-                    spawn_local(async move { members.exchange(with).await });
+                    spawn_local(async move { members.exchange_tables(with).await });
                 }
-                Command::Notify(change) => self.listener.on_member_change(&change),
+                Command::Notify(change) => self.observer.on_member_change(&change),
                 Command::NameReclaimed => {
                     log::warn!(
                         "members: another process uses this one's name; it was taken back by a later start"
@@ -234,22 +244,22 @@
                 }
             }
         }
-        let count = self.node.borrow().gatherers(self.clock.now());
-        if self.told.replace(count) != count {
-            self.listener.on_fleet_size(count);
+        let fleet_size = self.node.borrow().gatherers(self.clock.now());
+        if self.notified_fleet_size.replace(fleet_size) != fleet_size {
+            self.observer.on_fleet_size(fleet_size);
         }
     }
 
-    /// Something came in: what is due next may have changed.
-    fn came(self: &Rc<MembershipTransport>) {
-        self.carry_out();
-        self.due.notify_one();
+    /// The node has received something: its commands are executed, and its next deadline may have changed.
+    fn on_input(self: &Rc<MembershipTransport>) {
+        self.execute_commands();
+        self.deadline_changed.notify_one();
     }
 
     fn send(&self, socket: &UdpSocket, to: SocketAddr, message: &Message) {
         let send = |bytes: Vec<u8>| {
             let mut sent = socket.try_send_to(&bytes, to);
-            for _ in 0..SEND_AGAIN {
+            for _ in 0..MAX_SEND_RETRIES {
                 if !matches!(&sent, Err(error) if error.kind() == io::ErrorKind::Interrupted) {
                     break;
                 }
@@ -257,19 +267,19 @@
             }
             sent
         };
-        let sent = self.seal.encode(message).map(send);
-        // A datagram that is not sent is one that is lost: the protocol bears it.
+        let sent = self.cluster_key.encode(message).map(send);
+        // A datagram that is not sent counts as lost, which the protocol allows for.
         if !matches!(sent, Ok(Ok(_))) {
-            *self.refused.borrow_mut().entry("unsent".to_owned()).or_default() += 1;
+            *self.discarded.borrow_mut().entry("unsent".to_owned()).or_default() += 1;
         }
     }
 
-    /// Finds out whether a process is there; silent where there is no place for one more connection.
-    async fn knock(self: Rc<MembershipTransport>, name: String, start: u64, address: SocketAddr) {
-        let end = match self.own.try_acquire() {
+    /// Finds out whether a process accepts connections. Without a permit for one more connection there is no result.
+    async fn probe_connection(self: Rc<MembershipTransport>, name: String, start: u64, address: SocketAddr) {
+        let result = match self.outgoing.try_acquire() {
             Err(_) => ConnectionProbeResult::NoResponse,
-            // What fails here says nothing of the other: it is tried again.
-            Ok(_place) => match timeout(CONNECT, connect(address, CONNECT)).await {
+            // A local failure says nothing about the peer: it is retried.
+            Ok(_permit) => match timeout(CONNECT_TIMEOUT, connect(address, CONNECT_TIMEOUT)).await {
                 Ok(Ok(_)) => ConnectionProbeResult::Connected,
                 Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                     ConnectionProbeResult::Refused
@@ -277,98 +287,100 @@
                 Ok(Err(_)) | Err(_) => ConnectionProbeResult::NoResponse,
             },
         };
-        self.node.borrow_mut().on_probe_result(self.clock.now(), &name, start, end);
-        self.came();
+        self.node.borrow_mut().on_probe_result(self.clock.now(), &name, start, result);
+        self.on_input();
     }
 
-    async fn exchange(self: Rc<MembershipTransport>, with: SocketAddr) {
-        let Ok(_place) = self.own.try_acquire() else { return };
-        let both = async {
-            let mut stream = Socket::new(connect(with, EXCHANGE).await.ok()?);
-            self.tell(&mut stream).await?;
-            self.read(&mut stream).await
+    async fn exchange_tables(self: Rc<MembershipTransport>, with: SocketAddr) {
+        let Ok(_permit) = self.outgoing.try_acquire() else { return };
+        let exchange = async {
+            let mut stream = Socket::new(connect(with, EXCHANGE_TIMEOUT).await.ok()?);
+            self.write_table(&mut stream).await?;
+            self.read_table(&mut stream).await
         };
-        if let Ok(Some(message)) = timeout(EXCHANGE, both).await {
+        if let Ok(Some(message)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
             self.node.borrow_mut().receive_table(self.clock.now(), message);
-            self.came();
+            self.on_input();
         }
     }
 
     async fn accept(self: Rc<MembershipTransport>, listener: TcpListener) {
         loop {
-            let Ok(place) = self.callers.acquire().await else { return };
+            let Ok(permit) = self.incoming.acquire().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             };
-            place.forget();
+            permit.forget();
             let members = self.clone();
             spawn_local(async move {
                 let mut stream = Socket::new(stream);
-                let both = async {
-                    let message = members.read(&mut stream).await?;
-                    members.tell(&mut stream).await?;
+                let exchange = async {
+                    let message = members.read_table(&mut stream).await?;
+                    members.write_table(&mut stream).await?;
                     Some(message)
                 };
-                if let Ok(Some(message)) = timeout(EXCHANGE, both).await {
+                if let Ok(Some(message)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
                     members.node.borrow_mut().receive_table(members.clock.now(), message);
-                    members.came();
+                    members.on_input();
                 }
-                members.callers.add_permits(1);
+                members.incoming.add_permits(1);
             });
         }
     }
 
-    async fn tell(&self, stream: &mut Socket<TcpStream>) -> Option<()> {
-        let bytes = self.seal.encode(&self.node.borrow().table_message()).ok()?;
+    /// Writes this member's table, behind its length in bytes.
+    async fn write_table(&self, stream: &mut Socket<TcpStream>) -> Option<()> {
+        let bytes = self.cluster_key.encode(&self.node.borrow().table_message()).ok()?;
         let length = u32::try_from(bytes.len()).ok()?;
         stream.write_all(&[&length.to_le_bytes()[..], &bytes].concat()).await.ok()
     }
 
-    async fn read(&self, stream: &mut Socket<TcpStream>) -> Option<Message> {
-        // Who only knocks ends it here.
+    /// Reads a peer's table; `None` where none comes or it is discarded.
+    async fn read_table(&self, stream: &mut Socket<TcpStream>) -> Option<Message> {
+        // A connection probe ends here: it is closed without a byte.
         let length = stream.read_u32_le().await.ok()? as usize;
-        if length > self.most {
-            self.refuse(GossipError::Length);
+        if length > self.max_table_bytes {
+            self.count_discarded(GossipError::Length);
             return None;
         }
-        // Grows as bytes come: guards against a length that promises more than is sent.
+        // The buffer grows as bytes arrive, so a length that promises more than is sent takes no memory.
         let mut bytes = Vec::new();
         stream.take(length as u64).read_to_end(&mut bytes).await.ok()?;
-        self.seal.decode(&bytes).map_err(|why| self.refuse(why)).ok()
+        self.cluster_key.decode(&bytes).map_err(|error| self.count_discarded(error)).ok()
     }
 
-    /// What is known, as JSON.
+    /// Describes all known members, as JSON.
     pub fn status_json(&self) -> String {
         let (node, now) = (self.node.borrow(), self.clock.now());
         let own = node.own();
-        let row = |seen: &KnownMember| Row {
-            name: seen.update.name.clone(),
-            zone: seen.update.zone.clone(),
-            address: seen.update.address,
-            start: seen.update.start,
-            incarnation: seen.update.incarnation,
-            state: seen.state(),
-            since_s: now.since(seen.state_since).as_secs_f64(),
-            heard_s: seen.last_message_at.map(|at| now.since(at).as_secs_f64()),
+        let status = |member: &KnownMember| MemberStatus {
+            name: member.update.name.clone(),
+            zone: member.update.zone.clone(),
+            address: member.update.address,
+            start: member.update.start,
+            incarnation: member.update.incarnation,
+            state: member.state(),
+            state_age_s: now.since(member.state_since).as_secs_f64(),
+            last_message_age_s: member.last_message_at.map(|at| now.since(at).as_secs_f64()),
         };
-        let view = View {
-            gatherers: node.gatherers(now),
-            alone: node.is_isolated(now),
-            own: Row {
+        let membership = MembershipStatus {
+            fleet_size: node.gatherers(now),
+            is_isolated: node.is_isolated(now),
+            own: MemberStatus {
                 name: own.name.clone(),
                 zone: own.zone.clone(),
                 address: own.address,
                 start: own.start,
                 incarnation: own.incarnation,
                 state: ObservedState::Alive,
-                since_s: now.0.saturating_sub(own.start) as f64 / 1e9,
-                heard_s: None,
+                state_age_s: now.0.saturating_sub(own.start) as f64 / 1e9,
+                last_message_age_s: None,
             },
-            members: node.table().iter().map(row).collect(),
-            refused: self.refused.borrow().clone(),
+            members: node.table().iter().map(status).collect(),
+            discarded: self.discarded.borrow().clone(),
         };
-        // Plain structs and maps with text keys: this cannot fail.
-        serde_json::to_string(&view).unwrap_or_default()
+        // Plain structs and maps with text keys always serialise.
+        serde_json::to_string(&membership).unwrap_or_default()
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,8 @@
-//! Sockets: clients' connections, connections to workers, the discovery watch, operators' calls. Nothing here decides.
+//! Sockets: clients' connections, connections to workers and index servers, the discovery agent, membership, takeover
+//! and operators' calls.
+//!
+//! It owns every socket of the process and moves bytes between them and `protocol`. It decides nothing: who gets a
+//! descriptor is decided in `limits`, where a query goes in `policy` and `routing`.
 
 pub mod connection_manager;
 pub mod connector;
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -1,7 +1,9 @@
-//! Where operators call: HTTP/1.1, one call to a connection, few callers at once on descriptors of their own.
+//! The operators' API: HTTP/1.1, one call to a connection, few callers at once on descriptors of their own.
+//!
+//! It owns the callers' connections. What a call does is decided behind [`OperatorApi`].
 
 use super::descriptor_pool::{DescriptorPermit, DescriptorPool};
-use super::listener::drain;
+use super::listener::linger;
 use super::socket::Socket;
 use crate::limits::DescriptorClass;
 use crate::limits::descriptors::OPERATOR_DESCRIPTORS;
@@ -14,74 +16,79 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Callers that are let in at once; the others of their descriptors are those of callers that are just leaving.
-const MOST: usize = OPERATOR_DESCRIPTORS - 2;
-/// Time for a call to arrive, and for its answer to be taken.
-const ARRIVE: Duration = Duration::from_millis(600);
-const TAKE: Duration = Duration::from_millis(400);
-/// Time for a caller to see the end of its answer.
-const LAST: Duration = Duration::from_millis(50);
-/// The pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Reading takes at most so much at once, and a call may have so much of a body.
-const READ: usize = 4096;
+/// How many callers are served at once; the other descriptors are for those whose close is still under way.
+const MAX_CALLERS: usize = OPERATOR_DESCRIPTORS - 2;
+/// How long a call may take to arrive.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long writing the response may take.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a caller has to read the end of its response before the connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(50);
+/// The delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The most bytes of one read.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// What answers operators' calls.
+/// Answers operators' calls.
 pub trait OperatorApi {
-    /// The answer to a call.
+    /// Returns the response to a call.
     fn respond(&self, request: &Request) -> Response;
 }
 
-/// Takes calls for as long as the process lives. Guards against callers that connect and say nothing, however many: the
-/// one that came first gives its place to the next.
-pub async fn serve<D: OperatorApi + 'static>(listener: TcpListener, api: Rc<D>, places: Rc<DescriptorPool>) {
+/// Serves calls for as long as the process lives. Callers that connect and send nothing cannot block others, however many
+/// they are: the one that came first is closed for the next.
+pub async fn serve<D: OperatorApi + 'static>(
+    listener: TcpListener,
+    api: Rc<D>,
+    descriptor_pool: Rc<DescriptorPool>,
+) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => Socket::new(stream),
             Err(error) => {
                 log::warn!("operators: accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= MOST
+        if callers.len() >= MAX_CALLERS
             && let Some(first) = callers.pop_front()
         {
             first.abort();
         }
-        let place = places.acquire(DescriptorClass::Operators).await;
+        let descriptor = descriptor_pool.acquire(DescriptorClass::Operators).await;
         let api = api.clone();
-        callers.push_back(spawn_local(async move { call(stream, &*api, place).await }));
+        callers.push_back(spawn_local(async move { serve_call(stream, &*api, descriptor).await }));
     }
 }
 
-/// The life of one call.
-async fn call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _place: DescriptorPermit) {
+/// Reads one call, writes its response and closes the connection.
+async fn serve_call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _descriptor: DescriptorPermit) {
     let mut buffer = BytesMut::new();
-    let arriving = async {
+    let request = async {
         loop {
             match http::take_request(&mut buffer) {
                 Ok(Some(request)) => return Some(Ok(request)),
                 Ok(None) => {}
                 Err(error) => return Some(Err(error)),
             }
-            buffer.reserve(READ);
+            buffer.reserve(READ_CHUNK_BYTES);
             if !matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
                 return None;
             }
         }
     };
-    let response = match tokio::time::timeout(ARRIVE, arriving).await {
+    let response = match tokio::time::timeout(REQUEST_TIMEOUT, request).await {
         Ok(Some(Ok(request))) => api.respond(&request),
         Ok(Some(Err(error))) => Response::text(error.status(), error.to_string()),
         Ok(None) => return,
         Err(_) => Response::text(408, "the call did not end in time"),
     };
     let bytes = response.encode(true);
-    let told = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
-    if tokio::time::timeout(TAKE, told).await == Ok(true) {
-        drain(&mut stream, LAST).await;
+    let written = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
+    if tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, written).await == Ok(true) {
+        linger(&mut stream, LINGER_TIMEOUT).await;
     }
 }
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,9 +1,9 @@
-//! The one way by which bytes are read from and written to sockets, in both directions and to every peer.
+//! The only reads and writes of stream sockets, to every peer and in both directions.
 //!
-//! The runtime's own streams take a read or write that was cut short for a drained or full socket, and wait for the next
-//! edge of its readiness. Linux may cut a call short for other reasons; then no edge comes, and the peer waits for what
-//! lies there. They also pass EINTR on as an error, which ends a connection on which nothing is wrong. A [`Socket`] goes
-//! by readiness alone: only a call that would block ends it, and an interrupted call is made again.
+//! The runtime's own streams take a short read or write for a drained or full socket and wait for its next readiness
+//! edge. Linux may cut a call short for other reasons; then no edge comes, and the peer waits for bytes that are there.
+//! They also return EINTR as an error, which would end a sound connection. A [`Socket`] goes by readiness alone: only a
+//! call that would block ends it, and an interrupted call is made again. It never interprets bytes.
 
 use std::cell::Cell;
 use std::io;
@@ -12,33 +12,39 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// Interrupted calls after which other tasks go first.
-const MOST_INTERRUPTS: u32 = 16;
+/// After how many interrupted calls in a row other tasks run first.
+const MAX_INTERRUPTS_PER_POLL: u32 = 16;
 
 thread_local! {
-    static INTERRUPTED: Cell<u64> = const { Cell::new(0) };
+    static INTERRUPTED_CALLS: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Calls that were interrupted and made again, since the start of this thread.
+/// The number of calls that were interrupted and made again, since the start of this thread.
 pub fn interrupted_calls() -> u64 {
-    INTERRUPTED.get()
+    INTERRUPTED_CALLS.get()
 }
 
-/// A socket of the runtime, as far as it tells of readiness and makes single calls.
+/// A socket of the runtime that reports readiness and makes single calls.
 pub trait RawSocket: Unpin {
-    /// Waits until a read may be tried.
+    /// Waits until a read may succeed.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Waits until a write may be tried.
+    /// Waits until a write may succeed.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// One read. Readiness ends only where it would block.
+    /// Makes one read. Readiness ends only where it would block.
+    ///
+    /// # Errors
+    /// The error of the call, [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`] among them.
     fn try_read(&self, buffer: &mut ReadBuf<'_>) -> io::Result<usize>;
-    /// One write. Readiness ends only where it would block.
+    /// Makes one write. Readiness ends only where it would block.
+    ///
+    /// # Errors
+    /// The error of the call, [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`] among them.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
-    /// Ends the sending side.
+    /// Shuts the sending side down.
     fn poll_shutdown(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
-macro_rules! raw {
+macro_rules! impl_raw_socket {
     ($stream:ty) => {
         impl RawSocket for $stream {
             fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -60,26 +66,26 @@
     };
 }
 
-raw!(TcpStream);
-raw!(UnixStream);
+impl_raw_socket!(TcpStream);
+impl_raw_socket!(UnixStream);
 
-/// A stream socket that bears short and interrupted calls.
+/// A stream socket that handles short and interrupted calls.
 #[derive(Debug)]
 pub struct Socket<S>(S);
 
 impl<S: RawSocket> Socket<S> {
-    /// Reads and writes this socket.
+    /// Wraps a socket.
     pub fn new(raw: S) -> Socket<S> {
         Socket(raw)
     }
 
-    /// The socket itself, for what is no reading and no writing.
+    /// The socket itself, for what is neither a read nor a write of a stream.
     pub fn raw(&self) -> &S {
         &self.0
     }
 }
 
-/// Tries a call each time the socket is ready, until it does something or fails.
+/// Makes a call each time the socket is ready, until it succeeds or fails.
 fn poll_call<T>(
     cx: &mut Context<'_>,
     mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<()>>,
@@ -91,9 +97,9 @@
         match call() {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                INTERRUPTED.set(INTERRUPTED.get() + 1);
+                INTERRUPTED_CALLS.set(INTERRUPTED_CALLS.get() + 1);
                 interrupts += 1;
-                if interrupts == MOST_INTERRUPTS {
+                if interrupts == MAX_INTERRUPTS_PER_POLL {
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -1,4 +1,7 @@
-//! Between the two processes of an upgrade: a Unix socket, messages, and the listening socket beside one of them.
+//! The channel between the two processes of an upgrade: a Unix socket, messages, and the listening socket that is passed
+//! beside one of them.
+//!
+//! It owns the socket's file and the connection. Which message follows which is decided in `program` and `service`.
 
 use super::socket::Socket;
 use crate::protocol::handover::{self, HandoverError, Message};
@@ -19,66 +22,77 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{UnixListener, UnixStream};
 
-/// Reading takes at most so much at once.
-const READ: usize = 64 * 1024;
+/// The most bytes of one read.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why the other process is no longer heard.
+/// Why the channel to the other process can no longer be used.
 #[derive(Debug, thiserror::Error)]
 pub enum TakeoverChannelError {
-    /// The connection.
+    /// The connection failed or ended.
     #[error("{0}")]
     Closed(#[from] io::Error),
-    /// What it said.
+    /// The other process sent something that is no message.
     #[error("{0}")]
     InvalidMessage(#[from] HandoverError),
 }
 
-/// Where the processes of one gatherer find each other: by a file of a private folder, or where that cannot be written
-/// by a name without a file.
+/// The Unix socket at which a process waits for its successor: a file in a private folder, or where that cannot be
+/// written an abstract name.
 #[derive(Clone, Debug)]
 pub struct TakeoverSocket {
     path: PathBuf,
-    name: String,
-    /// The number of the file that is this process's own.
-    own: Cell<Option<u64>>,
+    abstract_name: String,
+    /// The inode of the file that this process created.
+    own_inode: Cell<Option<u64>>,
 }
 
 impl TakeoverSocket {
-    /// For the gatherer whose clients connect there.
+    /// The socket of the gatherer whose clients connect to `listen`.
     pub fn new(folder: &Path, listen: &str) -> TakeoverSocket {
+        // Other versions of the program look for this name.
         let name =
             format!("clayshore-{}-{}", rustix::process::geteuid().as_raw(), listen.replace([':', '/'], "-"));
-        TakeoverSocket { path: folder.join(format!("{name}.sock")), name, own: Cell::new(None) }
+        TakeoverSocket {
+            path: folder.join(format!("{name}.sock")),
+            abstract_name: name,
+            own_inode: Cell::new(None),
+        }
     }
 
-    fn nameless(&self) -> io::Result<SocketAddr> {
-        SocketAddr::from_abstract_name(&self.name)
+    fn abstract_address(&self) -> io::Result<SocketAddr> {
+        SocketAddr::from_abstract_name(&self.abstract_name)
     }
 
-    /// Waits there for further starts. The file of a process that is no longer there, or hands over, is replaced.
+    /// Listens for successors. The file of a process that has ended, or hands over, is replaced.
+    ///
+    /// # Errors
+    /// Neither the file nor the abstract name can be bound.
     pub fn listen(&self) -> io::Result<UnixListener> {
-        let beside = self.path.with_extension(std::process::id().to_string());
-        let by_file = || {
-            // What a process of this id left behind is in the way.
-            let _ = std::fs::remove_file(&beside);
-            let listener = UnixListener::bind(&beside)?;
-            self.own.set(Some(std::fs::metadata(&beside)?.ino()));
-            std::fs::rename(&beside, &self.path)?;
+        let new_path = self.path.with_extension(std::process::id().to_string());
+        let listen_at_file = || {
+            // An earlier process with this id may have left its file behind.
+            let _ = std::fs::remove_file(&new_path);
+            let listener = UnixListener::bind(&new_path)?;
+            self.own_inode.set(Some(std::fs::metadata(&new_path)?.ino()));
+            std::fs::rename(&new_path, &self.path)?;
             Ok(listener)
         };
-        by_file().or_else(|error: io::Error| {
-            let listener = std::os::unix::net::UnixListener::bind_addr(&self.nameless()?)?;
+        listen_at_file().or_else(|error: io::Error| {
+            let listener = std::os::unix::net::UnixListener::bind_addr(&self.abstract_address()?)?;
             listener.set_nonblocking(true)?;
             log::warn!("{}: {error}; further starts find this one by name", self.path.display());
             UnixListener::from_std(listener)
         })
     }
 
-    /// Finds a process that waits there; `None` where there is none. A call that fails here says nothing of that.
+    /// Connects to a process that listens there; `None` where none does, or it belongs to another user.
+    ///
+    /// # Errors
+    /// A call failed that says nothing about whether a process listens.
     pub async fn connect(&self) -> io::Result<Option<TakeoverChannel>> {
         let stream = match UnixStream::connect(&self.path).await {
             Ok(stream) => stream,
-            Err(error) if is_absent(&error) => match self.connect_nameless() {
+            Err(error) if is_absent(&error) => match self.connect_abstract() {
                 Ok(stream) => stream,
                 Err(error) if is_absent(&error) => return Ok(None),
                 Err(error) => return Err(error),
@@ -88,29 +102,29 @@
         Ok(TakeoverChannel::new(stream))
     }
 
-    fn connect_nameless(&self) -> io::Result<UnixStream> {
-        let stream = std::os::unix::net::UnixStream::connect_addr(&self.nameless()?)?;
+    fn connect_abstract(&self) -> io::Result<UnixStream> {
+        let stream = std::os::unix::net::UnixStream::connect_addr(&self.abstract_address()?)?;
         stream.set_nonblocking(true)?;
         UnixStream::from_std(stream)
     }
 
-    /// Whether the file there is this process's own.
+    /// Whether the file at the path is the one that this process created.
     pub fn owns_socket_file(&self) -> bool {
-        let there = std::fs::metadata(&self.path).ok().map(|file| file.ino());
-        there.is_some() && there == self.own.get()
+        let inode = std::fs::metadata(&self.path).ok().map(|file| file.ino());
+        inode.is_some() && inode == self.own_inode.get()
     }
 
-    /// Leaves no file of its own behind. Guards a successor's, which replaced it, by hand-over or beside a process that
-    /// did not answer.
+    /// Removes this process's file. That of a successor stays, which replaced it in a takeover or beside a process that
+    /// did not respond.
     pub fn remove_socket_file(&self) {
         if self.owns_socket_file() {
-            // It may be gone by now.
+            // It may have been removed meanwhile.
             let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
-/// Whether nobody waits there.
+/// Whether the error says that no process listens.
 fn is_absent(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
@@ -123,21 +137,27 @@
 }
 
 impl TakeoverChannel {
-    /// A connection, where the other end belongs to the same user.
+    /// Wraps a connection whose other end belongs to the same user. Another user's process that took the name gets
+    /// nothing, and nothing of what it sends is read: `None`.
     pub fn new(stream: UnixStream) -> Option<TakeoverChannel> {
-        let same = |user: u32| user == rustix::process::geteuid().as_raw();
-        let peer = stream.peer_cred().ok().filter(|peer| same(peer.uid()));
-        // Guards against any other user's process that takes the name: it is given nothing and believed nothing.
+        let is_own_user = |user: u32| user == rustix::process::geteuid().as_raw();
+        let peer = stream.peer_cred().ok().filter(|peer| is_own_user(peer.uid()));
         peer.is_some().then(|| TakeoverChannel { stream: Socket::new(stream), buffer: BytesMut::new() })
     }
 
     /// Sends a message.
+    ///
+    /// # Errors
+    /// The message cannot be encoded, or the connection has failed.
     pub async fn send(&mut self, message: &Message) -> Result<(), TakeoverChannelError> {
         let bytes = handover::encode(message)?;
         Ok(self.stream.write_all(&bytes).await?)
     }
 
     /// Sends a message with a socket beside it.
+    ///
+    /// # Errors
+    /// The message cannot be encoded, or the connection has failed.
     pub async fn send_with_socket(
         &mut self,
         message: &Message,
@@ -148,33 +168,36 @@
         let sent = raw
             .async_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut beside = SendAncillaryBuffer::new(&mut space);
+                let mut ancillary = SendAncillaryBuffer::new(&mut space);
                 let sockets = [socket];
-                if !beside.push(SendAncillaryMessage::ScmRights(&sockets)) {
+                if !ancillary.push(SendAncillaryMessage::ScmRights(&sockets)) {
                     return Err(io::ErrorKind::OutOfMemory.into());
                 }
-                let pieces = [IoSlice::new(&bytes)];
-                let send = || rustix::net::sendmsg(raw, &pieces, &mut beside, SendFlags::NOSIGNAL);
+                let slices = [IoSlice::new(&bytes)];
+                let send = || rustix::net::sendmsg(raw, &slices, &mut ancillary, SendFlags::NOSIGNAL);
                 retry_on_intr(send).map_err(io::Error::from)
             })
             .await?;
         Ok(self.stream.write_all(&bytes[sent..]).await?)
     }
 
-    /// The next message.
+    /// Receives the next message.
+    ///
+    /// # Errors
+    /// The connection has failed or ended, or what was read is no message.
     pub async fn receive(&mut self) -> Result<Message, TakeoverChannelError> {
         loop {
             if let Some(message) = handover::take_message(&mut self.buffer)? {
                 return Ok(message);
             }
-            self.buffer.reserve(READ);
+            self.buffer.reserve(READ_CHUNK_BYTES);
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
         }
     }
 
-    /// The next message, and the socket that comes beside it: that one also where the message is of no use.
+    /// Receives the next message and the socket beside it. The socket is returned also where the message is invalid.
     pub async fn receive_with_socket(&mut self) -> (Result<Message, TakeoverChannelError>, Option<OwnedFd>) {
         let mut socket = None;
         loop {
@@ -183,7 +206,7 @@
                 Ok(None) => {}
                 Err(error) => return (Err(error.into()), socket),
             }
-            match self.read_with(&mut socket).await {
+            match self.read_with_socket(&mut socket).await {
                 Ok(0) => return (Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()), socket),
                 Ok(_) => {}
                 Err(error) => return (Err(error.into()), socket),
@@ -191,17 +214,19 @@
         }
     }
 
-    async fn read_with(&mut self, socket: &mut Option<OwnedFd>) -> io::Result<usize> {
-        let mut bytes = vec![0; READ];
+    /// Reads bytes into the buffer, and a socket where one comes beside them. Returns how many bytes were read.
+    async fn read_with_socket(&mut self, socket: &mut Option<OwnedFd>) -> io::Result<usize> {
+        let mut bytes = vec![0; READ_CHUNK_BYTES];
         let raw = self.stream.raw();
-        let (count, came) = raw
+        let (count, received) = raw
             .async_io(Interest::READABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut beside = RecvAncillaryBuffer::new(&mut space);
-                let mut parts = [IoSliceMut::new(&mut bytes)];
-                let receive = || rustix::net::recvmsg(raw, &mut parts, &mut beside, RecvFlags::CMSG_CLOEXEC);
+                let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+                let mut slices = [IoSliceMut::new(&mut bytes)];
+                let receive =
+                    || rustix::net::recvmsg(raw, &mut slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC);
                 let read = retry_on_intr(receive)?;
-                let sockets = beside.drain().filter_map(|message| match message {
+                let sockets = ancillary.drain().filter_map(|message| match message {
                     RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
                     _ => None,
                 });
@@ -209,8 +234,8 @@
             })
             .await?;
         self.buffer.extend_from_slice(&bytes[..count]);
-        if came.is_some() {
-            *socket = came;
+        if received.is_some() {
+            *socket = received;
         }
         Ok(count)
     }
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -1,5 +1,6 @@
-//! One connection's calls: the frames that wait to be written, the parts that are out, and what is taken back unsent. It
-//! does no input or output; [`super::session`] carries what stands here.
+//! The calls of one connection: the frames that wait to be written, the parts in flight, and what is taken back unsent.
+//!
+//! It owns that state and does no input or output; [`super::session`] moves the bytes.
 
 use crate::policy::Time;
 use crate::protocol::frame;
@@ -12,77 +13,77 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// For so long a frame of which a part is written may stick. It tells of the time that was left as its first byte was
-/// written, and 0.15 s more than is left may be told; and nobody may wait for any of its parts by then.
-const HALF_WRITTEN_LIMIT: Duration = Duration::from_millis(100);
-/// Ids answered or given up that a connection remembers: what is heard of them again harms nothing.
+/// How long a frame may stay partly written. A frame states the time that was left when its first byte was written, and
+/// a worker may be given 0.15 s more than is left; by then nobody may wait for any of its parts.
+const PARTIAL_WRITE_LIMIT: Duration = Duration::from_millis(100);
+/// How many ids of finished parts a connection remembers: a second response to one of them is no error.
 const MAX_FINISHED_IDS: usize = 256;
 
-/// One connection: what waits to be written, and the parts that are out on it.
+/// One connection: what waits to be written, and the parts in flight on it.
 pub(super) struct Connection {
     /// Where the worker listens.
     pub address: String,
     frames: RefCell<VecDeque<Frame>>,
     calls: RefCell<HashMap<String, Call>>,
-    /// Ids that were answered or given up, the latest last.
+    /// The ids of parts that were answered or cancelled, the latest last.
     finished: RefCell<VecDeque<String>>,
-    /// When anything was last read.
+    /// When a byte was last read.
     last_read: Cell<Instant>,
-    /// It takes no new calls.
+    /// It accepts no new calls.
     retired: Cell<bool>,
     /// Wakes the session.
     pub wake: Notify,
-    /// Its descriptor, once it may have one; firm while anything is out on it.
-    pub place: RefCell<Option<DescriptorPermit>>,
-    /// When anything was last out on it.
+    /// Its descriptor, once it is connected; busy while anything is in flight.
+    pub descriptor: RefCell<Option<DescriptorPermit>>,
+    /// When anything was last in flight on it.
     pub last_used: Cell<Instant>,
 }
 
 /// A frame that is to be written.
 struct Frame {
     content: Content,
-    /// The parts that it carries; none for giving one up.
+    /// The parts that it carries; none where it cancels one.
     ids: Vec<String>,
-    /// When it is no longer to be written: a window has ended, or it has stuck half written.
+    /// When it may no longer be written: its write window has ended, or it has stayed partly written for too long.
     write_deadline: Option<Instant>,
 }
 
-/// What a frame says.
+/// What a frame consists of.
 enum Content {
-    /// A call of which no byte is written: it is made as it is written, since it tells how much time is left.
+    /// A call of which no byte is written. It is encoded as it is written, since it states how much time is left.
     Call(Vec<Dispatch>),
-    /// Gives this part up.
-    GiveUp(String),
-    /// What is not written yet of a frame of which a part is.
-    Rest(Bytes),
+    /// Cancels this part.
+    Cancel(String),
+    /// The unwritten bytes of a frame that is partly written.
+    Remainder(Bytes),
 }
 
 impl Frame {
-    fn give_up(id: &str) -> Frame {
-        Frame { content: Content::GiveUp(id.to_owned()), ids: Vec::new(), write_deadline: None }
+    fn cancel(id: &str) -> Frame {
+        Frame { content: Content::Cancel(id.to_owned()), ids: Vec::new(), write_deadline: None }
     }
 
-    /// What is to be written of it at this time.
+    /// Encodes what is to be written of it at this time.
     fn bytes(&self, now: Time) -> Bytes {
         match &self.content {
             Content::Call(parts) => frame::encode_call(parts, now),
-            Content::GiveUp(id) => frame::encode_cancel(id),
-            Content::Rest(rest) => rest.clone(),
+            Content::Cancel(id) => frame::encode_cancel(id),
+            Content::Remainder(remainder) => remainder.clone(),
         }
     }
 
-    /// A part of it is written.
+    /// Whether it is partly written.
     fn is_started(&self) -> bool {
-        matches!(self.content, Content::Rest(_))
+        matches!(self.content, Content::Remainder(_))
     }
 
-    /// Books that this is left of it.
-    fn leave(&mut self, rest: Bytes) {
+    /// Sets what is left to write of it.
+    fn set_remainder(&mut self, remainder: Bytes) {
         if !self.is_started() {
-            let limit = Instant::now() + HALF_WRITTEN_LIMIT;
+            let limit = Instant::now() + PARTIAL_WRITE_LIMIT;
             self.write_deadline = Some(self.write_deadline.map_or(limit, |deadline| deadline.min(limit)));
         }
-        self.content = Content::Rest(rest);
+        self.content = Content::Remainder(remainder);
     }
 
     fn carries(&self, id: &str) -> bool {
@@ -90,23 +91,23 @@
     }
 
     /// Whether any of its parts is still waited for.
-    fn wanted(&self, calls: &HashMap<String, Call>) -> bool {
+    fn is_needed(&self, calls: &HashMap<String, Call>) -> bool {
         self.ids.iter().any(|id| calls.contains_key(id))
     }
 }
 
-/// A part that is out.
+/// A part in flight.
 pub(super) struct Call {
     /// Its attempt.
-    pub ticket: AttemptId,
+    pub attempt_id: AttemptId,
     /// When the last byte of its frame was written.
-    pub written: Option<Instant>,
-    /// Nobody waits for what it brings.
-    withdrawn: bool,
+    pub written_at: Option<Instant>,
+    /// Its response is no longer needed.
+    cancelled_if_unsent: bool,
 }
 
 impl Connection {
-    /// A connection that is to be opened to this address.
+    /// Creates a connection that is to be opened to this address.
     pub fn new(address: &str) -> Connection {
         Connection {
             address: address.to_owned(),
@@ -116,68 +117,70 @@
             last_read: Cell::new(Instant::now()),
             retired: Cell::new(false),
             wake: Notify::new(),
-            place: RefCell::default(),
+            descriptor: RefCell::default(),
             last_used: Cell::new(Instant::now()),
         }
     }
 
-    // ---- What it may take ----
+    // ---- What it may carry ----
 
-    /// Whether these parts may go on this connection. Guards against taking a late answer to a part that was given up
-    /// for one to its further attempt, and against losing call after call, and the worker's good name, to a connection
-    /// that has fallen silent.
-    pub fn accepts(&self, parts: &[Dispatch], most: usize, silence: Duration) -> bool {
+    /// Whether these parts may go on this connection. Not if the id of one was used on it before: a late response to a
+    /// cancelled part would be taken for the response to its retry. And not while it is unresponsive: call after call
+    /// would be lost with it, and the worker would look faulty.
+    pub fn accepts(&self, parts: &[Dispatch], max_in_flight: usize, unresponsive_after: Duration) -> bool {
         let (calls, finished) = (self.calls.borrow(), self.finished.borrow());
-        if calls.values().filter_map(|call| call.written).any(|at| self.silent_since(at, silence)) {
+        let mut written = calls.values().filter_map(|call| call.written_at);
+        if written.any(|at| self.is_unresponsive_since(at, unresponsive_after)) {
             return false;
         }
-        let new = || parts.iter().all(|part| !finished.contains(&frame::part_id(&part.label, part.shard.0)));
-        !self.retired.get() && calls.len() + parts.len() <= most && new()
+        let unused =
+            || parts.iter().all(|part| !finished.contains(&frame::part_id(&part.label, part.shard.0)));
+        !self.retired.get() && calls.len() + parts.len() <= max_in_flight && unused()
     }
 
-    /// Whether nothing was read since then, which is as long ago as counts for silence.
-    fn silent_since(&self, at: Instant, silence: Duration) -> bool {
-        self.last_read.get() <= at && at.elapsed() >= silence
+    /// Whether no byte was read since `at`, and that is long enough ago.
+    fn is_unresponsive_since(&self, at: Instant, unresponsive_after: Duration) -> bool {
+        self.last_read.get() <= at && at.elapsed() >= unresponsive_after
     }
 
-    /// Something was read.
+    /// Notes that bytes were read.
     pub fn mark_read(&self) {
         self.last_read.set(Instant::now());
     }
 
-    /// Parts that are out.
+    /// The number of parts in flight.
     pub fn open_calls(&self) -> usize {
         self.calls.borrow().len()
     }
 
-    /// Whether nothing is out, and nothing waits to be written.
+    /// Whether nothing is in flight and nothing waits to be written.
     pub fn is_idle(&self) -> bool {
         self.calls.borrow().is_empty() && self.frames.borrow().is_empty()
     }
 
-    /// Whether it takes no new calls.
+    /// Whether it accepts no new calls.
     pub fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// Gives it no new calls; it ends once nothing is out on it.
+    /// Gives it no new calls; it ends once nothing is in flight on it.
     pub fn retire(&self) {
         self.retired.set(true);
         self.wake.notify_one();
     }
 
-    /// Whether it could be closed in favour of another.
+    /// Whether it may be closed so that its descriptor can be used elsewhere.
     pub fn is_evictable(&self) -> bool {
-        self.is_idle() && !self.retired.get() && self.place.borrow().is_some()
+        self.is_idle() && !self.retired.get() && self.descriptor.borrow().is_some()
     }
 
-    /// Holds its place firmly while anything is out, and loosely else.
-    pub fn update_place(&self) {
-        if let Some(place) = &*self.place.borrow() {
+    /// Keeps its descriptor busy while anything is in flight, and idle otherwise.
+    pub fn update_descriptor(&self) {
+        if let Some(descriptor) = &*self.descriptor.borrow() {
             if self.is_idle() {
-                place.mark_idle();
+                descriptor.mark_idle();
             } else {
-                place.try_mark_busy();
+                descriptor.try_mark_busy();
             }
         }
     }
@@ -191,45 +194,46 @@
         let window = parts.iter().filter_map(Dispatch::write_window).min();
         for part in &parts {
             let id = frame::part_id(&part.label, part.shard.0);
-            calls.insert(id.clone(), Call { ticket: part.attempt_id, written: None, withdrawn: false });
+            let call = Call { attempt_id: part.attempt_id, written_at: None, cancelled_if_unsent: false };
+            calls.insert(id.clone(), call);
             ids.push(id);
         }
         drop(calls);
         let write_deadline = window.map(|window| Instant::now() + window);
         let content = Content::Call(parts);
         self.frames.borrow_mut().push_back(Frame { content, ids, write_deadline });
-        self.update_place();
+        self.update_descriptor();
         self.wake.notify_one();
     }
 
-    /// Whether anything is to be written.
+    /// Whether anything waits to be written.
     pub fn has_frame(&self) -> bool {
         !self.frames.borrow().is_empty()
     }
 
-    /// What is to be written next, as it has to be at this time.
+    /// Encodes the next frame as it has to be written at this time.
     pub fn next_frame(&self, now: Time) -> Bytes {
         self.frames.borrow().front().map(|frame| frame.bytes(now)).unwrap_or_default()
     }
 
-    /// When what is to be written next no longer is.
+    /// When the next frame may no longer be written.
     pub fn write_deadline(&self) -> Option<Instant> {
         self.frames.borrow().front().and_then(|frame| frame.write_deadline)
     }
 
-    /// Books that all but this of the front frame is written; how many parts have been written whole by that.
-    pub fn mark_written(&self, rest: Bytes) -> usize {
+    /// Notes that all but `remainder` of the next frame is written. Returns how many parts are completely written by it.
+    pub fn mark_written(&self, remainder: Bytes) -> usize {
         let mut frames = self.frames.borrow_mut();
         let Some(frame) = frames.front_mut() else { return 0 };
-        if !rest.is_empty() {
-            frame.leave(rest);
+        if !remainder.is_empty() {
+            frame.set_remainder(remainder);
             return 0;
         }
         let Some(frame) = frames.pop_front() else { return 0 };
         let mut calls = self.calls.borrow_mut();
         for id in &frame.ids {
             if let Some(call) = calls.get_mut(id) {
-                call.written = Some(Instant::now());
+                call.written_at = Some(Instant::now());
             }
         }
         frame.ids.len()
@@ -237,19 +241,19 @@
 
     // ---- What ends ----
 
-    /// An answer has come: the part that waited for it, if one did.
-    pub fn answered(&self, id: &str) -> Option<Call> {
+    /// Takes the part that a response has come for, if any waits for it.
+    pub fn take_call(&self, id: &str) -> Option<Call> {
         let (id, call) = self.calls.borrow_mut().remove_entry(id)?;
-        self.remember(id);
+        self.remember_finished(id);
         Some(call)
     }
 
-    /// Whether this part was answered or given up before.
+    /// Whether this part was answered or cancelled before.
     pub fn is_finished(&self, id: &str) -> bool {
         self.finished.borrow().iter().any(|finished| finished == id)
     }
 
-    fn remember(&self, id: String) {
+    fn remember_finished(&self, id: String) {
         let mut finished = self.finished.borrow_mut();
         if finished.len() >= MAX_FINISHED_IDS {
             finished.pop_front();
@@ -257,68 +261,71 @@
         finished.push_back(id);
     }
 
-    /// All parts that are out, when the connection has ended.
+    /// Takes all parts in flight, when the connection has ended.
     pub fn take_calls(&self) -> Vec<Call> {
         self.calls.take().into_values().collect()
     }
 
-    /// Lets go of an attempt; false if it is not on this connection. A call of which no byte is written stays here,
-    /// of another the worker is told, where that is allowed.
-    pub fn abandon(&self, ticket: AttemptId, silence: Duration, tell: bool) -> bool {
-        let Some((id, call)) = self.remove(ticket) else { return false };
-        if !self.drop_unsent(&id) {
-            self.remember(id.clone());
-            if tell {
-                self.frames.borrow_mut().push_back(Frame::give_up(&id));
+    /// Cancels an attempt; false if it is not on this connection. A call of which no byte is written is dropped from the
+    /// queue; for another the worker is notified, where `notify` allows it.
+    pub fn cancel(&self, attempt_id: AttemptId, unresponsive_after: Duration, notify: bool) -> bool {
+        let Some((id, call)) = self.remove_call(attempt_id) else { return false };
+        if !self.drop_unsent_frame(&id) {
+            self.remember_finished(id.clone());
+            if notify {
+                self.frames.borrow_mut().push_back(Frame::cancel(&id));
             }
         }
-        // Guards against machines that vanished: their connections stay open, and swallow what is written.
-        if call.written.is_some_and(|at| self.silent_since(at, silence)) {
+        // The connection to a machine that vanished stays open and swallows what is written: it is used no further.
+        if call.written_at.is_some_and(|at| self.is_unresponsive_since(at, unresponsive_after)) {
             self.retire();
         }
         self.wake.notify_one();
         true
     }
 
-    fn remove(&self, ticket: AttemptId) -> Option<(String, Call)> {
+    fn remove_call(&self, attempt_id: AttemptId) -> Option<(String, Call)> {
         let mut calls = self.calls.borrow_mut();
-        let id = calls.iter().find(|(_, call)| call.ticket == ticket).map(|(id, _)| id.clone())?;
+        let id = calls.iter().find(|(_, call)| call.attempt_id == attempt_id).map(|(id, _)| id.clone())?;
         calls.remove_entry(&id)
     }
 
-    /// Drops the frame of this part, if no byte of it is written and nobody waits for any of its parts; whether it did.
-    fn drop_unsent(&self, id: &str) -> bool {
+    /// Drops the frame of this part, if no byte of it is written and nobody waits for any of its parts. True if it did.
+    fn drop_unsent_frame(&self, id: &str) -> bool {
         let (calls, mut frames) = (self.calls.borrow(), self.frames.borrow_mut());
         let before = frames.len();
-        frames.retain(|frame| frame.is_started() || !frame.carries(id) || frame.wanted(&calls));
+        frames.retain(|frame| frame.is_started() || !frame.carries(id) || frame.is_needed(&calls));
         frames.len() < before
     }
 
     /// Takes back the calls of which no byte has been written.
     pub fn take_unsent(&self) -> Vec<AttemptId> {
-        self.take_back(|_| true)
+        self.take_unsent_where(|_| true)
     }
 
-    /// Takes back what no byte of has been written and nobody waits for: all calls of a frame, or none of them.
-    pub fn withdraw(&self, ticket: AttemptId) -> Vec<AttemptId> {
+    /// Marks an attempt as no longer needed, and takes back frames of which no byte is written and no part is needed: all
+    /// calls of a frame, or none of them.
+    pub fn cancel_if_unsent(&self, attempt_id: AttemptId) -> Vec<AttemptId> {
         let mut calls = self.calls.borrow_mut();
-        let Some(call) = calls.values_mut().find(|call| call.ticket == ticket) else { return Vec::new() };
-        call.withdrawn = true;
+        let Some(call) = calls.values_mut().find(|call| call.attempt_id == attempt_id) else {
+            return Vec::new();
+        };
+        call.cancelled_if_unsent = true;
         drop(calls);
-        self.take_back(|call| call.withdrawn)
+        self.take_unsent_where(|call| call.cancelled_if_unsent)
     }
 
-    fn take_back(&self, may: impl Fn(&Call) -> bool) -> Vec<AttemptId> {
+    fn take_unsent_where(&self, may_take: impl Fn(&Call) -> bool) -> Vec<AttemptId> {
         let mut calls = self.calls.borrow_mut();
-        let mut tickets = Vec::new();
+        let mut attempts = Vec::new();
         self.frames.borrow_mut().retain(|frame| {
-            let stays = |id: &String| calls.get(id).is_some_and(|call| !may(call));
+            let stays = |id: &String| calls.get(id).is_some_and(|call| !may_take(call));
             if frame.is_started() || frame.ids.is_empty() || frame.ids.iter().any(stays) {
                 return true;
             }
-            tickets.extend(frame.ids.iter().filter_map(|id| calls.remove(id)).map(|call| call.ticket));
+            attempts.extend(frame.ids.iter().filter_map(|id| calls.remove(id)).map(|call| call.attempt_id));
             false
         });
-        tickets
+        attempts
     }
 }
