--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -1,5 +1,7 @@
-//! The input and output of one connection: it waits for a place, connects, writes the frames of its [`Connection`], reads
-//! the answers, and says why it ended. It reports each answer; what is still out at the end is the pool's to report.
+//! The input and output of one connection: it waits for a connect permit, connects, writes the frames of its
+//! [`Connection`], reads responses, and says why the connection ended.
+//!
+//! It reports each response that arrives. What is still in flight at the end is reported by the pool, never here.
 
 use super::connection::Connection;
 use crate::policy::{ReportField, WorkerId};
@@ -17,59 +19,60 @@
 use tokio::io::{AsyncReadExt, AsyncWrite, ReadHalf, WriteHalf};
 use tokio::time::Instant;
 
-/// Share of the worker's idle time after which a connection is closed from this side.
-const IDLE_SHARE: f64 = 0.6;
-/// Reading takes at most so much at once.
-const READ_SIZE: usize = 16 * 1024;
-/// Free space of the buffer before each reading, at least.
-const MIN_READ_SIZE: usize = 1024;
+/// The fraction of the worker's idle time-out after which a connection is closed from this side, before the worker can
+/// close it under a call that is being written.
+const IDLE_CLOSE_FRACTION: f64 = 0.6;
+/// The most bytes of one read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// The least free space of the buffer before each read, in bytes.
+const MIN_READ_BYTES: usize = 1024;
 
 /// What all connections share.
 pub(super) struct Shared {
-    /// Hears of each attempt's end.
+    /// Receives the result of each attempt.
     pub broker: Broker,
     /// Opens connections.
-    pub dial: Rc<dyn Connector>,
-    /// Limits of a connection.
+    pub connector: Rc<dyn Connector>,
+    /// The limits of a connection.
     pub limits: BrokerLimits,
-    /// The process's descriptors and bytes.
-    pub places: Rc<DescriptorPool>,
+    /// The process's descriptors and buffered bytes.
+    pub descriptor_pool: Rc<DescriptorPool>,
     /// The fields of a load report.
-    pub fields: Vec<ReportField>,
+    pub report_fields: Vec<ReportField>,
 }
 
 /// How a connection ended.
 pub(super) enum Disconnect {
-    /// The connection ended, or was ended while nothing was out on it.
+    /// It ended, or was closed while nothing was in flight on it.
     Closed(String),
-    /// The worker sent what is no answer: nothing further on the connection can be trusted.
+    /// The worker sent something that is no response: nothing further on the connection can be trusted.
     Untrusted(String),
-    /// There was no place for it, or no time left: nothing was tried.
+    /// It had no connect permit, or no time left: no byte was sent.
     Unopened(String),
 }
 
 impl Disconnect {
-    fn closed(why: &str) -> Disconnect {
-        Disconnect::Closed(why.to_owned())
+    fn closed(reason: &str) -> Disconnect {
+        Disconnect::Closed(reason.to_owned())
     }
 
-    fn overdue() -> Disconnect {
+    fn write_timed_out() -> Disconnect {
         Disconnect::Unopened("it could not be written in time".to_owned())
     }
 }
 
-/// Opens a connection within `left` and serves it to its end.
+/// Opens a connection within `time_left` and serves it to its end.
 pub(super) async fn run(
     shared: &Shared,
     worker: WorkerId,
     connection: &Connection,
-    left: Duration,
+    time_left: Duration,
 ) -> Disconnect {
-    let connected = connect(shared, worker, connection, left);
+    let connected = connect(shared, worker, connection, time_left);
     let connected = match connection.write_deadline() {
-        Some(deadline) => {
-            tokio::time::timeout_at(deadline, connected).await.unwrap_or_else(|_| Err(Disconnect::overdue()))
-        }
+        Some(deadline) => tokio::time::timeout_at(deadline, connected)
+            .await
+            .unwrap_or_else(|_| Err(Disconnect::write_timed_out())),
         None => connected.await,
     };
     match connected {
@@ -79,31 +82,31 @@
     }
 }
 
-/// Waits for a place and connects; `None` where the connection is no longer needed by then.
+/// Waits for a connect permit and connects; `None` where the connection is no longer needed by then.
 async fn connect(
     shared: &Shared,
     worker: WorkerId,
     connection: &Connection,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<Option<Box<dyn Stream>>, Disconnect> {
-    let opening = shared.places.acquire_connect_permit(worker, left).await;
-    let opening = opening.map_err(|turned| Disconnect::Unopened(turned.to_string()))?;
+    let permit = shared.descriptor_pool.acquire_connect_permit(worker, time_left).await;
+    let permit = permit.map_err(|error| Disconnect::Unopened(error.to_string()))?;
     if connection.is_idle() {
         return Ok(None);
     }
-    let stream =
-        connect_with_timeout(&*shared.dial, &connection.address, shared.limits.connect_timeout).await;
+    let limit = shared.limits.connect_timeout;
+    let stream = connect_with_timeout(&*shared.connector, &connection.address, limit).await;
     let stream = stream.map_err(|error| {
-        let why = format!("cannot connect: {error}");
-        // Guards the worker's good name against what fails here.
-        if errors::is_local(&error) { Disconnect::Unopened(why) } else { Disconnect::Closed(why) }
+        let reason = format!("cannot connect: {error}");
+        // What fails in this process is no failure of the worker's.
+        if errors::is_local(&error) { Disconnect::Unopened(reason) } else { Disconnect::Closed(reason) }
     })?;
-    connection.place.replace(Some(opening.into_descriptor_permit()));
+    connection.descriptor.replace(Some(permit.into_descriptor_permit()));
     Ok(Some(stream))
 }
 
-/// Writes of the next frame what the connection takes; what is left of it. Guards against telling a worker of time that
-/// has passed while the connection was full: until a byte is taken, the frame is made anew at each try.
+/// Writes as much of the next frame as the connection takes; returns what is left of it. Until a byte is taken, the frame
+/// is encoded anew at each try: it would state time that has passed while the connection was full.
 async fn write_next(
     write: &mut WriteHalf<Box<dyn Stream>>,
     connection: &Connection,
@@ -122,13 +125,13 @@
 }
 
 /// What a session waits for.
-enum Event {
+enum SessionEvent {
     Read(io::Result<usize>),
     /// What is left of the frame.
     Written(io::Result<Bytes>),
     Wake,
     FrameOverdue,
-    AnswerOverdue,
+    ResponseOverdue,
     Idle,
 }
 
@@ -136,30 +139,30 @@
 struct Session<'a> {
     shared: &'a Shared,
     connection: &'a Connection,
-    /// What was read and is no whole answer yet.
+    /// Bytes that were read and are no complete message yet.
     buffer: BytesMut,
-    /// Books the buffer's size.
-    buffered: BufferReservation,
-    /// When anything was last out.
+    /// Counts the buffer's size against the budget.
+    buffer_reservation: BufferReservation,
+    /// When anything was last in flight.
     last_used: Instant,
-    /// When the answer that is not all there began.
-    answer_started: Option<Instant>,
+    /// When the first byte of the message that is still incomplete was read.
+    message_started_at: Option<Instant>,
 }
 
 impl<'a> Session<'a> {
     fn new(shared: &'a Shared, connection: &'a Connection) -> Session<'a> {
-        let buffered = BufferReservation::new(&shared.places);
+        let buffer_reservation = BufferReservation::new(&shared.descriptor_pool);
         Session {
             shared,
             connection,
             buffer: BytesMut::new(),
-            buffered,
+            buffer_reservation,
             last_used: Instant::now(),
-            answer_started: None,
+            message_started_at: None,
         }
     }
 
-    /// Writes frames and reads answers until the connection ends; says why it did.
+    /// Writes frames and reads responses until the connection ends; says why it did.
     async fn serve(mut self, stream: Box<dyn Stream>) -> Disconnect {
         let (mut read, mut write) = tokio::io::split(stream);
         loop {
@@ -177,14 +180,14 @@
         if self.connection.is_idle() && self.connection.is_retired() {
             return Err(Disconnect::closed("retired"));
         }
-        self.connection.update_place();
+        self.connection.update_descriptor();
         if self.connection.write_deadline().is_some_and(|deadline| deadline <= Instant::now()) {
-            return Err(Disconnect::overdue());
+            return Err(Disconnect::write_timed_out());
         }
-        self.buffer.reserve(READ_SIZE.saturating_sub(self.buffer.len()).max(MIN_READ_SIZE));
-        self.buffered.set(self.buffer.capacity());
-        let event = self.wait(read, write).await;
-        self.take(event)?;
+        self.buffer.reserve(READ_CHUNK_BYTES.saturating_sub(self.buffer.len()).max(MIN_READ_BYTES));
+        self.buffer_reservation.set(self.buffer.capacity());
+        let event = self.next_event(read, write).await;
+        self.apply(event)?;
         if !self.connection.is_idle() {
             self.last_used = Instant::now();
             self.connection.last_used.set(self.last_used);
@@ -192,91 +195,97 @@
         Ok(())
     }
 
-    async fn wait(
+    async fn next_event(
         &mut self,
         read: &mut ReadHalf<Box<dyn Stream>>,
         write: &mut WriteHalf<Box<dyn Stream>>,
-    ) -> Event {
+    ) -> SessionEvent {
         let (has_frame, deadline) = (self.connection.has_frame(), self.connection.write_deadline());
         let limits = &self.shared.limits;
-        let idle = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_SHARE);
-        // Guards against answers that never end: the rest of a frame may take as long as a connection may.
-        let answer_deadline = self.answer_started.unwrap_or(self.last_used) + limits.connect_timeout;
+        let idle_at = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
+        // A message that never ends would hold the connection: its rest may take as long as a connect.
+        let message_deadline = self.message_started_at.unwrap_or(self.last_used) + limits.connect_timeout;
         tokio::select! {
             biased;
-            count = read.read_buf(&mut self.buffer) => Event::Read(count),
-            rest = write_next(write, self.connection, &self.shared.broker), if has_frame => Event::Written(rest),
-            () = self.connection.wake.notified() => Event::Wake,
-            () = tokio::time::sleep_until(deadline.unwrap_or(self.last_used)), if deadline.is_some() => Event::FrameOverdue,
-            () = tokio::time::sleep_until(answer_deadline), if self.answer_started.is_some() => Event::AnswerOverdue,
-            () = tokio::time::sleep_until(idle), if self.connection.is_idle() => Event::Idle,
+            count = read.read_buf(&mut self.buffer) => SessionEvent::Read(count),
+            rest = write_next(write, self.connection, &self.shared.broker), if has_frame => SessionEvent::Written(rest),
+            () = self.connection.wake.notified() => SessionEvent::Wake,
+            () = tokio::time::sleep_until(deadline.unwrap_or(self.last_used)), if deadline.is_some() => SessionEvent::FrameOverdue,
+            () = tokio::time::sleep_until(message_deadline), if self.message_started_at.is_some() => SessionEvent::ResponseOverdue,
+            () = tokio::time::sleep_until(idle_at), if self.connection.is_idle() => SessionEvent::Idle,
         }
     }
 
-    fn take(&mut self, event: Event) -> Result<(), Disconnect> {
+    fn apply(&mut self, event: SessionEvent) -> Result<(), Disconnect> {
         match event {
-            Event::Read(Ok(0)) => Err(Disconnect::closed("closed by the worker")),
-            Event::Read(Ok(_)) => self.read(),
-            Event::Written(Ok(rest)) => {
+            SessionEvent::Read(Ok(0)) => Err(Disconnect::closed("closed by the worker")),
+            SessionEvent::Read(Ok(_)) => self.on_read(),
+            SessionEvent::Written(Ok(rest)) => {
                 let parts = self.connection.mark_written(rest);
                 self.shared.broker.with_core(|core| core.count_written(parts));
                 Ok(())
             }
-            Event::Read(Err(error)) | Event::Written(Err(error)) => {
+            SessionEvent::Read(Err(error)) | SessionEvent::Written(Err(error)) => {
                 Err(Disconnect::Closed(error.to_string()))
             }
-            Event::Wake => Ok(()),
-            Event::FrameOverdue => Err(Disconnect::overdue()),
-            Event::AnswerOverdue => Err(Disconnect::Untrusted("a frame that does not end".to_owned())),
-            Event::Idle => Err(Disconnect::closed("idle")),
+            SessionEvent::Wake => Ok(()),
+            SessionEvent::FrameOverdue => Err(Disconnect::write_timed_out()),
+            SessionEvent::ResponseOverdue => {
+                Err(Disconnect::Untrusted("a frame that does not end".to_owned()))
+            }
+            SessionEvent::Idle => Err(Disconnect::closed("idle")),
         }
     }
 
-    /// Something was read.
-    fn read(&mut self) -> Result<(), Disconnect> {
+    /// Handles the bytes that were read.
+    fn on_read(&mut self) -> Result<(), Disconnect> {
         self.connection.mark_read();
         let before = self.buffer.len();
-        self.answers()?;
-        self.answer_started = match self.buffer.len() {
+        self.take_messages()?;
+        self.message_started_at = match self.buffer.len() {
             0 => None,
-            length if length == before => self.answer_started.or(Some(Instant::now())),
+            length if length == before => self.message_started_at.or(Some(Instant::now())),
             _ => Some(Instant::now()),
         };
         Ok(())
     }
 
-    /// Books every answer that is whole in the buffer.
-    fn answers(&mut self) -> Result<(), Disconnect> {
+    /// Handles every complete message in the buffer.
+    fn take_messages(&mut self) -> Result<(), Disconnect> {
         loop {
-            match frame::take_message(&mut self.buffer, &self.shared.fields) {
+            match frame::take_message(&mut self.buffer, &self.shared.report_fields) {
                 Ok(Some(WorkerMessage::PartFinished { id, outcome, value, report })) => {
-                    self.answer(&id, AttemptCompletion { outcome, value, load_report: report })?;
+                    self.finish_part(&id, AttemptCompletion { outcome, value, load_report: report })?;
                 }
-                Ok(Some(WorkerMessage::CallRejected(words))) => {
-                    return Err(Disconnect::Closed(format!("a frame was refused: {words:?}")));
+                Ok(Some(WorkerMessage::CallRejected(reason))) => {
+                    return Err(Disconnect::Closed(format!("a frame was rejected: {reason:?}")));
                 }
                 Ok(None) if !self.buffer.is_empty() && self.connection.open_calls() == 0 => {
-                    return Err(self.noise("more than its answers".to_owned()));
+                    return Err(self.unexpected_bytes("more bytes than its responses".to_owned()));
                 }
                 Ok(None) => return Ok(()),
-                Err(error) => return Err(self.noise(error.to_string())),
+                Err(error) => return Err(self.unexpected_bytes(error.to_string())),
             }
         }
     }
 
-    fn answer(&self, id: &str, end: AttemptCompletion) -> Result<(), Disconnect> {
-        match self.connection.answered(id) {
-            Some(call) => self.shared.broker.on_attempt_finished(call.ticket, end),
+    fn finish_part(&self, id: &str, completion: AttemptCompletion) -> Result<(), Disconnect> {
+        match self.connection.take_call(id) {
+            Some(call) => self.shared.broker.on_attempt_finished(call.attempt_id, completion),
             None if self.connection.is_finished(id) => {}
-            // Guards against waiting for a part whose answer came under another id.
-            None => return Err(self.noise("an answer to nothing that was asked".to_owned())),
+            // The response may belong to a part in flight, under a wrong id: that part would be waited for in vain.
+            None => return Err(self.unexpected_bytes("a response to no part in flight".to_owned())),
         }
         Ok(())
     }
 
-    /// Guards against noise behind a good answer: where nothing is out it harms nothing, and the connection is closed
-    /// before a call is lost to it.
-    fn noise(&self, why: String) -> Disconnect {
-        if self.connection.open_calls() == 0 { Disconnect::Closed(why) } else { Disconnect::Untrusted(why) }
+    /// Ends a connection on which unexpected bytes came. Where nothing is in flight they do no harm: the connection is
+    /// closed before a call is lost with it, and the worker is not held at fault.
+    fn unexpected_bytes(&self, reason: String) -> Disconnect {
+        if self.connection.open_calls() == 0 {
+            Disconnect::Closed(reason)
+        } else {
+            Disconnect::Untrusted(reason)
+        }
     }
 }
