--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -1,5 +1,5 @@
-//! Measures what a flood of connections that say nothing costs the serving thread, and what a usual client beside it
-//! notices: `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
+//! Measures what a flood of silent connections costs the serving thread, and what a well-behaved client beside it notices:
+//! `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
 
 use gatherer::limits::DescriptorBudget;
 use gatherer::protocol::http::{Malformed, Request, Response};
@@ -15,8 +15,9 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::LocalSet;
 
-/// Threads that open connections, and addresses that each of them uses in turn: an address has only so many ports.
+/// How many threads open connections.
 const FLOODERS: u64 = 2;
+/// How many source addresses each of them uses in turn: an address has a limited number of ports.
 const ADDRESSES: u64 = 100;
 
 struct Echo;
@@ -42,14 +43,14 @@
     }
 }
 
-/// Processor time of this thread so far.
-fn spent() -> Duration {
+/// The processor time of this thread so far.
+fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let ns = text.split(' ').next().and_then(|first| first.parse().ok());
     Duration::from_nanos(ns.unwrap_or(0))
 }
 
-/// Opens connections at this rate and says nothing on them; how many it opened.
+/// Opens connections at this rate and sends nothing on them; returns how many it opened.
 fn flood(to: SocketAddr, rate: u64, until: Instant, thread: u64) -> u64 {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -60,7 +61,7 @@
                 opened += 1;
                 let from = [127, 1 + thread as u8, 0, 1 + (opened % ADDRESSES) as u8];
                 tokio::task::spawn_local(async move {
-                    // Where this side has no descriptor left, the flood is that much thinner.
+                    // Where this side has no descriptor left, the flood is thinner by one.
                     let Ok(socket) = TcpSocket::new_v4() else { return };
                     if socket.bind(SocketAddr::from((from, 0))).is_ok()
                         && let Ok(stream) = socket.connect(to).await
@@ -76,20 +77,21 @@
     })
 }
 
-/// A usual client: one request after the other on a connection that it keeps. Latencies, and lost requests.
-fn usual(to: SocketAddr, until: Instant) -> (Vec<Duration>, u64) {
+/// A well-behaved client: one request after the other on one connection. Returns the latencies, and how many requests were
+/// lost.
+fn well_behaved(to: SocketAddr, until: Instant) -> (Vec<Duration>, u64) {
     let (mut kept, mut latencies, mut lost): (Option<TcpStream>, Vec<Duration>, u64) = (None, Vec::new(), 0);
-    let ask = |stream: &mut TcpStream| {
+    let exchange = |stream: &mut TcpStream| {
         let mut answer = [0; 512];
-        stream.write_all(b"GET /usual HTTP/1.1\r\n\r\n").is_ok()
+        stream.write_all(b"GET /well-behaved HTTP/1.1\r\n\r\n").is_ok()
             && matches!(stream.read(&mut answer), Ok(1..))
     };
     while Instant::now() < until {
         let begun = Instant::now();
-        let again = kept.as_mut().is_some_and(ask);
+        let again = kept.as_mut().is_some_and(exchange);
         if !again {
             let mut stream = TcpStream::connect(to).expect("connected");
-            lost += u64::from(!ask(&mut stream));
+            lost += u64::from(!exchange(&mut stream));
             kept = Some(stream);
         }
         latencies.push(begun.elapsed());
@@ -108,26 +110,26 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
-        let plan = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
-        let gate = ConnectionManager::new(DescriptorPool::new(plan, 12 << 20));
-        let tended = gate.clone();
-        tokio::task::spawn_local(async move { tended.run_evictions().await });
-        tokio::task::spawn_local(accept(listener, Rc::new(Echo), gate.clone()));
+        let budget = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
+        let manager = ConnectionManager::new(DescriptorPool::new(budget, 12 << 20));
+        let evicting = manager.clone();
+        tokio::task::spawn_local(async move { evicting.run_evictions().await });
+        tokio::task::spawn_local(accept(listener, Rc::new(Echo), manager.clone()));
         let until = Instant::now() + Duration::from_secs(seconds);
         let flooders: Vec<_> = (0..FLOODERS)
             .map(|thread| thread::spawn(move || flood(to, rate / FLOODERS, until, thread)))
             .collect();
-        let client = thread::spawn(move || usual(to, until));
-        let before = spent();
+        let client = thread::spawn(move || well_behaved(to, until));
+        let before = processor_time();
         while Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let used = spent() - before;
+        let used = processor_time() - before;
         let opened: u64 = flooders.into_iter().map(|flooder| flooder.join().expect("joined")).sum();
         let (mut latencies, lost) = client.join().expect("joined");
         latencies.sort();
         let share = |part: f64| latencies[((latencies.len() - 1) as f64 * part) as usize];
-        let admitted = gate.descriptor_pool().counters.borrow().admitted;
+        let admitted = manager.descriptor_pool().counters.borrow().admitted;
         println!("tried {} a second, admitted {} a second", opened / seconds, admitted / seconds);
         println!(
             "serving thread: {:.1}% of a core, {:.1} us a connection",
@@ -135,11 +137,11 @@
             used.as_secs_f64() / admitted.max(1) as f64 * 1e6
         );
         println!(
-            "usual client: {} requests, {lost} lost, {:?} at the median, {:?} at the 99th percentile",
+            "well-behaved client: {} requests, {lost} lost, {:?} at the median, {:?} at the 99th percentile",
             latencies.len(),
             share(0.5),
             share(0.99)
         );
-        println!("{}", gate.descriptor_pool().counters.borrow());
+        println!("{}", manager.descriptor_pool().counters.borrow());
     });
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A root in miniature: hands events to the module and books what it asks for.
-#![allow(dead_code)] // each test file uses its own share of this
+//! What tests share: the decision module under test with its actions recorded, real processes, and fleets of both.
+#![allow(dead_code)] // each test file uses a part of this
 
 pub mod process;
 pub mod proxied_fleet;
@@ -16,7 +16,7 @@
     Duration::from_millis(span)
 }
 
-/// Three replicas in sets: every leaf holds every shard.
+/// Settings in which every worker holds every shard.
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
@@ -58,9 +58,9 @@
     }
 }
 
-pub fn entry(leaf: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
+pub fn entry(worker: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
     Endpoint {
-        worker: WorkerId(leaf),
+        worker: WorkerId(worker),
         zone: ZoneId(0),
         cell: CellId(0),
         status,
@@ -69,11 +69,11 @@
     }
 }
 
-pub fn endpoint_list(leaves: &[u32]) -> Arc<[Endpoint]> {
-    leaves.iter().map(|leaf| entry(*leaf, EndpointStatus::Active, None)).collect()
+pub fn endpoint_list(workers: &[u32]) -> Arc<[Endpoint]> {
+    workers.iter().map(|worker| entry(*worker, EndpointStatus::Active, None)).collect()
 }
 
-/// A send that the module asked for.
+/// A dispatch that the decision module asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub id: RequestId,
@@ -83,41 +83,42 @@
     pub timeout: Duration,
 }
 
+/// The decision module of one aggregator; it records what the module asks for.
 pub struct AggregatorHarness {
     pub aggregator: Aggregator,
     pub now: Time,
-    /// Every send so far.
+    /// Every dispatch so far.
     pub sent: Vec<Sent>,
-    /// Actions of the last turn.
+    /// The actions of the last step.
     pub actions: Vec<Action>,
     next: u64,
 }
 
 impl AggregatorHarness {
-    pub fn new(settings: Settings, leaves: &[u32]) -> AggregatorHarness {
-        let mut root = AggregatorHarness {
+    pub fn new(settings: Settings, workers: &[u32]) -> AggregatorHarness {
+        let mut harness = AggregatorHarness {
             aggregator: Aggregator::new(settings),
             now: Time(1_000_000 * MS),
             sent: Vec::new(),
             actions: Vec::new(),
             next: 1,
         };
-        root.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(leaves)))]);
-        root
+        harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(workers)))]);
+        harness
     }
 
     pub fn step(&mut self, events: Vec<Event>) {
         self.actions.clear();
         self.aggregator.step(self.now, events, &mut self.actions);
         for action in &self.actions {
-            if let Action::Send { id, worker: leaf, timeout } = action {
+            if let Action::Send { id, worker, timeout } = action {
                 let attempt = AttemptNo(self.sent.iter().filter(|sent| sent.id == *id).count() as u32);
-                self.sent.push(Sent { id: *id, attempt, worker: *leaf, at: self.now, timeout: *timeout });
+                self.sent.push(Sent { id: *id, attempt, worker: *worker, at: self.now, timeout: *timeout });
             }
         }
     }
 
-    /// Lets time pass in steps of 10 ms, as the module's own timer would.
+    /// Advances time by a span in milliseconds, in steps of 10 ms, as the module's own timer would.
     pub fn advance(&mut self, span: u64) {
         for _ in 0..span / 10 {
             self.now = self.now.after(ms(10));
@@ -125,7 +126,7 @@
         }
     }
 
-    /// A query of class 0 with one part for each shard; returns its id and its parts'.
+    /// Submits a query of class 0 with one part for each shard; returns its id and its parts'.
     pub fn submit(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>) {
         let (query, parts, events) = self.new_query(key, shards);
         self.step(events);
@@ -179,6 +180,6 @@
     }
 
     pub fn last_sent(&self) -> Sent {
-        *self.sent.last().expect("something was sent")
+        *self.sent.last().expect("something was dispatched")
     }
 }
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -1,6 +1,6 @@
-//! A relay before each member, which everything to that member passes: it loses, doubles and cuts by who sent it. And a
-//! fleet of real processes of the program behind such relays.
-#![allow(dead_code)] // each test file uses its own share of this
+//! A fleet of real processes of the program, each behind a proxy that everything to that member passes: it drops,
+//! duplicates and partitions by sender.
+#![allow(dead_code)] // each test file uses a part of this
 
 use super::process::*;
 use gatherer::protocol::gossip::ClusterKey;
@@ -14,17 +14,19 @@
 
 const CLUSTER: &str = "test";
 const SECRET: &str = "known to members only";
-/// Times of the protocol here: quicker than an installation's, and yet longer than a busy machine holds a process up.
-const PERIOD_MS: u64 = 100;
-const BURY_MS: u64 = 4000;
+/// The probe interval of these tests: shorter than in production, and longer than a busy machine delays a process.
+const PROBE_INTERVAL_MS: u64 = 100;
+/// The suspicion time-out of these tests.
+const SUSPICION_TIMEOUT_MS: u64 = 4000;
 
-/// What becomes of what passes.
+/// What the proxies do with what passes.
 #[derive(Default)]
 pub struct NetworkFaults {
-    /// Shares of datagrams that are lost, and that come twice.
+    /// The fraction of datagrams that are dropped.
     pub loss: f64,
+    /// The fraction of datagrams that are delivered twice.
     pub duplication: f64,
-    /// From whom to whom nothing passes, by number.
+    /// Pairs of sender and receiver, by number, between which nothing passes.
     pub partitions: HashSet<(usize, usize)>,
 }
 
@@ -35,9 +37,9 @@
     pub discovery: Discovery,
     configs: Vec<Value>,
     operators: Vec<String>,
-    /// The relay before each member refuses connections while this is empty, as the member's machine would.
-    doors: Vec<Arc<Mutex<Option<TcpListener>>>>,
-    relays: Vec<SocketAddr>,
+    /// The listener of each member's proxy. While it is `None`, connections are refused, as the member's machine would.
+    proxy_listeners: Vec<Arc<Mutex<Option<TcpListener>>>>,
+    proxy_addresses: Vec<SocketAddr>,
     folder: TempFolder,
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl ProxiedFleet {
-    /// So many processes; returns once all see each other.
+    /// Starts a number of processes; returns once all see each other.
     pub fn start(test: &str, count: usize) -> ProxiedFleet {
         let worker = Worker::start();
         let discovery = Discovery::start(&member("w1", &worker.address));
@@ -63,31 +65,31 @@
             discovery,
             configs: Vec::new(),
             operators: Vec::new(),
-            doors: Vec::new(),
-            relays: Vec::new(),
+            proxy_listeners: Vec::new(),
+            proxy_addresses: Vec::new(),
             folder,
         };
-        let inner: Vec<SocketAddr> =
+        let member_addresses: Vec<SocketAddr> =
             (0..count).map(|_| unused_address().parse().expect("an address")).collect();
-        for (id, to) in inner.iter().enumerate() {
-            let door = listen();
-            let at = door.local_addr().expect("an address");
-            relay_datagrams(UdpSocket::bind(at).expect("the same port"), id, *to, fleet.faults.clone());
-            let door = Arc::new(Mutex::new(Some(door)));
-            relay_connections(door.clone(), id, *to, fleet.faults.clone());
-            fleet.doors.push(door);
-            fleet.relays.push(at);
+        for (id, to) in member_addresses.iter().enumerate() {
+            let listener = listen();
+            let address = listener.local_addr().expect("an address");
+            proxy_datagrams(UdpSocket::bind(address).expect("the same port"), id, *to, fleet.faults.clone());
+            let listener = Arc::new(Mutex::new(Some(listener)));
+            proxy_connections(listener.clone(), id, *to, fleet.faults.clone());
+            fleet.proxy_listeners.push(listener);
+            fleet.proxy_addresses.push(address);
         }
-        for (id, listen) in inner.iter().enumerate() {
+        for (id, listen) in member_addresses.iter().enumerate() {
             let mut config = config(&fleet.discovery);
             config["name"] = name(id).into();
             config["settings"]["balancers"] = count.into();
-            let seeds = [fleet.relays[0].to_string(), fleet.relays[1].to_string()];
+            let seeds = [fleet.proxy_addresses[0].to_string(), fleet.proxy_addresses[1].to_string()];
             fleet.configs.push(config);
             fleet.operators.push(format!(
                 "[membership]\nlisten = \"{listen}\"\nadvertise = \"{}\"\ncluster = \"{CLUSTER}\"\nsecret = \"{SECRET}\"\n\
-                 seeds = {seeds:?}\nperiod_ms = {PERIOD_MS}\nbury_ms = {BURY_MS}\n",
-                fleet.relays[id]
+                 seeds = {seeds:?}\nperiod_ms = {PROBE_INTERVAL_MS}\nbury_ms = {SUSPICION_TIMEOUT_MS}\n",
+                fleet.proxy_addresses[id]
             ));
             fleet.members.push(None);
         }
@@ -96,18 +98,18 @@
         fleet
     }
 
-    /// Starts a process of this member.
+    /// Starts a process of this member, and opens its proxy.
     pub fn start_member(&mut self, id: usize) {
-        self.open(id);
+        self.open_proxy(id);
         let gatherer =
             Gatherer::start_with_operator_file(&self.folder, &self.configs[id], &self.operators[id]);
         gatherer.wait_for_log(" serving on ");
         self.members[id] = Some(gatherer);
     }
-    fn open(&self, id: usize) {
-        let mut door = self.doors[id].lock().expect("sound");
-        if door.is_none() {
-            *door = Some(TcpListener::bind(self.relays[id]).expect("its port"));
+    fn open_proxy(&self, id: usize) {
+        let mut listener = self.proxy_listeners[id].lock().expect("sound");
+        if listener.is_none() {
+            *listener = Some(TcpListener::bind(self.proxy_addresses[id]).expect("its port"));
         }
     }
     /// Kills the process of this member; its machine refuses connections from then on.
@@ -116,11 +118,11 @@
         self.close_proxy(id);
     }
     pub fn close_proxy(&self, id: usize) {
-        *self.doors[id].lock().expect("sound") = None;
-        // Ends the wait for a connection that holds the port open.
-        wait_until("the port is free", || TcpStream::connect(self.relays[id]).is_err());
+        *self.proxy_listeners[id].lock().expect("sound") = None;
+        // Connecting ends the proxy's accept, which holds the port open.
+        wait_until("the port is free", || TcpStream::connect(self.proxy_addresses[id]).is_err());
     }
-    /// A further process of this member beside the first, as in an upgrade.
+    /// Starts a second process of this member beside the first, as in an upgrade.
     pub fn start_second_process(&self, id: usize) -> Gatherer {
         let mut config = self.configs[id].clone();
         config["operator"] = unused_address().into();
@@ -132,7 +134,7 @@
     pub fn running(&self) -> Vec<usize> {
         (0..self.members.len()).filter(|id| self.members[*id].is_some()).collect()
     }
-    /// Nothing passes from these to those.
+    /// Lets nothing pass from one group to the other.
     pub fn partition(&self, from: &[usize], to: &[usize]) {
         let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b)));
         self.faults.lock().expect("sound").partitions.extend(pairs);
@@ -140,13 +142,13 @@
     pub fn heal(&self) {
         *self.faults.lock().expect("sound") = NetworkFaults::default();
     }
-    /// What this member sees.
+    /// What the operators' API of this member shows of membership.
     pub fn membership_status(&self, id: usize) -> Value {
         let (status, text) = call_operator_api(&self.member(id).operators, "GET", "/-/members");
         assert_eq!(status, 200, "{text}");
         serde_json::from_str(&text).expect("JSON")
     }
-    /// How this member sees another; empty where it does not know it.
+    /// The state in which this member sees another; empty where it does not know it.
     pub fn state_seen_by(&self, id: usize, other: usize) -> String {
         let view = self.membership_status(id);
         let row =
@@ -156,20 +158,20 @@
     pub fn fleet_size_seen_by(&self, id: usize) -> u64 {
         self.membership_status(id)["gatherers"].as_u64().expect("a number")
     }
-    /// Waits until all that live see all that live, and nobody else as there.
+    /// Waits until all running members see all running members, and nobody else as running.
     pub fn wait_until_converged(&self) {
-        let living = self.running();
-        for id in &living {
+        let running = self.running();
+        for id in &running {
             wait_until(&format!("{} sees all", name(*id)), || {
                 let others = (0..self.members.len()).filter(|other| other != id);
                 others.into_iter().all(|other| {
-                    let there = matches!(self.state_seen_by(*id, other).as_str(), "alive" | "cut");
-                    there == living.contains(&other)
+                    let is_there = matches!(self.state_seen_by(*id, other).as_str(), "alive" | "cut");
+                    is_there == running.contains(&other)
                 })
             });
         }
     }
-    /// Lines of all logs that tell of a death, but of these members.
+    /// The log lines of all processes that report the failure of a member other than these.
     pub fn unexpected_death_lines(&self, expected: &[usize]) -> Vec<String> {
         let expected: Vec<String> = expected.iter().map(|id| format!("members: {} is", name(*id))).collect();
         let lines =
@@ -183,7 +185,7 @@
     }
 }
 
-fn relay_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<NetworkFaults>>) {
+fn proxy_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<NetworkFaults>>) {
     let seal = ClusterKey::new(CLUSTER, SECRET);
     thread::spawn(move || {
         let mut bytes = [0; 2048];
@@ -192,45 +194,49 @@
             let sender = seal.decode_datagram(&bytes[..length]).map(|message| number(&message.from.name));
             let copies = {
                 let faults = faults.lock().expect("sound");
-                let cut = sender.is_ok_and(|from| faults.partitions.contains(&(from, id)));
-                match cut || fastrand::f64() < faults.loss {
+                let is_cut = sender.is_ok_and(|from| faults.partitions.contains(&(from, id)));
+                match is_cut || fastrand::f64() < faults.loss {
                     true => 0,
                     false => 1 + usize::from(fastrand::f64() < faults.duplication),
                 }
             };
-            // Where nobody listens the datagram is lost, as it would be.
+            // Where nobody listens the datagram is lost, as it would be without a proxy.
             (0..copies).for_each(|_| drop(socket.send_to(&bytes[..length], to)));
         }
     });
 }
 
-/// Connections as they come: who only knocks finds the door open; tables pass unless there is a cut either way.
-fn relay_connections(
-    door: Arc<Mutex<Option<TcpListener>>>,
+/// Accepts connections: a connection probe succeeds, and tables pass unless there is a partition either way.
+fn proxy_connections(
+    listener: Arc<Mutex<Option<TcpListener>>>,
     id: usize,
     to: SocketAddr,
     faults: Arc<Mutex<NetworkFaults>>,
 ) {
     thread::spawn(move || {
         loop {
-            let listener =
-                door.lock().expect("sound").as_ref().map(|door| door.try_clone().expect("a handle"));
-            let Some(listener) = listener else {
+            let current = listener
+                .lock()
+                .expect("sound")
+                .as_ref()
+                .map(|listener| listener.try_clone().expect("a handle"));
+            let Some(current) = current else {
                 thread::sleep(Duration::from_millis(1));
                 continue;
             };
-            let accepted = listener.accept();
-            drop(listener);
-            if door.lock().expect("sound").is_none() {
+            let accepted = current.accept();
+            drop(current);
+            if listener.lock().expect("sound").is_none() {
                 continue;
             }
             let faults = faults.clone();
-            thread::spawn(move || accepted.ok().and_then(|(stream, _)| table(stream, id, to, &faults)));
+            thread::spawn(move || accepted.ok().and_then(|(stream, _)| pass_tables(stream, id, to, &faults)));
         }
     });
 }
 
-fn table(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<NetworkFaults>) -> Option<()> {
+/// Passes a table each way between a member that exchanges tables and the one behind the proxy.
+fn pass_tables(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<NetworkFaults>) -> Option<()> {
     let frame = |stream: &mut TcpStream| {
         let mut length = [0; 4];
         stream.read_exact(&mut length).ok()?;
@@ -238,13 +244,14 @@
         stream.read_exact(&mut bytes).ok()?;
         Some([&length[..], &bytes].concat())
     };
-    let asked = frame(&mut near)?;
-    let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&asked[4..]).expect("a member's").from.name);
-    let cut = |cuts: &HashSet<_>| cuts.contains(&(from, id)) || cuts.contains(&(id, from));
-    if cut(&faults.lock().expect("sound").partitions) {
+    let request = frame(&mut near)?;
+    let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&request[4..]).expect("a member's").from.name);
+    let is_cut =
+        |partitions: &HashSet<_>| partitions.contains(&(from, id)) || partitions.contains(&(id, from));
+    if is_cut(&faults.lock().expect("sound").partitions) {
         return None;
     }
     let mut far = TcpStream::connect(to).ok()?;
-    far.write_all(&asked).ok()?;
+    far.write_all(&request).ok()?;
     near.write_all(&frame(&mut far)?).ok()
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery that has to be asked: one service for all gatherers, which takes calls in turn, fails those that wait too long
-//! and goes down. What counts as told by the protocol page has to be known by then. The clock is virtual, seeds are fixed.
+//! Discovery that has to be polled: one service for all gatherers, which answers polls in turn, fails those that wait too
+//! long and goes down. Changes have to be known by the time at which the protocol counts them as notified. The clock is
+//! virtual, seeds are fixed.
 
 mod common;
 
@@ -23,89 +24,91 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// `rules.must-ask-in` of the stand-in settings.
-const ASK_IN: Duration = Duration::from_secs(10);
-/// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// What a call to discovery takes, and how long one waits for its turn before it fails.
-const HANDLING: Duration = Duration::from_millis(150);
-const MOST_WAIT: Duration = Duration::from_secs(2);
-/// No test waits longer for an event, in virtual time.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// `rules.must-ask-in` of the test settings.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// How long after discovery had a change and could be reached it counts as notified.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// How long discovery takes for one poll.
+const HANDLING_TIME: Duration = Duration::from_millis(150);
+/// How long a poll waits for its turn before it fails.
+const MAX_TURN_WAIT: Duration = Duration::from_secs(2);
+/// The longest wait of a test, in virtual time.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Copy, PartialEq)]
-enum State {
+enum DiscoveryState {
     Up,
-    /// Calls fail with 503.
-    Refuses,
-    /// Calls end with the connection.
-    Resets,
+    /// Polls fail with 503.
+    Unavailable,
+    /// The connection ends in place of a response.
+    Resetting,
 }
 
-/// The stand-in for discovery, and what it has seen.
+/// A test double of discovery, and the polls that it has received.
 struct Discovery {
-    state: Cell<State>,
-    /// Calls that wait from now on are never answered.
-    silent: Cell<bool>,
-    /// Each answer is the last on its connection.
+    state: Cell<DiscoveryState>,
+    /// Long polls from now on get no response.
+    unresponsive: Cell<bool>,
+    /// Each response is the last on its connection.
     closes: Cell<bool>,
     revision: Cell<u64>,
     changed: Notify,
     turn: Mutex<()>,
-    /// When calls came, and when answers to them were written.
-    calls: RefCell<Vec<Instant>>,
-    answers: RefCell<Vec<Instant>>,
+    /// When polls were received.
+    polls: RefCell<Vec<Instant>>,
+    /// When responses to them were written.
+    responses: RefCell<Vec<Instant>>,
 }
 
 impl Discovery {
     fn new() -> Rc<Discovery> {
         Rc::new(Discovery {
-            state: Cell::new(State::Up),
-            silent: Cell::new(false),
+            state: Cell::new(DiscoveryState::Up),
+            unresponsive: Cell::new(false),
             closes: Cell::new(false),
             revision: Cell::new(1),
             changed: Notify::new(),
             turn: Mutex::new(()),
-            calls: RefCell::default(),
-            answers: RefCell::default(),
+            polls: RefCell::default(),
+            responses: RefCell::default(),
         })
     }
 
-    /// Goes down or comes back; open watches end when it goes down.
-    fn turns(&self, state: State) {
+    /// Changes the state; long polls in flight end when it goes down.
+    fn set_state(&self, state: DiscoveryState) {
         self.state.set(state);
         self.changed.notify_waiters();
     }
 
-    /// Worker `w1` begins to drain.
-    fn drains(&self) {
+    /// Publishes that worker `w1` is draining.
+    fn publish_draining(&self) {
         self.revision.set(self.revision.get() + 1);
         self.changed.notify_waiters();
     }
 
-    /// The response to a call; `None` where the connection ends without one.
+    /// The response to a poll; `None` where the connection ends without one.
     async fn respond(&self, request: &Request) -> Option<Response> {
-        self.calls.borrow_mut().push(Instant::now());
-        let failed = || Response::text(503, "down, or too many calls");
+        self.polls.borrow_mut().push(Instant::now());
+        let failed = || Response::text(503, "down, or too many polls");
         match self.state.get() {
-            State::Up => {}
-            State::Refuses => return Some(failed()),
-            State::Resets => return None,
+            DiscoveryState::Up => {}
+            DiscoveryState::Unavailable => return Some(failed()),
+            DiscoveryState::Resetting => return None,
         }
-        let Ok(turn) = timeout(MOST_WAIT, self.turn.lock()).await else { return Some(failed()) };
-        sleep(HANDLING).await;
+        let Ok(turn) = timeout(MAX_TURN_WAIT, self.turn.lock()).await else { return Some(failed()) };
+        sleep(HANDLING_TIME).await;
         drop(turn);
         let parameter =
             |name: &str| request.parameter(name).map(|text| text.parse::<u64>().expect("a number"));
         let (held, wait) = (parameter("index"), parameter("wait").unwrap_or(0));
         let until = Instant::now() + Duration::from_millis(wait);
-        let silent = held.is_some() && self.silent.get();
-        while held == Some(self.revision.get()) || silent {
+        let unresponsive = held.is_some() && self.unresponsive.get();
+        while held == Some(self.revision.get()) || unresponsive {
             let changed = self.changed.notified();
-            if self.state.get() != State::Up {
+            if self.state.get() != DiscoveryState::Up {
                 return None;
             }
-            if silent {
+            if unresponsive {
                 changed.await;
             } else if timeout(until.saturating_duration_since(Instant::now()), changed).await.is_err() {
                 break;
@@ -114,7 +117,7 @@
         Some(Response::json(200, self.list(held)))
     }
 
-    /// The whole list, or what is newer than a revision.
+    /// The complete list, or what is newer than a revision.
     fn list(&self, held: Option<u64>) -> String {
         let revision = self.revision.get();
         let phase = if revision > 1 { "DRAINING" } else { "SERVING" };
@@ -142,7 +145,7 @@
             if stream.write_all(&response.encode(closes)).await.is_err() {
                 return;
             }
-            self.answers.borrow_mut().push(Instant::now());
+            self.responses.borrow_mut().push(Instant::now());
             if closes {
                 return;
             }
@@ -163,7 +166,7 @@
     }
 }
 
-/// A gatherer that holds the list of revision 1, one of so many.
+/// Starts one of several gatherers, with the list of revision 1.
 fn gatherer(seed: u64, gatherers: u32, discovery: &Rc<Discovery>) -> Broker {
     let mut json: serde_json::Value =
         serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
@@ -174,32 +177,34 @@
     broker.apply_endpoint_update(&known, true);
     let (network, watching) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
-        let places = DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
+        let descriptor_pool =
+            DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         // The sender stays: discovery does not move.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
-        let backoff = Backoff::new(seed, gatherers, ASK_IN);
-        discovery::follow(&network, address, Some(known.revision), &watching, &places, backoff).await;
+        let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
+        discovery::follow(&network, address, Some(known.revision), &watching, &descriptor_pool, backoff)
+            .await;
     });
     broker
 }
 
-/// Whether it has heard that `w1` drains.
+/// Whether it knows that `w1` is draining.
 fn knows(broker: &Broker) -> bool {
     let list = broker.with_core(|core| core.endpoint_list());
     list.workers.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
-/// Waits until all gatherers know; how long that took.
+/// Waits until all gatherers know; returns how long that took.
 async fn all_know(gatherers: &[Broker]) -> Duration {
     let since = Instant::now();
     while !gatherers.iter().all(knows) {
-        assert!(since.elapsed() < PATIENCE, "in vain");
+        assert!(since.elapsed() < TEST_TIMEOUT, "waited in vain");
         sleep(Duration::from_millis(5)).await;
     }
     since.elapsed()
 }
 
-/// Runs so many gatherers beside one discovery, for each of some seeds.
+/// Runs a number of gatherers beside one discovery, once for each seed.
 fn each_seed<F: Future<Output = ()>>(gatherers: u32, main: impl Fn(u64, Rc<Discovery>, Vec<Broker>) -> F) {
     for seed in 0..20 {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -213,33 +218,33 @@
 }
 
 #[test]
-fn a_change_is_known_before_it_counts_as_told_however_long_discovery_was_down() {
+fn a_change_is_known_before_it_counts_as_notified_however_long_discovery_was_down() {
     for gatherers in 2..=6 {
-        for down in [State::Refuses, State::Resets] {
+        for down in [DiscoveryState::Unavailable, DiscoveryState::Resetting] {
             each_seed(gatherers, |seed, discovery, all| async move {
                 sleep(Duration::from_secs(2)).await;
-                discovery.turns(down);
+                discovery.set_state(down);
                 sleep(Duration::from_millis(30_000 + 100 * seed)).await;
-                discovery.drains();
-                discovery.turns(State::Up);
+                discovery.publish_draining();
+                discovery.set_state(DiscoveryState::Up);
                 let took = all_know(&all).await;
-                assert!(took < TOLD, "{gatherers} gatherers, seed {seed}: {took:?}");
+                assert!(took < NOTIFIED_AFTER, "{gatherers} gatherers, seed {seed}: {took:?}");
             });
         }
     }
 }
 
 #[test]
-fn a_watch_goes_on_within_200_ms_of_its_answer_also_on_a_new_connection() {
+fn a_long_poll_follows_within_200_ms_of_a_response_also_on_a_new_connection() {
     for closes in [false, true] {
         each_seed(1, |seed, discovery, _all| async move {
             discovery.closes.set(closes);
             sleep(Duration::from_secs(40)).await;
-            let (calls, answers) = (discovery.calls.borrow(), discovery.answers.borrow());
-            assert!(answers.len() >= 5, "{} answers", answers.len());
-            for answer in answers.iter() {
-                let next = calls.iter().find(|call| *call >= answer).expect("a next call");
-                let gap = *next - *answer;
+            let (polls, responses) = (discovery.polls.borrow(), discovery.responses.borrow());
+            assert!(responses.len() >= 5, "{} responses", responses.len());
+            for response in responses.iter() {
+                let next = polls.iter().find(|poll| *poll >= response).expect("a next poll");
+                let gap = *next - *response;
                 assert!(gap <= Duration::from_millis(200), "seed {seed}: {gap:?}");
             }
         });
@@ -247,19 +252,19 @@
 }
 
 #[test]
-fn what_a_silent_watch_misses_is_known_2_s_after_its_wait() {
+fn a_change_missed_by_an_unanswered_long_poll_is_known_2_s_after_its_timeout() {
     for gatherers in [1, 3, 6] {
         each_seed(gatherers, |seed, discovery, all| async move {
-            // Every gatherer's watch is open, and falls silent.
-            discovery.silent.set(true);
+            // Every gatherer's long poll is in flight, and gets no response.
+            discovery.unresponsive.set(true);
             sleep(Duration::from_secs(3)).await;
-            discovery.silent.set(false);
-            let wait = Backoff::new(0, gatherers, ASK_IN).long_poll_timeout();
-            let begun = discovery.calls.borrow().iter().copied().min().expect("a call");
+            discovery.unresponsive.set(false);
+            let wait = Backoff::new(0, gatherers, MAX_POLL_INTERVAL).long_poll_timeout();
+            let begun = discovery.polls.borrow().iter().copied().min().expect("a call");
             let before = Instant::now() - begun;
-            discovery.drains();
+            discovery.publish_draining();
             let took = all_know(&all).await + before;
-            let last = discovery.calls.borrow().iter().take(gatherers as usize).copied().max();
+            let last = discovery.polls.borrow().iter().take(gatherers as usize).copied().max();
             let spread = last.expect("a call") - begun;
             assert!(took <= spread + wait + Duration::from_secs(2), "seed {seed}: {took:?}");
         });
@@ -267,26 +272,26 @@
 }
 
 #[test]
-fn gatherers_that_start_together_have_all_asked_in_time() {
+fn gatherers_that_start_together_have_all_polled_in_time() {
     each_seed(6, |seed, discovery, all| async move {
-        discovery.drains();
+        discovery.publish_draining();
         let took = all_know(&all).await;
-        assert!(took < TOLD.min(ASK_IN), "seed {seed}: {took:?}");
+        assert!(took < NOTIFIED_AFTER.min(MAX_POLL_INTERVAL), "seed {seed}: {took:?}");
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(discovery.calls.borrow().len(), 12, "one call for what has changed, then a watch");
+        assert_eq!(discovery.polls.borrow().len(), 12, "one poll for what has changed, then a long poll");
     });
 }
 
 #[test]
-fn no_call_waits_longer_than_the_protocol_page_allows() {
+fn no_long_poll_lasts_longer_than_the_protocol_allows() {
     for gatherers in [1, 3, 48, 1000, 100_000] {
-        let wait = Backoff::new(1, gatherers, ASK_IN).long_poll_timeout();
+        let wait = Backoff::new(1, gatherers, MAX_POLL_INTERVAL).long_poll_timeout();
         assert!(wait <= Duration::from_secs(60), "{gatherers} gatherers: {wait:?}");
     }
 }
 
 #[test]
-fn the_configuration_says_how_discovery_is_reached_and_who_carries_datagrams() {
+fn the_configuration_says_how_discovery_is_polled_and_who_carries_datagrams() {
     let mut json: serde_json::Value =
         serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let config = Config::from_json(&json, |_| None).expect("a configuration");
@@ -295,15 +300,15 @@
     json["settings"]["rules"]["must-ask-in"] = 10_000_000_000_u64.into();
     json["peer_listen"] = "127.0.0.1:9".into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
-    assert_eq!((config.max_poll_interval, config.peer_datagrams), (Some(ASK_IN), true));
-    // The watch is the network code's: the module does not ask beside it.
+    assert_eq!((config.max_poll_interval, config.peer_datagrams), (Some(MAX_POLL_INTERVAL), true));
+    // The transport polls discovery: the decision module does not.
     assert!(!config.contracts.settings.poll_discovery);
 }
 
-/// The configuration of a process that holds a list of worker `w1`, beside a discovery that is down.
-fn beside_a_discovery_that_is_down(worker: &Worker) -> serde_json::Value {
-    let before = process::Discovery::start(&member("w1", &worker.address));
-    let mut config = process::config(&before);
+/// The configuration of a process that has a list of worker `w1`, while discovery is down.
+fn config_while_discovery_is_down(worker: &Worker) -> serde_json::Value {
+    let earlier_discovery = process::Discovery::start(&member("w1", &worker.address));
+    let mut config = process::config(&earlier_discovery);
     config["settings"]["discovery"] = "on_request".into();
     config["settings"]["rules"]["must-ask-in"] = 10_000_000_000_u64.into();
     (config["discovery"], config["operator"]) = (unused_address().into(), serde_json::Value::Null);
@@ -311,10 +316,10 @@
 }
 
 #[test]
-fn a_process_that_starts_while_discovery_is_down_is_ready_and_serves_from_the_list_it_holds() {
+fn a_process_that_starts_while_discovery_is_down_serves_from_the_list_it_has() {
     let (folder, worker) = (TempFolder::new("down"), Worker::start());
     let begun = std::time::Instant::now();
-    let gatherer = Gatherer::start(&folder, &beside_a_discovery_that_is_down(&worker));
+    let gatherer = Gatherer::start(&folder, &config_while_discovery_is_down(&worker));
     assert_eq!(call_operator_api(&gatherer.clients, "GET", "/_health").0, 200);
     let took = begun.elapsed();
     assert!(took < Duration::from_secs(10), "{took:?}");
@@ -324,9 +329,9 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_discovery_from_nobody() {
+fn idle_clients_that_fill_the_descriptors_do_not_block_discovery() {
     let (folder, workers) = (TempFolder::new("filled"), [Worker::start(), Worker::start()]);
-    let mut config = beside_a_discovery_that_is_down(&workers[0]);
+    let mut config = config_while_discovery_is_down(&workers[0]);
     config["limits"] = serde_json::json!({ "sockets": 64 });
     let gatherer = Gatherer::start(&folder, &config);
     let idle: Vec<TcpStream> = (0..200).map(|_| gatherer.connect()).collect();
@@ -345,8 +350,8 @@
 }
 
 #[test]
-fn a_worker_whose_start_lies_in_the_future_by_a_stepped_clock_grows_warm_in_its_time() {
-    // Guards against a wall clock that was stepped back as this process started: for an hour every worker would be cold.
+fn a_worker_that_started_in_the_future_by_a_stepped_clock_warms_up_in_time() {
+    // The wall clock was stepped back as this process started: every worker would stay in slow start for an hour.
     let json: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let (mut core, begun) = (Core::new(config.contracts), Time(1 << 60));
@@ -368,7 +373,7 @@
     let warm_up = core.contracts().settings.warm_up;
     core.apply_endpoint_update(begun.after(warm_up), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
-    // A further start is another one.
+    // A later start begins the warm-up again.
     list.workers[0].started_at = Some(begun.after(Duration::from_secs(3700)));
     core.apply_endpoint_update(begun.after(warm_up * 2), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, end early or are interrupted inside a real process of the program, by the library of faults
-//! that it preloads. What was asked is counted at both ends.
+//! System calls that fail, return short or are interrupted inside a real process of the program, by a fault library that
+//! it preloads. Queries are counted at both ends.
 
 mod common;
 
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Queries that a test asks, one after the other, on one connection.
+/// How many queries a test submits, one after the other, on one connection.
 const QUERIES: usize = 20;
 
-/// Asks on one kept connection; each query is answered, and its one part comes once.
-fn serves_all(folder: &str, faults: &str) {
+/// Submits queries on one connection: each is answered, and its one part is delivered once.
+fn assert_all_queries_are_served(folder: &str, faults: &str) {
     let (folder, worker) = (TempFolder::new(folder), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let switch = folder.0.join("faults");
@@ -30,7 +30,7 @@
     }
     assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (QUERIES, 1));
     std::fs::remove_file(&switch).expect("removed");
-    // The library looks at its switch every 2 ms; a signal that comes before has a test of its own.
+    // The library checks its switch every 2 ms; a signal that comes before then has a test of its own.
     thread::sleep(Duration::from_millis(20));
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
@@ -38,16 +38,16 @@
 
 #[test]
 fn a_short_read_or_write_delays_no_answer() {
-    serves_all("short", "seed=1,short_read=1,short_write=1");
+    assert_all_queries_are_served("short", "seed=1,short_read=1,short_write=1");
 }
 
 #[test]
 fn an_interrupted_read_or_write_costs_no_request() {
-    serves_all("interrupted", "seed=2,interrupt=0.3");
+    assert_all_queries_are_served("interrupted", "seed=2,interrupt=0.3");
 }
 
 #[test]
-fn a_signal_is_heard_though_the_call_that_tells_of_it_is_interrupted() {
+fn a_signal_is_handled_though_the_read_that_reports_it_is_interrupted() {
     let (folder, worker) = (TempFolder::new("signals"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let switch = folder.0.join("faults");
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_start_bears_calls_that_fail_for_a_moment() {
+fn a_start_survives_calls_that_fail_for_a_moment() {
     let (folder, worker) = (TempFolder::new("start"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     for seed in 1..=6 {
@@ -112,11 +112,11 @@
     gatherer.wait_for_log("configuration read again");
 }
 
-/// A worker that tells how many milliseconds the first part that comes was told to have.
-fn worker_that_tells_its_deadline() -> (String, mpsc::Receiver<u64>) {
+/// Starts a worker that reports the deadline of the first part that it receives, in milliseconds.
+fn start_worker_that_reports_its_deadline() -> (String, mpsc::Receiver<u64>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let (tell, told) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut length = [0; 4];
@@ -125,14 +125,14 @@
         stream.read_exact(&mut frame).expect("a frame");
         let text = String::from_utf8_lossy(&frame).into_owned();
         let deadline = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a deadline");
-        tell.send(deadline.parse().expect("milliseconds")).expect("the test waits");
+        sender.send(deadline.parse().expect("milliseconds")).expect("the test waits");
     });
-    (address, told)
+    (address, receiver)
 }
 
 #[test]
-fn a_request_that_waited_behind_failing_accepts_tells_workers_of_less_time() {
-    let (folder, (worker, told)) = (TempFolder::new("queue"), worker_that_tells_its_deadline());
+fn a_request_that_waited_behind_failing_accepts_gives_workers_less_time() {
+    let (folder, (worker, deadline)) = (TempFolder::new("queue"), start_worker_that_reports_its_deadline());
     let discovery = Discovery::start(&member("w1", &worker));
     let switch = folder.0.join("faults");
     let gatherer =
@@ -150,6 +150,7 @@
     thread::sleep(Duration::from_millis(600));
     let left = Duration::from_millis(1500).saturating_sub(sent.elapsed());
     std::fs::remove_file(&switch).expect("removed");
-    let told = Duration::from_millis(told.recv_timeout(Duration::from_secs(30)).expect("the part comes"));
-    assert!(told <= left + Duration::from_millis(150), "told {told:?} where {left:?} were left");
+    let deadline =
+        Duration::from_millis(deadline.recv_timeout(Duration::from_secs(30)).expect("the part comes"));
+    assert!(deadline <= left + Duration::from_millis(150), "given {deadline:?} where {left:?} were left");
 }
--- a/tests/exchange.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! One exchange with discovery or an index server, on loopback sockets: what is the end of an answer, and what is none.
+//! One HTTP exchange with discovery or an index server, on loopback sockets: what ends a response, and what does not.
 
 use bytes::BytesMut;
 use gatherer::protocol::http;
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// What becomes of an exchange that is answered so, in these pieces, and then ended by a close or a reset.
-fn answered(pieces: &'static [&'static str], by_reset: bool) -> Result<String, ExchangeError> {
+/// The result of an exchange whose response comes in these pieces, followed by a close or a reset.
+fn exchange_with(pieces: &'static [&'static str], by_reset: bool) -> Result<String, ExchangeError> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = thread::spawn(move || {
@@ -35,21 +35,21 @@
 }
 
 #[test]
-fn an_answer_without_a_length_lasts_until_the_close_and_a_reset_is_no_end() {
+fn a_response_without_a_length_ends_at_the_close_and_not_at_a_reset() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
-    assert_eq!(answered(&[HEAD, "{\"a\":", "1}"], false).expect("an answer"), "{\"a\":1}");
+    assert_eq!(exchange_with(&[HEAD, "{\"a\":", "1}"], false).expect("an answer"), "{\"a\":1}");
     for pieces in [&[HEAD, "{\"a\":1}"][..], &[HEAD], &["HTTP/1.1 200 O"]] {
-        assert!(matches!(answered(pieces, true), Err(ExchangeError::NoResponse(_))), "{pieces:?}");
+        assert!(matches!(exchange_with(pieces, true), Err(ExchangeError::NoResponse(_))), "{pieces:?}");
     }
-    // Where there is a length, or chunks, only that is an end.
+    // Where there is a length, or chunks, only that ends it.
     const LONG: &str = "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\":1}";
     const CHUNKS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n";
     for piece in [&[LONG][..], &[CHUNKS], &["HTTP/1.1 200 OK\r\nContent-"]] {
-        assert!(matches!(answered(piece, false), Err(ExchangeError::NoResponse(_))), "{piece:?}");
+        assert!(matches!(exchange_with(piece, false), Err(ExchangeError::NoResponse(_))), "{piece:?}");
     }
-    // It is bounded as any other.
-    const MUCH: &str =
+    // Its length is limited like any other's.
+    const MANY_BYTES: &str =
         "1234567890123456789012345678901234567890123456789012345678901234567890123456789012345678901";
-    let much = answered(&[HEAD, MUCH, MUCH], false);
-    assert!(matches!(much, Err(ExchangeError::Malformed(http::Malformed::BodyTooLong))), "{much:?}");
+    let too_long = exchange_with(&[HEAD, MANY_BYTES, MANY_BYTES], false);
+    assert!(matches!(too_long, Err(ExchangeError::Malformed(http::Malformed::BodyTooLong))), "{too_long:?}");
 }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,4 +1,4 @@
-//! Connections to index servers: which address is dialled, and what goes out on a connection that was kept.
+//! Connections to index servers: which address is connected to, and what is sent on a connection that was idle.
 
 use bytes::BytesMut;
 use gatherer::limits::DescriptorBudget;
@@ -15,11 +15,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Connections to servers that answer every search, and the addresses that were dialled.
+/// Connects to servers that answer every search, and notes each address.
 #[derive(Default)]
-struct Servers(RefCell<Vec<String>>);
+struct AnsweringServers(RefCell<Vec<String>>);
 
-impl Connector for Servers {
+impl Connector for AnsweringServers {
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             self.0.borrow_mut().push(address.to_owned());
@@ -42,8 +42,8 @@
     }
 }
 
-/// Asks one part of shard 0.
-async fn ask(broker: &Broker, label: &str, class: &str) -> QueryOutcome {
+/// Submits a query with one part, of shard 0.
+async fn submit(broker: &Broker, label: &str, class: &str) -> QueryOutcome {
     let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
     let hint = Some(Duration::from_millis(1));
     let parts = vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: hint, key: None }];
@@ -61,47 +61,47 @@
         .await
 }
 
-fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<Servers>) -> F) {
+fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<AnsweringServers>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let descriptor_pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         let mut list = config.initial_workers.expect("a list");
         list.workers.truncate(1);
         broker.apply_endpoint_update(&list, true);
-        let dial = Rc::new(Servers::default());
-        let servers = IndexServers::new(broker.clone(), dial.clone(), places);
+        let connector = Rc::new(AnsweringServers::default());
+        let servers = IndexServers::new(broker.clone(), connector.clone(), descriptor_pool);
         let driver = broker.clone();
         spawn_local(async move { driver.drive(&servers).await });
-        main(broker, dial).await;
+        main(broker, connector).await;
     });
 }
 
-fn is_served(verdict: &QueryOutcome) -> bool {
-    matches!(verdict, QueryOutcome::Answered { complete: true, .. })
+fn is_complete(outcome: &QueryOutcome) -> bool {
+    matches!(outcome, QueryOutcome::Answered { complete: true, .. })
 }
 
 #[test]
-fn a_server_that_moves_is_asked_at_its_new_address() {
-    run(|broker, dial| async move {
-        assert!(is_served(&ask(&broker, "a", "search").await));
+fn a_server_at_a_new_address_is_searched_there() {
+    run(|broker, connector| async move {
+        assert!(is_complete(&submit(&broker, "a", "search").await));
         let mut moved = broker.with_core(|core| core.endpoint_list());
         moved.workers[0].address = "elsewhere".to_owned();
         broker.apply_endpoint_update(&moved, false);
-        assert!(is_served(&ask(&broker, "b", "search").await));
-        assert_eq!(*dial.0.borrow(), ["w1", "elsewhere"]);
+        assert!(is_complete(&submit(&broker, "b", "search").await));
+        assert_eq!(*connector.0.borrow(), ["w1", "elsewhere"]);
     });
 }
 
 #[test]
-fn a_search_that_runs_once_goes_out_on_no_kept_connection() {
-    // Guards against a server that closes or resets it just then: the search may have run, and is lost.
-    run(|broker, dial| async move {
+fn a_non_idempotent_search_is_sent_on_a_new_connection() {
+    // The server may close or reset an idle connection just then: the search may have run, and its result is lost.
+    run(|broker, connector| async move {
         for (label, class) in [("a", "search"), ("b", "search"), ("c", "seal")] {
-            assert!(is_served(&ask(&broker, label, class).await));
+            assert!(is_complete(&submit(&broker, label, class).await));
         }
-        assert_eq!(dial.0.borrow().len(), 2, "one for the two that may be repeated, one for the third");
+        assert_eq!(connector.0.borrow().len(), 2, "one for the two idempotent searches, one for the third");
     });
 }
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -1,4 +1,4 @@
-//! The listener on loopback sockets, in a crowd of many times the descriptors: the usual clients lose nothing.
+//! The listener on loopback sockets, under many times more connections than descriptors: well-behaved clients lose nothing.
 
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::protocol::http::{Malformed, Request, Response};
@@ -17,14 +17,16 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// Says its path. `/held` is answered only when the test lets it.
-struct Echo(Rc<Semaphore>);
+/// Responds with the request's path. `/held` waits for a permit of the test.
+struct Echo {
+    held: Rc<Semaphore>,
+}
 
 impl Front for Echo {
     async fn respond(&self, request: Request) -> Response {
         match request.path.as_str() {
-            "/held" => drop(self.0.acquire().await),
-            "/rubbish" => return Response::text(400, "rubbish"),
+            "/held" => drop(self.held.acquire().await),
+            "/malformed" => return Response::text(400, "malformed"),
             _ => {}
         }
         Response::text(200, request.path)
@@ -46,72 +48,89 @@
     }
 }
 
-/// Too many open files; a connection that was reset before it was accepted.
+/// Too many open files.
 const EMFILE: i32 = 24;
+/// The connection was reset before it was accepted.
 const ECONNABORTED: i32 = 103;
 
-/// A gate with a listener in front of it.
-struct House {
-    gate: Rc<ConnectionManager>,
+/// A connection manager and a listener that admits connections to it.
+struct Server {
+    manager: Rc<ConnectionManager>,
     address: SocketAddr,
     held: Rc<Semaphore>,
     accepting: JoinHandle<()>,
 }
 
-/// Fails so often before it takes connections, with this error of the system.
-struct Short(TcpListener, Cell<u32>, i32);
+/// Fails a number of accepts with an error of the system before it accepts a connection; one more before each further one.
+struct FailingListener {
+    listener: TcpListener,
+    failures_left: Cell<u32>,
+    errno: i32,
+}
 
-impl Accept for Short {
+impl Accept for FailingListener {
     fn accept(&self) -> AcceptFuture<'_> {
         Box::pin(async move {
-            if self.1.get() > 0 {
-                self.1.set(self.1.get() - 1);
-                return Err(io::Error::from_raw_os_error(self.2));
+            if self.failures_left.get() > 0 {
+                self.failures_left.set(self.failures_left.get() - 1);
+                return Err(io::Error::from_raw_os_error(self.errno));
             }
-            let accepted = Accept::accept(&self.0).await;
-            self.1.set(1);
+            let accepted = Accept::accept(&self.listener).await;
+            self.failures_left.set(1);
             accepted
         })
     }
 }
 
-impl House {
-    async fn open(descriptors: usize, failures: u32) -> House {
-        House::with_memory(descriptors, failures, 4 << 20).await
+impl Server {
+    async fn start(descriptors: usize, failures: u32) -> Server {
+        Server::with_buffer_limit(descriptors, failures, 4 << 20).await
     }
-    async fn with_memory(descriptors: usize, failures: u32, bytes: usize) -> House {
-        House::failing(descriptors, failures, EMFILE, bytes).await
+    async fn with_buffer_limit(descriptors: usize, failures: u32, max_buffered_bytes: usize) -> Server {
+        Server::with_accept_errors(descriptors, failures, EMFILE, max_buffered_bytes).await
     }
-    async fn failing(descriptors: usize, failures: u32, error: i32, bytes: usize) -> House {
+    async fn with_accept_errors(
+        descriptors: usize,
+        failures: u32,
+        errno: i32,
+        max_buffered_bytes: usize,
+    ) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let places = DescriptorPool::new(DescriptorBudget::new(descriptors, 16, 0).expect("enough"), bytes);
-        let (gate, held) = (ConnectionManager::new(places), Rc::new(Semaphore::new(0)));
-        let front = Rc::new(Echo(held.clone()));
+        let descriptor_pool = DescriptorPool::new(
+            DescriptorBudget::new(descriptors, 16, 0).expect("enough"),
+            max_buffered_bytes,
+        );
+        let (manager, held) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
+        let front = Rc::new(Echo { held: held.clone() });
         let accepting = if failures > 0 {
-            spawn_local(accept(Short(listener, Cell::new(failures), error), front, gate.clone()))
+            spawn_local(accept(
+                FailingListener { listener, failures_left: Cell::new(failures), errno },
+                front,
+                manager.clone(),
+            ))
         } else {
-            spawn_local(accept(listener, front, gate.clone()))
+            spawn_local(accept(listener, front, manager.clone()))
         };
-        let tended = gate.clone();
-        spawn_local(async move { tended.run_evictions().await });
-        let aged = gate.clone();
-        spawn_local(async move { aged.run_lifecycle_timers().await });
-        House { gate, address, held, accepting }
+        let evicting = manager.clone();
+        spawn_local(async move { evicting.run_evictions().await });
+        let timed = manager.clone();
+        spawn_local(async move { timed.run_lifecycle_timers().await });
+        Server { manager, address, held, accepting }
     }
     fn free(&self) -> usize {
-        self.gate.descriptor_pool().descriptors(|all| all.free())
+        self.manager.descriptor_pool().descriptors(|all| all.free())
     }
     async fn client(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("connected")
     }
 }
 
-async fn say(stream: &mut TcpStream, path: &str) {
+async fn send_request(stream: &mut TcpStream, path: &str) {
     stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await.expect("written");
 }
 
-async fn hear(stream: &mut TcpStream, path: &str) -> String {
+async fn read_response(stream: &mut TcpStream, path: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(format!("{path}\n").as_bytes()) {
         assert!(stream.read_buf(&mut text).await.expect("readable") > 0, "the connection ended");
@@ -119,41 +138,42 @@
     String::from_utf8(text).expect("text")
 }
 
-async fn ask(stream: &mut TcpStream, path: &str) -> String {
-    say(stream, path).await;
-    hear(stream, path).await
+async fn exchange(stream: &mut TcpStream, path: &str) -> String {
+    send_request(stream, path).await;
+    read_response(stream, path).await
 }
 
-/// A usual client: where its kept connection was closed between two requests, it asks once more on a new one.
-async fn usual(address: SocketAddr, kept: &mut Option<TcpStream>) -> String {
-    if let Some(stream) = kept {
+/// A well-behaved client: where its idle connection was closed, it sends its request once more on a new one.
+async fn well_behaved(address: SocketAddr, idle: &mut Option<TcpStream>) -> String {
+    if let Some(stream) = idle {
         let mut text = Vec::new();
-        if stream.write_all(b"GET /usual HTTP/1.1\r\n\r\n").await.is_ok() {
-            while !text.ends_with(b"/usual\n") && matches!(stream.read_buf(&mut text).await, Ok(1..)) {}
+        if stream.write_all(b"GET /well-behaved HTTP/1.1\r\n\r\n").await.is_ok() {
+            while !text.ends_with(b"/well-behaved\n") && matches!(stream.read_buf(&mut text).await, Ok(1..)) {
+            }
         }
         if !text.is_empty() {
             return String::from_utf8(text).expect("text");
         }
     }
-    let stream = kept.insert(TcpStream::connect(address).await.expect("connected"));
-    ask(stream, "/usual").await
+    let stream = idle.insert(TcpStream::connect(address).await.expect("connected"));
+    exchange(stream, "/well-behaved").await
 }
 
-/// One of a crowd: it misbehaves in its own way, and is back at once whenever it is closed.
-async fn nuisance(address: SocketAddr, number: usize) {
+/// A client that misbehaves in one of several ways, and reconnects at once whenever it is closed.
+async fn misbehaving(address: SocketAddr, number: usize) {
     loop {
         let Ok(mut stream) = TcpStream::connect(address).await else { return };
-        let words: &[u8] = match number % 5 {
+        let bytes: &[u8] = match number % 5 {
             0 => b"",
             1 => b"GET /half HTTP/1.1\r\nX-Pad:",
             2 => b"GET /once HTTP/1.1\r\n\r\n",
-            3 => b"\0\0 rubbish \r\n\r\n",
-            _ => b"GET /rubbish HTTP/1.1\r\n\r\n",
+            3 => b"\0\0 malformed \r\n\r\n",
+            _ => b"GET /malformed HTTP/1.1\r\n\r\n",
         };
-        let mut scrap = [0; 512];
-        // It may be closed at any point: that is what it came for.
-        if stream.write_all(words).await.is_ok() {
-            while matches!(stream.read(&mut scrap).await, Ok(1..)) {
+        let mut discarded = [0; 512];
+        // It may be closed at any point, which is what it provokes.
+        if stream.write_all(bytes).await.is_ok() {
+            while matches!(stream.read(&mut discarded).await, Ok(1..)) {
                 if number.is_multiple_of(10) && stream.write_all(b"a").await.is_err() {
                     break;
                 }
@@ -167,163 +187,170 @@
     LocalSet::new().block_on(&runtime, main);
 }
 
-/// Takes all places of the servers' side, firmly, as wide queries do.
-fn servers_at_their_floor(places: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
-    let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
-    let held: Vec<DescriptorPermit> =
-        (0..floor).map(|_| places.try_acquire(DescriptorClass::Workers).expect("its floor")).collect();
+/// Acquires all descriptors that workers are guaranteed, busy, as queries of many parts do.
+fn fill_guaranteed_worker_descriptors(pool: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
+    let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
+    let held: Vec<DescriptorPermit> = (0..floor)
+        .map(|_| pool.try_acquire(DescriptorClass::Workers).expect("a guaranteed descriptor"))
+        .collect();
     assert!(held.iter().all(DescriptorPermit::try_mark_busy));
     held
 }
 
-async fn usual_clients_lose_nothing(descriptors: usize, failures: u32, floor_taken: bool, come: u64) {
-    let house = House::open(descriptors, failures).await;
-    let servers = floor_taken.then(|| servers_at_their_floor(house.gate.descriptor_pool()));
-    let crowd: Vec<_> =
-        (0..10 * descriptors).map(|number| spawn_local(nuisance(house.address, number))).collect();
-    // Usual clients keep their connections and come back; one that is closed between two requests comes anew.
+async fn well_behaved_clients_lose_nothing(
+    descriptors: usize,
+    failures: u32,
+    workers_busy: bool,
+    min_admitted: u64,
+) {
+    let server = Server::start(descriptors, failures).await;
+    let worker_descriptors =
+        workers_busy.then(|| fill_guaranteed_worker_descriptors(server.manager.descriptor_pool()));
+    let misbehaving_clients: Vec<_> =
+        (0..10 * descriptors).map(|number| spawn_local(misbehaving(server.address, number))).collect();
+    // Well-behaved clients keep their connections; one that is closed between two requests reconnects.
     let mut clients = [None, None, None, None];
-    let admitted = || house.gate.descriptor_pool().counters.borrow().admitted;
+    let admitted = || server.manager.descriptor_pool().counters.borrow().admitted;
     let mut rounds = 0;
-    while rounds < 10 || admitted() < come {
+    while rounds < 10 || admitted() < min_admitted {
         for client in &mut clients {
-            assert!(usual(house.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
+            assert!(well_behaved(server.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
         rounds += 1;
-        assert!(house.free() <= house.gate.descriptor_pool().descriptors(|all| all.budget().usable));
+        assert!(server.free() <= server.manager.descriptor_pool().descriptors(|all| all.budget().usable));
         tokio::task::yield_now().await;
     }
-    let tally = house.gate.descriptor_pool().counters.borrow().clone();
-    assert!(tally.peak_descriptors <= descriptors - 16, "{tally}");
-    assert!(tally.evicted_early > 0 && tally.total_evicted() > 0, "{tally}");
-    assert_eq!((tally.rejected, tally.rejected_no_descriptor), (0, 0), "{tally}");
-    assert_eq!(tally.accept_failed > 0, failures > 0, "{tally}");
-    let mut last = house.client().await;
-    say(&mut last, "/held").await;
-    while house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
+    let counters = server.manager.descriptor_pool().counters.borrow().clone();
+    assert!(counters.peak_descriptors <= descriptors - 16, "{counters}");
+    assert!(counters.evicted_early > 0 && counters.total_evicted() > 0, "{counters}");
+    assert_eq!((counters.rejected, counters.rejected_no_descriptor), (0, 0), "{counters}");
+    assert_eq!(counters.accept_failed > 0, failures > 0, "{counters}");
+    let mut last = server.client().await;
+    send_request(&mut last, "/held").await;
+    while server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
         tokio::task::yield_now().await;
     }
-    // At SIGTERM usual clients still have their answers, and the end comes in spite of the crowd.
-    house.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
-    assert!(usual(house.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
-    house.gate.wait_for_closing().await;
-    house.held.add_permits(1);
-    assert!(hear(&mut last, "/held").await.contains("Connection: close\r\n"));
-    crowd.iter().for_each(JoinHandle::abort);
-    house.accepting.await.expect("accepting ends");
-    while house.gate.open_connections() > 0 {
+    // After SIGTERM well-behaved clients still get their responses, and the process ends under load.
+    server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+    assert!(well_behaved(server.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
+    server.manager.wait_for_closing().await;
+    server.held.add_permits(1);
+    assert!(read_response(&mut last, "/held").await.contains("Connection: close\r\n"));
+    misbehaving_clients.iter().for_each(JoinHandle::abort);
+    server.accepting.await.expect("accepting ends");
+    while server.manager.open_connections() > 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    drop(servers);
+    drop(worker_descriptors);
 }
 
 #[test]
-fn usual_clients_lose_nothing_to_a_crowd_of_ten_times_the_descriptors() {
-    run(usual_clients_lose_nothing(96, 0, false, 2000));
+fn well_behaved_clients_lose_nothing_among_ten_times_as_many_connections_as_descriptors() {
+    run(well_behaved_clients_lose_nothing(96, 0, false, 2000));
 }
 
 #[test]
-fn nor_with_the_servers_at_their_floor() {
-    run(usual_clients_lose_nothing(96, 0, true, 600));
+fn well_behaved_clients_lose_nothing_while_workers_use_all_guaranteed_descriptors() {
+    run(well_behaved_clients_lose_nothing(96, 0, true, 600));
 }
 
 #[test]
-fn nor_with_accept_failing_for_want_of_descriptors() {
-    run(usual_clients_lose_nothing(64, 1, false, 80));
+fn well_behaved_clients_lose_nothing_while_accepts_fail_for_want_of_descriptors() {
+    run(well_behaved_clients_lose_nothing(64, 1, false, 80));
 }
 
 #[test]
-fn one_with_a_query_open_is_never_cut_and_the_next_is_told_to_come_back() {
-    // Guards against a listener that cuts a query for a newcomer, and against one that leaves the newcomer waiting.
+fn a_busy_connection_is_never_evicted_and_the_next_request_is_rejected() {
+    // A new connection may neither end a query in flight nor wait without an answer.
     run(async {
-        let house = House::open(64, 0).await;
+        let server = Server::start(64, 0).await;
         let mut busy = Vec::new();
-        while house.free() > 0 {
-            let mut client = house.client().await;
-            say(&mut client, "/held").await;
+        while server.free() > 0 {
+            let mut client = server.client().await;
+            send_request(&mut client, "/held").await;
             busy.push(client);
-            let firm = || house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
-            let refused = || house.gate.descriptor_pool().counters.borrow().rejected_no_descriptor;
-            let before = firm() + refused() as usize;
-            while firm() + refused() as usize == before && house.free() > 0 {
+            let busy_count =
+                || server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
+            let rejected_count = || server.manager.descriptor_pool().counters.borrow().rejected_no_descriptor;
+            let before = busy_count() + rejected_count() as usize;
+            while busy_count() + rejected_count() as usize == before && server.free() > 0 {
                 tokio::task::yield_now().await;
             }
-            if refused() > 0 {
+            if rejected_count() > 0 {
                 break;
             }
         }
-        let refused = busy.pop().expect("one was refused");
+        let mut rejected = busy.pop().expect("one was rejected");
         let mut text = String::new();
-        let mut refused = refused;
-        refused.read_to_string(&mut text).await.expect("readable");
+        rejected.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: 1\r\n"), "{text}");
-        // Floors of the other sides stay free to be had.
-        let (places, mut others) = (house.gate.descriptor_pool(), Vec::new());
-        for side in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
-            let floor = places.descriptors(|all| all.budget().floors[side as usize]);
+        // What the other classes are guaranteed can still be acquired.
+        let (pool, mut others) = (server.manager.descriptor_pool(), Vec::new());
+        for class in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
+            let floor = pool.descriptors(|all| all.budget().floors[class as usize]);
             for _ in 0..floor {
-                let place = places.acquire(side).await;
-                assert!(place.try_mark_busy(), "{side}");
-                others.push(place);
+                let permit = pool.acquire(class).await;
+                assert!(permit.try_mark_busy(), "{class}");
+                others.push(permit);
             }
         }
-        let mut late = house.client().await;
+        let mut late = server.client().await;
         let mut text = String::new();
         late.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
-        assert_eq!(places.counters.borrow().rejected, 1);
-        house.held.add_permits(busy.len());
+        assert_eq!(pool.counters.borrow().rejected, 1);
+        server.held.add_permits(busy.len());
         for client in &mut busy {
-            assert!(hear(client, "/held").await.starts_with("HTTP/1.1 200 OK\r\n"));
+            assert!(read_response(client, "/held").await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
     });
 }
 
 #[test]
-fn half_requests_together_buffer_no_more_than_there_is() {
-    // Guards the memory against many clients that each send the most that one may, and never the end.
+fn incomplete_requests_together_buffer_no_more_than_the_budget() {
+    // Many clients each send as much of a request as one may, and never its end.
     run(async {
-        let house = House::with_memory(96, 0, 400 << 10).await;
-        let mut halves = Vec::new();
+        let server = Server::with_buffer_limit(96, 0, 400 << 10).await;
+        let mut incomplete = Vec::new();
         for _ in 0..40 {
-            let mut half = house.client().await;
+            let mut half = server.client().await;
             let body = vec![b'x'; 60_000];
-            halves.push(spawn_local(async move {
+            incomplete.push(spawn_local(async move {
                 half.write_all(b"POST /half HTTP/1.1\r\nContent-Length: 60001\r\n\r\n").await?;
                 half.write_all(&body).await?;
                 let mut text = String::new();
                 half.read_to_string(&mut text).await.map(|_| text)
             }));
         }
-        let mut kept = None;
+        let mut idle = None;
         for _ in 0..50 {
-            assert!(usual(house.address, &mut kept).await.starts_with("HTTP/1.1 200 OK\r\n"));
+            assert!(well_behaved(server.address, &mut idle).await.starts_with("HTTP/1.1 200 OK\r\n"));
             tokio::task::yield_now().await;
         }
-        let mut told = 0;
-        for half in halves {
-            // It may be reset while it still sends; whoever is told is told why.
+        let mut answered = 0;
+        for half in incomplete {
+            // A connection may be reset while its client still sends; the others get a response that says why.
             if let Ok(text) = half.await.expect("its task ends") {
-                told += usize::from(text.starts_with("HTTP/1.1 408 "));
+                answered += usize::from(text.starts_with("HTTP/1.1 408 "));
             }
         }
-        let most = house.gate.descriptor_pool().counters.borrow().peak_buffered_bytes;
-        assert!(told > 0 && most > 100 << 10 && most <= 400 << 10, "{told} told, {most} bytes");
+        let most = server.manager.descriptor_pool().counters.borrow().peak_buffered_bytes;
+        assert!(answered > 0 && most > 100 << 10 && most <= 400 << 10, "{answered} answered, {most} bytes");
     });
 }
 
 #[test]
-fn half_a_request_holds_a_place_only_as_long_as_nobody_needs_it() {
+fn an_incomplete_request_is_evicted_once_another_connection_needs_its_descriptor() {
     run(async {
-        let house = House::open(64, 0).await;
-        let mut half = house.client().await;
+        let server = Server::start(64, 0).await;
+        let mut half = server.client().await;
         half.write_all(b"POST /half HTTP/1.1\r\nX-Pad:").await.expect("written");
         let mut others = Vec::new();
         let mut text = String::new();
         let closed = half.read_to_string(&mut text);
         let more = async {
-            while house.gate.descriptor_pool().counters.borrow().evicted.iter().sum::<u64>() == 0 {
-                others.push(house.client().await);
+            while server.manager.descriptor_pool().counters.borrow().evicted.iter().sum::<u64>() == 0 {
+                others.push(server.client().await);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             std::future::pending::<()>().await;
@@ -333,52 +360,55 @@
             () = more => {}
         }
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
-        assert!(house.gate.descriptor_pool().counters.borrow().evicted[1] > 0);
+        assert!(server.manager.descriptor_pool().counters.borrow().evicted[1] > 0);
     });
 }
 
 #[test]
-fn a_request_that_comes_as_its_connection_is_told_to_leave_is_served() {
+fn a_request_that_arrives_as_its_connection_is_evicted_is_served() {
     run(async {
-        let house = House::open(64, 0).await;
-        let mut client = house.client().await;
-        ask(&mut client, "/a").await;
+        let server = Server::start(64, 0).await;
+        let mut client = server.client().await;
+        exchange(&mut client, "/a").await;
         // Both happen before the connection's task runs again.
-        house.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
-        say(&mut client, "/b").await;
-        let spared = || house.gate.descriptor_pool().counters.borrow().eviction_cancelled;
-        let text = hear(&mut client, "/b").await;
+        server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
+        send_request(&mut client, "/b").await;
+        let cancelled_evictions = || server.manager.descriptor_pool().counters.borrow().eviction_cancelled;
+        let text = read_response(&mut client, "/b").await;
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"));
-        assert!(spared() <= 1);
-        assert_eq!(house.gate.descriptor_pool().counters.borrow().close_races, 0);
+        assert!(cancelled_evictions() <= 1);
+        assert_eq!(server.manager.descriptor_pool().counters.borrow().close_races, 0);
     });
 }
 
-/// Waits for an event; guards against a test that hangs for ever.
-async fn event(what: &str, so: impl Fn() -> bool) {
+/// Waits until a condition holds, and fails the test after 20 s.
+async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let all = async {
-        while !so() {
+        while !holds() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), all).await.unwrap_or_else(|_| panic!("in vain: {what}"));
+    tokio::time::timeout(Duration::from_secs(20), all)
+        .await
+        .unwrap_or_else(|_| panic!("waited in vain: {what}"));
 }
 
 #[test]
-fn a_client_that_leaves_behind_bytes_that_nobody_reads_is_noticed() {
-    // Guards a request that waits for its first attempt: its client sent more than is kept ahead, and left.
+fn a_client_that_closes_behind_unread_bytes_is_noticed() {
+    // The request waits for its first attempt; its client sends more than is buffered ahead, and closes.
     run(async {
-        let house = House::open(64, 0).await;
-        let firm = || house.gate.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
-        let mut leaving = Vec::new();
+        let server = Server::start(64, 0).await;
+        let busy_count =
+            || server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
+        let mut closing = Vec::new();
         for _ in 0..4 {
-            let mut client = house.client().await;
-            say(&mut client, "/held").await;
-            leaving.push(client);
+            let mut client = server.client().await;
+            send_request(&mut client, "/held").await;
+            closing.push(client);
         }
-        event("four are held", || firm() == 4).await;
-        // All leave in one burst, each behind more than twice what may be sent ahead.
-        let burst = leaving.into_iter().map(|mut client| {
+        wait_until("four are held", || busy_count() == 4).await;
+        // All close in one burst, each behind more than twice what may be sent ahead.
+        let burst = closing.into_iter().map(|mut client| {
             spawn_local(async move {
                 client.write_all(&vec![b'x'; 600 << 10]).await.expect("it is read");
             })
@@ -386,88 +416,93 @@
         for gone in burst.collect::<Vec<_>>() {
             gone.await.expect("it ends");
         }
-        event("they are gone", || house.gate.open_connections() == 0).await;
-        // One that stays has its answer, and the end of its connection: what it sent ahead is no request any more.
-        let mut client = house.client().await;
-        say(&mut client, "/held").await;
-        event("it is held", || firm() == 1).await;
-        // More than the system holds on the way: most of it has been read when this returns.
+        wait_until("they are gone", || server.manager.open_connections() == 0).await;
+        // A client that stays gets its response and the end of its connection: what it sent ahead was discarded.
+        let mut client = server.client().await;
+        send_request(&mut client, "/held").await;
+        wait_until("it is held", || busy_count() == 1).await;
+        // More than the system's buffers hold: most of it has been read when this returns.
         client.write_all(&vec![b'x'; 24 << 20]).await.expect("it is read");
-        house.held.add_permits(1);
-        assert!(hear(&mut client, "/held").await.contains("Connection: close\r\n"));
+        server.held.add_permits(1);
+        assert!(read_response(&mut client, "/held").await.contains("Connection: close\r\n"));
     });
 }
 
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_read_and_not_answered() {
-    // Guards against a close over unread bytes: it resets the connection, and takes with it what has not arrived yet.
+    // Closing a socket with unread bytes resets the connection, and discards what has not arrived yet.
     run(async {
-        let house = House::open(64, 0).await;
-        let mut client = house.client().await;
-        ask(&mut client, "/a").await;
-        house.gate.descriptor_pool().reclaim(DescriptorClass::Clients);
+        let server = Server::start(64, 0).await;
+        let mut client = server.client().await;
+        exchange(&mut client, "/a").await;
+        server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
         let mut text = String::new();
         client.read_to_string(&mut text).await.expect("it ends for writing first");
-        say(&mut client, "/b").await;
-        event("it is read", || house.gate.descriptor_pool().counters.borrow().close_races == 1).await;
+        send_request(&mut client, "/b").await;
+        wait_until("it is read", || server.manager.descriptor_pool().counters.borrow().close_races == 1)
+            .await;
         client.read_to_string(&mut text).await.expect("no reset");
         assert_eq!(text, "");
         drop(client);
-        event("it is closed", || house.gate.open_connections() == 0).await;
-        assert_eq!(house.gate.descriptor_pool().counters.borrow().eviction_cancelled, 0);
+        wait_until("it is closed", || server.manager.open_connections() == 0).await;
+        assert_eq!(server.manager.descriptor_pool().counters.borrow().eviction_cancelled, 0);
     });
 }
 
 #[test]
-fn all_who_connected_before_the_door_closes_get_an_answer() {
-    // Guards those in the queue of a process that stood still: their connections are there, and so is the end.
+fn all_connections_made_before_accepting_ends_get_a_response() {
+    // After a pause of the process both are due at once: connections in the backlog, and the end of accepting.
     run(async {
-        let house = House::open(256, 0).await;
-        house.gate.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
-        let come = |_| {
-            let mut client = std::net::TcpStream::connect(house.address).expect("connected");
+        let server = Server::start(256, 0).await;
+        server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+        let connect = |_| {
+            let mut client = std::net::TcpStream::connect(server.address).expect("connected");
             std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n").expect("written");
             client
         };
-        let clients: Vec<_> = (0..60).map(come).collect();
-        // The one thread stands still past the moment at which the door closes: both lie there at the same wake.
+        let clients: Vec<_> = (0..60).map(connect).collect();
+        // The only thread pauses past the end of accepting, so that both are due when it goes on.
         std::thread::sleep(gatherer::service::lifecycle::GRACE_PERIOD + Duration::from_millis(50));
         for client in clients {
             client.set_nonblocking(true).expect("set");
             let mut client = TcpStream::from_std(client).expect("a stream");
-            let text = tokio::time::timeout(Duration::from_secs(20), hear(&mut client, "/late")).await;
+            let text =
+                tokio::time::timeout(Duration::from_secs(20), read_response(&mut client, "/late")).await;
             assert!(text.expect("an answer").contains("Connection: close\r\n"));
         }
-        house.accepting.await.expect("accepting ends");
+        server.accepting.await.expect("accepting ends");
     });
 }
 
 #[test]
-fn an_accept_that_fails_for_no_want_of_descriptors_costs_no_client_and_no_time() {
+fn an_accept_error_that_is_no_want_of_descriptors_delays_no_client() {
     run(async {
-        let house = House::failing(64, 40, ECONNABORTED, 4 << 20).await;
+        let server = Server::with_accept_errors(64, 40, ECONNABORTED, 4 << 20).await;
         let since = std::time::Instant::now();
-        let mut client = house.client().await;
-        assert!(ask(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
-        let (took, tally) = (since.elapsed(), house.gate.descriptor_pool().counters.borrow().clone());
+        let mut client = server.client().await;
+        assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
+        let (took, counters) = (since.elapsed(), server.manager.descriptor_pool().counters.borrow().clone());
         // One more fails before the next connection.
-        assert_eq!((tally.accept_failed, tally.evicted_early), (41, 0), "{tally}");
+        assert_eq!((counters.accept_failed, counters.evicted_early), (41, 0), "{counters}");
         assert!(took < Duration::from_millis(400), "40 failures took {took:?}");
     });
 }
 
 #[test]
-fn a_newcomer_that_is_made_to_leave_has_an_answer_for_the_request_that_crosses_it() {
-    // Its first request may be on its way: read behind a close without an answer, it would be lost.
+fn a_new_connection_that_is_evicted_gets_a_rejection_for_its_first_request() {
+    // Its first request may be on its way: after a close without a response it would be lost.
     run(async {
-        let house = House::open(64, 0).await;
-        let mut client = house.client().await;
-        let mut said = Vec::new();
-        // It says nothing until it is made to leave, and asks just then.
-        assert!(client.read_buf(&mut said).await.expect("readable") > 0, "closed without a word");
-        say(&mut client, "/a").await;
-        client.read_to_end(&mut said).await.expect("no reset");
-        let said = String::from_utf8(said).expect("text");
-        assert!(said.starts_with("HTTP/1.1 503 ") && said.contains("Connection: close\r\n"), "{said:?}");
+        let server = Server::start(64, 0).await;
+        let mut client = server.client().await;
+        let mut received = Vec::new();
+        // It sends nothing until it is evicted, and its first request just then.
+        assert!(client.read_buf(&mut received).await.expect("readable") > 0, "closed without a word");
+        send_request(&mut client, "/a").await;
+        client.read_to_end(&mut received).await.expect("no reset");
+        let received = String::from_utf8(received).expect("text");
+        assert!(
+            received.starts_with("HTTP/1.1 503 ") && received.contains("Connection: close\r\n"),
+            "{received:?}"
+        );
     });
 }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,4 +1,4 @@
-//! The servers' side on a small budget of descriptors: wide queries, and idle connections that give way.
+//! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are reclaimed.
 
 use bytes::{Buf, BytesMut};
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
@@ -14,16 +14,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Shards of the stand-in layout, each held by both workers.
+/// Shards of the test layout, each held by both workers.
 const SHARDS: u32 = 64;
 
-/// Connections to workers that serve every part after this time.
-struct Answering(Duration);
+/// Connects to workers that answer every part after this time.
+struct AnsweringWorkers(Duration);
 
-impl Connector for Answering {
+impl Connector for AnsweringWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            // A new connection costs a moment.
+            // Connecting takes a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
             let (near, far) = tokio::io::duplex(1 << 16);
             spawn_local(worker(far, self.0));
@@ -54,11 +54,11 @@
     }
 }
 
-/// Connections that hold a few bytes, to workers that do not read; their ends are kept here.
+/// Connects to workers that do not read, by connections that buffer a few bytes; the workers' ends are kept here.
 #[derive(Default)]
-struct Stuck(RefCell<Vec<DuplexStream>>);
+struct StuckWorkers(RefCell<Vec<DuplexStream>>);
 
-impl Connector for Stuck {
+impl Connector for StuckWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             let (near, far) = tokio::io::duplex(16);
@@ -69,11 +69,11 @@
 }
 
 fn run<F: Future<Output = ()>>(time: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
-    run_on(Rc::new(Answering(Duration::from_millis(time))), main);
+    run_on(Rc::new(AnsweringWorkers(Duration::from_millis(time))), main);
 }
 
 fn run_on<F: Future<Output = ()>>(
-    dial: Rc<dyn Connector>,
+    connector: Rc<dyn Connector>,
     main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -83,14 +83,14 @@
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let places = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
-        let workers = Workers::new(broker.clone(), dial, places.clone());
+        let workers = Workers::new(broker.clone(), connector, pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
         let driver = broker.clone();
         spawn_local(async move { driver.drive(&workers).await });
-        main(broker, places).await;
+        main(broker, pool).await;
     });
 }
 
@@ -114,89 +114,90 @@
 }
 
 #[test]
-fn a_query_wider_than_the_budget_waits_its_turn_and_is_served_whole() {
-    // Every part runs once and wants a connection of its own: 64 of them, where 48 descriptors are to be had in all.
-    run(20, |broker, places| async move {
-        let floor = places.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
-        let clients: Vec<DescriptorPermit> =
-            (0..floor).map(|_| places.try_acquire(DescriptorClass::Clients).expect("its floor")).collect();
-        assert!(clients.iter().all(DescriptorPermit::try_mark_busy));
-        let verdict = broker.submit(ask("wide", "seal", SHARDS, &broker)).await;
-        let QueryOutcome::Answered { complete: true, values } = verdict else {
+fn a_query_with_more_parts_than_descriptors_waits_and_is_answered_completely() {
+    // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48 descriptors in all.
+    run(20, |broker, pool| async move {
+        let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+        let client_permits: Vec<DescriptorPermit> = (0..floor)
+            .map(|_| pool.try_acquire(DescriptorClass::Clients).expect("a guaranteed descriptor"))
+            .collect();
+        assert!(client_permits.iter().all(DescriptorPermit::try_mark_busy));
+        let outcome = broker.submit(ask("wide", "seal", SHARDS, &broker)).await;
+        let QueryOutcome::Answered { complete: true, values } = outcome else {
             panic!(
-                "{verdict:?} {} {}",
+                "{outcome:?} {} {}",
                 broker.with_core(|core| core.counters.clone()),
-                places.counters.borrow()
+                pool.counters.borrow()
             )
         };
         assert_eq!(values.len(), SHARDS as usize);
-        let tally = places.counters.borrow().clone();
+        let counters = pool.counters.borrow().clone();
         assert_eq!(
-            (tally.worker_connects_started, tally.worker_connect_waits_failed),
+            (counters.worker_connects_started, counters.worker_connect_waits_failed),
             (u64::from(SHARDS), 0),
-            "{tally}"
+            "{counters}"
         );
         assert_eq!(broker.with_core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
-        let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
         let most = usable
             - floor
             - floors[DescriptorClass::Discovery as usize]
             - floors[DescriptorClass::Files as usize];
-        assert!(tally.peak_held[DescriptorClass::Workers as usize] <= most, "{tally}");
+        assert!(counters.peak_held[DescriptorClass::Workers as usize] <= most, "{counters}");
     });
 }
 
 #[test]
-fn where_no_connection_can_be_had_nothing_counts_as_run() {
-    // All that may be firm is: the query waits, is turned out, and is refused rather than failed.
-    run(20, |broker, places| async move {
+fn without_a_connection_the_query_is_rejected_as_not_executed() {
+    // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected rather than failed.
+    run(20, |broker, pool| async move {
         let mut held = Vec::new();
-        while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
-            held.push(places.try_acquire(DescriptorClass::Workers).expect("free"));
+        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
+            held.push(pool.try_acquire(DescriptorClass::Workers).expect("free"));
             assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
-        let verdict = broker.submit(ask("none", "seal", 2, &broker)).await;
-        assert!(matches!(verdict, QueryOutcome::Rejected { .. }), "{verdict:?}");
-        let counted = broker.with_core(|core| core.counters.clone());
-        assert!(counted.ended_skipped > 0 && counted.ended_refused == 0, "{counted}");
-        assert!(places.counters.borrow().worker_connect_waits_failed > 0);
+        let outcome = broker.submit(ask("none", "seal", 2, &broker)).await;
+        assert!(matches!(outcome, QueryOutcome::Rejected { .. }), "{outcome:?}");
+        let counters = broker.with_core(|core| core.counters.clone());
+        assert!(counters.ended_skipped > 0 && counters.ended_refused == 0, "{counters}");
+        assert!(pool.counters.borrow().worker_connect_waits_failed > 0);
     });
 }
 
 #[test]
-fn idle_connections_to_workers_give_way_to_clients_and_come_back() {
-    run(1, |broker, places| async move {
-        let served = |verdict| matches!(verdict, QueryOutcome::Answered { complete: true, .. });
+fn idle_worker_connections_are_reclaimed_for_clients_and_reopened() {
+    run(1, |broker, pool| async move {
+        let served = |outcome| matches!(outcome, QueryOutcome::Answered { complete: true, .. });
         assert!(served(broker.submit(ask("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let idle = places
-            .descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
+        let idle =
+            pool.descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
         assert!(idle.0 > 0 && idle.1 == 0, "{idle:?}");
-        // Guards against loans that are never given back: clients take everything that their side may have.
-        let mut clients = Vec::new();
-        while places.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
-            clients.push(places.acquire(DescriptorClass::Clients).await);
-            assert!(clients.last().is_some_and(DescriptorPermit::try_mark_busy));
+        // What workers lent is reclaimed: clients acquire everything that their class may hold.
+        let mut client_permits = Vec::new();
+        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
+            client_permits.push(pool.acquire(DescriptorClass::Clients).await);
+            assert!(client_permits.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
-        let (usable, floors) = places.descriptors(|all| (all.budget().usable, all.budget().floors));
-        assert_eq!(clients.len(), usable - floors[1] - floors[2] - floors[3]);
-        // And the workers' floor is there for the next query.
+        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
+        assert_eq!(client_permits.len(), usable - floors[1] - floors[2] - floors[3]);
+        // What workers are guaranteed is there for the next query.
         assert!(served(broker.submit(ask("b", "search", 8, &broker)).await));
-        assert!(places.counters.borrow().peak_descriptors <= usable);
+        assert!(pool.counters.borrow().peak_descriptors <= usable);
     });
 }
 
-/// What comes on a connection whose worker reads on only now, to its end.
-async fn rest(mut far: DuplexStream) -> Vec<u8> {
+/// Reads a connection to its end, as a worker does that was stuck until now.
+async fn read_to_end(mut far: DuplexStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     far.read_to_end(&mut bytes).await.expect("readable");
     bytes
 }
 
 #[test]
-fn a_part_whose_frame_is_half_written_as_its_client_leaves_never_runs() {
-    // Guards against a frame that sticks in a full connection and runs whenever the worker reads on: its client is gone.
-    let stuck = Rc::new(Stuck::default());
+fn a_part_whose_frame_is_partly_written_as_its_client_disconnects_never_runs() {
+    // A frame that stays in a full connection would run whenever the worker reads on, after its client is gone.
+    let stuck = Rc::new(StuckWorkers::default());
     run_on(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
             let asked = broker.clone();
@@ -208,9 +209,9 @@
             client.abort();
             tokio::time::sleep(Duration::from_millis(300)).await;
             let far = stuck.0.borrow_mut().pop().expect("a connection");
-            let bytes = rest(far).await;
+            let bytes = read_to_end(far).await;
             let length = u32::from_le_bytes(*bytes.first_chunk::<4>().expect("a length")) as usize;
-            assert!(bytes.len() < 4 + length, "{class}: the frame of {length} bytes came whole");
+            assert!(bytes.len() < 4 + length, "{class}: the frame of {length} bytes came completely");
             assert_eq!(broker.with_core(|core| core.counters.written), 0);
         }
     });
@@ -240,68 +241,74 @@
     assert_eq!(calls.collect::<Vec<_>>(), [2, 2, 1]);
 }
 
-/// Connections that come up late, to workers that keep what they are sent.
-struct Late(Duration, RefCell<Vec<DuplexStream>>);
+/// Connects after a delay to workers that answer nothing; the workers' ends are kept here.
+struct SlowConnects {
+    delay: Duration,
+    worker_ends: RefCell<Vec<DuplexStream>>,
+}
 
-impl Connector for Late {
+impl Connector for SlowConnects {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            tokio::time::sleep(self.0).await;
+            tokio::time::sleep(self.delay).await;
             let (near, far) = tokio::io::duplex(1 << 16);
-            self.1.borrow_mut().push(far);
+            self.worker_ends.borrow_mut().push(far);
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
 #[test]
-fn the_time_told_to_a_worker_counts_the_wait_for_its_connection() {
-    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was sent.
-    let late = Rc::new(Late(Duration::from_millis(200), RefCell::default()));
-    run_on(late.clone(), |broker, _| async move {
+fn the_deadline_sent_to_a_worker_includes_the_wait_for_its_connection() {
+    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was dispatched.
+    let slow = Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
+    run_on(slow.clone(), |broker, _| async move {
         let asked = broker.clone();
         let mut ask = ask("late", "search", 1, &broker);
         ask.time_left = Duration::from_millis(1000);
         let client = spawn_local(async move { asked.submit(ask).await });
-        while late.1.borrow().is_empty() {
+        while slow.worker_ends.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut far = late.1.borrow_mut().pop().expect("a connection");
+        let mut far = slow.worker_ends.borrow_mut().pop().expect("a connection");
         let mut frame = BytesMut::new();
         far.read_buf(&mut frame).await.expect("a frame");
         let text = String::from_utf8_lossy(&frame[5..]).into_owned();
-        let told = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a time");
-        let told: u64 = told.parse().expect("milliseconds");
-        assert!(told <= 800, "800 ms are left to the client, and the worker is told {told}: {text:?}");
+        let deadline = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a time");
+        let deadline: u64 = deadline.parse().expect("milliseconds");
+        assert!(
+            deadline <= 800,
+            "800 ms are left to the client, and the worker is given {deadline}: {text:?}"
+        );
         client.abort();
     });
 }
 
-/// Fails to open connections for want of descriptors, so often; then to workers that serve at once.
-struct Starved(Cell<u32>);
+/// Fails this many connects for want of descriptors, then connects to workers that answer at once.
+struct OutOfDescriptors(Cell<u32>);
 
-impl Connector for Starved {
+impl Connector for OutOfDescriptors {
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         const ENFILE: i32 = 23;
         if self.0.get() > 0 {
             self.0.set(self.0.get() - 1);
             return Box::pin(async { Err(std::io::Error::from_raw_os_error(ENFILE)) });
         }
-        Box::pin(async move { Answering(Duration::from_millis(1)).connect(address).await })
+        Box::pin(async move { AnsweringWorkers(Duration::from_millis(1)).connect(address).await })
     }
 }
 
 #[test]
-fn a_connection_that_fails_for_want_of_descriptors_is_no_fault_of_its_worker() {
-    // Guards against suspicion of workers, and then of their zone, for what fails in this process.
-    run_on(Rc::new(Starved(Cell::new(6))), |broker, _| async move {
-        let verdict = broker.submit(ask("starved", "seal", 2, &broker)).await;
-        assert!(matches!(verdict, QueryOutcome::Answered { complete: true, .. }), "{verdict:?}");
-        let counted = broker.with_core(|core| core.counters.clone());
+fn a_connect_that_fails_for_want_of_descriptors_is_no_failure_of_the_worker() {
+    // Workers, and then their zone, would be ejected for what fails in this process.
+    run_on(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
+        let outcome = broker.submit(ask("starved", "seal", 2, &broker)).await;
+        assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
+        let counters = broker.with_core(|core| core.counters.clone());
         assert_eq!(
-            (counted.ended_refused, broker.with_core(|core| core.avoided_workers())),
+            (counters.ended_refused, broker.with_core(|core| core.avoided_workers())),
             (0, 0),
-            "{counted}"
+            "{counters}"
         );
     });
 }
