--- a/src/transport/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -2,13 +2,13 @@
 //! end. It owns the set of open connections and the process's lifecycle. It reads and writes no bytes; the order and the
 //! time limits of evictions are decided in [`crate::limits::client_connections`].
 
-use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
 use crate::limits::client_connections::{EVICTION_REASONS, EvictionReason, RequestValidity, Source};
 use crate::limits::{
     ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
 };
 use crate::service::lifecycle::{LifecycleError, LifecycleRequest};
 use crate::service::{Lifecycle, LifecycleState};
+use crate::transport::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/transport/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -4,15 +4,15 @@
 //! [`ConnectionManager`]'s, nor what a response says, which is the [`Front`]'s.
 
 use super::connection_manager::{ConnectionManager, ConnectionPermit};
-use super::connector::Stream;
-use super::errors::{self, RetryDelays};
 use super::response_guard::ResponseGuard;
-use super::socket::Socket;
 use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
 use crate::limits::{AcceptPacer, DescriptorClass};
 use crate::protocol::http::{self, Request, Response};
 use crate::routing::Invariant;
 use crate::service::LifecycleState;
+use crate::transport::connector::Stream;
+use crate::transport::errors::{self, RetryDelays};
+use crate::transport::socket::Socket;
 use bytes::{Bytes, BytesMut};
 use std::future::Future;
 use std::io;
@@ -457,7 +457,7 @@
 
 /// Reads and discards for a while after a shutdown (a lingering close): closing a socket with unread bytes would reset
 /// the connection, and the reset could take the last response with it. True if any bytes arrived.
-pub(super) async fn linger(read: &mut (impl AsyncRead + Unpin), limit: Duration) -> bool {
+pub(in crate::transport) async fn linger(read: &mut (impl AsyncRead + Unpin), limit: Duration) -> bool {
     let (mut discarded, mut received) = ([0; READ_CHUNK_BYTES], false);
     let rest = async {
         for _ in 0..MAX_PIPELINED_BYTES / READ_CHUNK_BYTES {
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the callers' connections. What a call does is decided behind [`OperatorApi`].
 
+use super::clients::listener::linger;
 use super::descriptor_pool::{DescriptorPermit, DescriptorPool};
-use super::listener::linger;
 use super::socket::Socket;
 use crate::limits::DescriptorClass;
 use crate::limits::descriptors::OPERATOR_DESCRIPTORS;
