--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,13 +1,18 @@
-//! The words of the wire. Reads fields, settings, events and list entries; writes actions.
+//! The text of the simulator's wire: it reads fields, settings, events and endpoints, and writes actions. The
+//! words of the wire are the simulator's and stay as they are, whatever the Rust names say.
 
-use gatherer::policy::*;
+use gatherer::policy::{
+    Action, AttemptNo, AttemptOutcome, AttemptResult, CellId, ClassId, Endpoint, EndpointStatus,
+    EndpointUpdate, Event, JobId, LoadReport, NewPart, NewQuery, RequestId, Settings, ShardId, TenantId,
+    Time, TimerId, WorkerId, ZoneId,
+};
 use gatherer::program::settings::Pairs;
 use std::fmt::Write;
 use std::str::FromStr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The values of one line, read in order; errors name the field.
+/// The values of one line, read in order. Errors name the message and the field.
 pub struct Fields<'a> {
     message: &'a str,
     rest: Option<&'a str>,
@@ -23,8 +28,8 @@
     pub fn message(&self) -> &'a str {
         self.message
     }
-    pub fn error(&self, field: &str, what: &str) -> String {
-        format!("{}: {field}: {what}", self.message)
+    pub fn error(&self, field: &str, problem: &str) -> String {
+        format!("{}: {field}: {problem}", self.message)
     }
     pub fn text(&mut self) -> &'a str {
         self.rest.take().unwrap_or("")
@@ -38,17 +43,17 @@
         self.rest = rest;
         if value.is_empty() { Err(self.error(field, "empty")) } else { Ok(value) }
     }
-    pub fn maybe<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+    pub fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
         match self.raw(field)? {
             "-" => Ok(None),
             value => value.parse().map(Some).map_err(|_| self.error(field, &format!("bad value {value:?}"))),
         }
     }
-    pub fn must<T: FromStr>(&mut self, field: &str) -> Result<T, String> {
-        self.maybe(field)?.ok_or_else(|| self.error(field, "absent"))
+    pub fn required<T: FromStr>(&mut self, field: &str) -> Result<T, String> {
+        self.optional(field)?.ok_or_else(|| self.error(field, "absent"))
     }
     fn number(&mut self, field: &str) -> Result<Option<f64>, String> {
-        match self.maybe::<f64>(field)? {
+        match self.optional::<f64>(field)? {
             Some(value) if !value.is_finite() => Err(self.error(field, "not a finite number")),
             value => Ok(value),
         }
@@ -61,10 +66,10 @@
         }
     }
     fn time(&mut self, field: &str) -> Result<Option<Time>, String> {
-        Ok(self.maybe::<i64>(field)?.map(|time| Time(u64::try_from(time).unwrap_or(0))))
+        Ok(self.optional::<i64>(field)?.map(|time| Time(u64::try_from(time).unwrap_or(0))))
     }
     fn span(&mut self, field: &str) -> Result<Option<Duration>, String> {
-        Ok(self.maybe::<i64>(field)?.map(|span| Duration::from_nanos(u64::try_from(span).unwrap_or(0))))
+        Ok(self.optional::<i64>(field)?.map(|span| Duration::from_nanos(u64::try_from(span).unwrap_or(0))))
     }
     fn request(&mut self, field: &str) -> Result<RequestId, String> {
         let value = self.raw(field)?;
@@ -108,16 +113,16 @@
     }
 }
 
-/// One `m` line.
-pub fn entry(line: &str) -> Result<Endpoint, String> {
+/// Reads an endpoint (an `m` line).
+pub fn endpoint(line: &str) -> Result<Endpoint, String> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
         return Err(format!("{}: expected a list entry", fields.message()));
     }
-    let leaf = WorkerId(fields.must("leaf")?);
-    let zone = ZoneId(fields.maybe("area")?.unwrap_or(0));
-    let _kind: Option<u32> = fields.maybe("generation-hw")?;
-    let cell = CellId(fields.maybe("set-no")?.unwrap_or(0));
+    let worker = WorkerId(fields.required("leaf")?);
+    let zone = ZoneId(fields.optional("area")?.unwrap_or(0));
+    let _kind: Option<u32> = fields.optional("generation-hw")?;
+    let cell = CellId(fields.optional("set-no")?.unwrap_or(0));
     let status = match fields.raw("status")? {
         "active" => EndpointStatus::Active,
         "leaving" => EndpointStatus::Draining,
@@ -125,12 +130,13 @@
         other => return Err(fields.error("status", &format!("unknown status {other:?}"))),
     };
     let units = fields.number("units")?.unwrap_or(1.0);
-    let since = fields.time("online-since")?.filter(|since| since.0 > 0);
+    let started_at = fields.time("online-since")?.filter(|at| at.0 > 0);
     fields.end()?;
-    Ok(Endpoint { worker: leaf, zone, cell, status, units, started_at: since })
+    Ok(Endpoint { worker, zone, cell, status, units, started_at })
 }
 
-/// An event of one instance, after its message name; lists are resolved by the caller's look-up.
+/// Reads an event of one instance, after its message name; the caller resolves numbers of endpoint lists.
+/// `None` for a message that the module does not use.
 pub fn event(
     fields: &mut Fields<'_>,
     list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
@@ -138,15 +144,15 @@
     let event = match fields.message() {
         "registry" => {
             let how = fields.raw("how")?;
-            let _version: Option<i64> = fields.maybe("gen")?;
-            let number: Option<usize> = fields.maybe("roster-id")?;
-            let entries = |fields: &Fields<'_>| {
+            let _version: Option<i64> = fields.optional("gen")?;
+            let number: Option<usize> = fields.optional("roster-id")?;
+            let endpoints = |fields: &Fields<'_>| {
                 number.and_then(&list).ok_or_else(|| fields.error("roster-id", "no such list"))
             };
             Some(Event::EndpointUpdate(match how {
-                "D" => EndpointUpdate::Delta(entries(fields)?),
-                "F" => EndpointUpdate::Full(entries(fields)?),
-                "C" => EndpointUpdate::Cached(entries(fields)?),
+                "D" => EndpointUpdate::Delta(endpoints(fields)?),
+                "F" => EndpointUpdate::Full(endpoints(fields)?),
+                "C" => EndpointUpdate::Cached(endpoints(fields)?),
                 "X" => EndpointUpdate::Failed,
                 other => return Err(fields.error("how", &format!("unknown kind {other:?}"))),
             }))
@@ -154,30 +160,30 @@
         "submit" => Some(submit(fields)?),
         "established" => {
             let id = fields.request("corr")?;
-            let attempt = AttemptNo(fields.must("shot")?);
-            let _leaf: u32 = fields.must("leaf")?;
+            let attempt = AttemptNo(fields.required("shot")?);
+            let _worker: u32 = fields.required("leaf")?;
             let _elapsed = fields.span("cost-time")?;
             Some(Event::StreamingStarted { id, attempt })
         }
         "completed" => Some(Event::AttemptFinished(AttemptResult {
             id: fields.request("corr")?,
-            attempt: AttemptNo(fields.must("shot")?),
-            worker: WorkerId(fields.must("leaf")?),
+            attempt: AttemptNo(fields.required("shot")?),
+            worker: WorkerId(fields.required("leaf")?),
             outcome: fields.outcome("disposition")?,
             elapsed: fields.span("cost-time")?.unwrap_or_default(),
             part_finished: fields.flag("ended")?,
             load_report: fields.report("report")?,
         })),
         "client_left" => Some(Event::ClientDisconnected { id: fields.request("corr")? }),
-        "due" => Some(Event::TimerFired { timer: TimerId(fields.must("handle")?) }),
+        "due" => Some(Event::TimerFired { timer: TimerId(fields.required("handle")?) }),
         "ping_result" => Some(Event::HealthCheckFinished {
-            worker: WorkerId(fields.must("leaf")?),
+            worker: WorkerId(fields.required("leaf")?),
             outcome: fields.outcome("disposition")?,
             elapsed: fields.span("cost-time")?.unwrap_or_default(),
             load_report: fields.report("report")?,
         }),
         "message" => {
-            let _author: u32 = fields.must("author")?;
+            let _author: u32 = fields.required("author")?;
             let _content = fields.raw("content")?;
             None
         }
@@ -189,34 +195,27 @@
 
 fn submit(fields: &mut Fields<'_>) -> Result<Event, String> {
     let id = fields.request("corr")?;
-    let class = ClassId(fields.must("lane")?);
-    let tenant = fields.maybe("realm")?.map(TenantId);
-    let key: Option<String> = fields.maybe("name-key")?;
+    let class = ClassId(fields.required("lane")?);
+    let tenant = fields.optional("realm")?.map(TenantId);
+    let key: Option<String> = fields.optional("name-key")?;
     let valid_until = fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", "absent"))?;
-    let hint = fields.span("size-hint")?;
-    let job = JobId(fields.must("job-no")?);
-    let range: f64 = fields.number("range-no")?.unwrap_or(-1.0);
-    let measure = fields.number("measure")?.unwrap_or(0.0);
-    let retry = fields.flag("is-retry")?;
+    let cost_hint = fields.span("size-hint")?;
+    let job = JobId(fields.required("job-no")?);
+    let shard: f64 = fields.number("range-no")?.unwrap_or(-1.0);
+    let weight = fields.number("measure")?.unwrap_or(0.0);
+    let is_retry = fields.flag("is-retry")?;
     let _write = fields.flag("is-write")?;
-    Ok(if range < 0.0 {
-        Event::QueryReceived(NewQuery { id, class, tenant, valid_until, job, is_retry: retry })
+    Ok(if shard < 0.0 {
+        Event::QueryReceived(NewQuery { id, class, tenant, valid_until, job, is_retry })
     } else {
         let key = key.map(Arc::from);
-        Event::PartReceived(NewPart {
-            id,
-            key,
-            cost_hint: hint,
-            job,
-            shard: ShardId(range as u32),
-            weight: measure,
-        })
+        Event::PartReceived(NewPart { id, key, cost_hint, job, shard: ShardId(shard as u32), weight })
     })
 }
 
-/// The `start` message, after its name.
+/// Reads the `start` message, after its name.
 pub fn start(fields: &mut Fields<'_>) -> Result<Settings, String> {
-    let seed: i128 = fields.must("entropy")?;
+    let seed: i128 = fields.required("entropy")?;
     let contracts = Pairs::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
     contracts.map(|contracts| contracts.settings).map_err(|fault| format!("start: env: {fault}"))
 }
@@ -224,19 +223,19 @@
 /// Writes one action as a line.
 pub fn action(action: &Action, out: &mut String) {
     let written = match action {
-        Action::Send { id, worker: leaf, timeout } => {
-            writeln!(out, "issue {:016x} {} {}", id.0, leaf.0, timeout.as_nanos())
+        Action::Send { id, worker, timeout } => {
+            writeln!(out, "issue {:016x} {} {}", id.0, worker.0, timeout.as_nanos())
         }
         Action::Cancel { id, attempt } => writeln!(out, "cancel {:016x} {}", id.0, attempt.0),
-        Action::Respond { id, complete: whole } => {
-            writeln!(out, "conclude {:016x} {}", id.0, u8::from(*whole))
+        Action::Respond { id, complete } => {
+            writeln!(out, "conclude {:016x} {}", id.0, u8::from(*complete))
         }
-        Action::Reject { id, retry_after: pause } => {
-            writeln!(out, "reject {:016x} {}", id.0, pause.unwrap_or_default().as_nanos())
+        Action::Reject { id, retry_after } => {
+            writeln!(out, "reject {:016x} {}", id.0, retry_after.unwrap_or_default().as_nanos())
         }
         Action::Fail { id } => writeln!(out, "give_up {:016x}", id.0),
-        Action::SetTimer { after, timer: handle } => writeln!(out, "sleep {} {}", after.as_nanos(), handle.0),
-        Action::SendHealthCheck { worker: leaf } => writeln!(out, "sample {}", leaf.0),
+        Action::SetTimer { after, timer } => writeln!(out, "sleep {} {}", after.as_nanos(), timer.0),
+        Action::SendHealthCheck { worker } => writeln!(out, "sample {}", worker.0),
         Action::SubscribeToEndpoints => writeln!(out, "tail 1"),
         Action::Log { text } => writeln!(out, "trace {}", text.replace(['\n', '\r'], " ")),
     };
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,79 +1,90 @@
-//! Batches and instances: sorts a batch's events by instance, runs a turn of each, writes the reply.
+//! Batches and instances: sorts a batch's events by instance, runs a step of each, and writes the reply.
 
 use crate::codec::{self, Fields};
 use gatherer::Aggregator;
-use gatherer::policy::*;
+use gatherer::policy::{Endpoint, Event, Time};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
 
+/// An instance of the decision module, with the events that it gets in this batch.
 struct Instance {
-    module: Aggregator,
+    aggregator: Aggregator,
     events: Vec<Event>,
+    /// The batch names it, if only to start it: it takes a step.
     touched: bool,
 }
 
+/// An endpoint list of which entries are still to come.
+struct PartialList {
+    number: usize,
+    length: usize,
+    endpoints: Vec<Endpoint>,
+}
+
 /// All instances of the process; they share the numbered lists and nothing else.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
     lists: BTreeMap<usize, Arc<[Endpoint]>>,
-    clock: Option<Time>,
-    to: Option<u32>,
-    /// A list being read: its number, its length and what is in so far.
-    filling: Option<(usize, usize, Vec<Endpoint>)>,
+    /// The time of the batch that is being read; `None` between batches.
+    batch_time: Option<Time>,
+    /// The instance that the next events are for.
+    addressee: Option<u32>,
+    /// The list that the next lines belong to.
+    partial_list: Option<PartialList>,
 }
 
 impl Host {
-    /// Takes one line; true when a batch is complete and `reply` holds its reply.
+    /// Reads one line; true when a batch is complete and `reply` holds its reply.
     pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
-        if let Some((number, length, mut entries)) = self.filling.take() {
-            entries.push(codec::entry(line)?);
-            self.fill(number, length, entries);
+        if let Some(mut list) = self.partial_list.take() {
+            list.endpoints.push(codec::endpoint(line)?);
+            self.add_list(list);
             return Ok(false);
         }
         let mut fields = Fields::new(line);
-        let Some(now) = self.clock else {
+        let Some(now) = self.batch_time else {
             if fields.message() != "turn" {
                 return Err(format!("expected \"turn\", got {:?}", fields.message()));
             }
-            self.clock = Some(Time(fields.must("now")?));
-            self.to = None;
+            self.batch_time = Some(Time(fields.required("now")?));
+            self.addressee = None;
             fields.end()?;
             return Ok(false);
         };
         match fields.message() {
             "end" => {
                 fields.end()?;
-                self.clock = None;
+                self.batch_time = None;
                 self.reply(now, reply);
                 return Ok(true);
             }
             "to" => {
-                self.to = Some(fields.must("who")?);
+                self.addressee = Some(fields.required("who")?);
                 fields.end()?;
             }
             "list" => {
-                let number = fields.must("roster-id")?;
-                let length: usize = fields.must("elements")?;
+                let number = fields.required("roster-id")?;
+                let length: usize = fields.required("elements")?;
                 fields.end()?;
-                self.fill(number, length, Vec::new());
+                self.add_list(PartialList { number, length, endpoints: Vec::new() });
             }
             "start" => {
-                let who = self.to.ok_or("start: no instance named")?;
-                let module = Aggregator::new(codec::start(&mut fields)?);
-                self.instances.insert(who, Instance { module, events: Vec::new(), touched: true });
+                let who = self.addressee.ok_or("start: no instance named")?;
+                let aggregator = Aggregator::new(codec::start(&mut fields)?);
+                self.instances.insert(who, Instance { aggregator, events: Vec::new(), touched: true });
             }
             "power_off" => {
                 fields.end()?;
-                let who = self.to.ok_or("power_off: no instance named")?;
+                let who = self.addressee.ok_or("power_off: no instance named")?;
                 if self.instances.remove(&who).is_none() {
                     return Err(format!("power_off: who: instance {who} was never started"));
                 }
             }
             _ => {
                 let event = codec::event(&mut fields, |number| self.lists.get(&number).cloned())?;
-                let who = self.to.ok_or_else(|| format!("{}: no instance named", fields.message()))?;
+                let who = self.addressee.ok_or_else(|| format!("{}: no instance named", fields.message()))?;
                 let Some(instance) = self.instances.get_mut(&who) else {
                     return Err(fields.error("who", &format!("instance {who} was never started")));
                 };
@@ -86,17 +97,17 @@
 
     /// At the end of input: an error if a batch is cut off.
     pub fn finish(&self) -> Result<(), String> {
-        match self.clock {
+        match self.batch_time {
             None => Ok(()),
             Some(_) => Err("input ends inside a batch".to_owned()),
         }
     }
 
-    fn fill(&mut self, number: usize, length: usize, entries: Vec<Endpoint>) {
-        if entries.len() == length {
-            self.lists.insert(number, entries.into());
+    fn add_list(&mut self, list: PartialList) {
+        if list.endpoints.len() == list.length {
+            self.lists.insert(list.number, list.endpoints.into());
         } else {
-            self.filling = Some((number, length, entries));
+            self.partial_list = Some(list);
         }
     }
 
@@ -107,7 +118,7 @@
                 continue;
             }
             actions.clear();
-            instance.module.step(now, instance.events.drain(..), &mut actions);
+            instance.aggregator.step(now, instance.events.drain(..), &mut actions);
             if actions.is_empty() {
                 continue;
             }
