--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -7,28 +7,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a listed leaf takes work.
+/// Whether a listed worker takes parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStatus {
     /// It does.
     #[default]
     Active,
-    /// It finishes what it has.
+    /// It finishes what is in flight.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// One line of the membership list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The leaf.
+    /// The worker.
     pub worker: WorkerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it takes work.
+    /// Whether it takes parts.
     pub status: EndpointStatus,
     /// Its listed size.
     pub units: f64,
@@ -36,27 +36,27 @@
     pub started_at: Option<Time>,
 }
 
-/// News of the membership.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
     /// Changed entries.
     Delta(Arc<[Endpoint]>),
     /// The complete list.
     Full(Arc<[Endpoint]>),
-    /// The list as last held, possibly stale.
+    /// The complete list as cached, possibly stale.
     Cached(Arc<[Endpoint]>),
     /// A call failed or the subscription broke.
     Failed,
 }
 
-/// How an attempt or probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// Served.
     Succeeded,
     /// Error; it may have run.
     Failed,
-    /// Turned away unseen.
+    /// Rejected before it ran.
     Rejected,
     /// No reply in time.
     TimedOut,
@@ -71,16 +71,17 @@
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this proves that the attempt never ran.
     pub fn proves_unrun(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
-/// The values of a load report in the order of [`Settings::fields`].
+/// The values of a load report in the order of
+/// [`Settings::report_fields`](crate::policy::Settings::report_fields).
 pub type LoadReport = Vec<Option<f64>>;
 
-/// A query that arrives; its parts follow in the same turn.
+/// A query that arrives; its parts follow in the same step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewQuery {
     /// Its id.
@@ -89,11 +90,11 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// When the client gives this try up.
+    /// When the client gives this attempt up.
     pub valid_until: Time,
     /// Joins it to its parts.
     pub job: JobId,
-    /// A client's repeat, where clients mark them.
+    /// A client's retry, where clients mark them.
     pub is_retry: bool,
 }
 
@@ -104,13 +105,13 @@
     pub id: RequestId,
     /// What it is about.
     pub key: Option<Arc<str>>,
-    /// Rough expected work.
+    /// Rough expected cost.
     pub cost_hint: Option<Duration>,
     /// Joins it to its query.
     pub job: JobId,
     /// The shard that it needs.
     pub shard: ShardId,
-    /// Its share of the step's weight.
+    /// Its share of the weight of the query's step.
     pub weight: f64,
 }
 
@@ -121,28 +122,28 @@
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// The leaf it went to.
+    /// The worker that it went to.
     pub worker: WorkerId,
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub elapsed: Duration,
-    /// The part is over.
+    /// No further attempt may be sent for the part.
     pub part_finished: bool,
-    /// The leaf's load report, if one came along.
+    /// The worker's load report, if one came along.
     pub load_report: Option<LoadReport>,
 }
 
-/// What a root tells the module.
+/// What the aggregator that embeds the module reports to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the membership.
+    /// An update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
     /// A query arrives.
     QueryReceived(NewQuery),
     /// A part of a query arrives.
     PartReceived(NewPart),
-    /// A streamed attempt has begun to answer; the client owns it now.
+    /// A streamed attempt has begun to respond; the client owns it now.
     StreamingStarted {
         /// The part.
         id: RequestId,
@@ -156,20 +157,20 @@
         /// The query.
         id: RequestId,
     },
-    /// A timer is due.
+    /// A timer has fired.
     TimerFired {
         /// The timer.
         timer: TimerId,
     },
-    /// A probe has ended.
+    /// A health check has ended.
     HealthCheckFinished {
-        /// The leaf.
+        /// The worker.
         worker: WorkerId,
         /// How it ended.
         outcome: AttemptOutcome,
         /// Time since it was sent.
         elapsed: Duration,
-        /// The leaf's load report, if one came along.
+        /// The worker's load report, if one came along.
         load_report: Option<LoadReport>,
     },
 }
--- a/src/policy/ids.rs
+++ b/src/policy/ids.rs
@@ -11,20 +11,22 @@
         pub struct $name(pub $inner);)*
     };
 }
+
 ids! {
     /// A query, or one part of it.
     RequestId(u64);
-    /// The number that joins a query and its parts at one root.
+    /// The number that joins a query and its parts at one aggregator.
     JobId(u64);
     /// A server that answers parts.
     WorkerId(u32);
-    /// A slice of the data; `shard s` is held by `span` cells in a row from cell `s`.
+    /// A slice of the data; shard `s` is held by the workers of `cells_per_shard` cells in a row from cell
+    /// `s`.
     ShardId(u32);
-    /// A position of a leaf in the layout.
+    /// A position of a worker in the layout.
     CellId(u32);
-    /// A class of query, as an index into [`Settings::classes`].
+    /// A class of query, as an index into `Settings::classes`.
     ClassId(usize);
-    /// A tenant, as an index into [`Settings::tenants`].
+    /// A tenant, as an index into `Settings::tenants`.
     TenantId(usize);
     /// A zone.
     ZoneId(u32);
