--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,45 +1,44 @@
-//! Dispatch of attempts, retries and hedged requests.
+//! Dispatch of attempts, retries and hedged requests, and what their results change. What limits extra
+//! attempts is in `retry_budget.rs`, what results say of a worker's health in `outlier_detection.rs`.
 
-use crate::policy::admission::BUSY_ADMISSION_THRESHOLD;
 use crate::policy::estimates::{MODEL_SAMPLE_WEIGHT, SAMPLE_WEIGHT};
 use crate::policy::load_reports::utilization;
 use crate::policy::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::queries::{Attempt, Part};
 use crate::policy::time::seconds;
+use crate::policy::worker_state::{Ejection, SentCost};
 use crate::policy::{
-    Action, Aggregator, AttemptNo, AttemptOutcome, AttemptResult, Idempotency, RequestId, WorkerId,
+    Action, Aggregator, AttemptNo, AttemptOutcome, AttemptResult, ClassId, Idempotency, RequestId, WorkerId,
 };
 
-/// Share of latencies that lie below the running base of a class: a part's work without waiting.
-const BASE_QUANTILE: f64 = 0.2;
-/// Seconds between a leaf's answers from which one tells as much of its drag as all before.
-const SPARSE_SAMPLE_INTERVAL_S: f64 = 1.2;
-/// Own service times left to the aim at which a copy of a late part has its last chance.
-const LAST_HEDGE_SERVICE_TIMES: f64 = 2.5;
-/// Late worth from which a query is worth carrying on past its aim.
+/// Weight of a late answer from which a query is worth carrying on past its latency objective.
 pub(super) const MIN_LATE_WEIGHT: f64 = 0.25;
+/// Service times of the part itself left to the objective at which a hedge has its last chance.
+const LAST_HEDGE_SERVICE_TIMES: f64 = 2.5;
+/// Share of the time to the objective inside which a hedge's response must be expected.
+const HEDGE_THRESHOLD: f64 = 0.7;
 
+// Sending.
 impl Aggregator {
     /// Whether its class and the limit on attempts let a part be sent (again) at all.
     pub(super) fn may_retry(&self, part: &Part) -> bool {
         let Some(class) = self.class(part.class) else { return false };
-        let first_risk =
-            part.attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| attempt.sent_at);
-        let effect = match (class.idempotency, first_risk) {
+        let first_risk = part.attempts.iter().find(|attempt| attempt.may_have_run());
+        let is_safe = match (class.idempotency, first_risk) {
             (Idempotency::Idempotent, _) | (_, None) => true,
-            (Idempotency::Keyed, Some(at)) => self.now.since(at) < class.repeat_window,
+            (Idempotency::Keyed, Some(first)) => self.now.since(first.sent_at) < class.repeat_window,
             (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        effect && self.settings.max_attempts.is_none_or(|most| (part.attempts.len() as u32) < most)
+        is_safe && self.settings.max_attempts.is_none_or(|most| (part.attempts.len() as u32) < most)
     }
 
-    /// Whether a further attempt would run beside one at a leaf that is not suspect.
+    /// Whether a further attempt would run beside one at a worker that is not ejected.
     pub(super) fn is_hedge(&self, part: &Part) -> bool {
-        let sound = |id| self.workers.get(&id).is_some_and(|worker| worker.ejection.is_none());
-        part.attempts.iter().any(|attempt| attempt.is_in_flight() && sound(attempt.worker))
+        let in_use = |id| self.workers.get(&id).is_some_and(|worker| worker.ejection.is_none());
+        part.attempts.iter().any(|attempt| attempt.is_in_flight() && in_use(attempt.worker))
     }
 
-    /// The one place that sends.
+    /// Sends an attempt, unless it is too late or the worker is not eligible. No other method sends.
     pub(super) fn dispatch(
         &mut self,
         id: RequestId,
@@ -49,145 +48,125 @@
     ) {
         let (Some(part), Some(worker)) = (self.parts.get(&id), self.workers.get(&to)) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
-        let late_worth = self.class(query.request.class).map_or(0.0, |class| class.late_weight);
+        let late_weight = self.class(query.request.class).map_or(0.0, |class| class.late_weight);
         let until =
-            if late_worth >= MIN_LATE_WEIGHT { query.request.valid_until } else { query.objective_at };
+            if late_weight >= MIN_LATE_WEIGHT { query.request.valid_until } else { query.objective_at };
         let timeout = until.since(self.now);
         if timeout.is_zero() || !self.is_eligible(part, worker) {
             return;
         }
-        let doubles = self.is_hedge(part);
+        let is_hedge = self.is_hedge(part);
         let (Some(part), Some(worker)) = (self.parts.get_mut(&id), self.workers.get_mut(&to)) else { return };
         if !part.attempts.is_empty() {
-            self.extra_attempts.push_back((self.now, doubles));
+            self.attempt_window.record_extra_attempt(self.now, is_hedge);
         }
         let number = AttemptNo(part.attempts.len() as u32);
-        let (sent_at, cost, cost_ahead) = (self.now, part.cost, worker.outstanding_cost);
         part.attempts.push(Attempt {
             worker: to,
-            sent_at,
+            sent_at: self.now,
             expected_latency,
-            cost,
-            cost_ahead,
+            cost: part.cost,
+            cost_ahead: worker.outstanding_cost,
             overtaken_by: 0,
             counted_as_lost: false,
             outcome: None,
         });
-        worker.in_flight.insert((sent_at, id, number));
-        worker.recent_sends.retain(|(at, _)| self.now.since(*at) <= self.settings.warm_up);
-        worker.recent_sends.push_back((sent_at, cost + worker.new_call_cost(&self.settings)));
-        worker.add_part(cost, self.settings.parts_per_call);
-        if let Some((_, hold)) = worker.ejection {
-            worker.ejection = Some((self.now.after(hold), (hold * 2).min(MAX_EJECTION_TIME)));
-        }
+        worker.in_flight.insert((self.now, id, number));
+        worker.recent_sends.retain(|sent| self.now.since(sent.at) <= self.settings.warm_up);
+        let cost = part.cost + worker.new_call_cost(&self.settings);
+        worker.recent_sends.push_back(SentCost { at: self.now, cost });
+        worker.add_part(part.cost, self.settings.parts_per_call);
+        worker.ejection = worker.ejection.map(|ejection| Ejection {
+            retry_at: self.now.after(ejection.duration),
+            duration: (ejection.duration * 2).min(MAX_EJECTION_TIME),
+        });
         actions.push(Action::Send { id, worker: to, timeout });
     }
 
-    pub(super) fn finish_attempt(&mut self, end: AttemptResult) {
-        let Some(part) = self.parts.get_mut(&end.id) else { return };
-        let outcome = end.outcome;
-        part.finished |= end.part_finished && outcome != AttemptOutcome::Succeeded;
-        let class = part.class;
-        let Some(attempt) = part.attempts.get_mut(end.attempt.0 as usize).filter(|a| a.is_in_flight()) else {
-            return;
-        };
-        attempt.outcome = Some(outcome);
-        let Attempt {
-            sent_at: sent,
-            expected_latency: expected,
-            cost: work,
-            cost_ahead: ahead,
-            counted_as_lost: missed,
-            ..
-        } = *attempt;
-        part.succeeded |= outcome == AttemptOutcome::Succeeded;
-        // Guards against jams: the more attempts are lost, the less wait a query is admitted to.
-        let lost =
-            f64::from(u8::from(matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut)));
-        self.recent_failure_rate +=
-            if self.stalled { 0.0 } else { MODEL_SAMPLE_WEIGHT * (lost - self.recent_failure_rate) };
-        if outcome == AttemptOutcome::NotSent && end.attempt.0 > 0 {
-            // Never sent, so it does not count against the budget.
-            self.extra_attempts
-                .iter()
-                .position(|(at, _)| *at == sent)
-                .map(|at| self.extra_attempts.remove(at));
-        }
-        if let Some(worker) = self.workers.get_mut(&end.worker) {
-            worker.in_flight.remove(&(sent, end.id, end.attempt));
-            worker.outstanding_cost =
-                if worker.in_flight.is_empty() { 0.0 } else { (worker.outstanding_cost - work).max(0.0) };
-            if outcome == AttemptOutcome::Succeeded && !self.stalled {
-                let latency = seconds(end.elapsed);
-                let (own, slope) = self.latency_model.coefficients();
-                let rare = seconds(self.now.since(worker.last_success_at)) / SPARSE_SAMPLE_INTERVAL_S;
-                let gain = (rare.powi(4) / (1.0 + rare.powi(4))).clamp(2.0 * SAMPLE_WEIGHT, 0.7);
-                worker.mean_latency += gain * (latency - worker.mean_latency);
-                worker.mean_expected_latency +=
-                    gain * (own * work + slope * ahead - worker.mean_expected_latency);
-                self.last_success_at = self.now;
-                self.latency_model.record_sample(work, ahead, latency, expected);
-                if let Some(base) = self.base_latency.get_mut(class.0) {
-                    *base *= 1.0 + SAMPLE_WEIGHT * (BASE_QUANTILE - f64::from(u8::from(latency < *base)));
-                }
+    /// Sends parts that have no attempt in flight, and hedges of attempts that are overdue.
+    pub(super) fn retry_or_hedge(&mut self, actions: &mut Vec<Action>) {
+        self.attempt_window.expire(self.now, &self.settings);
+        let open = self.parts.iter().filter(|(_, part)| !part.succeeded && !part.finished);
+        let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
+        for id in open {
+            if let Some((worker, expected_latency)) = self.next_attempt(id) {
+                self.dispatch(id, worker, expected_latency, actions);
             }
         }
-        let overdue = seconds(self.now.since(sent)) > expected + self.overdue_margin();
-        match (self.workers.get_mut(&end.worker), outcome) {
-            _ if self.stalled => {}
-            (_, AttemptOutcome::Succeeded) => self.record_success(end.worker, class, sent),
-            (Some(worker), AttemptOutcome::Failed) => worker.record_outcome(self.now, class, true),
-            (Some(worker), AttemptOutcome::ConnectFailed) => worker.connect_failed_at = Some(sent),
-            // Counted where nothing was answered since, else where it was overtaken: it may be a queue.
-            (Some(worker), AttemptOutcome::TimedOut | AttemptOutcome::Cancelled)
-                if overdue && !missed && worker.last_success_at < sent =>
-            {
-                worker.record_outcome(self.now, class, true);
-            }
-            _ => {}
+    }
+
+    /// The replica for a part's next attempt, where it may have one now and one would respond in time.
+    fn next_attempt(&self, id: RequestId) -> Option<(WorkerId, f64)> {
+        let part = self.parts.get(&id)?;
+        let query = self.queries.get(&part.query)?;
+        let left = seconds(query.objective_at.since(self.now));
+        let in_flight: Vec<&Attempt> =
+            part.attempts.iter().filter(|attempt| attempt.is_in_flight()).collect();
+        if in_flight.len() > 1 || !in_flight.iter().all(|attempt| self.deserves_hedge(part, attempt, left)) {
+            return None;
         }
-        self.apply_outcome(end.worker, outcome, work);
-        if let Some(report) = end.load_report {
+        let (worker, expected_latency) = self.select_replica(part)?;
+        let threshold = if in_flight.is_empty() { 1.0 } else { HEDGE_THRESHOLD };
+        let is_other = in_flight.iter().all(|attempt| attempt.worker != worker);
+        (expected_latency < left * threshold && is_other).then_some((worker, expected_latency))
+    }
+
+    /// Whether an attempt is overdue, its worker ejected, or this the last chance for a hedge. `left` is the
+    /// time to the objective in seconds.
+    fn deserves_hedge(&self, part: &Part, attempt: &Attempt, left: f64) -> bool {
+        let age = seconds(self.now.since(attempt.sent_at));
+        let is_ejected = self.workers.get(&attempt.worker).is_some_and(|worker| worker.ejection.is_some());
+        let is_last_chance =
+            || left < LAST_HEDGE_SERVICE_TIMES * self.latency_model.slopes().own_cost * part.cost;
+        is_ejected
+            || age > attempt.expected_latency + self.overdue_margin()
+            || age > attempt.expected_latency && is_last_chance()
+    }
+}
+
+// Results.
+impl Aggregator {
+    /// Applies the result of an attempt to its part, its worker and what is learned from it.
+    pub(super) fn finish_attempt(&mut self, result: AttemptResult) {
+        let Some((class, attempt)) = self.close_attempt(&result) else { return };
+        let outcome = result.outcome;
+        // The more attempts fail, the less wait a query is admitted to: this keeps queues from growing into
+        // jams.
+        if !self.stalled {
+            let failed = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut);
+            let failed = f64::from(u8::from(failed));
+            self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (failed - self.recent_failure_rate);
+        }
+        if outcome == AttemptOutcome::NotSent && result.attempt.0 > 0 {
+            self.attempt_window.remove_extra_attempt(attempt.sent_at);
+        }
+        if let Some(worker) = self.workers.get_mut(&result.worker) {
+            worker.in_flight.remove(&(attempt.sent_at, result.id, result.attempt));
+            let left = (worker.outstanding_cost - attempt.cost).max(0.0);
+            worker.outstanding_cost = if worker.in_flight.is_empty() { 0.0 } else { left };
+        }
+        if outcome == AttemptOutcome::Succeeded && !self.stalled {
+            self.record_latency(&result, class, &attempt);
+        }
+        self.record_failure(&result, class, &attempt);
+        self.apply_outcome(result.worker, outcome, attempt.cost);
+        if let Some(report) = result.load_report {
             let utilization = utilization(&self.settings.report_fields, &report);
             self.mean_reported_utilization += SAMPLE_WEIGHT * (utilization - self.mean_reported_utilization);
-            self.apply_load_report(end.worker, utilization);
+            self.apply_load_report(result.worker, utilization);
         }
-        self.drop_if_finished(end.id);
+        self.drop_if_finished(result.id);
     }
 
-    /// Sends parts that have no attempt out, and copies of parts that are overdue.
-    pub(super) fn retry_or_hedge(&mut self, actions: &mut Vec<Action>) {
-        let window = self.retry_budget_window();
-        self.request_times.retain(|at| self.now.since(*at) < window);
-        self.extra_attempts.retain(|(at, _)| self.now.since(*at) <= window);
-        let open: Vec<RequestId> = self
-            .parts
-            .iter()
-            .filter(|(_, part)| !part.succeeded && !part.finished)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in open {
-            let Some(part) = self.parts.get(&id) else { continue };
-            let Some(query) = self.queries.get(&part.query) else { continue };
-            let left = seconds(query.objective_at.since(self.now));
-            let waiting: Vec<&Attempt> =
-                part.attempts.iter().filter(|attempt| attempt.is_in_flight()).collect();
-            let overdue = |attempt: &&Attempt| {
-                let age = seconds(self.now.since(attempt.sent_at));
-                self.workers.get(&attempt.worker).is_some_and(|worker| worker.ejection.is_some())
-                    || age > attempt.expected_latency + self.overdue_margin()
-                    || age > attempt.expected_latency
-                        && left < LAST_HEDGE_SERVICE_TIMES * self.latency_model.coefficients().0 * part.cost
-            };
-            if waiting.len() > 1 || !waiting.iter().all(overdue) {
-                continue;
-            }
-            if let Some((worker, expected)) = self.select_replica(part)
-                && expected < left * if waiting.is_empty() { 1.0 } else { BUSY_ADMISSION_THRESHOLD }
-                && waiting.iter().all(|attempt| attempt.worker != worker)
-            {
-                self.dispatch(id, worker, expected, actions);
-            }
-        }
+    /// Notes the outcome at the part; the class and the attempt, unless that has ended before.
+    fn close_attempt(&mut self, result: &AttemptResult) -> Option<(ClassId, Attempt)> {
+        let part = self.parts.get_mut(&result.id)?;
+        let succeeded = result.outcome == AttemptOutcome::Succeeded;
+        part.finished |= result.part_finished && !succeeded;
+        let attempt =
+            part.attempts.get_mut(result.attempt.0 as usize).filter(|attempt| attempt.is_in_flight())?;
+        attempt.outcome = Some(result.outcome);
+        part.succeeded |= succeeded;
+        Some((part.class, *attempt))
     }
 }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,29 +1,37 @@
-//! When a query is answered, rejected or cancelled.
+//! When a query is answered, rejected or cancelled, and what becomes of its parts then. No other file ends a
+//! query.
 
 use crate::policy::attempts::MIN_LATE_WEIGHT;
-use crate::policy::queries::{Attempt, Part};
-use crate::policy::{Action, Aggregator, AttemptNo, AttemptOutcome, Idempotency, RequestId, STEP_INTERVAL};
+use crate::policy::queries::{Attempt, Part, Query};
+use crate::policy::{
+    Action, Aggregator, AttemptNo, AttemptOutcome, Class, Idempotency, RequestId, STEP_INTERVAL, Time,
+};
 use std::time::Duration;
 
-/// Slack in sums of weights, which come rounded: the rule on honest answers lets them fall so short.
+/// Tolerance in sums of weights, which come rounded: the rule on honest answers lets them fall so short.
 pub(super) const WEIGHT_SUM_TOLERANCE: f64 = 1e-4;
+/// Connections that a part may break; with one more its query ends, for it may bring down whoever serves it.
+const MAX_CONNECTION_RESETS: usize = 1;
 
+/// How a query ends.
 pub(super) enum Completion {
     Respond { complete: bool },
     Reject { retry_after: Duration },
 }
 
+// When.
 impl Aggregator {
-    /// Ends queries that are whole, lost, or best answered in part now.
+    /// Ends the queries that are complete, lost, or best answered in part now.
     pub(super) fn complete_queries(&mut self, actions: &mut Vec<Action>) {
         for id in self.queries.keys().copied().collect::<Vec<_>>() {
-            if let Some(ending) = self.completion(id) {
-                self.complete(id, ending, actions);
+            if let Some(completion) = self.completion(id) {
+                self.complete(id, completion, actions);
             }
         }
     }
 
-    pub(super) fn completion(&self, id: RequestId) -> Option<Completion> {
+    /// How a query ends now; `None` while it goes on.
+    fn completion(&self, id: RequestId) -> Option<Completion> {
         let query = self.queries.get(&id)?;
         let reject = Completion::Reject { retry_after: self.settings.max_retry_after.unwrap_or_default() };
         let Some(class) = self.class(query.request.class) else { return Some(reject) };
@@ -31,89 +39,111 @@
             return None;
         }
         let parts: Vec<&Part> = query.parts.iter().filter_map(|part| self.parts.get(part)).collect();
-        let share: f64 = parts.iter().filter(|part| part.succeeded).map(|part| part.request.weight).sum();
+        match self.response(query, class, &parts) {
+            Some(complete) => Some(Completion::Respond { complete }),
+            None => self.is_lost(query, class, &parts).then_some(reject),
+        }
+    }
+
+    /// Whether a query is to be answered now, and if so, whether the answer is complete.
+    fn response(&self, query: &Query, class: &Class, parts: &[&Part]) -> Option<bool> {
+        let coverage: f64 = parts.iter().filter(|part| part.succeeded).map(|part| part.request.weight).sum();
         let all = !parts.is_empty() && parts.iter().all(|part| part.succeeded);
         let complete = match query.first_step_complete {
             Some(first) => all && first,
-            None => share >= class.complete_coverage - WEIGHT_SUM_TOLERANCE && !parts.is_empty(),
+            None => coverage >= class.complete_coverage - WEIGHT_SUM_TOLERANCE && !parts.is_empty(),
         };
         if complete || (all && query.first_step_complete.is_some()) {
-            return Some(Completion::Respond { complete });
+            return Some(complete);
         }
-        let margin = STEP_INTERVAL + self.settings.min_step_interval * 2;
-        let enough = !parts.is_empty() && share >= class.min_coverage - WEIGHT_SUM_TOLERANCE;
-        let out = parts.iter().any(|part| part.attempts.iter().any(|attempt| attempt.is_in_flight()));
-        let late = self.now.after(margin) >= query.objective_at;
-        let over = self.now.after(margin) >= query.request.valid_until;
-        let earns = class.partial_weight * share / class.complete_coverage.max(WEIGHT_SUM_TOLERANCE);
-        if enough && (over || late && earns > class.late_weight) {
-            return Some(Completion::Respond { complete: false });
-        }
-        let hopeless = self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !out);
-        // Guards against requests that bring down whoever begins them: no part may break a third connection.
-        let broke = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
-        let breaks = |part: &&Part| part.attempts.iter().filter(broke).count() > 1;
-        // Guards against holding a lost query back: a part with none out and none to follow is lost.
-        let is_out = |part: &Part| part.attempts.iter().any(|attempt| attempt.is_in_flight());
-        let dead = |part: &&&Part| !part.succeeded && !is_out(part) && !self.may_retry(part);
-        let dead: f64 = parts.iter().filter(dead).map(|part| part.request.weight).sum();
-        let lost = dead > WEIGHT_SUM_TOLERANCE && 1.0 - dead < class.min_coverage - WEIGHT_SUM_TOLERANCE;
-        (over || hopeless || lost || parts.iter().any(breaks)).then_some(reject)
+        let enough = !parts.is_empty() && coverage >= class.min_coverage - WEIGHT_SUM_TOLERANCE;
+        let late = self.is_due(query.objective_at);
+        let earns = class.partial_weight * coverage / class.complete_coverage.max(WEIGHT_SUM_TOLERANCE);
+        let partial = enough && (self.is_due(query.request.valid_until) || late && earns > class.late_weight);
+        partial.then_some(false)
+    }
+
+    /// Whether a query can earn nothing any more, or must not be tried again.
+    fn is_lost(&self, query: &Query, class: &Class, parts: &[&Part]) -> bool {
+        let in_flight = parts.iter().any(|part| part.is_in_flight());
+        let hopeless = self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !in_flight);
+        let reset = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
+        let resets = |part: &Part| part.attempts.iter().filter(reset).count();
+        // A part with no attempt in flight and none to follow is lost: the query is not held back for it.
+        let is_dead = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_retry(part);
+        let dead: f64 = parts.iter().filter(|part| is_dead(part)).map(|part| part.request.weight).sum();
+        let unreachable =
+            dead > WEIGHT_SUM_TOLERANCE && 1.0 - dead < class.min_coverage - WEIGHT_SUM_TOLERANCE;
+        self.is_due(query.request.valid_until)
+            || hopeless
+            || unreachable
+            || parts.iter().any(|part| resets(part) > MAX_CONNECTION_RESETS)
     }
 
-    /// The one place that ends queries.
-    pub(super) fn complete(&mut self, id: RequestId, ending: Completion, actions: &mut Vec<Action>) {
+    /// Whether a moment comes before the next step but one can act on it.
+    fn is_due(&self, at: Time) -> bool {
+        self.now.after(STEP_INTERVAL + self.settings.min_step_interval * 2) >= at
+    }
+}
+
+// What follows.
+impl Aggregator {
+    /// Answers or rejects a query. No other method does.
+    pub(super) fn complete(&mut self, id: RequestId, completion: Completion, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let class = self.settings.classes.get(query.request.class.0);
-        match ending {
+        match completion {
             Completion::Respond { complete } => {
                 actions.push(Action::Respond { id, complete });
-                if class.is_some_and(|class| class.second_step_parts > 0)
-                    && query.first_step_complete.is_none()
-                {
+                let has_second_step = class.is_some_and(|class| class.second_step_parts > 0);
+                if has_second_step && query.first_step_complete.is_none() {
                     query.first_step_complete = Some(complete);
                     query.admitted = false;
-                    let first = std::mem::take(&mut query.parts);
-                    return self.release(first, actions);
+                    let first_step = std::mem::take(&mut query.parts);
+                    return self.release(first_step, actions);
                 }
             }
             Completion::Reject { retry_after } => {
-                let ran = |part: &Part| part.attempts.iter().any(|attempt| attempt.may_have_run());
                 let mut parts = query.parts.iter().filter_map(|part| self.parts.get(part));
-                let may_have_run = query.first_step_complete.is_some() || parts.any(ran);
-                let risky =
-                    class.is_none_or(|class| class.idempotency != Idempotency::Idempotent) && may_have_run;
+                let may_have_run = query.first_step_complete.is_some()
+                    || parts.any(|part| part.attempts.iter().any(Attempt::may_have_run));
+                let idempotent = class.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
                 let retry_after = self.settings.max_retry_after.map(|longest| retry_after.min(longest));
-                actions.push(if risky { Action::Fail { id } } else { Action::Reject { id, retry_after } });
+                actions.push(if may_have_run && !idempotent {
+                    Action::Fail { id }
+                } else {
+                    Action::Reject { id, retry_after }
+                });
             }
         }
         self.cancel(id, actions);
     }
 
+    /// Drops a query that nobody waits for.
     pub(super) fn cancel(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else { return };
         self.jobs.remove(&query.request.job);
         self.release(query.parts, actions);
     }
 
-    /// Lets go of parts; attempts still out are called off and kept until their outcome is in.
-    pub(super) fn release(&mut self, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
+    /// Cancels the attempts in flight of parts that no query needs; a part stays until their results are in.
+    fn release(&mut self, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
         for id in parts {
             let Some(part) = self.parts.get_mut(&id) else { continue };
             (part.finished, part.released) = (true, true);
             if self.settings.may_cancel {
-                for (number, _) in
-                    part.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight())
-                {
-                    actions.push(Action::Cancel { id, attempt: AttemptNo(number as u32) });
-                }
+                let in_flight =
+                    part.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight());
+                let cancel = |(number, _)| Action::Cancel { id, attempt: AttemptNo(number as u32) };
+                actions.extend(in_flight.map(cancel));
             }
             self.drop_if_finished(id);
         }
     }
 
     pub(super) fn drop_if_finished(&mut self, id: RequestId) {
-        let out = |part: &Part| part.attempts.iter().any(|attempt| attempt.is_in_flight());
-        self.parts.extract_if(id..=id, |_, part| part.released && !out(part)).for_each(drop);
+        if self.parts.get(&id).is_some_and(|part| part.released && !part.is_in_flight()) {
+            self.parts.remove(&id);
+        }
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,87 +1,119 @@
-//! The endpoint list, and the replica set of each shard.
+//! The endpoint list, the replica set of each shard, and when the list is subscribed to again. This file
+//! never judges a worker's health.
 
-use crate::policy::estimates::INITIAL_COST_S;
-use crate::policy::load_reports::normalise;
+use crate::policy::load_reports::{Replica, normalise};
 use crate::policy::outlier_detection::{MAX_EJECTION_TIME, MIN_EJECTION_TIME};
 use crate::policy::worker_state::WorkerState;
-use crate::policy::{Aggregator, EndpointStatus, EndpointUpdate, Settings, ShardId, WorkerId};
+use crate::policy::{
+    Aggregator, Endpoint, EndpointStatus, EndpointUpdate, Settings, ShardId, Time, WorkerId,
+};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// First and longest backoff of the subscription.
+const MIN_BACKOFF: Duration = MIN_EJECTION_TIME;
+const MAX_BACKOFF: Duration = MAX_EJECTION_TIME;
+/// Share of a backoff that is added at random, so that aggregators which failed together do not return
+/// together.
+const BACKOFF_JITTER: f64 = 0.5;
+
+/// When the endpoint list is subscribed to: at the start, and again after each failure, with backoff.
+#[derive(Default)]
+pub(super) struct Subscription {
+    subscribe_at: Option<Time>,
+    backoff: Duration,
+}
+
+impl Subscription {
+    pub(super) fn new(settings: &Settings) -> Self {
+        Subscription { subscribe_at: settings.poll_discovery.then_some(Time(0)), backoff: MIN_BACKOFF }
+    }
+
+    /// Whether it is time to subscribe; true once for each time.
+    pub(super) fn take_due(&mut self, now: Time) -> bool {
+        self.subscribe_at.take_if(|at| *at <= now).is_some()
+    }
+
+    fn succeeded(&mut self) {
+        self.backoff = MIN_BACKOFF;
+    }
+
+    fn failed(&mut self, now: Time, settings: &Settings, random: &mut fastrand::Rng) {
+        let wait = self.backoff.mul_f64(1.0 + BACKOFF_JITTER * random.f64());
+        self.subscribe_at = settings.poll_discovery.then_some(now.after(wait));
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+    }
+}
 
 impl Aggregator {
-    pub(super) fn apply_endpoint_update(&mut self, news: EndpointUpdate) {
-        let (entries, complete) = match news {
+    pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
+        let (endpoints, full) = match update {
             EndpointUpdate::Failed => {
-                let wait = self.subscribe_backoff.mul_f64(1.0 + 0.5 * self.random.f64());
-                self.subscribe_at = self.settings.poll_discovery.then_some(self.now.after(wait));
-                self.subscribe_backoff = (self.subscribe_backoff * 2).min(MAX_EJECTION_TIME);
-                return;
+                return self.subscription.failed(self.now, &self.settings, &mut self.random);
             }
-            EndpointUpdate::Delta(entries) => (entries, false),
-            EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (entries, true),
+            EndpointUpdate::Delta(endpoints) => (endpoints, false),
+            EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => (endpoints, true),
         };
-        self.subscribe_backoff = MIN_EJECTION_TIME;
-        if complete {
-            let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
+        self.subscription.succeeded();
+        if full {
+            let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             for (_, worker) in self.workers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 worker.endpoint.status = EndpointStatus::Gone;
             }
         }
-        for entry in entries.iter() {
-            let fresh = entry.started_at.filter(|since| self.now.since(*since) < self.settings.warm_up);
-            let worker = self.workers.entry(entry.worker).or_insert_with(|| WorkerState {
-                mean_latency: INITIAL_COST_S,
-                mean_expected_latency: INITIAL_COST_S,
-                passes_health_checks: true,
-                last_success_at: self.now,
-                next_health_check_at: self.now,
-                ..WorkerState::default()
-            });
-            if worker.endpoint.started_at != entry.started_at && fresh.is_some() {
-                // A new process: what was held against the old one is void.
-                worker.warming_since = worker.warming_since.max(fresh);
-                worker.reinstate();
-                worker.mean_latency = worker.mean_expected_latency;
-            }
-            worker.endpoint = entry.clone();
-        }
+        endpoints.iter().for_each(|endpoint| self.apply_endpoint(endpoint));
         self.rebuild_replica_sets();
     }
 
-    /// The active replicas of each shard; those that stay keep their multiplier.
-    pub(super) fn rebuild_replica_sets(&mut self) {
+    fn apply_endpoint(&mut self, endpoint: &Endpoint) {
+        let now = self.now;
+        let started = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
+        let worker = self.workers.entry(endpoint.worker).or_insert_with(|| WorkerState::new(now));
+        if worker.endpoint.started_at != endpoint.started_at && started.is_some() {
+            // A new process: what was counted against the old one does not apply to it.
+            worker.warming_since = worker.warming_since.max(started);
+            worker.reinstate();
+            worker.mean_latency = worker.mean_expected_latency;
+        }
+        worker.endpoint = endpoint.clone();
+    }
+
+    /// Rebuilds the active replicas of each shard; those that stay keep their weight.
+    fn rebuild_replica_sets(&mut self) {
         let before = std::mem::take(&mut self.replica_sets);
-        for (shard, held) in holders(&self.workers, &self.settings) {
-            let mut row: Vec<(WorkerId, f64)> = held.into_iter().map(|id| (id, 1.0)).collect();
-            let even = 1.0 / row.len().max(1) as f64;
-            for (id, m) in &mut row {
-                let known = before.get(&shard).and_then(|row| row.iter().find(|known| known.0 == *id));
-                *m = known.map_or(even, |known| known.1);
-            }
-            normalise(&mut row);
-            self.replica_sets.insert(shard, row);
+        for (shard, workers) in active_replicas(&self.workers, &self.settings) {
+            let even = 1.0 / workers.len().max(1) as f64;
+            let known = before.get(&shard);
+            let weight_of = |id: WorkerId| {
+                let replica = known.and_then(|set| set.iter().find(|replica| replica.worker == id));
+                replica.map_or(even, |replica| replica.weight)
+            };
+            let mut set: Vec<Replica> =
+                workers.into_iter().map(|id| Replica { worker: id, weight: weight_of(id) }).collect();
+            normalise(&mut set);
+            self.replica_sets.insert(shard, set);
         }
     }
 }
 
-/// The active leaves that hold each shard, by id: shard `s` lies in `span` cells in a row from cell `s`, or
-/// with every leaf where there are no cells. Goes by cells, so that a list of many leaves does not cost their
-/// square.
-pub fn holders(
+/// The active workers that hold each shard, by id: shard `s` lies in `cells_per_shard` cells in a row from
+/// cell `s`, or with every worker where there are no cells. The workers are grouped by cell first, so that a
+/// long list does not cost its square.
+fn active_replicas(
     workers: &BTreeMap<WorkerId, WorkerState>,
     settings: &Settings,
 ) -> BTreeMap<ShardId, Vec<WorkerId>> {
     let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
     let mut by_cell: BTreeMap<u32, Vec<WorkerId>> = BTreeMap::new();
-    for (id, worker) in workers.iter().filter(|(_, worker)| worker.endpoint.status == EndpointStatus::Active)
-    {
+    for (id, worker) in workers.iter().filter(|(_, worker)| worker.is_active()) {
         by_cell.entry(cell_of(worker.endpoint.cell.0)).or_default().push(*id);
     }
-    let steps = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
-    let held = |shard: u32| {
-        let cells = (0..steps).filter_map(|step| by_cell.get(&cell_of(cell_of(shard) + step)));
+    let cells = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
+    let replicas_of = |shard: u32| {
+        let cells = (0..cells).filter_map(|offset| by_cell.get(&cell_of(cell_of(shard) + offset)));
         let mut ids: Vec<WorkerId> = cells.flatten().copied().collect();
         ids.sort_unstable();
         (ShardId(shard), ids)
     };
-    (0..settings.shards).map(held).collect()
+    (0..settings.shards).map(replicas_of).collect()
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,108 +1,173 @@
-//! Estimators of the decision module: what is learned from few samples, and how it fades. Nothing here
-//! chooses.
+//! Estimates of latency and cost: what is learned from few samples, and how it decays. Nothing here chooses.
 
+use crate::policy::queries::Attempt;
 use crate::policy::time::seconds;
 use crate::policy::worker_state::WorkerState;
-use crate::policy::{Aggregator, Settings, Time};
+use crate::policy::{Aggregator, AttemptResult, ClassId, Settings, Time};
 use serde::{Deserialize, Serialize};
 
 /// Weight of a new sample in running means: about the last twenty count.
-pub const SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of a new sample in the model of latency: about the last hundred answers count.
-pub const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
-/// Samples' worth of belief in the first guess at how answers slow with work owed.
+pub(super) const SAMPLE_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in the model of latency: about the last hundred successes count.
+pub(super) const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
+/// Weight of a new sample in the mean interval of queries.
+const QUERY_INTERVAL_SAMPLE_WEIGHT: f64 = 0.2;
+/// Samples that the first guess at how latency grows with outstanding cost counts for.
 const PRIOR_SAMPLES: f64 = 20.0;
-/// Work of a part, in seconds, that a leaf and the model start from: only ratios matter until one is seen.
-pub const INITIAL_COST_S: f64 = 0.1;
-/// Work of a part, as a share of the shortest aim, before any was seen and without a hint.
+/// Seconds of a part's cost that a worker and the model start from: only ratios matter until one is observed.
+pub(super) const INITIAL_COST_S: f64 = 0.1;
+/// Cost of a part, as a share of the shortest latency objective, before any was observed and without a hint.
 const INITIAL_COST_PER_OBJECTIVE: f64 = 0.04;
-/// Seconds in which a share of lost attempts fades as a path mends.
+/// Seconds in which a failure rate decays as a path recovers.
 const FAILURE_RATE_DECAY_S: f64 = 10.0;
-/// Deviations past the expected answer at which an attempt is overdue (as in TCP's time-out).
+/// Deviations past the expected latency at which an attempt is overdue (as in TCP's time-out).
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// Share of the shortest aim past which an attempt is overdue: twice that, silence, is inside the aim.
+/// Share of the shortest latency objective past which an attempt is overdue: twice that, at which a worker
+/// counts as unresponsive, is inside the objective.
 const MAX_OVERDUE_MARGIN_OF_OBJECTIVE: f64 = 0.4;
-/// Gaps between this root's queries, of a second at least, in which latencies learned fade without answers.
+/// Mean intervals between this aggregator's queries, of a second at least, in which the latencies learned
+/// decay without responses.
 const STALE_ESTIMATE_QUERY_INTERVALS: f64 = 2.0;
+/// Seconds between a worker's responses from which one says as much of its slowdown as all before.
+const SPARSE_SAMPLE_INTERVAL_S: f64 = 1.2;
+/// Greatest weight of one response in a worker's slowdown.
+const MAX_SAMPLE_WEIGHT: f64 = 0.7;
+/// Least and greatest slowdown that a worker is believed to have.
+const SLOWDOWN_RATIO: (f64, f64) = (0.5, 20.0);
+/// Share of latencies that lie below the running base latency of a class: a part's cost without waiting.
+const BASE_LATENCY_QUANTILE: f64 = 0.2;
 
-/// A share as it was reckoned, less what has faded since.
-pub fn decayed((share, at): (f64, Time), now: Time) -> f64 {
-    share * (-seconds(now.since(at)) / FAILURE_RATE_DECAY_S).exp()
+/// A rate that decays from the time at which it was updated.
+#[derive(Clone, Copy, Default)]
+pub struct Decaying {
+    pub value: f64,
+    pub updated_at: Time,
 }
 
-/// Latency of an answer as a line in the part's own work and the work owed ahead of it, learned by decayed
-/// least squares over all leaves: a root sees only its own traffic, so the others' share shows in the slope.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LatencyModel {
-    /// Sums of work², work x ahead, ahead², work x latency, ahead x latency.
-    sums: [f64; 5],
-    /// Mean distance of latencies from what was expected.
-    pub deviation: f64,
+impl Decaying {
+    /// Its value at a later time.
+    pub(super) fn at(self, now: Time) -> f64 {
+        self.value * (-seconds(now.since(self.updated_at)) / FAILURE_RATE_DECAY_S).exp()
+    }
 }
 
-/// The shortest aim of any class, in seconds; infinite where there is no class.
-pub fn shortest_objective(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|class| seconds(class.latency_objective)).fold(f64::INFINITY, f64::min)
+/// Seconds of latency for a second of a part's own cost, and for a second of cost outstanding ahead of it.
+pub(super) struct LatencySlopes {
+    pub(super) own_cost: f64,
+    pub(super) cost_ahead: f64,
 }
 
-/// Work of a part, in seconds, before any was seen and without a hint. Guards fast deployments against a
-/// guess made for slow ones: it would be over their whole aim, every query refused, and nothing ever seen.
-pub fn initial_cost(settings: &Settings) -> f64 {
-    INITIAL_COST_PER_OBJECTIVE * shortest_objective(settings)
+/// Latency as a linear function of the part's own cost and of the cost outstanding ahead of it, learned by
+/// decayed least squares over all workers: an aggregator sees only its own traffic, so the others' share
+/// shows in the slope.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub(super) struct LatencyModel {
+    /// Sums of cost², cost x ahead, ahead², cost x latency, ahead x latency.
+    sums: [f64; 5],
+    /// Mean distance of latencies from what was expected, in seconds.
+    pub(super) deviation: f64,
 }
 
 impl Default for LatencyModel {
     fn default() -> Self {
-        let belief = PRIOR_SAMPLES * INITIAL_COST_S * INITIAL_COST_S;
-        LatencyModel { sums: [belief, 0.0, belief, belief, belief], deviation: INITIAL_COST_S }
+        let prior = PRIOR_SAMPLES * INITIAL_COST_S * INITIAL_COST_S;
+        LatencyModel { sums: [prior, 0.0, prior, prior, prior], deviation: INITIAL_COST_S }
     }
 }
 
 impl LatencyModel {
-    /// Seconds of latency for a second of own work, and for a second of work ahead.
-    pub fn coefficients(&self) -> (f64, f64) {
-        let [ww, wb, bb, wl, bl] = self.sums;
-        let det = (ww * bb - wb * wb).max(f64::MIN_POSITIVE);
-        (((wl * bb - bl * wb) / det).clamp(0.3, 10.0), ((ww * bl - wb * wl) / det).clamp(0.1, 10.0))
+    pub(super) fn slopes(&self) -> LatencySlopes {
+        let [cost_cost, cost_ahead, ahead_ahead, cost_latency, ahead_latency] = self.sums;
+        let determinant = (cost_cost * ahead_ahead - cost_ahead * cost_ahead).max(f64::MIN_POSITIVE);
+        let own = (cost_latency * ahead_ahead - ahead_latency * cost_ahead) / determinant;
+        let ahead = (cost_cost * ahead_latency - cost_ahead * cost_latency) / determinant;
+        LatencySlopes { own_cost: own.clamp(0.3, 10.0), cost_ahead: ahead.clamp(0.1, 10.0) }
     }
-    pub fn record_sample(&mut self, work: f64, ahead: f64, latency: f64, expected: f64) {
-        let new = [work * work, work * ahead, ahead * ahead, work * latency, ahead * latency];
-        for (sum, new) in self.sums.iter_mut().zip(new) {
-            *sum += new - MODEL_SAMPLE_WEIGHT * *sum;
+
+    fn record_sample(&mut self, attempt: &Attempt, latency: f64) {
+        let (cost, ahead) = (attempt.cost, attempt.cost_ahead);
+        let sample = [cost * cost, cost * ahead, ahead * ahead, cost * latency, ahead * latency];
+        for (sum, sample) in self.sums.iter_mut().zip(sample) {
+            *sum += sample - MODEL_SAMPLE_WEIGHT * *sum;
         }
-        self.deviation += SAMPLE_WEIGHT * ((latency - expected).abs() - self.deviation);
+        self.deviation += SAMPLE_WEIGHT * ((latency - attempt.expected_latency).abs() - self.deviation);
+    }
+}
+
+/// How often queries arrive.
+#[derive(Clone, Copy, Default)]
+pub(super) struct QueryArrivals {
+    pub(super) mean_interval_s: f64,
+    pub(super) last_at: Time,
+}
+
+impl QueryArrivals {
+    /// Records a query; the first interval counts from the start.
+    pub(super) fn record(&mut self, now: Time, started_at: Time) {
+        let interval = seconds(now.since(self.last_at.max(started_at)));
+        self.mean_interval_s += QUERY_INTERVAL_SAMPLE_WEIGHT * (interval - self.mean_interval_s);
+        self.last_at = now;
     }
 }
 
+/// The shortest latency objective of any class, in seconds; infinite where there is no class.
+fn shortest_objective(settings: &Settings) -> f64 {
+    settings.classes.iter().map(|class| seconds(class.latency_objective)).fold(f64::INFINITY, f64::min)
+}
+
+/// Seconds of a part's cost before any was observed and without a hint. It goes by the objectives: a guess
+/// made for slow deployments would take up a fast one's whole objective, and every query would be rejected.
+pub(super) fn initial_cost(settings: &Settings) -> f64 {
+    INITIAL_COST_PER_OBJECTIVE * shortest_objective(settings)
+}
+
 impl Aggregator {
-    /// Expected seconds until a leaf would answer a part of this much work.
-    pub(super) fn expected_latency(&self, worker: &WorkerState, work: f64) -> f64 {
-        // Guards against refusing for good on stale guesses: without answers, what was learned fades.
-        let fade = |since: Time| {
-            (-seconds(self.now.since(since))
-                / (STALE_ESTIMATE_QUERY_INTERVALS * self.query_interval.max(1.0)))
-            .exp()
-        };
-        let (own, ahead) = self.latency_model.coefficients();
-        let own = 1.0 + (own - 1.0) * fade(self.last_success_at);
-        let drag = (worker.mean_latency / worker.mean_expected_latency.max(1e-6)).clamp(0.5, 20.0);
-        let drag = 1.0 + (drag - 1.0) * fade(worker.last_success_at);
-        (own * work + ahead * worker.outstanding_cost) * drag + self.seconds_overdue(worker)
+    /// Expected seconds until a worker would respond to a part of this cost.
+    pub(super) fn expected_latency(&self, worker: &WorkerState, cost: f64) -> f64 {
+        // Without responses what was learned decays: a stale estimate must not reject queries for good.
+        let memory = STALE_ESTIMATE_QUERY_INTERVALS * self.query_arrivals.mean_interval_s.max(1.0);
+        let decay = |since: Time| (-seconds(self.now.since(since)) / memory).exp();
+        let slopes = self.latency_model.slopes();
+        let own_slope = 1.0 + (slopes.own_cost - 1.0) * decay(self.last_success_at);
+        let slowdown = (worker.mean_latency / worker.mean_expected_latency.max(1e-6))
+            .clamp(SLOWDOWN_RATIO.0, SLOWDOWN_RATIO.1);
+        let slowdown = 1.0 + (slowdown - 1.0) * decay(worker.last_success_at);
+        (own_slope * cost + slopes.cost_ahead * worker.outstanding_cost) * slowdown
+            + self.seconds_overdue(worker)
+    }
+
+    /// Learns from the latency of an attempt that succeeded.
+    pub(super) fn record_latency(&mut self, result: &AttemptResult, class: ClassId, attempt: &Attempt) {
+        let Some(worker) = self.workers.get_mut(&result.worker) else { return };
+        let latency = seconds(result.elapsed);
+        let slopes = self.latency_model.slopes();
+        let expected = slopes.own_cost * attempt.cost + slopes.cost_ahead * attempt.cost_ahead;
+        let sparse = seconds(self.now.since(worker.last_success_at)) / SPARSE_SAMPLE_INTERVAL_S;
+        let weight = (sparse.powi(4) / (1.0 + sparse.powi(4))).clamp(2.0 * SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
+        worker.mean_latency += weight * (latency - worker.mean_latency);
+        worker.mean_expected_latency += weight * (expected - worker.mean_expected_latency);
+        self.last_success_at = self.now;
+        self.latency_model.record_sample(attempt, latency);
+        if let Some(base) = self.base_latency.get_mut(class.0) {
+            let below = f64::from(u8::from(latency < *base));
+            *base *= 1.0 + SAMPLE_WEIGHT * (BASE_LATENCY_QUANTILE - below);
+        }
     }
 
-    /// Seconds past the expected answer at which an attempt is overdue. Guards against a hidden tail:
-    /// where a few leaves are slow, guesses err by more than the aim leaves time for a copy, or for judging.
+    /// Seconds past the expected latency at which an attempt is overdue. It is bounded by the latency
+    /// objective: where a few workers are slow, estimates err by more than the objective leaves time for a
+    /// hedge.
     pub(super) fn overdue_margin(&self) -> f64 {
         (OVERDUE_DEVIATIONS * self.latency_model.deviation)
             .min(MAX_OVERDUE_MARGIN_OF_OBJECTIVE * shortest_objective(&self.settings))
     }
 
-    /// Seconds by which the oldest attempt out at a leaf is later than expected, past the usual spread.
+    /// Seconds by which the oldest attempt in flight at a worker is overdue; zero where it is not.
     pub(super) fn seconds_overdue(&self, worker: &WorkerState) -> f64 {
-        let Some((sent, id, number)) = worker.in_flight.first() else { return 0.0 };
+        let Some((sent_at, id, number)) = worker.in_flight.first() else { return 0.0 };
         let attempt = self.parts.get(id).and_then(|part| part.attempts.get(number.0 as usize));
         let expected = attempt.map_or(INITIAL_COST_S, |attempt| attempt.expected_latency);
-        let age = seconds(self.now.since(*sent));
+        let age = seconds(self.now.since(*sent_at));
         (age - expected - self.overdue_margin()).max(0.0)
     }
 }
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,12 +1,13 @@
-//! Health checks of workers: when they are sent, and what their results say.
+//! Health checks of workers: when they are sent, and what their results say. Where load reports come with
+//! health checks alone, all workers get them; elsewhere ejected ones do, before a part is risked on them.
 
 use crate::policy::load_reports::utilization;
 use crate::policy::time::{seconds, span};
-use crate::policy::{Action, Aggregator, AttemptOutcome, EndpointStatus, LoadReport, ReportSource, WorkerId};
+use crate::policy::{Action, Aggregator, AttemptOutcome, LoadReport, ReportSource, WorkerId};
 
-/// Share of service that probes may cost where reports come no other way: it sets the time between them.
+/// Share of service that health checks may cost where reports come no other way: it sets their interval.
 const HEALTH_CHECK_BUDGET: f64 = 0.003;
-/// Shortest and longest time between probes of one leaf.
+/// Shortest and longest interval of one worker's health checks, in seconds.
 const HEALTH_CHECK_INTERVAL_S: (f64, f64) = (0.5, 30.0);
 
 impl Aggregator {
@@ -27,32 +28,33 @@
         }
     }
 
-    /// Where reports come by probe alone each active leaf is probed as often as the price allows; elsewhere
-    /// only suspects are, before a part is risked on them.
     pub(super) fn send_health_checks(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.may_health_check {
             return;
         }
-        let active =
-            self.workers.values().filter(|worker| worker.endpoint.status == EndpointStatus::Active).count()
-                as f64;
-        let parts_per_s = self.request_times.len() as f64 / seconds(self.retry_budget_window());
-        let period = (active * self.settings.health_check_price
-            / (HEALTH_CHECK_BUDGET * parts_per_s.max(1.0)))
-        .clamp(HEALTH_CHECK_INTERVAL_S.0, HEALTH_CHECK_INTERVAL_S.1);
-        let all = self.settings.report_source == ReportSource::HealthChecks;
+        let interval = self.health_check_interval_s();
+        let checks_all = self.settings.report_source == ReportSource::HealthChecks;
         for (id, worker) in &mut self.workers {
-            let wanted = all || worker.ejection.is_some();
-            if wanted
-                && worker.endpoint.status == EndpointStatus::Active
-                && !worker.health_check_in_flight
-                && worker.next_health_check_at <= self.now
-            {
-                worker.health_check_in_flight = true;
-                let period = worker.ejection.map_or(period, |(_, hold)| period.min(seconds(hold)));
-                worker.next_health_check_at = self.now.after(span(period * (0.8 + 0.4 * self.random.f64())));
-                actions.push(Action::SendHealthCheck { worker: *id });
+            let wanted = checks_all || worker.ejection.is_some();
+            let due = !worker.health_check_in_flight && worker.next_health_check_at <= self.now;
+            if !(wanted && due && worker.is_active()) {
+                continue;
             }
+            worker.health_check_in_flight = true;
+            let interval =
+                worker.ejection.map_or(interval, |ejection| interval.min(seconds(ejection.duration)));
+            let jitter = 0.8 + 0.4 * self.random.f64();
+            worker.next_health_check_at = self.now.after(span(interval * jitter));
+            actions.push(Action::SendHealthCheck { worker: *id });
         }
     }
+
+    /// Seconds between health checks of one worker, as the budget allows for all of them.
+    fn health_check_interval_s(&self) -> f64 {
+        let active = self.workers.values().filter(|worker| worker.is_active()).count() as f64;
+        let requests_per_s = self.attempt_window.request_rate(&self.settings);
+        let (shortest, longest) = HEALTH_CHECK_INTERVAL_S;
+        (active * self.settings.health_check_price / (HEALTH_CHECK_BUDGET * requests_per_s.max(1.0)))
+            .clamp(shortest, longest)
+    }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,6 @@
-//! Every decision of the gatherer. The types of its settings, events and actions are in `types.rs`, the
-//! fields of what it remembers in `state.rs`.
-//!
-//! Order: constants, state, the turn, then membership, reports and multipliers, replica choice, admission and
-//! refusal, attempts, health, ending a query. `README.md` tells how the module sits in the program.
+//! Every decision of the gatherer: which replica a part goes to, when to retry or hedge, which queries to
+//! reject and when to answer. [`Aggregator`] owns the state and orders the steps; each concern is decided in
+//! its own file. The module does no I/O and reads no clock: events and the time come in, actions go out.
 
 mod action;
 mod admission;
@@ -27,12 +25,14 @@
 mod worker_state;
 
 use client_retries::ClientRetries;
-use estimates::{LatencyModel, initial_cost};
-use outlier_detection::MIN_EJECTION_TIME;
+use endpoints::Subscription;
+use estimates::{LatencyModel, QueryArrivals, initial_cost};
+use load_reports::Replica;
 use queries::{Part, Query};
-use std::collections::{BTreeMap, VecDeque};
+use retry_budget::AttemptWindow;
+use std::collections::BTreeMap;
 use std::time::Duration;
-use tenant_quota::TenantShares;
+use tenant_quota::TenantQuotas;
 use time::seconds;
 use worker_state::WorkerState;
 
@@ -46,80 +46,76 @@
 pub use snapshot::PolicySnapshot;
 pub use time::Time;
 
-/// Time between turns while nothing arrives: fine enough for aims of a second, coarse enough to be free.
+/// Time between steps while nothing arrives: fine enough for latency objectives of a second, coarse enough to
+/// be free.
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
-/// Turns' worth of absence past which this root itself stood still: ages then tell of it, not of the leaves.
+/// Step intervals without a step from which this aggregator itself was paused: ages say nothing of workers
+/// then.
 const STALL_STEPS: f64 = 10.0;
 
-/// The decisions of one root. See the crate's page for how to embed it.
+/// The decisions of one aggregator. See the crate's page for how to embed it.
 #[derive(Default)]
 pub struct Aggregator {
     settings: Settings,
     random: fastrand::Rng,
+    /// The time of this step, and of the first one.
     now: Time,
+    started_at: Time,
+    /// Between this step and the one before it, the aggregator was paused.
+    stalled: bool,
+    timer_set: bool,
+
+    subscription: Subscription,
     workers: BTreeMap<WorkerId, WorkerState>,
-    /// Multipliers m of the active replicas of each shard.
-    replica_sets: BTreeMap<ShardId, Vec<(WorkerId, f64)>>,
+    replica_sets: BTreeMap<ShardId, Vec<Replica>>,
+
     queries: BTreeMap<RequestId, Query>,
     jobs: BTreeMap<JobId, RequestId>,
     parts: BTreeMap<RequestId, Part>,
-    /// Requests taken and further attempts made inside the budget's window.
-    request_times: VecDeque<Time>,
+
     client_retries: ClientRetries,
-    extra_attempts: VecDeque<(Time, bool)>,
-    tenant_quota: TenantShares,
+    tenant_quotas: TenantQuotas,
+    attempt_window: AttemptWindow,
+    /// Half-open attempts in this step.
+    half_open_attempts: usize,
+    /// This aggregator's jitter, from 0 to 1, in the slow-start budget.
+    slow_start_phase: f64,
+
     latency_model: LatencyModel,
-    /// Share of late attempts that were turned away or timed out.
+    /// Running share of attempts that were rejected or timed out.
     recent_failure_rate: f64,
-    /// Mean utilization that answers report.
+    /// Running mean of the utilization that responses report.
     mean_reported_utilization: f64,
-    /// Mean seconds between queries, and the last one's arrival.
-    query_interval: f64,
-    last_query_at: Time,
-    /// When any leaf last answered.
+    query_arrivals: QueryArrivals,
+    /// When any worker last succeeded.
     last_success_at: Time,
-    /// Work of a part without waiting, by class.
+    /// Seconds that a part takes without waiting, by class.
     base_latency: Vec<f64>,
-    subscribe_at: Option<Time>,
-    subscribe_backoff: Duration,
-    timer_set: bool,
-    /// First turn, and this instance's place by chance in a stretched window of the cold allowance.
-    started_at: Time,
-    stalled: bool,
-    /// Suspects tried in this turn.
-    half_open_attempts: usize,
-    slow_start_phase: f64,
 }
 
 impl Aggregator {
-    /// A fresh instance.
+    /// An instance that knows no worker yet.
+    #[must_use]
     pub fn new(settings: Settings) -> Self {
         let mut random = fastrand::Rng::with_seed(settings.seed);
         Aggregator {
             slow_start_phase: random.f64(),
             random,
             started_at: Time(u64::MAX),
-            query_interval: 1.0,
+            query_arrivals: QueryArrivals { mean_interval_s: 1.0, last_at: Time::default() },
             base_latency: vec![initial_cost(&settings); settings.classes.len()],
-            subscribe_at: settings.poll_discovery.then_some(Time(0)),
-            subscribe_backoff: MIN_EJECTION_TIME,
+            subscription: Subscription::new(&settings),
             client_retries: ClientRetries::new(&settings),
             settings,
             ..Aggregator::default()
         }
     }
 
-    /// Applies all events of a turn, then decides once.
+    /// Applies all events of a moment, then decides once, and appends what is to be done to `actions`.
     pub fn step(&mut self, now: Time, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>) {
-        self.half_open_attempts = 0;
-        self.stalled =
-            self.started_at < now && seconds(now.since(self.now)) > STALL_STEPS * seconds(STEP_INTERVAL);
-        self.now = self.now.max(now);
-        self.started_at = self.started_at.min(self.now);
-        self.workers.values_mut().for_each(|worker| worker.parts_left_in_call = 0);
+        self.begin(now);
         events.into_iter().for_each(|event| self.apply(event, actions));
-        // The subscription is asked for at the start, and again after each failure, with back-off.
-        if self.subscribe_at.take_if(|at| *at <= self.now).is_some() {
+        if self.subscription.take_due(self.now) {
             actions.push(Action::SubscribeToEndpoints);
         }
         self.eject_unresponsive(actions);
@@ -133,22 +129,32 @@
         }
     }
 
-    fn class(&self, id: ClassId) -> Option<&Class> {
-        self.settings.classes.get(id.0)
+    /// Advances the clock and resets what counts within a step.
+    fn begin(&mut self, now: Time) {
+        let paused = seconds(now.since(self.now)) > STALL_STEPS * seconds(STEP_INTERVAL);
+        self.stalled = self.started_at < now && paused;
+        self.now = self.now.max(now);
+        self.started_at = self.started_at.min(self.now);
+        self.half_open_attempts = 0;
+        self.workers.values_mut().for_each(|worker| worker.parts_left_in_call = 0);
     }
 
     fn apply(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointUpdate(news) => self.apply_endpoint_update(news),
+            Event::EndpointUpdate(update) => self.apply_endpoint_update(update),
             Event::QueryReceived(query) => self.receive_query(query),
             Event::PartReceived(part) => self.receive_part(part),
             Event::StreamingStarted { .. } => {}
-            Event::AttemptFinished(end) => self.finish_attempt(end),
+            Event::AttemptFinished(result) => self.finish_attempt(result),
             Event::ClientDisconnected { id } => self.cancel(id, actions),
             Event::TimerFired { timer: _ } => self.timer_set = false,
-            Event::HealthCheckFinished { worker, outcome, elapsed: _, load_report: report } => {
-                self.finish_health_check(worker, outcome, report)
+            Event::HealthCheckFinished { worker, outcome, elapsed: _, load_report } => {
+                self.finish_health_check(worker, outcome, load_report)
             }
         }
     }
+
+    fn class(&self, id: ClassId) -> Option<&Class> {
+        self.settings.classes.get(id.0)
+    }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,194 +1,239 @@
-//! Failure rates of workers, their ejection, alone or with their zone.
+//! Failure rates of workers, and their ejection: for failures in a row, for being unresponsive, or with their
+//! whole zone. This file never decides what an ejected worker may still get: replica selection does.
 
-use crate::policy::estimates::decayed;
+use crate::policy::estimates::Decaying;
+use crate::policy::queries::Attempt;
 use crate::policy::time::{seconds, span};
-use crate::policy::worker_state::WorkerState;
+use crate::policy::worker_state::{Ejection, WorkerState};
 use crate::policy::{
-    Action, Aggregator, AttemptNo, AttemptOutcome, ClassId, EndpointStatus, RequestId, Time, WorkerId, ZoneId,
+    Action, Aggregator, AttemptNo, AttemptOutcome, AttemptResult, ClassId, RequestId, Time, WorkerId, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Failures in a row that make a leaf suspect: one may be chance.
+/// Failures in a row that eject a worker: one may be chance.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 2;
-/// First pause before a suspect is tried or discovery asked again, and the longest; each failure doubles it.
+/// First time before a half-open attempt, and the longest; each failure doubles it.
 pub(super) const MIN_EJECTION_TIME: Duration = Duration::from_millis(1000);
 pub(super) const MAX_EJECTION_TIME: Duration = Duration::from_secs(8);
-/// Seconds over which a leaf's own answers are averaged: load changes faster than its machine.
+/// Seconds over which the cost that a worker serves is averaged: load changes faster than its machine.
 pub(super) const SERVED_RATE_DECAY_S: f64 = 5.0;
-/// Weight of one attempt in the share that a leaf loses.
+/// Weight of one attempt in a worker's failure rate.
 pub(super) const FAILURE_RATE_SAMPLE_WEIGHT: f64 = 0.3;
-/// Later attempts answered by the same leaf from which an overdue one is in no queue: one proves nothing.
+/// Later attempts with a response from the same worker from which an overdue one waits in no queue: one
+/// proves nothing.
 const OVERTAKEN_TO_COUNT_AS_LOST: u32 = 2;
-/// Trials a second that one suspect may get from all roots together.
+/// Half-open attempts a second that one ejected worker may get from all aggregators together.
 const HALF_OPEN_ATTEMPTS_PER_S: f64 = 20.0;
-/// Leaves of one zone without answer, and none with, from which all of it is suspect.
+/// Workers of one zone without a response, while none has one, from which the whole zone is ejected.
 const MIN_UNRESPONSIVE_IN_ZONE: usize = 3;
+/// The utilization that stands in for a report of a worker that is overdue or fails.
+const ASSUMED_UTILIZATION: f64 = 1.0;
 
 impl WorkerState {
-    /// Share of a class's attempts that it loses, or of all if that is more.
+    /// The failure rate of a class of its attempts, or of all if that is more.
     pub(super) fn failure_rate(&self, now: Time, class: ClassId) -> f64 {
-        let share = |key| self.failure_rates.get(&key).map_or(0.0, |row| decayed(*row, now));
-        share(None).max(share(Some(class)))
+        let rate = |key| self.failure_rates.get(&key).map_or(0.0, |rate| rate.at(now));
+        rate(None).max(rate(Some(class)))
     }
-    /// Guards against leaves that lose a share of the attempts, or one class alone. Answers fade it only.
-    pub(super) fn record_outcome(&mut self, now: Time, class: ClassId, lost: bool) {
+
+    /// Records an attempt in the failure rates, of its class too: a worker may fail at one class alone. One
+    /// success does not clear them.
+    fn record_outcome(&mut self, now: Time, class: ClassId, failed: bool) {
         for key in [None, Some(class)] {
-            let row = self.failure_rates.entry(key).or_default();
-            let before = decayed(*row, now);
-            *row = (before + FAILURE_RATE_SAMPLE_WEIGHT * (f64::from(u8::from(lost)) - before), now);
+            let rate = self.failure_rates.entry(key).or_default();
+            let before = rate.at(now);
+            let value = before + FAILURE_RATE_SAMPLE_WEIGHT * (f64::from(u8::from(failed)) - before);
+            *rate = Decaying { value, updated_at: now };
         }
     }
-    /// Suspects it, with a first trial after a hold by lot. What says nothing is worse than what turns away.
-    pub(super) fn eject(&mut self, now: Time, silent: bool, hold: Duration) {
-        self.unresponsive |= silent;
-        if self.ejection.is_none() {
-            self.ejection = Some((now.after(hold), hold));
-        }
+
+    /// Ejects it until `duration` has passed. One that does not respond at all is worse than one that
+    /// rejects.
+    fn eject(&mut self, now: Time, unresponsive: bool, duration: Duration) {
+        self.unresponsive |= unresponsive;
+        self.ejection.get_or_insert(Ejection { retry_at: now.after(duration), duration });
     }
+
     pub(super) fn reinstate(&mut self) {
-        (self.ejection, self.unresponsive, self.ejected_with_zone, self.consecutive_failures) =
-            (None, false, false, 0);
+        (self.ejection, self.consecutive_failures) = (None, 0);
+        (self.unresponsive, self.ejected_with_zone) = (false, false);
     }
 }
 
-/// First hold of a suspect: as long as keeps the trials of so many roots together under a rate for one leaf.
-pub(super) fn initial_ejection_time(roots: u32, random: &mut fastrand::Rng) -> Duration {
-    let fleet = f64::from(roots) / HALF_OPEN_ATTEMPTS_PER_S;
+/// First ejection time of an unresponsive worker: with jitter, and so long that the half-open attempts of the
+/// whole fleet together keep under their rate.
+fn first_ejection_time(fleet_size: u32, random: &mut fastrand::Rng) -> Duration {
+    let fleet = f64::from(fleet_size) / HALF_OPEN_ATTEMPTS_PER_S;
     MIN_EJECTION_TIME.max(span(fleet * (0.5 + random.f64())))
 }
 
+// Workers that do not respond.
 impl Aggregator {
-    /// Guards against leaves that take work and fall silent: an overdue answer is read as a report of full
-    /// utilization, and an attempt that is twice overdue with nothing answered since makes the leaf suspect.
+    /// Reads an overdue response as a report of full utilization, and ejects a worker whose attempt is twice
+    /// overdue with no success since: a worker may accept parts and never respond.
     pub(super) fn eject_unresponsive(&mut self, actions: &mut Vec<Action>) {
-        let late = self.workers.iter().map(|(id, worker)| (*id, self.seconds_overdue(worker)));
-        let late: BTreeMap<WorkerId, f64> = late.filter(|row| row.1 > 0.0).collect();
-        let spread = self.overdue_margin();
-        for (id, overdue) in &late {
-            self.apply_load_report(*id, 1.0);
+        let overdue = self.workers.iter().map(|(id, worker)| (*id, self.seconds_overdue(worker)));
+        let overdue: BTreeMap<WorkerId, f64> = overdue.filter(|(_, seconds)| *seconds > 0.0).collect();
+        let margin = self.overdue_margin();
+        for (id, overdue) in &overdue {
+            self.apply_load_report(*id, ASSUMED_UTILIZATION);
             let Some(worker) = self.workers.get_mut(id).filter(|worker| worker.ejection.is_none()) else {
                 continue;
             };
-            if *overdue > spread
-                && worker.in_flight.first().is_some_and(|(sent, _, _)| *sent > worker.last_success_at)
-            {
-                worker.eject(
-                    self.now,
-                    true,
-                    initial_ejection_time(self.settings.fleet_size, &mut self.random),
-                );
+            let none_since =
+                worker.in_flight.first().is_some_and(|(sent, _, _)| *sent > worker.last_success_at);
+            if *overdue > margin && none_since {
+                let duration = first_ejection_time(self.settings.fleet_size, &mut self.random);
+                worker.eject(self.now, true, duration);
+                // Recorded by the simulator: the text stays as it is.
                 let text = format!("leaf {} suspect: silent, {overdue:.2} s late", id.0);
                 actions.push(Action::Log { text });
             }
         }
-        // One that stood still itself hears of everything late.
+        // An aggregator that was paused itself receives every response late.
         if !self.stalled {
-            self.eject_unresponsive_zones(&late, actions);
+            self.eject_unresponsive_zones(&overdue, actions);
         }
     }
 
-    /// Guards against learning of a lost zone one leaf after the other: where several of a zone's leaves are
-    /// late or cannot be reached, and none has answered since, all of them are suspect at once.
-    pub(super) fn eject_unresponsive_zones(
-        &mut self,
-        late: &BTreeMap<WorkerId, f64>,
-        actions: &mut Vec<Action>,
-    ) {
-        let mut zones: BTreeMap<ZoneId, (Time, Vec<Time>)> = BTreeMap::new();
-        for (id, worker) in
-            self.workers.iter().filter(|(_, worker)| worker.endpoint.status == EndpointStatus::Active)
-        {
-            let zone = zones.entry(worker.endpoint.zone).or_default();
-            zone.0 = zone.0.max(worker.last_response_at);
-            let since = worker.in_flight.first().map(|(sent, _, _)| *sent).filter(|_| late.contains_key(id));
-            // What its last process missed says nothing of a new one.
-            zone.1.extend(
-                since
-                    .or(worker.connect_failed_at)
-                    .filter(|at| worker.warming_since.is_none_or(|from| *at > from)),
-            );
-        }
-        zones.retain(|_, (spoke, late)| {
-            late.iter().filter(|at| **at > *spoke).count() >= MIN_UNRESPONSIVE_IN_ZONE
-        });
-        for zone in zones.into_keys() {
+    /// Ejects all workers of a zone at once where several are overdue or cannot be reached, and none has
+    /// responded since: a lost zone is not to be found out one worker after the other.
+    fn eject_unresponsive_zones(&mut self, overdue: &BTreeMap<WorkerId, f64>, actions: &mut Vec<Action>) {
+        for zone in self.unresponsive_zones(overdue) {
             let mut count = 0;
-            let of = |worker: &&mut WorkerState| worker.endpoint.zone == zone && worker.ejection.is_none();
-            for worker in self.workers.values_mut().filter(of) {
-                worker.eject(
-                    self.now,
-                    true,
-                    initial_ejection_time(self.settings.fleet_size, &mut self.random),
-                );
-                (worker.ejected_with_zone, count) = (true, count + 1);
+            let in_use =
+                |worker: &&mut WorkerState| worker.endpoint.zone == zone && worker.ejection.is_none();
+            for worker in self.workers.values_mut().filter(in_use) {
+                let duration = first_ejection_time(self.settings.fleet_size, &mut self.random);
+                worker.eject(self.now, true, duration);
+                worker.ejected_with_zone = true;
+                count += 1;
             }
             if count > 0 {
+                // Recorded by the simulator: the text stays as it is.
                 let text = format!("zone {}: no answer from any leaf; {count} more are suspect", zone.0);
                 actions.push(Action::Log { text });
             }
         }
     }
 
-    /// Books an answer, and as lost what is overdue while later ones are answered: it is in no queue.
-    pub(super) fn record_success(&mut self, id: WorkerId, class: ClassId, sent: Time) {
-        let (now, spread) = (self.now, self.overdue_margin());
+    /// The zones in which several active workers miss a response, and none has responded since.
+    fn unresponsive_zones(&self, overdue: &BTreeMap<WorkerId, f64>) -> Vec<ZoneId> {
+        #[derive(Default)]
+        struct Zone {
+            last_response_at: Time,
+            missing_since: Vec<Time>,
+        }
+        let mut zones: BTreeMap<ZoneId, Zone> = BTreeMap::new();
+        for (id, worker) in self.workers.iter().filter(|(_, worker)| worker.is_active()) {
+            let zone = zones.entry(worker.endpoint.zone).or_default();
+            zone.last_response_at = zone.last_response_at.max(worker.last_response_at);
+            let oldest = worker.in_flight.first().map(|(sent, _, _)| *sent);
+            let missing = oldest.filter(|_| overdue.contains_key(id)).or(worker.connect_failed_at);
+            // What its last process missed says nothing of a new one.
+            let of_this_process = |at: &Time| worker.warming_since.is_none_or(|from| *at > from);
+            zone.missing_since.extend(missing.filter(of_this_process));
+        }
+        zones.retain(|_, zone| {
+            let missing = zone.missing_since.iter().filter(|at| **at > zone.last_response_at);
+            missing.count() >= MIN_UNRESPONSIVE_IN_ZONE
+        });
+        zones.into_keys().collect()
+    }
+}
+
+// Results.
+impl Aggregator {
+    /// Records what a result says of the worker's failure rates.
+    pub(super) fn record_failure(&mut self, result: &AttemptResult, class: ClassId, attempt: &Attempt) {
+        if self.stalled {
+            return;
+        }
+        let age = seconds(self.now.since(attempt.sent_at));
+        let overdue = age > attempt.expected_latency + self.overdue_margin();
+        if result.outcome == AttemptOutcome::Succeeded {
+            return self.record_success(result.worker, class, attempt.sent_at);
+        }
+        let Some(worker) = self.workers.get_mut(&result.worker) else { return };
+        match result.outcome {
+            AttemptOutcome::Failed => worker.record_outcome(self.now, class, true),
+            AttemptOutcome::ConnectFailed => worker.connect_failed_at = Some(attempt.sent_at),
+            // Counts where nothing has succeeded since, else where it is overtaken: it may wait in a queue.
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
+                if overdue && !attempt.counted_as_lost && worker.last_success_at < attempt.sent_at =>
+            {
+                worker.record_outcome(self.now, class, true);
+            }
+            _ => {}
+        }
+    }
+
+    /// Records a success, and as lost the overdue attempts that it and others overtook: they wait in no
+    /// queue.
+    fn record_success(&mut self, id: WorkerId, class: ClassId, sent_at: Time) {
+        let (now, margin) = (self.now, self.overdue_margin());
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.record_outcome(now, class, false);
-        let earlier =
-            worker.in_flight.range(..(sent, RequestId(0), AttemptNo(0))).copied().collect::<Vec<_>>();
-        for (since, part, number) in earlier {
+        let earlier = worker.in_flight.range(..(sent_at, RequestId(0), AttemptNo(0))).copied();
+        for (sent_at, part, number) in earlier.collect::<Vec<_>>() {
             let Some(part) = self.parts.get_mut(&part) else { continue };
             let Some(attempt) = part.attempts.get_mut(number.0 as usize) else { continue };
             attempt.overtaken_by += 1;
-            let overdue = seconds(now.since(since)) > attempt.expected_latency + spread;
-            if overdue
-                && attempt.overtaken_by >= OVERTAKEN_TO_COUNT_AS_LOST
-                && !std::mem::replace(&mut attempt.counted_as_lost, true)
-            {
+            let overdue = seconds(now.since(sent_at)) > attempt.expected_latency + margin;
+            let lost = overdue && attempt.overtaken_by >= OVERTAKEN_TO_COUNT_AS_LOST;
+            if lost && !std::mem::replace(&mut attempt.counted_as_lost, true) {
                 worker.record_outcome(now, part.class, true);
             }
         }
     }
 
-    pub(super) fn apply_outcome(&mut self, id: WorkerId, outcome: AttemptOutcome, work: f64) {
+    /// Reinstates or ejects a worker by the outcome of an attempt of this cost, or of a health check.
+    pub(super) fn apply_outcome(&mut self, id: WorkerId, outcome: AttemptOutcome, cost: f64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        if matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::Rejected) {
-            (worker.last_response_at, worker.unresponsive, worker.connect_failed_at) = (now, false, None);
-            // Its zone is not lost: what is suspect for that alone is not.
-            let zone = worker.endpoint.zone;
-            let of = |worker: &&mut WorkerState| worker.ejected_with_zone && worker.endpoint.zone == zone;
-            self.workers.values_mut().filter(of).for_each(WorkerState::reinstate);
-        }
+        self.note_response(id, outcome);
         let Some(worker) = self.workers.get_mut(&id) else { return };
         match outcome {
             AttemptOutcome::Succeeded => {
-                let gap = seconds(now.since(worker.last_success_at)) / SERVED_RATE_DECAY_S;
-                worker.served_cost_rate = worker.served_cost_rate * (-gap).exp() + work / SERVED_RATE_DECAY_S;
+                let elapsed = seconds(now.since(worker.last_success_at)) / SERVED_RATE_DECAY_S;
+                worker.served_cost_rate =
+                    worker.served_cost_rate * (-elapsed).exp() + cost / SERVED_RATE_DECAY_S;
                 worker.last_success_at = now;
                 worker.reinstate();
             }
-            // It comes at once and counts as a loss: another try costs less than a replica that is full.
+            // It comes at once and counts in the failure rate: a retry costs less than a replica that is
+            // full.
             AttemptOutcome::Failed => {}
             AttemptOutcome::Rejected
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionReset
             | AttemptOutcome::TimedOut => {
                 worker.consecutive_failures += 1;
-                // One connection that broke may be that alone; a process that died refuses the next.
-                let silent = outcome == AttemptOutcome::ConnectFailed;
-                if silent || worker.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT {
-                    let hold = if silent {
-                        initial_ejection_time(self.settings.fleet_size, &mut self.random)
+                // A connection that broke may be that one alone; a process that died refuses the next.
+                let unreachable = outcome == AttemptOutcome::ConnectFailed;
+                if unreachable || worker.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT {
+                    let duration = if unreachable {
+                        first_ejection_time(self.settings.fleet_size, &mut self.random)
                     } else {
                         MIN_EJECTION_TIME
                     };
-                    worker.eject(now, silent, hold);
+                    worker.eject(now, unreachable, duration);
                 }
-                self.apply_load_report(id, 1.0);
+                self.apply_load_report(id, ASSUMED_UTILIZATION);
             }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
+
+    /// Where an outcome shows that the worker responded: its zone is not lost, and what was ejected with the
+    /// zone alone is reinstated.
+    fn note_response(&mut self, id: WorkerId, outcome: AttemptOutcome) {
+        let responded =
+            matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::Rejected);
+        let Some(worker) = self.workers.get_mut(&id).filter(|_| responded) else { return };
+        (worker.last_response_at, worker.unresponsive, worker.connect_failed_at) = (self.now, false, None);
+        let zone = worker.endpoint.zone;
+        let with_zone = |worker: &&mut WorkerState| worker.ejected_with_zone && worker.endpoint.zone == zone;
+        self.workers.values_mut().filter(with_zone).for_each(WorkerState::reinstate);
+    }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,30 +1,84 @@
-//! The limit on retries and hedged requests.
+//! What limits retries and hedged requests: the stated budget, and a limit on hedges of this module's own.
+//! This file owns the window in which they are counted.
 
-use crate::policy::Aggregator;
-use crate::policy::outlier_detection::MAX_EJECTION_TIME;
+use crate::policy::{Aggregator, RetryBudget, Settings, Time};
+use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Copies free in a window, and those for each request taken in it while all leaves are idle: the copies of
-/// all roots are load to each.
+/// Hedges that are free in a window, and hedges for each request received in it while all workers are idle:
+/// the hedges of all aggregators are load to each.
 const FREE_HEDGES: f64 = 2.0;
 const HEDGES_PER_REQUEST: f64 = 0.05;
+/// The window where no budget is stated.
+const DEFAULT_WINDOW: Duration = Duration::from_secs(8);
+
+/// A retry or hedged request.
+struct ExtraAttempt {
+    sent_at: Time,
+    is_hedge: bool,
+}
+
+/// Requests received and extra attempts sent within the budget's window.
+#[derive(Default)]
+pub(super) struct AttemptWindow {
+    received_at: VecDeque<Time>,
+    extra: VecDeque<ExtraAttempt>,
+}
+
+impl AttemptWindow {
+    /// The span over which they are counted.
+    fn span(settings: &Settings) -> Duration {
+        settings.retry_budget.map_or(DEFAULT_WINDOW, |budget| budget.window)
+    }
+
+    pub(super) fn record_request(&mut self, now: Time) {
+        self.received_at.push_back(now);
+    }
+
+    pub(super) fn record_extra_attempt(&mut self, now: Time, is_hedge: bool) {
+        self.extra.push_back(ExtraAttempt { sent_at: now, is_hedge });
+    }
+
+    /// Takes back an extra attempt that was never sent: it does not count against the budget.
+    pub(super) fn remove_extra_attempt(&mut self, sent_at: Time) {
+        if let Some(at) = self.extra.iter().position(|extra| extra.sent_at == sent_at) {
+            self.extra.remove(at);
+        }
+    }
+
+    /// Drops what has left the window.
+    pub(super) fn expire(&mut self, now: Time, settings: &Settings) {
+        let window = AttemptWindow::span(settings);
+        self.received_at.retain(|at| now.since(*at) < window);
+        self.extra.retain(|extra| now.since(extra.sent_at) <= window);
+    }
+
+    /// Requests received a second.
+    pub(super) fn request_rate(&self, settings: &Settings) -> f64 {
+        self.received_at.len() as f64 / AttemptWindow::span(settings).as_secs_f64()
+    }
+
+    /// Whether the stated budget leaves room for one more extra attempt.
+    fn budget_permits(&self, budget: Option<RetryBudget>) -> bool {
+        let requests = self.received_at.len() as f64;
+        budget
+            .is_none_or(|limit| self.extra.len() as f64 + 1.0 <= limit.free_attempts + limit.ratio * requests)
+    }
+
+    /// Whether the limit on hedges, which falls as workers report to be busier, leaves room for one more.
+    fn hedge_permits(&self, mean_utilization: f64) -> bool {
+        let requests = self.received_at.len() as f64;
+        let hedges = self.extra.iter().filter(|extra| extra.is_hedge).count() as f64;
+        hedges + 1.0 <= FREE_HEDGES + HEDGES_PER_REQUEST * requests * (1.0 - mean_utilization)
+    }
+}
 
 impl Aggregator {
-    /// The budget, where one is stated, and a limit on copies. Guards against copies as load: what the rule
-    /// leaves free to each of many roots adds up, and copies at busy leaves keep others' parts waiting.
-    pub(super) fn retry_budget_permits(&self, copy: bool) -> bool {
-        let taken = self.request_times.len() as f64;
-        let copies = self.extra_attempts.iter().filter(|(_, copy)| *copy).count() as f64;
-        let budget = self.settings.retry_budget.as_ref();
-        budget.is_none_or(|limit| {
-            self.extra_attempts.len() as f64 + 1.0 <= limit.free_attempts + limit.ratio * taken
-        }) && (!copy
-            || copies + 1.0
-                <= FREE_HEDGES + HEDGES_PER_REQUEST * taken * (1.0 - self.mean_reported_utilization))
-    }
-
-    /// The span over which requests taken and further attempts are counted.
-    pub(super) fn retry_budget_window(&self) -> Duration {
-        self.settings.retry_budget.map_or(MAX_EJECTION_TIME, |budget| budget.window)
+    /// Whether a retry, or a hedged request, may be sent now. The limit on hedges keeps them from becoming
+    /// load: what the rule leaves free to each of many aggregators adds up, and a hedge at a busy worker
+    /// keeps other queries' parts waiting.
+    pub(super) fn retry_budget_permits(&self, is_hedge: bool) -> bool {
+        self.attempt_window.budget_permits(self.settings.retry_budget)
+            && (!is_hedge || self.attempt_window.hedge_permits(self.mean_reported_utilization))
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,49 +1,57 @@
-//! What a warming-up worker may be sent.
+//! What a warming-up worker may be sent. This file keeps to the budget alone: it chooses no replica.
 
 use crate::policy::Aggregator;
 use crate::policy::outlier_detection::SERVED_RATE_DECAY_S;
 use crate::policy::time::seconds;
-use crate::policy::worker_state::WorkerState;
+use crate::policy::worker_state::{SentCost, WorkerState};
 
-/// Share of the rule's push that this root lets itself use on a cold leaf: work varies, calls come on top.
+/// Share of the slow-start budget that this aggregator lets itself use: costs vary, and calls come on top.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.6;
-/// Work a second that any machine carries (one core), where nothing better was observed.
+/// Seconds of cost a second that any machine carries (one core), where nothing better was observed.
 const MIN_CAPACITY: f64 = 1.0;
+/// The most that is believed of a machine's capacity, as a multiple of [`MIN_CAPACITY`].
+const MAX_CAPACITY_FACTOR: f64 = 4.0;
 
 impl Aggregator {
-    /// Whether a cold leaf may get this much more work now. Guards against pushing a starting leaf over: this
-    /// root's share of the push that the rule allows, in every window of the rule's length.
-    pub(super) fn slow_start_permits(&self, worker: &WorkerState, work: f64) -> bool {
+    /// Whether a worker may get this much more cost now. It keeps a warming-up worker within its slow-start
+    /// budget: this aggregator's share of the load that the worker bears, in each window of that budget.
+    pub(super) fn slow_start_permits(&self, worker: &WorkerState, cost: f64) -> bool {
         let Some(from) = worker.warming_since else { return true };
-        let rules = &self.settings;
+        let settings = &self.settings;
         let age = seconds(self.now.since(from));
-        let ramp = (age / seconds(rules.warm_up).max(1e-3)).min(1.0);
+        let ramp = (age / seconds(settings.warm_up).max(1e-3)).min(1.0);
         if ramp >= 1.0 {
             return true;
         }
-        // A warm leaf is judged by the most that one answered lately, less what so few answers may err by.
-        let roots = f64::from(rules.fleet_size.max(1));
-        let sure = |served: f64| roots * (served - (served * work / SERVED_RATE_DECAY_S).sqrt());
-        let seen = self.workers.values().map(|worker| sure(worker.served_cost_rate)).fold(0.0, f64::max);
-        let warm = seen.clamp(MIN_CAPACITY, 4.0 * MIN_CAPACITY);
-        let carries = |ramp: f64| rules.cold_capacity_fraction + (1.0 - rules.cold_capacity_fraction) * ramp;
-        let share = |ramp: f64| {
-            SLOW_START_BUDGET_FRACTION * rules.slow_start_budget_factor * carries(ramp) * warm / roots
+        let fleet_size = f64::from(settings.fleet_size.max(1));
+        let warm = self.warm_capacity(cost, fleet_size);
+        let cold = settings.cold_capacity_fraction;
+        let capacity = |ramp: f64| cold + (1.0 - cold) * ramp;
+        let quota = |ramp: f64| {
+            SLOW_START_BUDGET_FRACTION * settings.slow_start_budget_factor * capacity(ramp) * warm
+                / fleet_size
         };
-        let push = share(ramp) * seconds(rules.slow_start_budget_window);
-        let recent = worker
-            .recent_sends
-            .iter()
-            .filter(|(at, _)| self.now.since(*at) <= rules.slow_start_budget_window);
-        if work <= push {
-            return recent.map(|(_, work)| work).sum::<f64>() + work <= push;
+        let window = settings.slow_start_budget_window;
+        let budget = quota(ramp) * seconds(window);
+        if cost <= budget {
+            let recent = worker.recent_sends.iter().filter(|sent| self.now.since(sent.at) <= window);
+            return recent.map(|sent| sent.cost).sum::<f64>() + cost <= budget;
         }
-        // Where its share of the window holds no whole part, a root sends one when its share since the last,
-        // or by lot since the start, has grown to it: as many roots come at once as their shares add up to.
-        let last = worker.recent_sends.back().filter(|(at, _)| *at >= from);
-        let (since, owes) =
-            last.copied().unwrap_or((from.max(self.started_at), self.slow_start_phase * work));
-        let gap = seconds(self.now.since(since));
-        gap * share(ramp - gap / seconds(rules.warm_up) / 2.0) >= owes
+        // Where the budget of a window holds no whole part, an aggregator sends one when its share since the
+        // last (or, jittered, since the start) has grown to it: on average the fleet keeps to its budget.
+        let last = worker.recent_sends.back().filter(|sent| sent.at >= from);
+        let jittered = SentCost { at: from.max(self.started_at), cost: self.slow_start_phase * cost };
+        let SentCost { at, cost: due } = last.copied().unwrap_or(jittered);
+        let gap = seconds(self.now.since(at));
+        gap * quota(ramp - gap / seconds(settings.warm_up) / 2.0) >= due
+    }
+
+    /// Seconds of cost a second that a warm worker carries: the most that one served lately, less what an
+    /// estimate from so few parts may err by.
+    fn warm_capacity(&self, cost: f64, fleet_size: f64) -> f64 {
+        let lower_bound = |served: f64| fleet_size * (served - (served * cost / SERVED_RATE_DECAY_S).sqrt());
+        let served =
+            self.workers.values().map(|worker| lower_bound(worker.served_cost_rate)).fold(0.0, f64::max);
+        served.clamp(MIN_CAPACITY, MAX_CAPACITY_FACTOR * MIN_CAPACITY)
     }
 }
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -1,16 +1,18 @@
-//! What an aggregator has learned, as others may read it, and as a successor takes it over. Nothing here
-//! decides.
+//! What an aggregator has learned, as others may read it, and as a successor takes it over in a hot restart.
+//! Nothing here decides.
+//!
+//! A snapshot travels in the hand-over message to a process that may be of another version: each field keeps
+//! the name and each tuple the form that the message has always had, whatever the Rust names are.
 
-use crate::policy::client_retries::KnownPatience;
-use crate::policy::estimates::LatencyModel;
-use crate::policy::load_reports::normalise;
-use crate::policy::worker_state::WorkerState;
-use crate::policy::{Aggregator, ClassId, EndpointStatus, ShardId, TenantId, Time, WorkerId};
+use crate::policy::client_retries::ClientRetriesSnapshot;
+use crate::policy::estimates::{Decaying, LatencyModel, QueryArrivals};
+use crate::policy::load_reports::{Replica, normalise};
+use crate::policy::worker_state::{Ejection, SentCost, WorkerState};
+use crate::policy::{Aggregator, ClassId, ShardId, TenantId, Time, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What was learned of one worker, by its name. It travels in the hand-over message to a process that may be
-/// of another version: each renamed field keeps the name that the message has always had.
+/// What was learned of one worker, by its name; fields as in [`WorkerState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSnapshot {
     name: String,
@@ -42,14 +44,14 @@
     consecutive_failures: u32,
     #[serde(rename = "lost")]
     failure_rates: Vec<(Option<ClassId>, f64, Time)>,
+    /// The time of the next half-open attempt, and the ejection's duration.
     #[serde(rename = "suspect")]
     ejection: Option<(Time, Duration)>,
     #[serde(rename = "served")]
     served_cost_rate: f64,
 }
 
-/// What was learned of workers, of the weights of each shard's replicas, and for admission. Renamed fields
-/// keep their names in the hand-over message, as in [`WorkerSnapshot`].
+/// What was learned in all: of workers, of the weights of each shard's replicas, and for admission.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
     #[serde(rename = "leaves")]
@@ -59,7 +61,7 @@
     #[serde(rename = "shares")]
     tenant_quotas: Vec<(TenantId, f64, Time)>,
     #[serde(flatten)]
-    client_retries: KnownPatience,
+    client_retries: ClientRetriesSnapshot,
     #[serde(rename = "model")]
     latency_model: LatencyModel,
     #[serde(rename = "lost")]
@@ -75,115 +77,126 @@
 }
 
 impl PolicySnapshot {
-    /// The leaves of which anything was learned, those that are gone among them.
+    /// The workers of which anything was learned, those that are gone among them.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
         self.workers.iter().map(|worker| worker.name.as_str())
     }
 }
 
+impl WorkerSnapshot {
+    fn of(name: &str, worker: &WorkerState) -> Self {
+        let rate = |(class, rate): (&Option<ClassId>, &Decaying)| (*class, rate.value, rate.updated_at);
+        WorkerSnapshot {
+            name: name.to_owned(),
+            started_at: worker.endpoint.started_at,
+            warming_since: worker.warming_since,
+            recent_sends: worker.recent_sends.iter().map(|sent| (sent.at, sent.cost)).collect(),
+            utilization: worker.utilization,
+            last_report_at: worker.last_report_at,
+            mean_latency: worker.mean_latency,
+            mean_expected_latency: worker.mean_expected_latency,
+            last_success_at: worker.last_success_at,
+            last_response_at: worker.last_response_at,
+            unresponsive: worker.unresponsive,
+            ejected_with_zone: worker.ejected_with_zone,
+            connect_failed_at: worker.connect_failed_at,
+            consecutive_failures: worker.consecutive_failures,
+            failure_rates: worker.failure_rates.iter().map(rate).collect(),
+            ejection: worker.ejection.map(|ejection| (ejection.retry_at, ejection.duration)),
+            served_cost_rate: worker.served_cost_rate,
+        }
+    }
+
+    /// Takes it over into a worker's state. Of a process that has been replaced since, only when it was last
+    /// sent a part is taken over.
+    fn restore(self, worker: &mut WorkerState) {
+        worker.recent_sends = self.recent_sends.into_iter().map(|(at, cost)| SentCost { at, cost }).collect();
+        worker.warming_since = worker.warming_since.max(self.warming_since);
+        if worker.endpoint.started_at != self.started_at {
+            return;
+        }
+        let rate = |(class, value, updated_at)| (class, Decaying { value, updated_at });
+        worker.utilization = self.utilization;
+        worker.last_report_at = self.last_report_at;
+        worker.mean_latency = self.mean_latency;
+        worker.mean_expected_latency = self.mean_expected_latency;
+        worker.last_success_at = self.last_success_at;
+        worker.last_response_at = self.last_response_at;
+        worker.unresponsive = self.unresponsive;
+        worker.ejected_with_zone = self.ejected_with_zone;
+        worker.connect_failed_at = self.connect_failed_at;
+        worker.consecutive_failures = self.consecutive_failures;
+        worker.failure_rates = self.failure_rates.into_iter().map(rate).collect();
+        worker.ejection = self.ejection.map(|(retry_at, duration)| Ejection { retry_at, duration });
+        worker.served_cost_rate = self.served_cost_rate;
+    }
+}
+
 impl Aggregator {
-    /// The active leaves that it sends nothing to but trials.
+    /// The active workers that are ejected: they get half-open attempts and health checks only.
     pub fn ejected_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
-        let suspect = self.workers.iter().filter(|(_, worker)| {
-            worker.endpoint.status == EndpointStatus::Active && worker.ejection.is_some()
-        });
-        suspect.map(|(id, _)| *id)
+        let ejected =
+            self.workers.iter().filter(|(_, worker)| worker.is_active() && worker.ejection.is_some());
+        ejected.map(|(id, _)| *id)
     }
 
-    /// Has it push cold leaves by this multiple of what they bear, in place of that of its settings: two
-    /// processes of one root share it.
-    pub fn set_slow_start_budget_factor(&mut self, multiple: f64) {
-        self.settings.slow_start_budget_factor = multiple;
+    /// Replaces the setting of this name: two processes of one aggregator share the slow-start budget.
+    pub fn set_slow_start_budget_factor(&mut self, factor: f64) {
+        self.settings.slow_start_budget_factor = factor;
     }
 
-    /// So many roots share the fleet, in place of the number of its settings.
-    pub fn set_fleet_size(&mut self, roots: u32) {
-        self.settings.fleet_size = roots.max(1);
+    /// Replaces the setting of this name: so many aggregators share the workers, at least 1.
+    pub fn set_fleet_size(&mut self, aggregators: u32) {
+        self.settings.fleet_size = aggregators.max(1);
     }
 
-    /// What it has learned of the leaves that have a name.
+    /// What it has learned of the workers that have a name.
+    #[must_use]
     pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
-        let of = |(id, worker): (&WorkerId, &WorkerState)| {
-            Some(WorkerSnapshot {
-                name: name(*id)?.to_owned(),
-                started_at: worker.endpoint.started_at,
-                warming_since: worker.warming_since,
-                recent_sends: worker.recent_sends.iter().copied().collect(),
-                utilization: worker.utilization,
-                last_report_at: worker.last_report_at,
-                mean_latency: worker.mean_latency,
-                mean_expected_latency: worker.mean_expected_latency,
-                last_success_at: worker.last_success_at,
-                last_response_at: worker.last_response_at,
-                unresponsive: worker.unresponsive,
-                ejected_with_zone: worker.ejected_with_zone,
-                connect_failed_at: worker.connect_failed_at,
-                consecutive_failures: worker.consecutive_failures,
-                failure_rates: worker
-                    .failure_rates
-                    .iter()
-                    .map(|(class, (share, at))| (*class, *share, *at))
-                    .collect(),
-                ejection: worker.ejection,
-                served_cost_rate: worker.served_cost_rate,
-            })
-        };
-        let row = |row: &Vec<(WorkerId, f64)>| {
-            row.iter().filter_map(|(id, m)| Some((name(*id)?.to_owned(), *m))).collect()
-        };
+        let worker = |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::of(name(*id)?, worker));
+        let weight = |replica: &Replica| Some((name(replica.worker)?.to_owned(), replica.weight));
+        let weights = |set: &Vec<Replica>| set.iter().filter_map(weight).collect();
         PolicySnapshot {
-            workers: self.workers.iter().filter_map(of).collect(),
-            replica_sets: self.replica_sets.iter().map(|(shard, held)| (*shard, row(held))).collect(),
-            tenant_quotas: self.tenant_quota.known(),
-            client_retries: self.client_retries.known(),
+            workers: self.workers.iter().filter_map(worker).collect(),
+            replica_sets: self.replica_sets.iter().map(|(shard, set)| (*shard, weights(set))).collect(),
+            tenant_quotas: self.tenant_quotas.snapshot(),
+            client_retries: self.client_retries.snapshot(),
             latency_model: self.latency_model.clone(),
             recent_failure_rate: self.recent_failure_rate,
-            query_interval: self.query_interval,
-            last_query_at: self.last_query_at,
+            query_interval: self.query_arrivals.mean_interval_s,
+            last_query_at: self.query_arrivals.last_at,
             last_success_at: self.last_success_at,
             base_latency: self.base_latency.clone(),
         }
     }
 
-    /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a
-    /// process that has been replaced since is left out, but for when it was last sent work.
-    pub fn restore(&mut self, learned: PolicySnapshot, worker: impl Fn(&str) -> Option<WorkerId>) {
-        for of in learned.workers {
-            let Some(own) = worker(&of.name).and_then(|id| self.workers.get_mut(&id)) else { continue };
-            own.recent_sends = of.recent_sends.into();
-            own.warming_since = own.warming_since.max(of.warming_since);
-            if own.endpoint.started_at != of.started_at {
-                continue;
+    /// Takes over what a predecessor has learned, of the workers that are known here by now.
+    pub fn restore(&mut self, snapshot: PolicySnapshot, id: impl Fn(&str) -> Option<WorkerId>) {
+        for worker in snapshot.workers {
+            if let Some(known) = id(&worker.name).and_then(|id| self.workers.get_mut(&id)) {
+                worker.restore(known);
             }
-            (own.utilization, own.last_report_at) = (of.utilization, of.last_report_at);
-            (own.mean_latency, own.mean_expected_latency) = (of.mean_latency, of.mean_expected_latency);
-            (own.last_success_at, own.last_response_at) = (of.last_success_at, of.last_response_at);
-            (own.unresponsive, own.ejected_with_zone, own.connect_failed_at) =
-                (of.unresponsive, of.ejected_with_zone, of.connect_failed_at);
-            (own.consecutive_failures, own.ejection, own.served_cost_rate) =
-                (of.consecutive_failures, of.ejection, of.served_cost_rate);
-            own.failure_rates =
-                of.failure_rates.into_iter().map(|(class, share, at)| (class, (share, at))).collect();
         }
-        for (shard, held) in learned.replica_sets {
-            let Some(row) = self.replica_sets.get_mut(&shard) else { continue };
-            for (name, m) in held {
-                if let Some(id) = worker(&name)
-                    && let Some(own) = row.iter_mut().find(|own| own.0 == id)
+        for (shard, weights) in snapshot.replica_sets {
+            let Some(set) = self.replica_sets.get_mut(&shard) else { continue };
+            for (name, weight) in weights {
+                if let Some(id) = id(&name)
+                    && let Some(replica) = set.iter_mut().find(|replica| replica.worker == id)
                 {
-                    own.1 = m;
+                    replica.weight = weight;
                 }
             }
-            normalise(row);
+            normalise(set);
         }
-        self.tenant_quota.take_over(learned.tenant_quotas);
-        self.client_retries.take_over(learned.client_retries);
-        if learned.base_latency.len() == self.base_latency.len() {
-            self.base_latency = learned.base_latency;
+        self.tenant_quotas.restore(snapshot.tenant_quotas);
+        self.client_retries.restore(snapshot.client_retries);
+        if snapshot.base_latency.len() == self.base_latency.len() {
+            self.base_latency = snapshot.base_latency;
         }
-        self.latency_model = learned.latency_model;
-        (self.recent_failure_rate, self.query_interval) =
-            (learned.recent_failure_rate, learned.query_interval);
-        (self.last_query_at, self.last_success_at) = (learned.last_query_at, learned.last_success_at);
+        self.latency_model = snapshot.latency_model;
+        self.recent_failure_rate = snapshot.recent_failure_rate;
+        self.query_arrivals =
+            QueryArrivals { mean_interval_s: snapshot.query_interval, last_at: snapshot.last_query_at };
+        self.last_success_at = snapshot.last_success_at;
     }
 }
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,36 +1,52 @@
-//! How much of their shares tenants have left at this gatherer. Accounting only: what follows is decided
-//! elsewhere.
+//! What tenants have left of their quotas at this aggregator. It counts only: what follows from an exceeded
+//! quota is decided at admission.
 
 use crate::policy::time::seconds;
 use crate::policy::{TenantId, Time};
 use std::collections::BTreeMap;
 
-/// Queries that each tenant has left, and when that was last reckoned.
+/// A token bucket.
+#[derive(Clone, Copy, Debug)]
+struct Bucket {
+    /// Queries that may still come now.
+    tokens: f64,
+    updated_at: Time,
+}
+
+/// A token bucket for each tenant that has sent a query.
 #[derive(Debug, Default)]
-pub struct TenantShares(BTreeMap<TenantId, (f64, Time)>);
+pub(super) struct TenantQuotas(BTreeMap<TenantId, Bucket>);
 
-impl TenantShares {
-    /// Books a query of a tenant that may ask `rate` a second, and `burst` seconds' worth of that at once;
-    /// whether it goes beyond its share. A client's retry belongs to its first try, and uses up nothing.
-    pub fn exceeded(&mut self, now: Time, tenant: TenantId, rate: f64, burst: f64, retry: bool) -> bool {
-        let most = (rate * burst).max(1.0);
-        let (left, at) = self.0.entry(tenant).or_insert((most, now));
-        *left = (*left + rate * seconds(now.since(*at))).min(most);
-        *at = now;
-        let exceeded = *left < 1.0;
-        if !exceeded && !retry {
-            *left -= 1.0;
+impl TenantQuotas {
+    /// Counts a query of a tenant that may send `rate` a second, and `burst` seconds' worth of that at once;
+    /// whether it exceeds the quota. A client's retry belongs to its first attempt, and uses up nothing.
+    pub(super) fn exceeded(
+        &mut self,
+        now: Time,
+        tenant: TenantId,
+        rate: f64,
+        burst: f64,
+        is_retry: bool,
+    ) -> bool {
+        let capacity = (rate * burst).max(1.0);
+        let bucket = self.0.entry(tenant).or_insert(Bucket { tokens: capacity, updated_at: now });
+        bucket.tokens = (bucket.tokens + rate * seconds(now.since(bucket.updated_at))).min(capacity);
+        bucket.updated_at = now;
+        let exceeded = bucket.tokens < 1.0;
+        if !exceeded && !is_retry {
+            bucket.tokens -= 1.0;
         }
         exceeded
     }
 
-    /// What tenants have left, for a successor.
-    pub fn known(&self) -> Vec<(TenantId, f64, Time)> {
-        self.0.iter().map(|(tenant, (left, at))| (*tenant, *left, *at)).collect()
+    /// What tenants have left, for a successor, as in the hand-over message.
+    pub(super) fn snapshot(&self) -> Vec<(TenantId, f64, Time)> {
+        self.0.iter().map(|(tenant, bucket)| (*tenant, bucket.tokens, bucket.updated_at)).collect()
     }
 
-    /// Takes over what a predecessor has booked.
-    pub fn take_over(&mut self, known: Vec<(TenantId, f64, Time)>) {
-        self.0 = known.into_iter().map(|(tenant, left, at)| (tenant, (left, at))).collect();
+    /// Takes over what a predecessor has counted.
+    pub(super) fn restore(&mut self, snapshot: Vec<(TenantId, f64, Time)>) {
+        let bucket = |(tenant, tokens, updated_at)| (tenant, Bucket { tokens, updated_at });
+        self.0 = snapshot.into_iter().map(bucket).collect();
     }
 }
