--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -6,7 +6,7 @@
     EndpointUpdate, Event, JobId, LoadReport, NewPart, NewQuery, RequestId, Settings, ShardId, TenantId,
     Time, TimerId, WorkerId, ZoneId,
 };
-use gatherer::program::settings::Pairs;
+use gatherer::program::settings::FlatSettings;
 use std::fmt::Write;
 use std::str::FromStr;
 use std::sync::Arc;
@@ -216,7 +216,7 @@
 /// Reads the `start` message, after its name.
 pub fn start(fields: &mut Fields<'_>) -> Result<Settings, String> {
     let seed: i128 = fields.required("entropy")?;
-    let contracts = Pairs::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
+    let contracts = FlatSettings::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
     contracts.map(|contracts| contracts.settings).map_err(|fault| format!("start: env: {fault}"))
 }
 
--- a/src/fronts/mod.rs
+++ b/src/fronts/mod.rs
@@ -1,19 +1,23 @@
-//! What is spoken to whom: the platform's protocol and the OpenSearch-style form to clients, calls to operators. Each
-//! front sees a request through from its bytes to its one answer.
+//! The fronts: the platform's protocol and the OpenSearch-style API for clients, and the operators' API. Each handles a
+//! request from its bytes to its one response. A front does not read or write streams, and does not choose workers.
 
 pub mod opensearch;
 pub mod operators;
 pub mod platform;
 
 use crate::routing::Broker;
-use crate::transport::gate::Gate;
-use crate::transport::{failure, socket};
+use crate::transport::connection_manager::ConnectionManager;
+use crate::transport::{errors, socket};
 
-/// All counts since the start, a line each: of queries and attempts, and of connections.
-pub fn counts(broker: &Broker, gate: &Gate) -> String {
+/// All counters since the start of the process: one line each for queries and attempts, connections, and violations.
+pub fn counters_text(broker: &Broker, connections: &ConnectionManager) -> String {
     let (queries, violations) =
-        broker.core(|core| (core.counters.to_string(), core.violations().to_string()));
-    let connections = gate.places().tally.borrow();
-    let calls = format!("calls_interrupted={} calls_repeated={}", socket::interrupted(), failure::repeated());
-    format!("counters: {queries}\nconnections: {connections} {calls}\nviolations: {violations}")
+        broker.with_core(|core| (core.counters.to_string(), core.violations().to_string()));
+    let connection_counters = connections.descriptor_pool().counters.borrow();
+    let retried = format!(
+        "calls_interrupted={} calls_repeated={}",
+        socket::interrupted_calls(),
+        errors::retried_calls()
+    );
+    format!("counters: {queries}\nconnections: {connection_counters} {retried}\nviolations: {violations}")
 }
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -1,13 +1,14 @@
-//! The OpenSearch-style front: searches, pages of held results, and keys for searches that must not run twice.
+//! The OpenSearch-style front: searches, scrolls over stored results, and idempotency keys for searches that must not run
+//! twice. It owns the stored results and the outcomes of keys, both bounded.
 
-use super::counts;
+use super::counters_text;
 use crate::policy::*;
 use crate::protocol::http::{Malformed, Request, Response};
-use crate::protocol::opensearch::{self, Fault, Merged, Search};
-use crate::routing::idempotency::{Bounds, Claim, IdempotencyStore};
+use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
+use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore, KeyClaim};
 use crate::routing::scroll_contexts::ScrollContexts;
-use crate::routing::{Ask, AskPart, Broker, Clock, Invariant, Refusal, Verdict};
-use crate::transport::gate::Gate;
+use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
+use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::listener::Front;
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -19,150 +20,162 @@
 use tokio::task::spawn_local;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Where keys are issued.
-const KEYS: &str = "/_clayshore/idempotency_keys";
-/// How many keys are held, for how long, and how many bytes of outcomes.
-const BOUNDS: Bounds = Bounds { keys: 4096, bytes: 16 << 20, retention: Duration::from_secs(600) };
-/// How many results are held for further pages, of how many bytes in all, and for how long at most.
-const MOST_HELD: usize = 256;
-const MOST_HELD_BYTES: usize = 32 << 20;
-const LONGEST_HELD: Duration = Duration::from_secs(300);
-/// When to come back where something is full.
-const FULL_PAUSE: Duration = Duration::from_secs(1);
+/// Path at which idempotency keys are issued.
+const IDEMPOTENCY_KEYS_PATH: &str = "/_clayshore/idempotency_keys";
+/// Limits of issued keys and of their stored outcomes.
+const IDEMPOTENCY_LIMITS: IdempotencyLimits =
+    IdempotencyLimits { max_keys: 4096, max_bytes: 16 << 20, retention: Duration::from_secs(600) };
+/// Number of results stored for scrolling.
+const MAX_SCROLLS: usize = 256;
+/// Total size of results stored for scrolling, in bytes.
+const MAX_SCROLL_BYTES: usize = 32 << 20;
+/// Longest time for which a result is stored for scrolling.
+const MAX_SCROLL_LIFETIME: Duration = Duration::from_secs(300);
+/// `Retry-After` where no further key can be issued.
+const KEYS_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the front's file says, beside the contracts.
+/// Names in requests, from the front's file, and what they stand for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
-    /// Class of each index.
+pub struct RequestNames {
+    /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
-    /// Tenant of each caller.
+    /// Tenant of each caller, by the caller's id. Where empty, callers are not checked.
     pub callers: HashMap<String, TenantId>,
-    /// Most hits that a shard is asked for.
+    /// Number of hits that are requested from one shard at most.
     pub window: usize,
 }
 
-/// A result that is held for its further pages.
-struct Scroll {
-    merged: Merged,
+/// A result stored for its further pages.
+struct ScrollResult {
+    merged: MergedResult,
     size: usize,
     shards: usize,
 }
 
-/// Serves the OpenSearch-style form.
-pub struct OpenSearch {
+/// Serves the OpenSearch-style API.
+pub struct OpenSearchFront {
     broker: Broker,
     clock: Clock,
-    gate: Rc<Gate>,
-    names: Names,
+    connections: Rc<ConnectionManager>,
+    names: RequestNames,
     idempotency: RefCell<IdempotencyStore<Response>>,
-    scrolls: RefCell<ScrollContexts<Scroll>>,
+    scrolls: RefCell<ScrollContexts<ScrollResult>>,
 }
 
-/// A search that has been checked: what the broker is asked, and what becomes of the answer.
-struct Checked {
+/// A valid search: the request to the broker, and what its response needs.
+struct ValidSearch {
     search: Search,
-    ask: Ask,
+    search_request: SearchRequest,
     owner: String,
-    once: bool,
+    runs_once: bool,
     digest: u64,
 }
 
-impl OpenSearch {
-    /// A front for these names. `start` names this start of this gatherer, and no other.
+impl OpenSearchFront {
+    /// A front for these names. `incarnation` identifies this start of this gatherer, and no other.
     pub fn new(
         broker: Broker,
         clock: Clock,
-        gate: Rc<Gate>,
-        names: Names,
-        start: String,
+        connections: Rc<ConnectionManager>,
+        names: RequestNames,
+        incarnation: String,
         seed: u64,
     ) -> Rc<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
-        let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MOST_HELD, MOST_HELD_BYTES));
-        let idempotency = RefCell::new(IdempotencyStore::new(start, random, BOUNDS));
-        Rc::new(OpenSearch { broker, clock, gate, names, idempotency, scrolls })
+        let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MAX_SCROLLS, MAX_SCROLL_BYTES));
+        let idempotency = RefCell::new(IdempotencyStore::new(incarnation, random, IDEMPOTENCY_LIMITS));
+        Rc::new(OpenSearchFront { broker, clock, connections, names, idempotency, scrolls })
     }
 
-    async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, Fault> {
+    async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
         let checked = self.check(index, request)?;
-        if checked.once {
-            return self.search_once(checked, request.headers.get("Idempotency-Key")).await;
+        if checked.runs_once {
+            return self.search_at_most_once(checked, request.headers.get("Idempotency-Key")).await;
         }
-        if self.gate.stage().stops() {
-            return Ok(self.stopping(&checked.ask));
+        if self.connections.lifecycle_state().is_stopping() {
+            return Ok(self.stopping(&checked.search_request));
         }
         Ok(self.run(checked).await.0)
     }
 
-    fn stopping(&self, ask: &Ask) -> Response {
-        self.broker.core(|core| core.refuse_stopping(ask.class, ask.tenant));
-        opensearch::refused(Refusal::Stopping, None)
+    fn stopping(&self, search_request: &SearchRequest) -> Response {
+        self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
+        opensearch::rejection_response(Rejection::ShuttingDown, None)
     }
 
-    /// Guards against a client's own retry: one key runs one search, whoever asks how often.
-    async fn search_once(self: &Rc<Self>, checked: Checked, key: Option<&str>) -> Result<Response, Fault> {
+    /// Runs a search at most once for its key, however often clients retry it.
+    async fn search_at_most_once(
+        self: &Rc<Self>,
+        checked: ValidSearch,
+        key: Option<&str>,
+    ) -> Result<Response, SearchError> {
         let key = key.ok_or_else(|| {
-            Fault::illegal(format!(
-                "[Idempotency-Key] is missing: this index runs a search once; POST {KEYS} for a key"
+            SearchError::illegal_argument(format!(
+                "[Idempotency-Key] is missing: this index runs a search once; POST {IDEMPOTENCY_KEYS_PATH} for a key"
             ))
         })?;
-        let lost = || Fault::new(500, "illegal_state_exception", "the search ended without an outcome");
+        let outcome_lost =
+            || SearchError::new(500, "illegal_state_exception", "the search ended without an outcome");
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
-        let mut told = match claim {
-            Claim::Run(_) if self.gate.stage().stops() => {
-                // Repeats still get their outcome; nothing new runs.
-                let refused = self.stopping(&checked.ask);
-                self.idempotency.borrow_mut().finish(self.clock.now(), key, refused.clone(), 0, false);
-                return Ok(refused);
+        let mut outcome_receiver = match claim {
+            KeyClaim::Run(_) if self.connections.lifecycle_state().is_stopping() => {
+                // Retries still get their outcome, and nothing new runs.
+                let rejection = self.stopping(&checked.search_request);
+                self.idempotency.borrow_mut().finish(self.clock.now(), key, rejection.clone(), 0, false);
+                return Ok(rejection);
             }
-            Claim::Run(told) => {
-                // It runs on its own, so that a client that leaves and comes back still finds its outcome.
+            KeyClaim::Run(receiver) => {
+                // Runs in its own task, so that a client that disconnects and retries still finds the outcome.
                 let (front, key) = (self.clone(), key.to_owned());
                 spawn_local(async move {
                     let runner = front.clone();
                     let run = spawn_local(async move { runner.run(checked).await }).await;
-                    let (response, ran) = run.unwrap_or_else(|_| (lost().response(), true));
+                    let (response, ran) = run.unwrap_or_else(|_| (outcome_lost().response(), true));
                     let size = response.body.len();
                     front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
                 });
-                told
+                receiver
             }
-            Claim::Join(told) => told,
-            Claim::Recorded(response) => return Ok(response),
-            Claim::Mismatch => {
-                return Err(Fault::new(
+            KeyClaim::Join(receiver) => receiver,
+            KeyClaim::Recorded(response) => return Ok(response),
+            KeyClaim::Mismatch => {
+                return Err(SearchError::new(
                     422,
                     "illegal_argument_exception",
                     "the key belongs to another search",
                 ));
             }
-            Claim::Unknown => {
-                let start = self.idempotency.borrow().start().to_owned();
-                let whose = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
+            KeyClaim::Unknown => {
+                let start = self.idempotency.borrow().incarnation().to_owned();
+                let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
                 let reason = format!(
-                    "start [{start}] of this gatherer {whose} this key: whether its search ran is unknown, and it is not run now"
+                    "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
                 );
-                return Err(Fault::new(409, "unknown_outcome_exception", reason));
+                return Err(SearchError::new(409, "unknown_outcome_exception", reason));
             }
         };
-        let outcome = told.wait_for(Option::is_some).await.map_err(|_| lost())?;
-        outcome.clone().ok_or_else(lost)
+        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| outcome_lost())?;
+        outcome.clone().ok_or_else(outcome_lost)
     }
 
-    /// Asks the broker and makes the response of its verdict; whether anything may have run.
-    async fn run(&self, checked: Checked) -> (Response, bool) {
-        let Checked { search, ask, owner, .. } = checked;
-        let (shards, from) = (ask.parts.len(), self.clock.now());
-        match self.broker.ask(ask).await {
-            Verdict::Refused { why, pause } => (opensearch::refused(why, pause), false),
-            Verdict::Failed => {
+    /// Submits the search and encodes its outcome; returns the response, and whether any part may have run.
+    async fn run(&self, checked: ValidSearch) -> (Response, bool) {
+        let ValidSearch { search, search_request, owner, .. } = checked;
+        let (shards, from) = (search_request.parts.len(), self.clock.now());
+        match self.broker.submit(search_request).await {
+            QueryOutcome::Rejected { reason, retry_after } => {
+                (opensearch::rejection_response(reason, retry_after), false)
+            }
+            QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
-                (Fault::new(500, "search_phase_execution_exception", reason).response(), true)
+                (SearchError::new(500, "search_phase_execution_exception", reason).response(), true)
             }
-            Verdict::Answered { values, .. } => {
-                let merged =
-                    opensearch::merge(&search, values.iter().map(|(shard, value)| (shard.0, &**value)));
+            QueryOutcome::Answered { values, .. } => {
+                let merged = opensearch::merge_results(
+                    &search,
+                    values.iter().map(|(shard, value)| (shard.0, &**value)),
+                );
                 let took = self.clock.now().since(from);
                 let page = self.first_page(search, merged, &owner, took, shards, values.len());
                 (page.unwrap_or_else(|fault| fault.response()), true)
@@ -173,52 +186,53 @@
     fn first_page(
         &self,
         search: Search,
-        merged: Merged,
+        merged: MergedResult,
         owner: &str,
         took: Duration,
         shards: usize,
         served: usize,
-    ) -> Result<Response, Fault> {
+    ) -> Result<Response, SearchError> {
         let end = merged.hits.len().min(search.from + search.size);
         let mut page = merged.page(&merged.hits[search.from.min(end)..end], took, shards, served);
-        if let Some(keep) = search.scroll {
+        if let Some(lifetime) = search.scroll {
             if !merged.complete || served < shards {
-                return Err(Fault::illegal(format!(
+                return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
                     self.names.window
                 )));
             }
             let bytes = merged.hits.iter().map(|hit| hit.to_string().len()).sum::<usize>() * 2;
-            let scroll = Scroll { merged, size: search.size, shards };
-            let held = self.scrolls.borrow_mut().hold(
+            let scroll = ScrollResult { merged, size: search.size, shards };
+            let stored = self.scrolls.borrow_mut().create(
                 self.clock.now(),
                 owner,
-                keep.min(LONGEST_HELD),
+                lifetime.min(MAX_SCROLL_LIFETIME),
                 scroll,
                 bytes,
             );
-            let name =
-                held.map_err(|full| Fault::new(429, "rejected_execution_exception", full.to_string()))?;
+            let name = stored
+                .map_err(|full| SearchError::new(429, "rejected_execution_exception", full.to_string()))?;
             page["_scroll_id"] = json!(format!("{name}-{end}"));
         }
         Ok(Response::json(200, page.to_string()))
     }
 
-    /// A further page. Its id names the place where it begins, so that asking again brings the same page.
-    fn scroll(&self, request: &Request) -> Result<Response, Fault> {
+    /// A further page. Its id contains the offset of the page, so that a retry returns the same page.
+    fn scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         let body = json_body(request)?;
         let id = body
             .get("scroll_id")
             .and_then(Value::as_str)
-            .ok_or_else(|| Fault::illegal("scroll_id is missing"))?;
-        let keep = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::time)) {
-            Some(None) => return Err(Fault::illegal("failed to parse [scroll]")),
-            Some(Some(keep)) => Some(keep.min(LONGEST_HELD)),
+            .ok_or_else(|| SearchError::illegal_argument("scroll_id is missing"))?;
+        let lifetime = match body.get("scroll").map(|text| text.as_str().and_then(opensearch::parse_duration))
+        {
+            Some(None) => return Err(SearchError::illegal_argument("failed to parse [scroll]")),
+            Some(Some(lifetime)) => Some(lifetime.min(MAX_SCROLL_LIFETIME)),
             None => None,
         };
         let missing = || {
-            Fault::new(
+            SearchError::new(
                 404,
                 "search_context_missing_exception",
                 format!("no search context found for id [{id}]"),
@@ -227,7 +241,7 @@
         let (name, at) = id.rsplit_once('-').ok_or_else(missing)?;
         let at: usize = at.parse().map_err(|_| missing())?;
         let now = self.clock.now();
-        let scroll = self.scrolls.borrow_mut().get(now, name, &owner, keep).ok_or_else(missing)?;
+        let scroll = self.scrolls.borrow_mut().get(now, name, &owner, lifetime).ok_or_else(missing)?;
         let hits = &scroll.merged.hits;
         let end = at.saturating_add(scroll.size).min(hits.len());
         let page = hits.get(at..end).ok_or_else(missing)?;
@@ -236,37 +250,37 @@
         Ok(Response::json(200, page.to_string()))
     }
 
-    fn clear_scroll(&self, request: &Request) -> Result<Response, Fault> {
+    fn clear_scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         let body = json_body(request)?;
         let ids = match body.get("scroll_id") {
             Some(Value::String(id)) => vec![id.as_str()],
             Some(Value::Array(ids)) => ids.iter().filter_map(Value::as_str).collect(),
-            _ => return Err(Fault::illegal("scroll_id is missing")),
+            _ => return Err(SearchError::illegal_argument("scroll_id is missing")),
         };
         let now = self.clock.now();
         let names = ids.iter().map(|id| id.rsplit_once('-').map_or(*id, |id| id.0));
-        let freed = names.filter(|name| self.scrolls.borrow_mut().release(now, name, &owner)).count();
+        let freed = names.filter(|name| self.scrolls.borrow_mut().clear(now, name, &owner)).count();
         let status = if freed > 0 { 200 } else { 404 };
         Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
     }
 
-    fn issue_key(&self, request: &Request) -> Result<Response, Fault> {
+    fn issue_key(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.caller(request)?;
         match self.idempotency.borrow_mut().issue(self.clock.now(), &owner) {
             Ok(key) => {
-                let ms = BOUNDS.retention.as_millis() as u64;
+                let ms = IDEMPOTENCY_LIMITS.retention.as_millis() as u64;
                 Ok(Response::json(200, json!({"key": key, "expires_in_ms": ms}).to_string()))
             }
             Err(full) => {
-                let fault = Fault::new(429, "rejected_execution_exception", full.to_string());
-                Ok(fault.response().with("Retry-After", FULL_PAUSE.as_secs().to_string()))
+                let fault = SearchError::new(429, "rejected_execution_exception", full.to_string());
+                Ok(fault.response().with_header("Retry-After", KEYS_FULL_RETRY_AFTER.as_secs().to_string()))
             }
         }
     }
 
-    fn caller(&self, request: &Request) -> Result<(String, Option<TenantId>), Fault> {
-        let forbidden = |reason: &str| Fault::new(403, "security_exception", reason);
+    fn caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
+        let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
             caller if self.names.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
             None => Err(forbidden("X-Opaque-Id is missing: it names the caller")),
@@ -277,89 +291,97 @@
         }
     }
 
-    fn check(&self, index: &str, request: &Request) -> Result<Checked, Fault> {
+    fn check(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
         let class = self.names.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
-            Fault::new(404, "index_not_found_exception", format!("no such index [{index}]"))
+            SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
         })?;
         let (owner, tenant) = self.caller(request)?;
-        let search = Search::read(request, self.names.window)?;
-        let text = search.forwarded();
+        let search = Search::parse(request, self.names.window)?;
+        let text = search.shard_request_body();
         let digest = xxh3_64(
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
         );
         let subject = xxh3_64(&text);
-        let (shards, contract) = self.broker.core(|core| {
+        let (shards, contract) = self.broker.with_core(|core| {
             let settings = &core.contracts().settings;
             (settings.shards, settings.classes.get(class.0).cloned())
         });
         let contract =
-            contract.ok_or_else(|| Fault::new(500, "illegal_state_exception", "the class is lost"))?;
-        let parts = (0..shards).map(|shard| AskPart {
+            contract.ok_or_else(|| SearchError::new(500, "illegal_state_exception", "the class is lost"))?;
+        let parts = (0..shards).map(|shard| QueryPart {
             shard: ShardId(shard),
             weight: 1.0 / f64::from(shards),
-            hint: None,
+            cost_hint: None,
             key: Some(Arc::from(format!("{subject:016x}.{shard}"))),
         });
-        let ask = Ask {
+        let search_request = SearchRequest {
             label: Arc::from(index),
             class,
             tenant,
-            left: search
+            time_left: search
                 .timeout
                 .map_or(contract.deadline, |timeout| timeout.min(contract.deadline))
                 .saturating_sub(request.waited),
             retry: false,
-            text: Bytes::from(text),
+            payload: Bytes::from(text),
             parts: parts.collect(),
         };
-        Ok(Checked { search, ask, owner, once: contract.idempotency != Idempotency::Idempotent, digest })
+        Ok(ValidSearch {
+            search,
+            search_request,
+            owner,
+            runs_once: contract.idempotency != Idempotency::Idempotent,
+            digest,
+        })
     }
 
-    async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, Fault> {
+    async fn route(self: &Rc<Self>, request: &Request) -> Result<Response, SearchError> {
         let path = request.path.trim_start_matches('/');
         match (request.method.as_str(), path.split_once('/').unwrap_or((path, ""))) {
             ("GET", ("_health", "")) => Ok(self.health()),
-            ("GET", ("_counters", "")) => Ok(Response::text(200, counts(&self.broker, &self.gate))),
+            ("GET", ("_counters", "")) => {
+                Ok(Response::text(200, counters_text(&self.broker, &self.connections)))
+            }
             ("POST", ("_clayshore", "idempotency_keys")) => self.issue_key(request),
             ("POST" | "GET", ("_search", "scroll")) => self.scroll(request),
             ("DELETE", ("_search", "scroll")) => self.clear_scroll(request),
             ("POST" | "GET", (index, "_search")) => self.search(index, request).await,
-            (method, (_, "_search" | "scroll" | "idempotency_keys")) => Err(Fault::new(
+            (method, (_, "_search" | "scroll" | "idempotency_keys")) => Err(SearchError::new(
                 405,
                 "method_not_allowed_exception",
                 format!("incorrect HTTP method for uri [{}]: [{method}]", request.path),
             )),
-            _ => Err(Fault::illegal(format!("no handler found for uri [{}]", request.path))),
+            _ => Err(SearchError::illegal_argument(format!("no handler found for uri [{}]", request.path))),
         }
     }
 
     fn health(&self) -> Response {
-        let stage = self.gate.stage();
+        let stage = self.connections.lifecycle_state();
         Response::text(if stage.healthy() { 200 } else { 503 }, stage.name())
     }
 }
 
-fn json_body(request: &Request) -> Result<Value, Fault> {
-    serde_json::from_slice(&request.body).map_err(|error| Fault::parsing(error.to_string()))
+fn json_body(request: &Request) -> Result<Value, SearchError> {
+    serde_json::from_slice(&request.body).map_err(|error| SearchError::parsing(error.to_string()))
 }
 
-impl Front for Rc<OpenSearch> {
+impl Front for Rc<OpenSearchFront> {
     async fn respond(&self, request: Request) -> Response {
         self.route(&request).await.unwrap_or_else(|fault| {
-            self.broker.core(|core| core.counters.malformed += 1);
+            self.broker.with_core(|core| core.counters.malformed += 1);
             fault.response()
         })
     }
 
     fn malformed(&self, error: Malformed) -> Response {
-        self.broker.core(|core| core.counters.malformed += 1);
-        Fault::new(error.status(), "parsing_exception", error.to_string()).response()
+        self.broker.with_core(|core| core.counters.malformed += 1);
+        SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
-    fn crowded(&self, _: Option<&Request>) -> Response {
-        let pause = self.broker.core(|core| core.contracts().settings.max_retry_after);
-        opensearch::refused(Refusal::Full, pause)
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        let retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+        opensearch::rejection_response(Rejection::AtCapacity, retry_after)
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
@@ -371,6 +393,6 @@
     }
 
     fn violated(&self, invariant: Invariant, concerns: &str) {
-        self.broker.violated(invariant, concerns);
+        self.broker.report_violation(invariant, concerns);
     }
 }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,51 +1,54 @@
-//! The platform's front: one function sees each request through, from its bytes to its one answer.
+//! The platform's front: parses each request, submits it to the broker, and encodes its one response.
 
-use super::counts;
+use super::counters_text;
 use crate::protocol::http::{Malformed, Request, Response};
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
-use crate::service::Stage;
-use crate::transport::gate::Gate;
+use crate::service::LifecycleState;
+use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::listener::Front;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When to come back to a gatherer that is stopping: by then the front layer sends elsewhere.
-const STOPPING_PAUSE: Duration = Duration::from_millis(100);
+/// Longest `Retry-After` of a gatherer that is stopping: after it the layer in front sends clients elsewhere.
+const MAX_STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Serves the platform's protocol.
-pub struct Platform {
-    /// Whom it asks.
+pub struct PlatformFront {
+    /// Executes the queries.
     pub broker: Broker,
-    /// Tells whether the process still takes queries.
-    pub gate: Rc<Gate>,
+    /// The clients' connections and the state of the process's life.
+    pub connections: Rc<ConnectionManager>,
 }
 
-impl Platform {
+impl PlatformFront {
     async fn query(&self, request: &Request) -> Response {
-        let ask = match self.broker.core(|core| platform::ask(request, core.contracts())) {
-            Ok(ask) => ask,
-            Err(invalid) => {
-                self.broker.core(|core| core.counters.malformed += 1);
-                return Response::text(400, invalid.to_string());
-            }
-        };
-        if !self.gate.stage().takes() {
-            self.broker.core(|core| core.refuse_stopping(ask.class, ask.tenant));
-            let longest = self.broker.core(|core| core.contracts().settings.max_retry_after);
-            return platform::refusal(longest.map(|longest| longest.min(STOPPING_PAUSE)));
+        let search_request =
+            match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
+                Ok(search_request) => search_request,
+                Err(invalid) => {
+                    self.broker.with_core(|core| core.counters.malformed += 1);
+                    return Response::text(400, invalid.to_string());
+                }
+            };
+        if !self.connections.lifecycle_state().accepts_queries() {
+            self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
+            let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+            return platform::rejection_response(
+                longest.map(|longest| longest.min(MAX_STOPPING_RETRY_AFTER)),
+            );
         }
-        if self.broker.core(|core| core.has(&ask.label)) {
-            // Guards the parts of the query that has this id: the two could not be told apart at the workers.
-            self.broker.core(|core| core.counters.malformed += 1);
+        if self.broker.with_core(|core| core.has_open_query(&search_request.label)) {
+            // Two open queries of one id could not be distinguished at the workers.
+            self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
-        platform::answer(&self.broker.ask(ask).await)
+        platform::outcome_response(&self.broker.submit(search_request).await)
     }
 
     fn health(&self) -> Response {
-        match self.gate.stage() {
-            Stage::Serving if !self.broker.core(|core| core.ready()) => {
+        match self.connections.lifecycle_state() {
+            LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
             stage => Response::text(if stage.healthy() { 200 } else { 503 }, stage.name()),
@@ -53,33 +56,33 @@
     }
 }
 
-impl Front for Platform {
+impl Front for PlatformFront {
     async fn respond(&self, request: Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/api") => self.query(&request).await,
             ("GET", "/_health") => self.health(),
-            ("GET", "/_counters") => Response::text(200, counts(&self.broker, &self.gate)),
-            (_, "/api") => Response::text(405, "only POST").with("Allow", "POST"),
-            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with("Allow", "GET"),
+            ("GET", "/_counters") => Response::text(200, counters_text(&self.broker, &self.connections)),
+            (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
+            (_, "/_health" | "/_counters") => Response::text(405, "only GET").with_header("Allow", "GET"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
         }
     }
 
     fn malformed(&self, error: Malformed) -> Response {
-        self.broker.core(|core| core.counters.malformed += 1);
+        self.broker.with_core(|core| core.counters.malformed += 1);
         Response::text(error.status(), error.to_string())
     }
 
-    fn crowded(&self, request: Option<&Request>) -> Response {
-        let asked = request.filter(|request| request.path == "/api");
-        self.broker.core(|core| {
-            let class =
-                asked.and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
+    fn overloaded(&self, request: Option<&Request>) -> Response {
+        let query_request = request.filter(|request| request.path == "/api");
+        self.broker.with_core(|core| {
+            let class = query_request
+                .and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
             if let Some(class) = class.map(|(class, _)| class) {
-                core.refuse_crowded(class);
+                core.reject_unread(class);
             }
         });
-        platform::refusal(self.broker.core(|core| core.contracts().settings.max_retry_after))
+        platform::rejection_response(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
     }
 
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
@@ -91,6 +94,6 @@
     }
 
     fn violated(&self, invariant: Invariant, concerns: &str) {
-        self.broker.violated(invariant, concerns);
+        self.broker.report_violation(invariant, concerns);
     }
 }
--- /dev/null
+++ b/src/limits/client_connections.rs
@@ -0,0 +1,432 @@
+//! The clients' connections as plain values: how long each may stay as it is, and which one is evicted first.
+//!
+//! Owns each connection's state and the eviction order; sockets report what happened and carry out evictions. It
+//! never closes a socket and never reads a clock.
+//!
+//! A connection is *busy* while a query is open on it: it then stands in no order and is never evicted. All others
+//! are *evictable* and stand in this order, the first to evict in front:
+//!
+//! 1. silent: it never sent a byte. Nothing of value is lost with it.
+//! 2. slow: its request is behind the minimum receive rate. The bytes of a request extend its time limit, so that a
+//!    client gains nothing by dribbling.
+//! 3. single request: it got one response and stays. Few such clients come back late, and one that does only has to
+//!    connect again.
+//! 4. penalised: what it last sent was malformed.
+//! 5. idle: it has sent several requests. The one that exceeds its usual idle interval most goes first.
+//!
+//! Connections within their minimum residence are passed over in 1 to 3. Where sources can be distinguished, a
+//! well-behaved connection of a source over its quota goes before one of another source.
+
+use super::resource_pressure::ResourcePressure;
+use crate::policy::Time;
+use std::collections::{BTreeSet, HashMap};
+use std::fmt;
+use std::time::Duration;
+
+/// The client that a connection belongs to, as far as that can be known: a hash of its address, or of the name that it
+/// gives.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Source(pub u64);
+
+/// Why a connection is evicted. The order is that of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum EvictionReason {
+    /// It never sent a byte.
+    Silent,
+    /// Its request is not received in time.
+    Slow,
+    /// It sent one request, and stays.
+    SingleRequest,
+    /// It sent malformed input before.
+    Penalised,
+    /// It has not sent another request.
+    Idle,
+    /// Its source holds more connections than its quota.
+    OverQuota,
+}
+
+/// All reasons, in the order in which they are counted.
+pub const EVICTION_REASONS: [EvictionReason; 6] = [
+    EvictionReason::Silent,
+    EvictionReason::Slow,
+    EvictionReason::SingleRequest,
+    EvictionReason::Penalised,
+    EvictionReason::Idle,
+    EvictionReason::OverQuota,
+];
+
+impl fmt::Display for EvictionReason {
+    /// Writes the reason as it stands in names of counters, which operators' tools match: these words stay as they are.
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            EvictionReason::Silent => "silent",
+            EvictionReason::Slow => "slow",
+            EvictionReason::SingleRequest => "asked_once",
+            EvictionReason::Penalised => "marked",
+            EvictionReason::Idle => "idle",
+            EvictionReason::OverQuota => "over_share",
+        })
+    }
+}
+
+/// What a connection sent, as far as its own record is concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestValidity {
+    /// A request, whatever came of it.
+    Valid,
+    /// No request, or none that this process serves.
+    Invalid,
+}
+
+/// Time limits of an evictable connection.
+struct TimeLimits {
+    /// The limit without pressure.
+    relaxed: Duration,
+    /// The limit under full pressure.
+    tight: Duration,
+    /// For this long, the connection is passed over when another needs its descriptor.
+    min_residence: Duration,
+}
+
+const fn time_limits_ms(relaxed: u64, tight: u64, min_residence: u64) -> TimeLimits {
+    let ms = Duration::from_millis;
+    TimeLimits { relaxed: ms(relaxed), tight: ms(tight), min_residence: ms(min_residence) }
+}
+
+/// Time limits by [`EvictionReason`], in its order. The relaxed limits are those that clients always had; 2.5 s gets
+/// the response to a bad client out within 3 s. The tight limits are a multiple of what a well-behaved client needs on
+/// a loaded machine: a request follows its connection at once, and on a kept connection of a busy client the next
+/// request follows the last response in well under 150 ms.
+const TIME_LIMITS: [TimeLimits; 5] = [
+    time_limits_ms(2500, 200, 100),
+    time_limits_ms(2500, 300, 200),
+    time_limits_ms(10_000, 150, 100),
+    time_limits_ms(2000, 50, 0),
+    time_limits_ms(10_000, 1000, 0),
+];
+/// The longest time in which a request may be received, at whatever rate.
+const MAX_RECEIVE_TIME: Duration = Duration::from_millis(2500);
+/// A request received at this rate is not slow: one of 64 kB has one second more.
+const MIN_RECEIVE_BYTES_PER_SECOND: f64 = 64_000.0;
+/// An idle connection is expected to be used again within this multiple of its usual idle interval...
+const IDLE_INTERVAL_FACTOR: u32 = 4;
+/// ...but no later than this.
+const MAX_EXPECTED_IDLE: Duration = Duration::from_secs(4);
+/// The usual idle interval is a moving average in which the last interval has the weight of one in this number.
+const IDLE_AVERAGE_INTERVALS: u32 = 4;
+/// Sources of malformed input that are remembered after they disconnected.
+const MAX_PENALISED_SOURCES: usize = 1024;
+/// How long such a source is remembered.
+const PENALTY_TIME: Duration = Duration::from_secs(10);
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// It may be evicted, for this reason.
+    Evictable(EvictionReason),
+    /// A query is open on it.
+    Busy,
+    /// It is about to be closed.
+    Closing,
+}
+
+/// The position of a connection in the eviction order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    reason: EvictionReason,
+    /// The moment that counts against the connection: the earlier, the sooner it is evicted.
+    counted_from: Time,
+    id: u64,
+}
+
+#[derive(Debug)]
+struct Connection {
+    source: Source,
+    state: ConnectionState,
+    /// When its state began.
+    state_since: Time,
+    /// See [`EvictionRank::counted_from`].
+    counted_from: Time,
+    /// Bytes of the request that is being received.
+    request_bytes: usize,
+    /// Responses sent on it.
+    responses: u32,
+    /// Average time between a response and the next request.
+    usual_idle: Duration,
+    penalised: bool,
+}
+
+impl Connection {
+    fn rank(&self, id: u64) -> Option<EvictionRank> {
+        let ConnectionState::Evictable(reason) = self.state else { return None };
+        Some(EvictionRank { reason, counted_from: self.counted_from, id })
+    }
+
+    /// Returns until when it may stay as it is under this pressure. A busy connection has no deadline.
+    fn deadline(&self, pressure: ResourcePressure) -> Option<Time> {
+        let ConnectionState::Evictable(reason) = self.state else { return None };
+        let limit = |reason: EvictionReason| {
+            let TimeLimits { relaxed, tight, .. } = TIME_LIMITS[reason as usize];
+            pressure.limit(relaxed, tight)
+        };
+        Some(match reason {
+            EvictionReason::Slow => {
+                self.counted_from.after(limit(reason)).min(self.state_since.after(MAX_RECEIVE_TIME))
+            }
+            // Its usual idle interval applies where that is longer.
+            EvictionReason::Idle => self.counted_from.max(self.state_since.after(limit(reason))),
+            // A source that reconnects after malformed input gets the time limit of malformed input.
+            EvictionReason::Silent if self.penalised => {
+                self.state_since.after(limit(EvictionReason::Penalised).min(limit(reason)))
+            }
+            reason => self.state_since.after(limit(reason)),
+        })
+    }
+}
+
+/// The clients' connections, in the order in which they would be evicted.
+#[derive(Debug, Default)]
+pub struct ClientConnections {
+    connections: HashMap<u64, Connection>,
+    eviction_order: BTreeSet<EvictionRank>,
+    eviction_order_by_source: HashMap<Source, BTreeSet<EvictionRank>>,
+    open_by_source: HashMap<Source, usize>,
+    /// Sources by the number of their connections.
+    sources_by_size: BTreeSet<(usize, Source)>,
+    /// When sources last sent malformed input, for those that did so lately.
+    penalised_sources: HashMap<Source, Time>,
+    last_id: u64,
+}
+
+impl ClientConnections {
+    /// Number of connections, including busy and closing ones.
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        self.connections.is_empty()
+    }
+    /// Whether any connection may be evicted.
+    pub fn has_evictable(&self) -> bool {
+        !self.eviction_order.is_empty()
+    }
+    /// Whether a query is open on this connection.
+    pub fn is_busy(&self, id: u64) -> bool {
+        self.connections.get(&id).is_some_and(|connection| connection.state == ConnectionState::Busy)
+    }
+    /// Whether no query is open on it and it is not about to be closed.
+    pub fn is_evictable(&self, id: u64) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| matches!(connection.state, ConnectionState::Evictable(_)))
+    }
+    /// Number of connections of a source.
+    pub fn open_from(&self, source: Source) -> usize {
+        self.open_by_source.get(&source).copied().unwrap_or(0)
+    }
+
+    /// Adds a connection that was accepted, and returns its id.
+    pub fn accept(&mut self, now: Time, source: Source) -> u64 {
+        self.last_id += 1;
+        let id = self.last_id;
+        // A source that sends malformed input, is closed and reconnects at once keeps its penalty. Where all connections
+        // come from one address, clients cannot be distinguished, and none is penalised for another.
+        let penalised = self.penalised_sources.get(&source).is_some_and(|at| now.since(*at) < PENALTY_TIME)
+            && self.open_by_source.keys().any(|other| *other != source);
+        let state = ConnectionState::Evictable(EvictionReason::Silent);
+        let connection = Connection {
+            source,
+            state,
+            state_since: now,
+            counted_from: now,
+            request_bytes: 0,
+            responses: 0,
+            usual_idle: Duration::ZERO,
+            penalised,
+        };
+        self.count_for_source(source, true);
+        self.connections.insert(id, connection);
+        self.set_state(id, state, now, now);
+        id
+    }
+
+    /// Adds a connection to the counts of a source, or removes it.
+    fn count_for_source(&mut self, source: Source, added: bool) {
+        let open = self.open_by_source.entry(source).or_default();
+        let before = *open;
+        *open = if added { before + 1 } else { before - 1 };
+        let after = *open;
+        self.sources_by_size.remove(&(before, source));
+        if after > 0 {
+            self.sources_by_size.insert((after, source));
+        } else {
+            self.open_by_source.remove(&source);
+        }
+    }
+
+    /// Moves a connection to another state, and so to another position in the eviction order.
+    fn set_state(&mut self, id: u64, state: ConnectionState, state_since: Time, counted_from: Time) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let of_source = self.eviction_order_by_source.entry(connection.source).or_default();
+        if let Some(rank) = connection.rank(id) {
+            self.eviction_order.remove(&rank);
+            of_source.remove(&rank);
+        }
+        connection.state = state;
+        connection.state_since = state_since;
+        connection.counted_from = counted_from;
+        if let Some(rank) = connection.rank(id) {
+            self.eviction_order.insert(rank);
+            of_source.insert(rank);
+        }
+        if of_source.is_empty() {
+            self.eviction_order_by_source.remove(&connection.source);
+        }
+    }
+
+    /// Records bytes of a request that is not complete. A connection that is about to be closed becomes evictable again.
+    pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let receiving = connection.state == ConnectionState::Evictable(EvictionReason::Slow);
+        if connection.state == ConnectionState::Busy {
+            return;
+        }
+        if !receiving && connection.responses > 0 {
+            let idle = now.since(connection.state_since);
+            let before = if connection.responses == 1 { idle } else { connection.usual_idle };
+            connection.usual_idle = (before * (IDLE_AVERAGE_INTERVALS - 1) + idle) / IDLE_AVERAGE_INTERVALS;
+        }
+        connection.request_bytes = if receiving { connection.request_bytes + bytes } else { bytes };
+        // The time of the first request runs from the accept, so that sending its first byte late gains nothing.
+        let began_at = if receiving || connection.responses == 0 { connection.state_since } else { now };
+        let extension =
+            Duration::from_secs_f64(connection.request_bytes as f64 / MIN_RECEIVE_BYTES_PER_SECOND);
+        let state = ConnectionState::Evictable(EvictionReason::Slow);
+        self.set_state(id, state, began_at, began_at.after(extension));
+    }
+
+    /// Records that the request is complete: the connection is busy from now on.
+    pub fn start_query(&mut self, now: Time, id: u64) {
+        self.set_state(id, ConnectionState::Busy, now, now);
+    }
+
+    /// Records that the response was sent.
+    pub fn finish_query(&mut self, now: Time, id: u64, validity: RequestValidity) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.responses = connection.responses.saturating_add(1);
+        connection.request_bytes = 0;
+        connection.penalised = validity == RequestValidity::Invalid;
+        let (responses, source) = (connection.responses, connection.source);
+        let expected_idle = (connection.usual_idle * IDLE_INTERVAL_FACTOR).min(MAX_EXPECTED_IDLE);
+        let (reason, counted_from) = match validity {
+            RequestValidity::Invalid => {
+                self.penalise(now, source);
+                (EvictionReason::Penalised, now)
+            }
+            RequestValidity::Valid if responses == 1 => (EvictionReason::SingleRequest, now),
+            RequestValidity::Valid => (EvictionReason::Idle, now.after(expected_idle)),
+        };
+        self.set_state(id, ConnectionState::Evictable(reason), now, counted_from);
+    }
+
+    /// Records malformed input: the connection gets an error response and is closed.
+    pub fn reject_malformed(&mut self, now: Time, id: u64) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let source = connection.source;
+        self.penalise(now, source);
+        self.set_state(id, ConnectionState::Closing, now, now);
+    }
+
+    fn penalise(&mut self, now: Time, source: Source) {
+        if self.penalised_sources.len() >= MAX_PENALISED_SOURCES {
+            self.penalised_sources.retain(|_, at| now.since(*at) < PENALTY_TIME);
+        }
+        // Bounds the memory that a flood from many addresses can fill.
+        if self.penalised_sources.len() < MAX_PENALISED_SOURCES {
+            self.penalised_sources.insert(source, now);
+        }
+    }
+
+    /// Counts a connection as of this source from now on, because it says whose it is.
+    pub fn set_source(&mut self, id: u64, source: Source) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let (before, state) = (connection.source, connection.state);
+        let (state_since, counted_from) = (connection.state_since, connection.counted_from);
+        if before == source {
+            return;
+        }
+        // Out of the old source's order and into the new one's.
+        self.set_state(id, ConnectionState::Closing, state_since, counted_from);
+        self.count_for_source(before, false);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.source = source;
+        }
+        self.count_for_source(source, true);
+        self.set_state(id, state, state_since, counted_from);
+    }
+
+    /// Removes a connection that is closed.
+    pub fn close(&mut self, id: u64) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let source = connection.source;
+        self.set_state(id, ConnectionState::Closing, connection.state_since, connection.counted_from);
+        self.connections.remove(&id);
+        self.count_for_source(source, false);
+    }
+
+    /// Evicts the connections whose deadline under this pressure has passed.
+    #[must_use]
+    pub fn evict_expired(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, EvictionReason)> {
+        let expired = |rank: &&EvictionRank| {
+            let connection = self.connections.get(&rank.id);
+            connection.and_then(|connection| connection.deadline(pressure)).is_some_and(|due| due <= now)
+        };
+        let expired: Vec<(u64, EvictionReason)> =
+            self.eviction_order.iter().filter(expired).map(|rank| (rank.id, rank.reason)).collect();
+        for (id, _) in &expired {
+            self.set_state(*id, ConnectionState::Closing, now, now);
+        }
+        expired
+    }
+
+    /// Returns the earliest deadline under this pressure.
+    pub fn next_deadline(&self, pressure: ResourcePressure) -> Option<Time> {
+        self.eviction_order.iter().filter_map(|rank| self.connections.get(&rank.id)?.deadline(pressure)).min()
+    }
+
+    /// Evicts the first connection of the eviction order, because another needs its descriptor.
+    #[must_use]
+    pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
+        let (id, reason) = self.first_to_evict(now)?;
+        self.set_state(id, ConnectionState::Closing, now, now);
+        Some((id, reason))
+    }
+
+    fn first_to_evict(&self, now: Time) -> Option<(u64, EvictionReason)> {
+        for reason in [
+            EvictionReason::Silent,
+            EvictionReason::Slow,
+            EvictionReason::SingleRequest,
+            EvictionReason::Penalised,
+        ] {
+            let from = EvictionRank { reason, counted_from: Time(0), id: 0 };
+            let first = self.eviction_order.range(from..).next().filter(|first| first.reason == reason);
+            if let Some(rank) = first
+                && now.since(rank.counted_from) >= TIME_LIMITS[reason as usize].min_residence
+            {
+                return Some((rank.id, reason));
+            }
+        }
+        // All others behave well. Protects sources with few connections from one that opens more and more.
+        if let Some((most, source)) = self.sources_by_size.last()
+            && most * self.open_by_source.len() > self.connections.len()
+            && let Some(rank) = self.eviction_order_by_source.get(source).and_then(BTreeSet::first)
+        {
+            return Some((rank.id, EvictionReason::OverQuota));
+        }
+        // Protects clients with several requests from a flood so fast that all of it is new: new connections go first,
+        // because a client with a request to send has sent it by the time that its connection is considered. Connections
+        // that stay idle too long are evicted by their deadline anyway.
+        self.eviction_order.first().map(|rank| (rank.id, rank.reason))
+    }
+}
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,20 +1,22 @@
-//! Limits of the process: who may hold a descriptor, which connection leaves first, how much is buffered, how fast
-//! newcomers are let in, and what waits for a connection to a server. Plain values and times go in, decisions come
-//! out: no socket, no task, no clock.
+//! Limits of the process: which class may hold a descriptor, which connection is evicted first, how much is buffered, how
+//! fast connections are accepted, and which calls wait for a connection to a server.
+//!
+//! Plain values and times go in, decisions come out. It owns no socket, no task and no clock; `transport` carries the
+//! decisions out.
 
 pub mod accept_pacer;
 pub mod backoff;
 pub mod buffer_budget;
-pub mod crowd;
+pub mod client_connections;
+pub mod connection_counters;
+pub mod connection_pool;
 pub mod descriptors;
-pub mod lines;
 pub mod resource_pressure;
-pub mod tally;
 
 pub use accept_pacer::AcceptPacer;
 pub use backoff::Backoff;
 pub use buffer_budget::BufferBudget;
-pub use crowd::{Crowd, Source, Why};
-pub use descriptors::{Denied, Descriptors, Plan, Side};
+pub use client_connections::{ClientConnections, EvictionReason, Source};
+pub use connection_counters::ConnectionCounters;
+pub use descriptors::{DescriptorAllocator, DescriptorBudget, DescriptorClass, DescriptorDenied};
 pub use resource_pressure::ResourcePressure;
-pub use tally::Tally;
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -1,79 +1,84 @@
-//! The settings of an instance, by path: the one place that reads, checks and defaults them, for the simulator's
-//! `path=value` pairs and for nested JSON alike.
+//! The settings of one instance, keyed by path: the only place that parses, checks and defaults them, both for the
+//! simulator's `path=value` pairs and for nested JSON. It reads no file.
 
 use crate::policy::*;
 use crate::protocol::frame;
-use crate::routing::{Contracts, Limits};
+use crate::routing::{BrokerLimits, Contracts};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Queries and parts that may be open where no setting says.
-const MAX_OPEN: u32 = 10_000;
-/// Time for a connection to come up, idle time, parts on a connection, and time to stop after a drain is told, where no
-/// setting says.
-const CONNECT: Duration = Duration::from_millis(250);
-const DRAIN_GRACE: Duration = Duration::from_millis(250);
-const IDLE: Duration = Duration::from_secs(15);
-const MULTIPLEX: u32 = 32;
+/// Number of queries and parts that may be open, where `allowed.max-open` does not say.
+const DEFAULT_MAX_OPEN_REQUESTS: u32 = 10_000;
+/// Time-out of a connection attempt, where `allowed.connect-timeout` does not say.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time between a worker's draining state and the last query it accepts, where `rules.drain-grace` does not say.
+const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Idle time-out of a connection to a worker, where `allowed.conn-idle` does not say.
+const DEFAULT_CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Number of parts in flight on one connection, where `allowed.multiplex` does not say.
+const DEFAULT_PARTS_PER_CONNECTION: u32 = 32;
 
-/// A setting that cannot be used, by the path of its key.
+/// A setting whose value is missing or cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{path}: {what}")]
-pub struct Faulty {
-    /// The key.
+#[error("{path}: {reason}")]
+pub struct InvalidSetting {
+    /// Path of the key.
     pub path: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// What is wrong with the value.
+    pub reason: String,
 }
 
-impl Faulty {
-    /// The fault of this key.
-    pub fn new(path: &str, what: impl Into<String>) -> Faulty {
-        Faulty { path: path.to_owned(), what: what.into() }
+impl InvalidSetting {
+    /// An error for the key at `path`.
+    pub fn new(path: &str, what: impl Into<String>) -> InvalidSetting {
+        InvalidSetting { path: path.to_owned(), reason: what.into() }
     }
 }
 
-/// Settings by path. An absent one has the value that [`Settings`] states.
+/// Settings keyed by path. An absent one takes the default that [`Settings`] states.
 #[derive(Debug, Default)]
-pub struct Pairs(HashMap<String, String>);
+pub struct FlatSettings(HashMap<String, String>);
 
-impl Pairs {
-    /// Reads `path=value` pairs with a space between each.
-    pub fn from_text(text: &str) -> Result<Pairs, Faulty> {
+impl FlatSettings {
+    /// Parses `path=value` pairs separated by spaces.
+    ///
+    /// # Errors
+    /// Names the first pair without `=`.
+    pub fn from_text(text: &str) -> Result<FlatSettings, InvalidSetting> {
         let mut map = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
             let Some((path, value)) = pair.split_once('=') else {
-                return Err(Faulty::new(&format!("{pair:?}"), "expected path=value"));
+                return Err(InvalidSetting::new(&format!("{pair:?}"), "expected path=value"));
             };
             map.insert(path.to_owned(), value.to_owned());
         }
-        Ok(Pairs(map))
+        Ok(FlatSettings(map))
     }
 
-    /// Reads nested JSON: `a.b` for fields, `a.0` and `a.count` for lists.
-    pub fn from_json(value: &Value) -> Pairs {
-        let mut pairs = Pairs::default();
-        pairs.add("", value);
-        pairs
+    /// Flattens nested JSON: the paths are `a.b` for fields, `a.0` and `a.count` for lists.
+    pub fn from_json(value: &Value) -> FlatSettings {
+        let mut settings = FlatSettings::default();
+        settings.add("", value);
+        settings
     }
 
     fn add(&mut self, path: &str, value: &Value) {
-        let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+        let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
             Value::Null => {}
-            Value::Object(fields) => fields.iter().for_each(|(name, value)| self.add(&below(name), value)),
+            Value::Object(fields) => fields.iter().for_each(|(name, value)| self.add(&child(name), value)),
             Value::Array(items) => {
-                self.0.insert(below("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.add(&below(&at.to_string()), item));
-                // Plain values stand joined under the list's own path too, as the simulator writes them.
+                self.0.insert(child("count"), items.len().to_string());
+                items.iter().enumerate().for_each(|(at, item)| self.add(&child(&at.to_string()), item));
+                // A list of scalars is stored joined under its own path too, as the simulator writes it.
                 if items.iter().all(|item| !item.is_object() && !item.is_array()) {
-                    let row: Vec<String> = items.iter().map(plain).collect();
-                    self.0.insert(path.to_owned(), row.join(","));
+                    let joined: Vec<String> = items.iter().map(scalar_text).collect();
+                    self.0.insert(path.to_owned(), joined.join(","));
                 }
             }
             value => {
-                self.0.insert(path.to_owned(), plain(value));
+                self.0.insert(path.to_owned(), scalar_text(value));
             }
         }
     }
@@ -81,38 +86,38 @@
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(String::as_str).filter(|value| !value.is_empty() && *value != "-")
     }
-    fn number(&self, path: &str) -> Result<Option<f64>, Faulty> {
+    fn number(&self, path: &str) -> Result<Option<f64>, InvalidSetting> {
         let Some(value) = self.text(path) else { return Ok(None) };
         match value.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
-            _ => Err(Faulty::new(path, format!("bad number {value:?}"))),
+            _ => Err(InvalidSetting::new(path, format!("bad number {value:?}"))),
         }
     }
-    fn count(&self, path: &str) -> Result<u32, Faulty> {
+    fn count(&self, path: &str) -> Result<u32, InvalidSetting> {
         Ok(self.number(path)?.unwrap_or(0.0).max(0.0) as u32)
     }
-    fn span(&self, path: &str) -> Result<Option<Duration>, Faulty> {
-        Ok(self.number(path)?.map(|span| Duration::from_nanos(span.max(0.0) as u64)))
+    fn duration(&self, path: &str) -> Result<Option<Duration>, InvalidSetting> {
+        Ok(self.number(path)?.map(|nanoseconds| Duration::from_nanos(nanoseconds.max(0.0) as u64)))
     }
-    fn flag(&self, path: &str) -> Result<bool, Faulty> {
+    fn flag(&self, path: &str) -> Result<bool, InvalidSetting> {
         match self.text(path) {
             None | Some("false" | "0") => Ok(false),
             Some("true" | "1") => Ok(true),
-            Some(value) => Err(Faulty::new(path, format!("bad value {value:?}"))),
+            Some(value) => Err(InvalidSetting::new(path, format!("bad value {value:?}"))),
         }
     }
-    /// A value for each class: one for all, a comma-joined list, or numbered paths.
-    fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, Faulty> {
+    /// The value for one class: from a numbered path, a comma-separated list, or one value for all classes.
+    fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, InvalidSetting> {
         let numbered = format!("{path}.{class}");
         if self.text(&numbered).is_some() {
             return self.number(&numbered);
         }
         let Some(list) = self.text(path) else { return Ok(None) };
         let item = list.split(',').nth(class).or_else(|| list.split(',').next_back());
-        item.map(|item| item.parse().map_err(|_| Faulty::new(path, format!("bad number {item:?}"))))
+        item.map(|item| item.parse().map_err(|_| InvalidSetting::new(path, format!("bad number {item:?}"))))
             .transpose()
     }
-    /// A list of names, numbered or comma-joined.
+    /// A list of names, from numbered paths or comma-separated.
     fn names(&self, path: &str) -> Vec<String> {
         let numbered: Vec<String> =
             (0..).map_while(|at| self.text(&format!("{path}.{at}")).map(str::to_owned)).collect();
@@ -122,8 +127,11 @@
         self.text(path).map(|list| list.split(',').map(str::to_owned).collect()).unwrap_or_default()
     }
 
-    /// The contracts that these settings make, for an instance with this seed.
-    pub fn contracts(&self, seed: u64) -> Result<Contracts, Faulty> {
+    /// The contracts that these settings describe, for an instance with this seed.
+    ///
+    /// # Errors
+    /// Names the first setting whose value cannot be used.
+    pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
         let named = |list: &str, at: u32| {
             self.text(&format!("{list}.{at}.name")).map_or_else(|| at.to_string(), str::to_owned)
         };
@@ -133,29 +141,31 @@
             classes: (0..classes).map(|at| named("categories", at)).collect(),
             tenants: (0..tenants).map(|at| named("tenants", at)).collect(),
             zones: self.names("localities"),
-            limits: Limits {
-                max_open: match self.count("allowed.max-open")? {
-                    0 => MAX_OPEN as usize,
-                    most => most as usize,
+            limits: BrokerLimits {
+                max_open_requests: match self.count("allowed.max-open")? {
+                    0 => DEFAULT_MAX_OPEN_REQUESTS as usize,
+                    max => max as usize,
                 },
-                connect_timeout: self.span("allowed.connect-timeout")?.unwrap_or(CONNECT),
-                conn_idle: self.span("allowed.conn-idle")?.unwrap_or(IDLE),
-                multiplex: match self.count("allowed.multiplex")? {
-                    0 => MULTIPLEX as usize,
-                    most => most as usize,
+                connect_timeout: self.duration("allowed.connect-timeout")?.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+                connection_idle_timeout: self
+                    .duration("allowed.conn-idle")?
+                    .unwrap_or(DEFAULT_CONNECTION_IDLE_TIMEOUT),
+                max_parts_per_connection: match self.count("allowed.multiplex")? {
+                    0 => DEFAULT_PARTS_PER_CONNECTION as usize,
+                    max => max as usize,
                 },
-                drain_grace: self.span("rules.drain-grace")?.unwrap_or(DRAIN_GRACE),
-                may_tell: self.text("allowed.may-tell").is_none() || self.flag("allowed.may-tell")?,
+                drain_grace: self.duration("rules.drain-grace")?.unwrap_or(DEFAULT_DRAIN_GRACE),
+                may_gossip: self.text("allowed.may-tell").is_none() || self.flag("allowed.may-tell")?,
             },
         })
     }
 
-    fn class(&self, at: usize) -> Result<Class, Faulty> {
+    fn class(&self, at: usize) -> Result<Class, InvalidSetting> {
         let path = |name: &str| format!("categories.{at}.{name}");
-        let deadline = self.span(&path("deadline"))?.unwrap_or_default();
+        let deadline = self.duration(&path("deadline"))?.unwrap_or_default();
         let whole_at = self.by_class("domain.whole-at", at)?.unwrap_or(1.0);
         Ok(Class {
-            latency_objective: self.span(&path("promise"))?.unwrap_or(deadline),
+            latency_objective: self.duration(&path("promise"))?.unwrap_or(deadline),
             objective_stretch: self.number(&path("aim-stretch"))?.unwrap_or(0.0),
             deadline,
             idempotency: match self.text(&path("semantics")) {
@@ -163,10 +173,10 @@
                 Some("by_key") => Idempotency::Keyed,
                 Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => {
-                    return Err(Faulty::new(&path("semantics"), format!("unknown value {other:?}")));
+                    return Err(InvalidSetting::new(&path("semantics"), format!("unknown value {other:?}")));
                 }
             },
-            repeat_window: self.span(&path("window"))?.unwrap_or_default(),
+            repeat_window: self.duration(&path("window"))?.unwrap_or_default(),
             priority_weight: self.number(&path("worth"))?.unwrap_or(1.0),
             late_weight: self.number(&path("late-worth"))?.unwrap_or(0.0),
             min_coverage: self.by_class("domain.min-share", at)?.unwrap_or(whole_at),
@@ -176,13 +186,13 @@
         })
     }
 
-    fn settings(&self, seed: u64) -> Result<Settings, Faulty> {
+    fn settings(&self, seed: u64) -> Result<Settings, InvalidSetting> {
         let classes = (0..self.count("categories.count")? as usize).map(|at| self.class(at));
         let mut tenants = Vec::new();
         for at in 0..self.count("tenants.count")? {
             tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
         }
-        let budget = match self.span("rules.look-back")? {
+        let budget = match self.duration("rules.look-back")? {
             Some(window) => Some(RetryBudget {
                 free_attempts: self.number("rules.free-resends")?.unwrap_or(0.0),
                 ratio: self.number("rules.further-ratio")?.unwrap_or(0.0),
@@ -197,15 +207,15 @@
             classes: classes.collect::<Result<_, _>>()?,
             tenants,
             over_quota_weight: self.number("over-share-worth")?,
-            min_step_interval: self.span("quantum")?.unwrap_or_default(),
+            min_step_interval: self.duration("quantum")?.unwrap_or_default(),
             poll_discovery: self.text("discovery") == Some("on_request"),
-            poll_within: self.span("rules.must-ask-in")?.unwrap_or_default(),
+            poll_within: self.duration("rules.must-ask-in")?.unwrap_or_default(),
             may_cancel: self.flag("allowed.cancel")?,
             may_health_check: self.flag("allowed.probing")?,
             hedging_allowed: self.flag("allowed.second-copies")?,
             max_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
             max_retry_after: match self.flag("allowed.retry-after")? {
-                true => self.span("allowed.max-retry-after")?,
+                true => self.duration("allowed.max-retry-after")?,
                 false => None,
             },
             retry_budget: budget,
@@ -213,7 +223,7 @@
             cells_per_shard: self.count("domain.span")?.max(1),
             shards: self.count("domain.slices")?,
             parts_per_call: self.count("domain.per-call")?.max(1),
-            call_cost: self.span("domain.call")?.unwrap_or_default(),
+            call_cost: self.duration("domain.call")?.unwrap_or_default(),
             keys_are_cached: self.flag("domain.warm-keys")?,
             cross_zone_price: self.number("deductions.cross-zone")?.unwrap_or(0.0),
             waste_price: self.number("deductions.waste")?.unwrap_or(0.0),
@@ -223,18 +233,18 @@
                 Some("pull") => ReportSource::HealthChecks,
                 _ => ReportSource::None,
             },
-            report_fields: self.names("report.fields").iter().map(|name| frame::field(name)).collect(),
+            report_fields: self.names("report.fields").iter().map(|name| frame::report_field(name)).collect(),
             sizes_comparable: self.text("weights").is_some_and(|weights| weights != "silent"),
             cold_capacity_fraction: self.number("rules.cold-share")?.unwrap_or(1.0),
-            warm_up: self.span("rules.warm-up")?.unwrap_or_default(),
+            warm_up: self.duration("rules.warm-up")?.unwrap_or_default(),
             slow_start_budget_factor: self.number("rules.fall-multiple")?.unwrap_or(1.0),
-            slow_start_budget_window: self.span("rules.fall")?.unwrap_or_default(),
-            response_grace: self.span("rules.grace-to-answer")?.unwrap_or_default(),
+            slow_start_budget_window: self.duration("rules.fall")?.unwrap_or_default(),
+            response_grace: self.duration("rules.grace-to-answer")?.unwrap_or_default(),
         })
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
--- /dev/null
+++ b/src/records/metrics.rs
@@ -0,0 +1,240 @@
+//! Metrics of the time since the last record of them: how queries and attempts ended, and how long queries took.
+//!
+//! Owns the counts until they are taken as a [`MetricsSnapshot`], whose stored names stay as they are. It writes nothing.
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD as BASE64;
+use hdrhistogram::Histogram;
+use hdrhistogram::serialization::{Deserializer, Serializer, V2Serializer};
+use schemars::JsonSchema;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// The longest latency that a histogram holds, in microseconds: ten minutes.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant decimal digits of a latency in a histogram.
+const SIGNIFICANT_DIGITS: u8 = 2;
+
+/// How a query ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+#[serde(rename_all = "snake_case")]
+#[schemars(rename = "End")]
+pub enum QueryEnd {
+    /// A complete response within the latency objective of its class.
+    #[serde(rename = "whole_in_time")]
+    CompleteInTime,
+    /// A complete response after the latency objective.
+    #[serde(rename = "whole_late")]
+    CompleteLate,
+    /// A partial response that says that it is partial.
+    Partial,
+    /// Rejected by the decision module, which did not expect to complete it in time, or could not.
+    #[serde(rename = "refused_declined")]
+    RejectedByPolicy,
+    /// Rejected because the process was at its limit of open queries and parts.
+    #[serde(rename = "refused_full")]
+    RejectedAtCapacity,
+    /// Rejected because the process is shutting down.
+    #[serde(rename = "refused_stopping")]
+    RejectedShuttingDown,
+    /// Failed: the decision module abandoned it, after it may have run.
+    #[serde(rename = "failed_given_up")]
+    FailedAbandoned,
+    /// Failed: its deadline passed.
+    #[serde(rename = "failed_overdue")]
+    FailedDeadlineExceeded,
+    /// The client closed the connection before the response.
+    #[serde(rename = "left")]
+    ClientDisconnected,
+}
+
+/// All ways in which a query can end, in the order of [`QueryEnd`].
+pub const QUERY_ENDS: [QueryEnd; 9] = [
+    QueryEnd::CompleteInTime,
+    QueryEnd::CompleteLate,
+    QueryEnd::Partial,
+    QueryEnd::RejectedByPolicy,
+    QueryEnd::RejectedAtCapacity,
+    QueryEnd::RejectedShuttingDown,
+    QueryEnd::FailedAbandoned,
+    QueryEnd::FailedDeadlineExceeded,
+    QueryEnd::ClientDisconnected,
+];
+
+impl QueryEnd {
+    /// Whether the query got a response, so that its latency counts.
+    fn has_response(self) -> bool {
+        matches!(self, QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial)
+    }
+}
+
+/// The queries that a count is of.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct QueryLabels {
+    /// Their class, by its number in the record of the start.
+    pub class: usize,
+    /// Their tenant by its number, where they have one.
+    pub tenant: Option<usize>,
+}
+
+/// Metrics of the queries of one class and tenant.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+#[schemars(rename = "Queries")]
+pub struct QueryMetrics {
+    /// Their class, by its number in the record of the start.
+    pub class: usize,
+    /// Their tenant by its number, where they have one.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub tenant: Option<usize>,
+    /// Queries accepted.
+    #[serde(rename = "taken")]
+    pub accepted: u64,
+    /// Queries that ended, by how they ended.
+    pub ends: BTreeMap<QueryEnd, u64>,
+    /// Time from the request to the response, of queries with a response: a histogram of microseconds in HdrHistogram's
+    /// V2 form, in base64; absent where no query had a response.
+    #[serde(default, skip_serializing_if = "String::is_empty")]
+    pub latency: String,
+}
+
+/// Metrics of the attempts at one worker.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+#[schemars(rename = "Attempts")]
+pub struct AttemptMetrics {
+    /// Attempts that ended, by how they ended.
+    pub ends: BTreeMap<String, u64>,
+    /// Sum of the times that successful attempts took, in microseconds.
+    pub done_us: u64,
+}
+
+impl AttemptMetrics {
+    /// Attempts that returned a value.
+    pub fn successful(&self) -> u64 {
+        self.ends.get(ATTEMPT_DONE).copied().unwrap_or(0)
+    }
+    /// All attempts that ended.
+    pub fn total(&self) -> u64 {
+        self.ends.values().sum()
+    }
+    /// Adds those of another record.
+    pub fn merge(&mut self, other: AttemptMetrics) {
+        other.ends.into_iter().for_each(|(end, count)| *self.ends.entry(end).or_default() += count);
+        self.done_us += other.done_us;
+    }
+}
+
+/// The stored name of the end of an attempt that returned a value.
+pub const ATTEMPT_DONE: &str = "done";
+
+/// What one record of metrics contains.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(rename = "Second")]
+pub struct MetricsSnapshot {
+    /// Queries, by class and tenant.
+    pub queries: Vec<QueryMetrics>,
+    /// Attempts that ended, by worker.
+    pub attempts: BTreeMap<String, AttemptMetrics>,
+    /// Queries open at the time of the record.
+    pub open: usize,
+    /// Descriptors held at the time of the record.
+    pub descriptors: usize,
+    /// Bytes buffered for peers at the time of the record.
+    pub buffered: usize,
+    /// Clients' connections at the time of the record.
+    pub clients: usize,
+}
+
+struct QueryAccumulator {
+    accepted: u64,
+    ends: [u64; QUERY_ENDS.len()],
+    latency: Histogram<u64>,
+}
+
+/// Creates an empty histogram of latencies in microseconds.
+pub fn new_histogram() -> Histogram<u64> {
+    // The library accepts these constant bounds; a histogram that resizes itself would do as well.
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| Histogram::new(SIGNIFICANT_DIGITS).expect("two digits"))
+}
+
+/// Adds up what happens until a record is made of it.
+#[derive(Default)]
+pub struct MetricsAccumulator {
+    queries: BTreeMap<QueryLabels, QueryAccumulator>,
+    attempts: BTreeMap<String, AttemptMetrics>,
+}
+
+impl MetricsAccumulator {
+    fn queries_of(&mut self, labels: QueryLabels) -> &mut QueryAccumulator {
+        let empty =
+            || QueryAccumulator { accepted: 0, ends: [0; QUERY_ENDS.len()], latency: new_histogram() };
+        self.queries.entry(labels).or_insert_with(empty)
+    }
+
+    /// Counts a query that was accepted.
+    pub fn record_accepted(&mut self, labels: QueryLabels) {
+        self.queries_of(labels).accepted += 1;
+    }
+
+    /// Counts a query that ended, and the time that it took.
+    pub fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, took: Duration) {
+        let queries = self.queries_of(labels);
+        queries.ends[end as usize] += 1;
+        if end.has_response() {
+            queries.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
+        }
+    }
+
+    /// Counts an attempt at a worker that ended, and the time that it took.
+    pub fn record_attempt(&mut self, worker: &str, end: &'static str, took: Duration) {
+        if !self.attempts.contains_key(worker) {
+            self.attempts.insert(worker.to_owned(), AttemptMetrics::default());
+        }
+        let Some(attempts) = self.attempts.get_mut(worker) else { return };
+        *attempts.ends.entry(end.to_owned()).or_default() += 1;
+        if end == ATTEMPT_DONE {
+            attempts.done_us += u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+        }
+    }
+
+    /// Takes what happened since the last snapshot, and starts anew: all snapshots add up to all that happened.
+    #[must_use]
+    pub fn take_snapshot(&mut self) -> MetricsSnapshot {
+        let mut snapshot = MetricsSnapshot::default();
+        for (QueryLabels { class, tenant }, queries) in std::mem::take(&mut self.queries) {
+            let counts = QUERY_ENDS.iter().map(|end| (*end, queries.ends[*end as usize]));
+            snapshot.queries.push(QueryMetrics {
+                class,
+                tenant,
+                accepted: queries.accepted,
+                ends: counts.filter(|(_, count)| *count > 0).collect(),
+                latency: encode_histogram(&queries.latency),
+            });
+        }
+        snapshot.attempts = std::mem::take(&mut self.attempts);
+        snapshot
+    }
+}
+
+/// Encodes a histogram as text; an empty one becomes the empty text.
+fn encode_histogram(histogram: &Histogram<u64>) -> String {
+    if histogram.is_empty() {
+        return String::new();
+    }
+    let mut bytes = Vec::new();
+    // Writing to memory fails only for a histogram of more counts than the form holds.
+    match V2Serializer::new().serialize(histogram, &mut bytes) {
+        Ok(_) => BASE64.encode(&bytes),
+        Err(_) => String::new(),
+    }
+}
+
+/// Decodes a histogram. Returns `None` for noise, and for one with wider bounds than [`new_histogram`]'s, which would
+/// take memory without end.
+pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
+    let bytes = BASE64.decode(text).ok()?;
+    let histogram: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
+    let within_bounds = histogram.high() <= 2 * MAX_LATENCY_US && histogram.sigfig() <= SIGNIFICANT_DIGITS;
+    within_bounds.then_some(histogram)
+}
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,19 +1,21 @@
-//! Records: what a gatherer writes down of itself, line by line, and how it is read back. Lines, segments, figures and
-//! what a failing disk costs are plain values here; only [`folder`] knows files.
+//! Records: what a gatherer writes about itself, record by record, and how records are read back and reported.
+//!
+//! Records, segments, metrics and the effects of a failing disk are plain values here; only [`folder`] touches files and
+//! clocks. Nothing here decides how queries are served.
 
 pub mod diagnosis;
-pub mod figures;
 pub mod folder;
-pub mod line;
+pub mod html_report;
+pub mod metrics;
 pub mod overload;
-pub mod page;
 pub mod reader;
+pub mod record;
 pub mod segments;
 pub mod summary;
 pub mod writer;
 
-pub use figures::{End, Figures, Seen};
-pub use line::{Body, Damage, Line};
-pub use segments::{Bounds, Rotation};
-pub use summary::{Counts, Summary};
+pub use metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
+pub use record::{Record, RecordBody, RecordError};
+pub use segments::{OpenSegment, SegmentLimits};
+pub use summary::{QueryCounts, Summary};
 pub use writer::{Disk, Writer};
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,12 @@
-//! The broker between fronts and servers. It knows no wire: it hosts one decision module with its clock and timers,
-//! maps names to the module's ids, delivers the module's actions, and sees each query through to its one answer.
+//! The broker between fronts and workers: it hosts the decision module with its clock and timers, maps names to the
+//! module's ids, carries out the module's actions, and gives each query its one final outcome.
+//!
+//! It owns the open queries, the attempts in flight and the worker list. It knows no wire format and does no I/O.
 
 pub mod attempt;
 pub mod broker;
+pub mod clock;
+pub mod command;
 pub mod contracts;
 pub mod core;
 pub mod counters;
@@ -10,7 +14,6 @@
 mod in_flight;
 pub mod invariants;
 mod open_queries;
-pub mod order;
 pub mod query;
 pub mod scroll_contexts;
 mod start_times;
@@ -18,12 +21,13 @@
 pub mod worker_registry;
 mod worker_states;
 
-pub use attempt::{Dispatch, End, Ticket};
-pub use broker::{Broker, Carrier, Clock};
-pub use contracts::{Contracts, Limits};
+pub use attempt::{AttemptCompletion, AttemptId, Dispatch};
+pub use broker::{Broker, WorkerTransport};
+pub use clock::Clock;
+pub use command::Command;
+pub use contracts::{BrokerLimits, Contracts};
 pub use core::Core;
 pub use counters::Counters;
 pub use invariants::{Invariant, SendPermit, Violations};
-pub use order::Order;
-pub use query::{Ask, AskPart, Refusal, Verdict};
-pub use worker_registry::{Listing, Member};
+pub use query::{QueryOutcome, QueryPart, Rejection, SearchRequest};
+pub use worker_registry::{ListedWorker, WorkerListUpdate};
--- a/src/routing/query.rs
+++ b/src/routing/query.rs
@@ -1,70 +1,70 @@
-//! A query as a front offers it, and the one final answer that it gets. Plain values, which hold no state of the broker.
+//! A query as a front submits it, and its one final outcome. Plain values, which hold no state of the broker.
 
 use crate::policy::*;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A query as a front offers it.
+/// A query as a front submits it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SearchRequest {
     /// Names the query to the workers.
     pub label: Arc<str>,
     /// Its class.
     pub class: ClassId,
-    /// Who asks.
+    /// The tenant whose quota it counts against, where it names one.
     pub tenant: Option<TenantId>,
-    /// How long its client will wait.
-    pub left: Duration,
-    /// A client's repeat, where it says so.
+    /// How long its client waits from now on.
+    pub time_left: Duration,
+    /// The client says that it sent the same query before.
     pub retry: bool,
-    /// What each part carries.
-    pub text: Bytes,
-    /// Its parts, one a shard.
-    pub parts: Vec<AskPart>,
+    /// The body of the request to each worker.
+    pub payload: Bytes,
+    /// Its parts, one for each shard.
+    pub parts: Vec<QueryPart>,
 }
 
-/// A part of an [`Ask`].
+/// One part of a [`SearchRequest`].
 #[derive(Clone, Debug)]
-pub struct AskPart {
+pub struct QueryPart {
     /// The shard that it needs.
     pub shard: ShardId,
-    /// Its share of the whole answer.
+    /// Its fraction of the complete answer.
     pub weight: f64,
-    /// Rough expected work.
-    pub hint: Option<Duration>,
-    /// What it is about.
+    /// The expected time of work, roughly, where the client gives one.
+    pub cost_hint: Option<Duration>,
+    /// The key by which a preferred replica is chosen.
     pub key: Option<Arc<str>>,
 }
 
-/// Why a query is refused.
+/// Why a query is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// The module does not expect it to be served in time.
+pub enum Rejection {
+    /// The decision module does not expect that it can be served in time.
     Declined,
     /// The broker holds as many queries and parts as it may.
-    Full,
-    /// The broker is stopping.
-    Stopping,
+    AtCapacity,
+    /// The process is stopping.
+    ShuttingDown,
 }
 
-/// The one final answer of a query.
+/// The one final outcome of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
-    /// Served.
+pub enum QueryOutcome {
+    /// It is answered, completely or in part.
     Answered {
-        /// It is marked whole.
-        whole: bool,
-        /// The value of each part that is in.
+        /// The answer is marked complete.
+        complete: bool,
+        /// The value of each part that has one.
         values: Vec<(ShardId, Bytes)>,
     },
-    /// Refused: a retry is harmless.
-    Refused {
-        /// Why.
-        why: Refusal,
-        /// When to come back.
-        pause: Option<Duration>,
+    /// It is rejected, and a retry by the client is harmless.
+    Rejected {
+        /// The reason.
+        reason: Rejection,
+        /// How long the client should wait before it retries.
+        retry_after: Option<Duration>,
     },
-    /// Failed, with no promise.
+    /// It failed; parts of it may have run.
     Failed,
 }
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -3,11 +3,11 @@
 
 use super::connection::Connection;
 use crate::policy::{ReportField, WorkerId};
-use crate::protocol::frame::{self, Incoming};
-use crate::routing::{Broker, End, Limits};
-use crate::transport::failure;
-use crate::transport::places::{Buffered, Places};
-use crate::transport::stream::{Dial, Stream, dial_within};
+use crate::protocol::frame::{self, WorkerMessage};
+use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
+use crate::transport::connector::{Connector, Stream, connect_with_timeout};
+use crate::transport::descriptor_pool::{BufferReservation, DescriptorPool};
+use crate::transport::errors;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
 use std::pin::Pin;
@@ -29,11 +29,11 @@
     /// Hears of each attempt's end.
     pub broker: Broker,
     /// Opens connections.
-    pub dial: Rc<dyn Dial>,
+    pub dial: Rc<dyn Connector>,
     /// Limits of a connection.
-    pub limits: Limits,
+    pub limits: BrokerLimits,
     /// The process's descriptors and bytes.
-    pub places: Rc<Places>,
+    pub places: Rc<DescriptorPool>,
     /// The fields of a load report.
     pub fields: Vec<ReportField>,
 }
@@ -86,18 +86,19 @@
     connection: &Connection,
     left: Duration,
 ) -> Result<Option<Box<dyn Stream>>, Disconnect> {
-    let opening = shared.places.open(worker, left).await;
+    let opening = shared.places.acquire_connect_permit(worker, left).await;
     let opening = opening.map_err(|turned| Disconnect::Unopened(turned.to_string()))?;
     if connection.is_idle() {
         return Ok(None);
     }
-    let stream = dial_within(&*shared.dial, &connection.address, shared.limits.connect_timeout).await;
+    let stream =
+        connect_with_timeout(&*shared.dial, &connection.address, shared.limits.connect_timeout).await;
     let stream = stream.map_err(|error| {
         let why = format!("cannot connect: {error}");
         // Guards the worker's good name against what fails here.
-        if failure::is_local(&error) { Disconnect::Unopened(why) } else { Disconnect::Closed(why) }
+        if errors::is_local(&error) { Disconnect::Unopened(why) } else { Disconnect::Closed(why) }
     })?;
-    connection.place.replace(Some(opening.up()));
+    connection.place.replace(Some(opening.into_descriptor_permit()));
     Ok(Some(stream))
 }
 
@@ -138,7 +139,7 @@
     /// What was read and is no whole answer yet.
     buffer: BytesMut,
     /// Books the buffer's size.
-    buffered: Buffered,
+    buffered: BufferReservation,
     /// When anything was last out.
     last_used: Instant,
     /// When the answer that is not all there began.
@@ -147,7 +148,7 @@
 
 impl<'a> Session<'a> {
     fn new(shared: &'a Shared, connection: &'a Connection) -> Session<'a> {
-        let buffered = Buffered::new(&shared.places);
+        let buffered = BufferReservation::new(&shared.places);
         Session {
             shared,
             connection,
@@ -198,7 +199,7 @@
     ) -> Event {
         let (has_frame, deadline) = (self.connection.has_frame(), self.connection.write_deadline());
         let limits = &self.shared.limits;
-        let idle = self.last_used + limits.conn_idle.mul_f64(IDLE_SHARE);
+        let idle = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_SHARE);
         // Guards against answers that never end: the rest of a frame may take as long as a connection may.
         let answer_deadline = self.answer_started.unwrap_or(self.last_used) + limits.connect_timeout;
         tokio::select! {
@@ -218,7 +219,7 @@
             Event::Read(Ok(_)) => self.read(),
             Event::Written(Ok(rest)) => {
                 let parts = self.connection.mark_written(rest);
-                self.shared.broker.core(|core| core.written(parts));
+                self.shared.broker.with_core(|core| core.count_written(parts));
                 Ok(())
             }
             Event::Read(Err(error)) | Event::Written(Err(error)) => {
@@ -247,11 +248,11 @@
     /// Books every answer that is whole in the buffer.
     fn answers(&mut self) -> Result<(), Disconnect> {
         loop {
-            match frame::take(&mut self.buffer, &self.shared.fields) {
-                Ok(Some(Incoming::Answer { id, outcome, value, report })) => {
-                    self.answer(&id, End { outcome, value, report })?;
+            match frame::take_message(&mut self.buffer, &self.shared.fields) {
+                Ok(Some(WorkerMessage::PartFinished { id, outcome, value, report })) => {
+                    self.answer(&id, AttemptCompletion { outcome, value, load_report: report })?;
                 }
-                Ok(Some(Incoming::Rejected(words))) => {
+                Ok(Some(WorkerMessage::CallRejected(words))) => {
                     return Err(Disconnect::Closed(format!("a frame was refused: {words:?}")));
                 }
                 Ok(None) if !self.buffer.is_empty() && self.connection.open_calls() == 0 => {
@@ -263,9 +264,9 @@
         }
     }
 
-    fn answer(&self, id: &str, end: End) -> Result<(), Disconnect> {
+    fn answer(&self, id: &str, end: AttemptCompletion) -> Result<(), Disconnect> {
         match self.connection.answered(id) {
-            Some(call) => self.shared.broker.ended(call.ticket, end),
+            Some(call) => self.shared.broker.on_attempt_finished(call.ticket, end),
             None if self.connection.is_finished(id) => {}
             // Guards against waiting for a part whose answer came under another id.
             None => return Err(self.noise("an answer to nothing that was asked".to_owned())),
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,16 +1,16 @@
-//! Each invariant's own proof that it can fail: what breaks it is seen, counted, and held back where it can be.
+//! Proves of each invariant that its check can fail: what breaks it is detected, counted, and prevented where it can be.
 
 mod common;
 
 use common::{class, ms};
-use gatherer::limits::{Plan, Side};
+use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::*;
 use gatherer::protocol::http::{Malformed, Request, Response};
-use gatherer::routing::invariants::{INVARIANTS, Sending, check_answer, check_refusal};
+use gatherer::routing::invariants::{INVARIANTS, SendCheck, check_answer, check_rejection};
 use gatherer::routing::{Invariant, Violations};
-use gatherer::transport::gate::Gate;
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::listener::{Front, serve};
-use gatherer::transport::places::Places;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,64 +18,64 @@
 
 const NOW: Time = Time(1 << 40);
 
-/// An attempt that breaks nothing.
-fn sound(class: &Class) -> Sending<'_> {
-    Sending {
+/// An attempt that breaks no invariant.
+fn valid(class: &Class) -> SendCheck<'_> {
+    SendCheck {
         now: NOW,
         class,
         valid_until: NOW.after(ms(500)),
-        worker_serves: true,
-        attempts: 0,
+        worker_accepts_work: true,
+        previous_attempts: 0,
         first_possible_run: None,
-        is_out: false,
-        second_copies: true,
-        most_attempts: Some(3),
+        has_attempt_in_flight: false,
+        may_hedge: true,
+        max_attempts: Some(3),
     }
 }
 
 #[test]
-fn each_rule_of_sending_holds_back_what_breaks_it() {
+fn each_invariant_of_sending_rejects_what_breaks_it() {
     let (search, seal, stamp) =
         (class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(Idempotency::Keyed));
     let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
-    let permit = sound(&search).permit(ms(900)).expect("sound");
+    let permit = valid(&search).permit(ms(900)).expect("it breaks no invariant");
     assert_eq!(permit.deadline(), NOW.after(ms(500)), "never longer than the client waits");
-    let broken = |sending: Sending<'_>| sending.permit(ms(100)).expect_err("it breaks a rule");
-    let serves = Sending { worker_serves: false, ..sound(&search) };
-    assert_eq!(broken(serves), Invariant::SentToServing);
-    let over = Sending { valid_until: NOW, ..sound(&search) };
-    assert_eq!(broken(over), Invariant::SentInTime);
-    let hedged = Sending { is_out: true, second_copies: false, ..sound(&search) };
+    let broken = |check: SendCheck<'_>| check.permit(ms(100)).expect_err("it breaks an invariant");
+    let not_active = SendCheck { worker_accepts_work: false, ..valid(&search) };
+    assert_eq!(broken(not_active), Invariant::SentToActiveWorker);
+    let over = SendCheck { valid_until: NOW, ..valid(&search) };
+    assert_eq!(broken(over), Invariant::SentBeforeDeadline);
+    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..valid(&search) };
     assert_eq!(broken(hedged), Invariant::HedgedWhereAllowed);
-    let many = Sending { attempts: 3, ..sound(&search) };
+    let many = SendCheck { previous_attempts: 3, ..valid(&search) };
     assert_eq!(broken(many), Invariant::AttemptsBounded);
-    let twice = Sending { attempts: 1, first_possible_run: after(10), ..sound(&seal) };
-    assert_eq!(broken(twice), Invariant::RepeatedSafely);
-    let late = Sending { attempts: 1, first_possible_run: after(1000), ..sound(&stamp) };
-    assert_eq!(broken(late), Invariant::RepeatedInWindow);
-    let inside = Sending { attempts: 1, first_possible_run: after(400), ..sound(&stamp) };
-    assert_eq!(inside.permit(ms(100)).map(|permit| permit.window()), Ok(Some(ms(600))));
-    let unrun = Sending { attempts: 1, ..sound(&seal) };
-    assert!(unrun.permit(ms(100)).is_ok(), "no attempt before can have run");
+    let twice = SendCheck { previous_attempts: 1, first_possible_run: after(10), ..valid(&seal) };
+    assert_eq!(broken(twice), Invariant::RetriedSafely);
+    let late = SendCheck { previous_attempts: 1, first_possible_run: after(1000), ..valid(&stamp) };
+    assert_eq!(broken(late), Invariant::RetriedInWindow);
+    let inside = SendCheck { previous_attempts: 1, first_possible_run: after(400), ..valid(&stamp) };
+    assert_eq!(inside.permit(ms(100)).map(|permit| permit.write_window()), Ok(Some(ms(600))));
+    let unrun = SendCheck { previous_attempts: 1, ..valid(&seal) };
+    assert!(unrun.permit(ms(100)).is_ok(), "no previous attempt can have run");
 }
 
 #[test]
-fn each_rule_of_ending_holds_back_what_breaks_it() {
+fn each_invariant_of_completion_rejects_what_breaks_it() {
     let half = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
-    assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::AnsweredAboveFloor));
-    assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::MarkedWholeTruly));
+    assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::MinCoverageMet));
+    assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::CompleteMarkedTruly));
     assert_eq!((check_answer(&half, 0.5, false), check_answer(&half, 0.99995, true)), (Ok(()), Ok(())));
     let seal = class(Idempotency::NonIdempotent);
-    assert_eq!(check_refusal(&seal, true), Err(Invariant::RefusedUnrun));
-    assert_eq!((check_refusal(&seal, false), check_refusal(&half, true)), (Ok(()), Ok(())));
+    assert_eq!(check_rejection(&seal, true), Err(Invariant::RejectedUnexecuted));
+    assert_eq!((check_rejection(&seal, false), check_rejection(&half, true)), (Ok(()), Ok(())));
 }
 
 #[test]
 fn every_invariant_is_counted_under_a_name_of_its_own() {
     let mut violations = Violations::default();
     for invariant in INVARIANTS {
-        violations.count(invariant);
-        assert_eq!(violations.of(invariant), 1);
+        violations.record(invariant);
+        assert_eq!(violations.count_of(invariant), 1);
     }
     let text = violations.to_string();
     assert_eq!(
@@ -86,19 +86,19 @@
     assert!(text.starts_with(&format!("total={} ", INVARIANTS.len())));
 }
 
-/// Never answers, and keeps what is told of broken rules.
+/// A front that never responds and keeps the violations that are reported to it.
 #[derive(Default)]
-struct Mute(RefCell<Vec<Invariant>>);
+struct SilentFront(RefCell<Vec<Invariant>>);
 
-impl Front for Mute {
+impl Front for SilentFront {
     async fn respond(&self, _: Request) -> Response {
         std::future::pending().await
     }
     fn malformed(&self, error: Malformed) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn crowded(&self, _: Option<&Request>) -> Response {
-        Response::text(503, "crowded")
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        Response::text(503, "overloaded")
     }
     fn caller<'a>(&self, _: &'a Request) -> Option<&'a str> {
         None
@@ -111,20 +111,21 @@
     }
 }
 
-/// Serves one connection on which a request comes, until `leaves`: by the client, or by this side.
-async fn left(leaves: bool) -> Vec<Invariant> {
-    let places = Places::new(Plan::new(64, 16, 0).expect("enough"), 1 << 20);
-    let gate = Gate::new(places.clone());
-    let source = gatherer::limits::crowd::Source(1);
-    let pass = gate.admit(source, Duration::ZERO).await.expect("room");
+/// Serves one connection on which a request arrives, until the client disconnects or this side closes it. Returns the
+/// violations.
+async fn violations_on_close(client_disconnects: bool) -> Vec<Invariant> {
+    let descriptors = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+    let connections = ConnectionManager::new(descriptors.clone());
+    let source = gatherer::limits::client_connections::Source(1);
+    let permit = connections.admit(source, Duration::ZERO).await.expect("a permit");
     let (near, mut far) = tokio::io::duplex(1 << 12);
-    let front = Rc::new(Mute::default());
+    let front = Rc::new(SilentFront::default());
     far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("written");
     let from = "127.0.0.1:1".parse().expect("an address");
-    let serving = serve(near, from, &*front, pass);
+    let serving = serve(near, from, &*front, permit);
     let closing = async move {
         tokio::time::sleep(ms(10)).await;
-        if leaves {
+        if client_disconnects {
             drop(far);
             std::future::pending::<()>().await;
         }
@@ -133,15 +134,15 @@
         () = serving => {}
         () = closing => {}
     }
-    assert_eq!(places.descriptors(|all| all.held(Side::Clients)), 0);
+    assert_eq!(descriptors.descriptors(|all| all.held(DescriptorClass::Clients)), 0);
     front.0.borrow().clone()
 }
 
 #[test]
-fn a_connection_closed_over_a_request_that_was_read_is_counted() {
+fn closing_a_connection_over_an_unanswered_request_is_counted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
-        assert_eq!(left(false).await, [Invariant::ClosedAnswered]);
-        assert_eq!(left(true).await, [], "its client has gone");
+        assert_eq!(violations_on_close(false).await, [Invariant::ClosedAfterResponse]);
+        assert_eq!(violations_on_close(true).await, [], "its client has disconnected");
     });
 }
