--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -1,34 +1,35 @@
-//! Ways of keeping membership, side by side in the same worlds: this program's, and the crate `foca` as it comes and with
-//! quicker times. Prints tables; `quick` plays a part of it, `thousand` deaths among a thousand members.
+//! Compares membership protocols under the same simulated faults: this program's, and that of the crate `foca` with its own
+//! times and with shorter ones. Prints tables. The argument `quick` runs a part of them, `thousand` simulates the deaths among
+//! a thousand members.
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
-use gatherer::membership::{ConnectionProbeResult, MemberChange, Node, ObservedState, Timing};
+use gatherer::membership::{Command, ConnectionProbeResult, MemberChange, Node, ObservedState};
 use gatherer::policy::Time;
-use gatherer::simulation::engine::{Act, Peer, Simulation, address, name};
-use gatherer::simulation::{Experiment, Outcome, play};
+use gatherer::simulation::network::{address, name};
+use gatherer::simulation::peer::{MessageSize, PeerStart};
+use gatherer::simulation::{self, Experiment, Outcome, Peer, Simulation};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::net::SocketAddr;
 use std::num::NonZeroU32;
 use std::time::Duration;
 
-/// A process, and how often it has come back under another identity.
+/// The identity of a process, and how often it has renewed that identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Id {
     member: u16,
     start: u64,
-    again: u32,
+    renewals: u32,
 }
 
 impl Identity for Id {
     type Addr = u16;
     fn renew(&self) -> Option<Id> {
-        Some(Id { again: self.again + 1, ..*self })
+        Some(Id { renewals: self.renewals + 1, ..*self })
     }
     fn addr(&self) -> u16 {
         self.member
@@ -38,54 +39,57 @@
     }
 }
 
-struct Crate {
+/// A member in the protocol of the crate `foca`.
+struct FocaPeer {
     foca: Foca<Id, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Id>,
     own: Id,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
-    waiting: BTreeMap<u64, Timer<Id>>,
-    serial: u64,
+    timer_payloads: BTreeMap<u64, Timer<Id>>,
+    last_serial: u64,
     seeds: Vec<Id>,
     announce_at: Time,
-    acts: Vec<Act<Vec<u8>>>,
-    /// Members told dead, until they are told to be there again.
+    commands: Vec<Command<Vec<u8>>>,
+    /// Members that were reported dead, until they are reported alive again.
     down: BTreeSet<u16>,
-    stated: u32,
+    configured_gatherers: u32,
 }
 
-impl Crate {
-    fn new(now: Time, id: usize, stated: u32, seed: u64, config: &Config) -> Crate {
-        let own = Id { member: id as u16, start: now.0, again: 0 };
-        let mut peer = Crate {
+impl FocaPeer {
+    fn new(now: Time, id: usize, configured_gatherers: u32, seed: u64, config: &Config) -> FocaPeer {
+        let own = Id { member: id as u16, start: now.0, renewals: 0 };
+        let mut peer = FocaPeer {
             foca: Foca::new(own, config.clone(), StdRng::seed_from_u64(seed), PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             own,
             timers: BinaryHeap::new(),
-            waiting: BTreeMap::new(),
-            serial: 0,
+            timer_payloads: BTreeMap::new(),
+            last_serial: 0,
             seeds: (0..2)
                 .filter(|seed| *seed != id)
-                .map(|seed| Id { member: seed as u16, start: 0, again: 0 })
+                .map(|seed| Id { member: seed as u16, start: 0, renewals: 0 })
                 .collect(),
             announce_at: now,
-            acts: Vec::new(),
+            commands: Vec::new(),
             down: BTreeSet::new(),
-            stated,
+            configured_gatherers,
         };
-        peer.settle(now);
+        peer.collect_output(now);
         peer
     }
-    fn settle(&mut self, now: Time) {
+    /// Turns what the crate has put out into commands and timers.
+    fn collect_output(&mut self, now: Time) {
         while let Some((to, bytes)) = self.runtime.to_send() {
-            self.acts.push(Act::Send { to: address(usize::from(to.member)), message: bytes.to_vec() });
+            self.commands
+                .push(Command::Send { to: address(usize::from(to.member)), message: bytes.to_vec() });
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.serial += 1;
-            self.timers.push(Reverse((now.after(after), self.serial)));
-            self.waiting.insert(self.serial, timer);
+            self.last_serial += 1;
+            self.timers.push(Reverse((now.after(after), self.last_serial)));
+            self.timer_payloads.insert(self.last_serial, timer);
         }
-        while let Some(told) = self.runtime.to_notify() {
-            let (id, state) = match told {
+        while let Some(notification) = self.runtime.to_notify() {
+            let (id, state) = match notification {
                 OwnedNotification::MemberUp(id) => (id, ObservedState::Alive),
                 OwnedNotification::MemberDown(id) => (id, ObservedState::Failed),
                 OwnedNotification::Rejoin(id) => {
@@ -99,29 +103,29 @@
                 _ => self.down.insert(id.member),
             };
             let name = name(usize::from(id.member));
-            self.acts.push(Act::Tell(MemberChange { name, start: id.start, state }));
+            self.commands.push(Command::Notify(MemberChange { name, start: id.start, state }));
         }
     }
 }
 
-impl Peer for Crate {
+impl Peer for FocaPeer {
     type Message = Vec<u8>;
     fn tick(&mut self, now: Time) {
         while let Some(Reverse((_, serial))) = self.timers.peek().copied().filter(|next| next.0.0 <= now) {
             self.timers.pop();
-            if let Some(timer) = self.waiting.remove(&serial) {
+            if let Some(timer) = self.timer_payloads.remove(&serial) {
                 let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
-            self.settle(now);
+            self.collect_output(now);
         }
-        // As long as nobody is there it announces itself to the seeds.
+        // As long as it knows nobody, it announces itself to the seeds.
         if self.announce_at <= now {
             self.announce_at = now.after(Duration::from_secs(1));
             if self.foca.num_members() == 0 {
                 for seed in self.seeds.clone() {
                     let _ = self.foca.announce(seed, &mut self.runtime);
                 }
-                self.settle(now);
+                self.collect_output(now);
             }
         }
     }
@@ -129,46 +133,47 @@
         let timer = self.timers.peek().map_or(self.announce_at, |next| next.0.0);
         timer.min(self.announce_at)
     }
-    fn hear(&mut self, now: Time, message: Vec<u8>) {
+    fn receive(&mut self, now: Time, message: Vec<u8>) {
         let _ = self.foca.handle_data(&message, &mut self.runtime);
-        self.settle(now);
+        self.collect_output(now);
     }
-    fn knocked(&mut self, _: Time, _: &str, _: u64, _: ConnectionProbeResult) {}
-    fn table(&self) -> Vec<u8> {
+    fn on_probe_result(&mut self, _: Time, _: &str, _: u64, _: ConnectionProbeResult) {}
+    fn table_message(&self) -> Vec<u8> {
         Vec::new()
     }
-    fn exchanged(&mut self, _: Time, _: Vec<u8>) {}
-    fn acts(&mut self) -> Vec<Act<Vec<u8>>> {
-        std::mem::take(&mut self.acts)
+    fn receive_table(&mut self, _: Time, _: Vec<u8>) {}
+    fn take_commands(&mut self) -> Vec<Command<Vec<u8>>> {
+        std::mem::take(&mut self.commands)
     }
-    fn leave(&mut self, _: bool) -> Vec<Act<Vec<u8>>> {
+    fn leave(&mut self, _: bool) -> Vec<Command<Vec<u8>>> {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(Time(self.own.start));
-        self.acts()
+        self.collect_output(Time(self.own.start));
+        self.take_commands()
     }
     fn start(&self) -> u64 {
         self.own.start
     }
-    fn sees(&self, other: &str) -> Option<ObservedState> {
+    fn observed_state(&self, other: &str) -> Option<ObservedState> {
         let member: u16 = other.rsplit('-').next()?.parse().ok()?;
         self.foca.iter_members().any(|seen| seen.id().member == member).then_some(ObservedState::Alive)
     }
-    fn all(&self) -> Vec<(String, ObservedState)> {
+    fn observed_states(&self) -> Vec<(String, ObservedState)> {
         self.foca
             .iter_members()
             .map(|member| (name(usize::from(member.id().member)), ObservedState::Alive))
             .collect()
     }
     fn gatherers(&self, _: Time) -> u32 {
-        (self.foca.num_members() as u32 + 1).clamp(self.stated.div_ceil(4), self.stated * 4)
+        (self.foca.num_members() as u32 + 1)
+            .clamp(self.configured_gatherers.div_ceil(4), self.configured_gatherers * 4)
     }
-    fn weight(message: &Vec<u8>) -> (usize, usize) {
-        (message.len(), 0)
+    fn size(message: &Vec<u8>) -> MessageSize {
+        MessageSize { bytes: message.len(), updates: 0 }
     }
 }
 
-/// The crate's own times for a local network, or ones as quick as this program's.
-fn config(count: u32, quick: bool) -> Config {
+/// The crate's configuration, with its own times for a local network or with times as short as this program's.
+fn foca_config(count: u32, quick: bool) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(count.max(1)).expect("one at least"));
     if quick {
         config.probe_period = Duration::from_millis(500);
@@ -182,26 +187,28 @@
     config
 }
 
-fn of_crate(experiment: &Experiment, quick: bool) -> Simulation<Crate> {
-    let begin = move |now: Time, id: usize, _: &[SocketAddr], stated: u32, seed: u64| {
-        Crate::new(now, id, stated, seed, &config(stated, quick))
+fn foca_members(experiment: &Experiment, quick: bool) -> Simulation<FocaPeer> {
+    let start_peer = move |start: PeerStart<'_>| {
+        let config = foca_config(start.configured_gatherers, quick);
+        FocaPeer::new(start.now, start.id, start.configured_gatherers, start.random_seed, &config)
     };
-    Simulation::new(experiment.members, experiment.seed, Box::new(begin))
+    Simulation::new(experiment.members, experiment.seed, Box::new(start_peer))
 }
 
-const WAYS: [&str; 3] = ["this program", "foca, its times for a local network", "foca, 0.5 s and 1.5 s"];
+const PROTOCOLS: [&str; 3] = ["this program", "foca, its times for a local network", "foca, 0.5 s and 1.5 s"];
 
-fn each(experiment: &Experiment) -> [Outcome; 3] {
-    let ours = Simulation::<Node>::of_nodes(experiment.members, experiment.seed, Timing::default());
+/// The outcomes of an experiment in each of the [`PROTOCOLS`].
+fn run_each(experiment: &Experiment) -> [Outcome; 3] {
+    let nodes = Simulation::<Node>::of_nodes(experiment.members, experiment.seed, experiment.timing());
     [
-        play(experiment, ours, |_| {}),
-        play(experiment, of_crate(experiment, false), |_| {}),
-        play(experiment, of_crate(experiment, true), |_| {}),
+        simulation::run(experiment, nodes, |_| {}),
+        simulation::run(experiment, foca_members(experiment, false), |_| {}),
+        simulation::run(experiment, foca_members(experiment, true), |_| {}),
     ]
 }
 
 fn experiment(text: &str) -> Experiment {
-    Experiment::parse(&format!("title = \"way\"\n{text}")).expect("an experiment")
+    Experiment::parse(&format!("title = \"protocol\"\n{text}")).expect("an experiment")
 }
 
 fn seconds(value: Option<f64>) -> String {
@@ -209,57 +216,64 @@
 }
 
 fn main() {
-    let quick = std::env::args().any(|word| word == "quick");
-    let thousand = std::env::args().any(|word| word == "thousand");
+    let has_argument = |argument: &str| std::env::args().any(|word| word == argument);
+    let (quick, thousand) = (has_argument("quick"), has_argument("thousand"));
     let sizes: &[usize] = match (quick, thousand) {
         (true, _) => &[5, 30],
         (_, true) => &[1000],
         _ => &[5, 30, 300],
     };
-    let hour = if quick { 300.0 } else { 3600.0 };
+    print_detection(sizes);
+    print_false_positives(if quick { 300.0 } else { 3600.0 });
+    print_merges();
+}
 
+/// How soon deaths are known, and what the protocols cost.
+fn print_detection(sizes: &[usize]) {
     println!(
         "Deaths: a member is killed each 20 s and back 15 s later, ten times (1,000 members: three times).\n"
     );
     println!(
-        "| members | way | known to all, median s | 99 % s | never in 15 s | datagrams/s | bytes/s | us/s |"
+        "| members | protocol | known to all, median s | 99 % s | never in 15 s | datagrams/s | bytes/s | us/s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for members in sizes {
-        let length = if *members > 300 { 60.0 } else { 200.0 };
-        let step = |at: f64, what: &str| {
-            format!("[[step]]\nat = {at:.1}\nevery = 20.0\ndo = \"{what}\"\nwho = [3]\n")
+        let seconds_played = if *members > 300 { 60.0 } else { 200.0 };
+        let step = |at: f64, action: &str| {
+            format!("[[step]]\nat = {at:.1}\nevery = 20.0\ndo = \"{action}\"\nwho = [3]\n")
         };
         let text = format!(
-            "members = {members}\nseconds = {length:.1}\n{}{}",
+            "members = {members}\nseconds = {seconds_played:.1}\n{}{}",
             step(1.0, "kill"),
             step(16.0, "start")
         );
-        for (way, outcome) in WAYS.iter().zip(each(&experiment(&text))) {
-            let never = outcome.killed - outcome.known_in.len();
+        for (protocol, outcome) in PROTOCOLS.iter().zip(run_each(&experiment(&text))) {
             println!(
-                "| {members} | {way} | {} | {} | {never} of {} | {:.1} | {:.0} | {:.0} |",
-                seconds(outcome.known(0.5)),
-                seconds(outcome.known(0.99)),
+                "| {members} | {protocol} | {} | {} | {} of {} | {:.1} | {:.0} | {:.0} |",
+                seconds(outcome.detection_quantile(0.5)),
+                seconds(outcome.detection_quantile(0.99)),
+                outcome.undetected(),
                 outcome.killed,
-                outcome.datagrams,
-                outcome.bytes,
+                outcome.datagrams_per_s,
+                outcome.bytes_per_s,
                 outcome.cpu_us
             );
         }
     }
+}
 
+/// How many running processes are reported dead under faults that last for `duration_s` seconds.
+fn print_false_positives(duration_s: f64) {
     println!(
-        "\nDeaths told of processes that lived, 30 members, {hour} s; in brackets how many members were buried.\n"
+        "\nReported deaths of running processes, 30 members, {duration_s} s; in brackets how many members they were about.\n"
     );
-    println!("| fault | {} |", WAYS.join(" | "));
+    println!("| fault | {} |", PROTOCOLS.join(" | "));
     println!("| --- | --- | --- | --- |");
     let row = |fault: &str, text: &str| {
-        let text = format!("members = 30\nseconds = {hour:.1}\n{text}");
-        let told = each(&experiment(&text)).map(|outcome| {
-            format!("{} ({})", outcome.buried_alive.values().sum::<usize>(), outcome.buried_alive.len())
-        });
-        println!("| {fault} | {} |", told.join(" | "));
+        let text = format!("members = 30\nseconds = {duration_s:.1}\n{text}");
+        let counts = run_each(&experiment(&text))
+            .map(|outcome| format!("{} ({})", outcome.false_positive_count(), outcome.false_positives.len()));
+        println!("| {fault} | {} |", counts.join(" | "));
     };
     for loss in [0, 5, 10, 20, 40] {
         row(&format!("{loss} % lost"), &format!("[net]\nloss = {:.2}\n", f64::from(loss) / 100.0));
@@ -270,22 +284,25 @@
         let step = format!(
             "[[step]]\nat = 5.0\nevery = {every:.1}\ndo = \"pause\"\nwho = [4, 5, 6]\nseconds = {pause:.1}\n"
         );
-        row(&format!("three stand still for {pause} s each {every} s"), &step);
+        row(&format!("three members pause for {pause} s each {every} s"), &step);
     }
     row(
         "nothing passes from one to another",
         "[[step]]\nat = 5.0\ndo = \"cut_one_way\"\nwho = [1]\nto = [2]\n",
     );
+}
 
+/// How soon two halves of a fleet converge after a partition, and what they take meanwhile.
+fn print_merges() {
     println!(
-        "\nHalves of 20 members cut for 120 s: seconds until all agree after it, burials told after it, and the most of the"
+        "\nTwo halves of 20 members, partitioned for 120 s: seconds until all converge after it, and the highest sum of the"
     );
-    println!("fleet's share that was taken meanwhile.\n");
-    println!("| way | agreed after s | most taken |\n| --- | --- | --- |");
+    println!("members' shares of the fleet meanwhile.\n");
+    println!("| protocol | converged after s | highest sum of shares |\n| --- | --- | --- |");
     let halves = "members = 20\nseconds = 300.0\n[[step]]\nat = 5.0\ndo = \"cut\"\nwho = { from = 0, to = 9 }\n\
                   to = { from = 10, to = 19 }\n[[step]]\nat = 125.0\ndo = \"heal\"\n";
-    for (way, outcome) in WAYS.iter().zip(each(&experiment(halves))) {
-        let most = outcome.moments.iter().map(|moment| moment.shared_out).fold(0.0, f64::max);
-        println!("| {way} | {} | {most:.2} |", seconds(outcome.agreed_after));
+    for (protocol, outcome) in PROTOCOLS.iter().zip(run_each(&experiment(halves))) {
+        let converged_after = seconds(outcome.converged_after_s);
+        println!("| {protocol} | {converged_after} | {:.2} |", outcome.max_total_share());
     }
 }
--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -1,14 +1,14 @@
-//! The laboratory's command line: plays experiments on members in virtual time, checks their rules, keeps results.
+//! The command line of the membership simulation: runs experiments on members in virtual time, checks their rules and saves
+//! the outcomes.
 
 use clap::{Parser, Subcommand};
-use gatherer::simulation::engine::Simulation;
 use gatherer::simulation::experiment::{Error, Experiment};
-use gatherer::simulation::{Outcome, chart, play};
+use gatherer::simulation::{self, Outcome, Simulation, chart};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays what may happen to a fleet of gatherers, by experiments that are files.
+/// Simulates the membership of a fleet of gatherers under faults, according to experiments that are files.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -18,80 +18,76 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play experiments; status 1 if a rule was broken.
+    /// Run experiments; the exit status is 1 if a rule was broken.
     Run {
-        /// The files.
+        /// The experiments' files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// So many members, in place of the file's number; steps that name others have to fit.
+        /// The number of members, in place of the file's; the steps may name no others.
         #[arg(long)]
         members: Option<usize>,
-        /// With this seed, in place of the file's; more than one for as many plays.
+        /// The seed, in place of the file's; more than one for as many runs.
         #[arg(long)]
         seed: Vec<u64>,
-        /// Keep the result of each play there, as JSON and as a chart.
+        /// The folder in which each run's outcome is saved, as JSON and as a chart.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Name the experiments of a folder.
+    /// List the experiments of a folder.
     List {
         /// The folder.
         #[arg(default_value = "experiments")]
         folder: PathBuf,
     },
-    /// Set results that were kept side by side.
+    /// Print saved outcomes side by side.
     Compare {
-        /// The files of results.
+        /// The outcomes' JSON files.
         #[arg(required = true)]
         results: Vec<PathBuf>,
     },
 }
 
 #[derive(Debug, thiserror::Error)]
-enum Failure {
+enum RunError {
     #[error(transparent)]
     Experiment(#[from] Error),
-    #[error("{0}: {1}")]
-    File(String, std::io::Error),
-    #[error("{0}: {1}")]
-    Form(String, serde_json::Error),
+    #[error("{path}: {error}")]
+    File { path: String, error: std::io::Error },
+    #[error("{path}: {error}")]
+    Json { path: String, error: serde_json::Error },
     #[error("the chart cannot be drawn: {0}")]
     Chart(String),
-    #[error("{0} plays broke a rule")]
-    Broken(usize),
+    #[error("{0} runs broke a rule")]
+    BrokenRules(usize),
 }
 
 fn main() -> ExitCode {
-    match start(Arguments::parse()) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("ERROR {failure}");
-            ExitCode::from(if matches!(failure, Failure::Broken(_)) { 1 } else { 2 })
+        Err(error) => {
+            eprintln!("ERROR {error}");
+            ExitCode::from(if matches!(error, RunError::BrokenRules(_)) { 1 } else { 2 })
         }
     }
 }
 
-fn start(arguments: Arguments) -> Result<(), Failure> {
-    match arguments.command {
+fn execute(command: Command) -> Result<(), RunError> {
+    match command {
         Command::Run { files, members, seed, out } => run(&files, members, &seed, out.as_deref()),
         Command::List { folder } => list(&folder),
-        Command::Compare { results } => {
-            let read = |path: &PathBuf| {
-                let text = std::fs::read_to_string(path).map_err(|error| fault(path, error))?;
-                serde_json::from_str(&text).map_err(|error| Failure::Form(path.display().to_string(), error))
-            };
-            let outcomes: Vec<Outcome> = results.iter().map(read).collect::<Result<_, _>>()?;
-            print!("{}", chart::table(&outcomes));
-            Ok(())
-        }
+        Command::Compare { results } => compare(&results),
     }
 }
 
-fn fault(path: &Path, error: std::io::Error) -> Failure {
-    Failure::File(path.display().to_string(), error)
+fn file_error(path: &Path, error: std::io::Error) -> RunError {
+    RunError::File { path: path.display().to_string(), error }
+}
+
+fn json_error(path: &Path, error: serde_json::Error) -> RunError {
+    RunError::Json { path: path.display().to_string(), error }
 }
 
-fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), Failure> {
+fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), RunError> {
     let mut outcomes = Vec::new();
     for file in files {
         let mut experiment = Experiment::read(file)?;
@@ -100,61 +96,72 @@
         let seeds = if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() };
         for seed in seeds {
             experiment.seed = seed;
-            let outcome = one(&experiment);
+            let outcome = run_one(&experiment);
             if let Some(folder) = out {
-                keep(folder, file, &outcome)?;
+                save(folder, file, &outcome)?;
             }
             outcomes.push(outcome);
         }
     }
     print!("{}", chart::table(&outcomes));
     for outcome in &outcomes {
-        for rule in &outcome.broken {
+        for rule in &outcome.broken_rules {
             println!("{} (seed {}): {rule}", outcome.title, outcome.seed);
         }
     }
-    match outcomes.iter().filter(|outcome| !outcome.broken.is_empty()).count() {
+    match outcomes.iter().filter(|outcome| !outcome.broken_rules.is_empty()).count() {
         0 => Ok(()),
-        count => Err(Failure::Broken(count)),
+        count => Err(RunError::BrokenRules(count)),
     }
 }
 
-fn one(experiment: &Experiment) -> Outcome {
-    let world = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
-    let watched = std::io::stderr().is_terminal();
-    let outcome = play(experiment, world, |at| {
-        if watched {
+/// Runs an experiment, and shows its progress where standard error is a terminal.
+fn run_one(experiment: &Experiment) -> Outcome {
+    let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let is_watched = std::io::stderr().is_terminal();
+    let outcome = simulation::run(experiment, members, |at| {
+        if is_watched {
             eprint!(
                 "\r{} (seed {}): {at:.0} of {:.0} s ",
                 experiment.title, experiment.seed, experiment.seconds
             );
         }
     });
-    if watched {
+    if is_watched {
         eprintln!();
     }
     outcome
 }
 
-fn keep(folder: &Path, file: &Path, outcome: &Outcome) -> Result<(), Failure> {
-    std::fs::create_dir_all(folder).map_err(|error| fault(folder, error))?;
+/// Saves an outcome as JSON and as a chart, named after the experiment's file, the number of members and the seed.
+fn save(folder: &Path, file: &Path, outcome: &Outcome) -> Result<(), RunError> {
+    std::fs::create_dir_all(folder).map_err(|error| file_error(folder, error))?;
     let stem = file.file_stem().unwrap_or_default().to_string_lossy();
     let base = folder.join(format!("{stem}-{}-{}", outcome.members, outcome.seed));
-    let json = serde_json::to_string_pretty(outcome)
-        .map_err(|error| Failure::Form(base.display().to_string(), error))?;
-    let svg = chart::svg(outcome).map_err(Failure::Chart)?;
-    for (ending, text) in [("json", json), ("svg", svg)] {
-        let path = base.with_extension(ending);
-        std::fs::write(&path, text).map_err(|error| fault(&path, error))?;
+    let json = serde_json::to_string_pretty(outcome).map_err(|error| json_error(&base, error))?;
+    let svg = chart::svg(outcome).map_err(RunError::Chart)?;
+    for (extension, text) in [("json", json), ("svg", svg)] {
+        let path = base.with_extension(extension);
+        std::fs::write(&path, text).map_err(|error| file_error(&path, error))?;
     }
     Ok(())
 }
 
-fn list(folder: &Path) -> Result<(), Failure> {
-    let entries = std::fs::read_dir(folder).map_err(|error| fault(folder, error))?;
+fn compare(results: &[PathBuf]) -> Result<(), RunError> {
+    let read = |path: &PathBuf| {
+        let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
+        serde_json::from_str(&text).map_err(|error| json_error(path, error))
+    };
+    let outcomes: Vec<Outcome> = results.iter().map(read).collect::<Result<_, _>>()?;
+    print!("{}", chart::table(&outcomes));
+    Ok(())
+}
+
+fn list(folder: &Path) -> Result<(), RunError> {
+    let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
     let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
     files.sort();
-    for file in files.iter().filter(|file| file.extension().is_some_and(|ending| ending == "toml")) {
+    for file in files.iter().filter(|file| file.extension().is_some_and(|extension| extension == "toml")) {
         let experiment = Experiment::read(file)?;
         println!(
             "{:32} {} ({} members, {} s)",
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -1,79 +1,90 @@
-//! Experiments: what happens to members, when, and what is to hold, as a TOML file.
+//! Experiments: what happens to the members of a simulation, when, and which rules have to hold, as a TOML file.
+//!
+//! The files' keys are an outer form and stay; fields with other names keep them by `serde(rename)`.
 
-use super::engine::Net;
+use super::network::NetworkFaults;
 use crate::membership::Timing;
 use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::time::Duration;
 
-/// A file that is no experiment.
+/// The numbers of members that can be simulated.
+const MEMBER_COUNTS: RangeInclusive<usize> = 2..=2000;
+/// The longest experiment, in seconds: a week.
+const MAX_SECONDS: f64 = 604_800.0;
+/// The shortest interval of a repeated step, in seconds.
+const MIN_REPEAT_SECONDS: f64 = 0.05;
+
+/// Why a file is not an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {error}")]
     File {
         /// The file.
         path: String,
-        /// Why.
+        /// The reason.
         error: std::io::Error,
     },
-    /// It is not in the form; the message shows line and key.
+    /// The file's form is wrong.
     #[error("{path}: {error}")]
     Form {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// The fault, with line and key.
         error: String,
     },
 }
 
-/// What is played.
+/// An experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// In a few words.
+    /// The title, a few words.
     pub title: String,
-    /// Members.
+    /// The number of members.
     pub members: usize,
-    /// Seconds played, after the 20 in which they find each other.
+    /// The duration in seconds, after the time in which the members find each other.
     pub seconds: f64,
-    /// The lots' seed.
-    #[serde(default = "one")]
+    /// The seed of all random numbers.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// From a suspicion to a burial, in milliseconds.
-    #[serde(default = "bury_ms")]
-    pub bury_ms: u64,
-    /// Between two rounds of questions, in milliseconds.
-    #[serde(default = "period_ms")]
-    pub period_ms: u64,
-    /// The network at the start.
-    #[serde(default)]
-    pub net: Net,
+    /// The time from a suspicion to the declaration of a death, in milliseconds.
+    #[serde(rename = "bury_ms", default = "default_suspicion_timeout_ms")]
+    pub suspicion_timeout_ms: u64,
+    /// The time between two rounds of probes, in milliseconds.
+    #[serde(rename = "period_ms", default = "default_probe_interval_ms")]
+    pub probe_interval_ms: u64,
+    /// The network's faults at the start.
+    #[serde(rename = "net", default)]
+    pub network: NetworkFaults,
     /// What happens.
-    #[serde(default)]
-    pub step: Vec<Step>,
-    /// What is to hold.
+    #[serde(rename = "step", default)]
+    pub steps: Vec<Step>,
+    /// What has to hold.
     #[serde(default)]
     pub rules: Rules,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn bury_ms() -> u64 {
+fn default_suspicion_timeout_ms() -> u64 {
     10_000
 }
-fn period_ms() -> u64 {
+fn default_probe_interval_ms() -> u64 {
     500
 }
 
 /// Members, by number: `[3, 4]`, or `{ from = 0, to = 9 }` (the last one included).
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(untagged)]
-pub enum Who {
-    /// These.
-    These(Vec<usize>),
-    /// A range.
+pub enum MemberSet {
+    /// These members.
+    List(Vec<usize>),
+    /// A range of members.
     Range {
         /// The first.
         from: usize,
@@ -82,77 +93,108 @@
     },
 }
 
-impl Who {
-    /// Their numbers.
+impl MemberSet {
+    /// The members' numbers.
     pub fn ids(&self) -> Vec<usize> {
         match self {
-            Who::These(ids) => ids.clone(),
-            Who::Range { from, to } => (*from..=*to).collect(),
+            MemberSet::List(ids) => ids.clone(),
+            MemberSet::Range { from, to } => (*from..=*to).collect(),
         }
     }
 }
 
-/// Something that happens.
+/// A step: an action at a time.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in seconds.
+    /// The time, in seconds from the start.
     pub at: f64,
-    /// Again every so many seconds, if it repeats.
+    /// The interval in seconds at which the step repeats, if it does.
     pub every: Option<f64>,
-    /// What.
+    /// The action.
     #[serde(rename = "do")]
-    pub what: Doing,
-    /// To whom; cuts: from whom.
-    pub who: Option<Who>,
-    /// Cuts: to whom.
-    pub to: Option<Who>,
-    /// Pauses: for so many seconds.
+    pub action: Action,
+    /// The members that the action is applied to; of a partition, the senders.
+    #[serde(rename = "who")]
+    pub members: Option<MemberSet>,
+    /// Of a partition, the receivers.
+    pub to: Option<MemberSet>,
+    /// Of a pause, the duration in seconds.
     pub seconds: Option<f64>,
-    /// The network from then on.
-    pub net: Option<Net>,
+    /// The network's faults from then on.
+    #[serde(rename = "net")]
+    pub network: Option<NetworkFaults>,
 }
 
-/// What may happen.
+/// What a step does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doing {
-    /// The process is killed.
+pub enum Action {
+    /// Kills processes.
     Kill,
-    /// A process is started.
+    /// Starts processes where none runs.
     Start,
-    /// It stands still for a time.
+    /// Pauses processes.
     Pause,
-    /// It ends by itself.
+    /// Ends processes in an orderly way.
     Leave,
-    /// It ends for another of the same name.
-    Move,
-    /// Nothing passes one way.
-    CutOneWay,
-    /// Nothing passes either way.
-    Cut,
-    /// All cuts are over.
+    /// Ends processes that another process of the same name takes over from.
+    #[serde(rename = "move")]
+    HandOver,
+    /// Lets nothing pass in one direction.
+    #[serde(rename = "cut_one_way")]
+    PartitionOneWay,
+    /// Lets nothing pass in either direction.
+    #[serde(rename = "cut")]
+    Partition,
+    /// Ends all partitions.
     Heal,
-    /// The network is another.
-    Net,
+    /// Changes the network's faults.
+    #[serde(rename = "net")]
+    SetNetwork,
+}
+
+impl fmt::Display for Action {
+    /// Writes the name that the action has in an experiment's file.
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            Action::Kill => "kill",
+            Action::Start => "start",
+            Action::Pause => "pause",
+            Action::Leave => "leave",
+            Action::HandOver => "move",
+            Action::PartitionOneWay => "cut_one_way",
+            Action::Partition => "cut",
+            Action::Heal => "heal",
+            Action::SetNetwork => "net",
+        })
+    }
 }
 
-/// What is to hold.
+/// What has to hold.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// The most deaths told of processes that live.
-    pub buried_alive: Option<usize>,
-    /// The most seconds until a killed member is known dead by all.
-    pub known_in: Option<f64>,
-    /// At the end all see just those that live.
-    pub agree: bool,
-    /// The most that members share out at any time: the sum over those that live of one part in the number each goes by.
-    pub shared_out: Option<f64>,
+    /// The most deaths that are reported of running processes.
+    #[serde(rename = "buried_alive")]
+    pub max_false_positives: Option<usize>,
+    /// The most seconds until all members know of a killed one's death.
+    #[serde(rename = "known_in")]
+    pub max_detection_s: Option<f64>,
+    /// Whether at the end all members have to observe exactly the living ones.
+    #[serde(rename = "agree")]
+    pub must_converge: bool,
+    /// The most that the living members' shares of the fleet add up to at any time. A member's share is one part in its own
+    /// estimate of the number of gatherers.
+    #[serde(rename = "shared_out")]
+    pub max_total_share: Option<f64>,
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads an experiment's file.
+    ///
+    /// # Errors
+    /// The file cannot be read, is not in the form, or its experiment cannot be run.
     pub fn read(path: &Path) -> Result<Experiment, Error> {
         let name = path.display().to_string();
         let text =
@@ -160,88 +202,74 @@
         Experiment::parse(&text).map_err(|error| Error::Form { path: name, error })
     }
 
-    /// Reads a text, and checks it.
+    /// Reads an experiment's text, and checks it.
+    ///
+    /// # Errors
+    /// A message for people: the text's fault with line and key, or what [`Experiment::check`] finds.
     pub fn parse(text: &str) -> Result<Experiment, String> {
         let experiment: Experiment = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
         experiment.check()?;
         Ok(experiment)
     }
 
-    /// The protocol's times.
+    /// The protocol's time constants.
     pub fn timing(&self) -> Timing {
-        let (period, bury) = (Duration::from_millis(self.period_ms), Duration::from_millis(self.bury_ms));
+        let probe_interval = Duration::from_millis(self.probe_interval_ms);
         Timing {
-            probe_interval: period,
-            gossip_interval: period / 5,
-            suspicion_timeout: bury,
+            probe_interval,
+            gossip_interval: probe_interval / 5,
+            suspicion_timeout: Duration::from_millis(self.suspicion_timeout_ms),
             ..Timing::default()
         }
     }
 
-    /// Whether it can be played; what is wrong, by key or step.
+    /// Checks whether the experiment can be run.
+    ///
+    /// # Errors
+    /// A message for people that names the key or step at fault.
     pub fn check(&self) -> Result<(), String> {
-        if !(2..=2000).contains(&self.members) {
+        if !MEMBER_COUNTS.contains(&self.members) {
             return Err(format!("members: {}, 2 to 2000 can be played", self.members));
         }
-        if !(self.seconds > 0.0 && self.seconds <= 604_800.0) {
+        if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
             return Err(format!("seconds: {}, a week at most", self.seconds));
         }
-        let shares =
-            |net: &Net| [net.loss, net.twice, net.late].iter().all(|share| (0.0..=1.0).contains(share));
-        if !shares(&self.net) {
+        if !self.network.is_valid() {
             return Err("net: shares lie between 0 and 1".to_owned());
         }
-        for (at, step) in self.step.iter().enumerate() {
-            let fault = |what: &str| Err(format!("step {} ({:?} at {}): {what}", at + 1, step.what, step.at));
-            let needs_who = !matches!(step.what, Doing::Heal | Doing::Net);
-            let cuts = matches!(step.what, Doing::Cut | Doing::CutOneWay);
-            if !(0.0..=self.seconds).contains(&step.at) {
-                return fault("it lies outside of what is played");
-            }
-            if needs_who != step.who.is_some() || cuts != step.to.is_some() {
-                return fault(
-                    "`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere",
-                );
-            }
-            if (step.what == Doing::Pause) != step.seconds.is_some() {
-                return fault("`seconds` is the length of a pause");
-            }
-            if (step.what == Doing::Net) != step.net.is_some_and(|net| shares(&net)) {
-                return fault("`net` is the network of a `net` step, in shares between 0 and 1");
-            }
-            if step.every.is_some_and(|every| every.is_nan() || every < 0.05) {
-                return fault("`every`: 0.05 s at least");
-            }
-            let all = [&step.who, &step.to].into_iter().flatten().flat_map(Who::ids);
-            if all.into_iter().any(|id| id >= self.members) {
-                return fault("there is no such member");
+        for (index, step) in self.steps.iter().enumerate() {
+            if let Some(fault) = self.step_fault(step) {
+                return Err(format!("step {} ({} at {}): {fault}", index + 1, step.action, step.at));
             }
         }
         Ok(())
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn faults_are_named_by_line_key_or_step() {
-        let parse = |text: &str| Experiment::parse(text).expect_err("faulty");
-        let head = "title = \"t\"\nmembers = 5\nseconds = 10.0\n";
-        assert!(parse("title = \"t\"\nmember = 5\n").contains("line 2"));
-        assert!(parse("title = \"t\"\nmembers = 1\nseconds = 1.0").starts_with("members: 1"));
-        assert!(parse(&format!("{head}[net]\nloss = 1.5")).starts_with("net:"));
-        let step = |text: &str| parse(&format!("{head}[[step]]\n{text}"));
-        assert!(step("at = 11.0\ndo = \"heal\"").contains("outside"));
-        assert!(step("at = 1.0\ndo = \"kill\"").contains("`who`"));
-        assert!(step("at = 1.0\ndo = \"kill\"\nwho = [5]").contains("no such member"));
-        assert!(step("at = 1.0\ndo = \"pause\"\nwho = [1]").contains("`seconds`"));
-        assert!(step("at = 1.0\ndo = \"cut\"\nwho = [1]").contains("`to`"));
-        let whole = format!("{head}[[step]]\nat = 1.0\ndo = \"cut\"\nwho = [1]\nto = {{ from = 2, to = 4 }}");
-        assert_eq!(
-            Experiment::parse(&whole).map(|it| it.step[0].to.as_ref().map(Who::ids)),
-            Ok(Some(vec![2, 3, 4]))
-        );
+    fn step_fault(&self, step: &Step) -> Option<&'static str> {
+        let needs_members = !matches!(step.action, Action::Heal | Action::SetNetwork);
+        let is_partition = matches!(step.action, Action::Partition | Action::PartitionOneWay);
+        if !(0.0..=self.seconds).contains(&step.at) {
+            return Some("it lies outside of what is played");
+        }
+        if needs_members != step.members.is_some() || is_partition != step.to.is_some() {
+            return Some(
+                "`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere",
+            );
+        }
+        if (step.action == Action::Pause) != step.seconds.is_some() {
+            return Some("`seconds` is the length of a pause");
+        }
+        let has_network = step.network.is_some_and(|network| network.is_valid());
+        if (step.action == Action::SetNetwork) != has_network {
+            return Some("`net` is the network of a `net` step, in shares between 0 and 1");
+        }
+        if step.every.is_some_and(|every| every.is_nan() || every < MIN_REPEAT_SECONDS) {
+            return Some("`every`: 0.05 s at least");
+        }
+        let mut ids = [&step.members, &step.to].into_iter().flatten().flat_map(MemberSet::ids);
+        ids.any(|id| id >= self.members).then_some("there is no such member")
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/simulation/experiment/tests.rs
@@ -0,0 +1,32 @@
+use super::{Experiment, MemberSet};
+
+#[test]
+fn a_fault_is_named_by_line_key_or_step() {
+    let parse = |text: &str| Experiment::parse(text).expect_err("faulty");
+    let head = "title = \"t\"\nmembers = 5\nseconds = 10.0\n";
+    assert!(parse("title = \"t\"\nmember = 5\n").contains("line 2"));
+    assert!(parse("title = \"t\"\nmembers = 1\nseconds = 1.0").starts_with("members: 1"));
+    assert!(parse(&format!("{head}[net]\nloss = 1.5")).starts_with("net:"));
+    let step = |text: &str| parse(&format!("{head}[[step]]\n{text}"));
+    assert!(step("at = 11.0\ndo = \"heal\"").contains("outside"));
+    assert!(step("at = 1.0\ndo = \"kill\"").contains("`who`"));
+    assert!(step("at = 1.0\ndo = \"kill\"\nwho = [5]").contains("no such member"));
+    assert!(step("at = 1.0\ndo = \"pause\"\nwho = [1]").contains("`seconds`"));
+    assert!(step("at = 1.0\ndo = \"cut\"\nwho = [1]").contains("`to`"));
+    let complete = format!("{head}[[step]]\nat = 1.0\ndo = \"cut\"\nwho = [1]\nto = {{ from = 2, to = 4 }}");
+    assert_eq!(
+        Experiment::parse(&complete).map(|it| it.steps[0].to.as_ref().map(MemberSet::ids)),
+        Ok(Some(vec![2, 3, 4]))
+    );
+}
+
+#[test]
+fn an_action_prints_by_the_name_that_it_has_in_a_file() {
+    use super::Action::{HandOver, Heal, Kill, Leave, Partition, PartitionOneWay, Pause, SetNetwork, Start};
+    let actions = [Kill, Start, Pause, Leave, HandOver, PartitionOneWay, Partition, Heal, SetNetwork];
+    let outer = ["kill", "start", "pause", "leave", "move", "cut_one_way", "cut", "heal", "net"];
+    for (action, name) in actions.into_iter().zip(outer) {
+        assert_eq!(action.to_string(), name);
+        assert_eq!(serde_json::to_value(action).expect("JSON"), name);
+    }
+}
--- /dev/null
+++ b/src/simulation/runner.rs
@@ -0,0 +1,204 @@
+//! Runs an experiment in virtual time, and observes at regular intervals what the members know.
+
+use super::engine::Simulation;
+use super::experiment::{Action, Experiment, MemberSet, Step};
+use super::network::Traffic;
+use super::outcome::{Moment, Outcome};
+use super::peer::Peer;
+use crate::policy::Time;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// The time between two observations of what all members know.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
+/// Nanoseconds between two moments of an outcome.
+const MOMENT_INTERVAL_NS: u64 = 1_000_000_000;
+
+/// A step at one of its times, from the experiment's start.
+struct DueStep {
+    at: Time,
+    step: Step,
+}
+
+/// A killed member whose death not all know of yet.
+struct OpenDeath {
+    /// The start of the killed process.
+    start: u64,
+    killed_at: Time,
+}
+
+/// All steps in the order of their times, with their repetitions.
+fn schedule(experiment: &Experiment) -> Vec<DueStep> {
+    let mut schedule = Vec::new();
+    for step in &experiment.steps {
+        let mut at = step.at;
+        loop {
+            let due = Time(0).after(Duration::from_secs_f64(at));
+            schedule.push(DueStep { at: due, step: step.clone() });
+            let Some(every) = step.every else { break };
+            at += every;
+            if at > experiment.seconds {
+                break;
+            }
+        }
+    }
+    schedule.sort_by_key(|due| due.at);
+    schedule
+}
+
+/// Runs an experiment with these members. `progress` is notified of each second that is done.
+pub fn run<P: Peer>(
+    experiment: &Experiment,
+    simulation: Simulation<P>,
+    mut progress: impl FnMut(f64),
+) -> Outcome {
+    let started = Instant::now();
+    let mut run = Run::new(experiment, simulation);
+    let mut steps = schedule(experiment).into_iter().peekable();
+    let end = Time(0).after(Duration::from_secs_f64(experiment.seconds));
+    while run.now < end {
+        while let Some(due) = steps.next_if(|due| due.at <= run.now) {
+            run.apply(&due.step);
+        }
+        run.advance(OBSERVATION_INTERVAL.min(end.since(run.now)));
+        if run.now.0.is_multiple_of(MOMENT_INTERVAL_NS) {
+            progress(run.observe_moment());
+        }
+    }
+    run.finish(experiment, started)
+}
+
+/// An experiment that is running.
+struct Run<P: Peer> {
+    simulation: Simulation<P>,
+    /// The simulation's time when the experiment started.
+    started_at: Time,
+    /// The time from the experiment's start.
+    now: Time,
+    last_step_at: Time,
+    /// The sum of the seconds in which each member's process ran.
+    member_seconds: f64,
+    open_deaths: BTreeMap<usize, OpenDeath>,
+    outcome: Outcome,
+}
+
+impl<P: Peer> Run<P> {
+    fn new(experiment: &Experiment, mut simulation: Simulation<P>) -> Run<P> {
+        simulation.reports.clear();
+        simulation.traffic = Traffic::default();
+        simulation.faults = experiment.network;
+        let outcome = Outcome {
+            title: experiment.title.clone(),
+            members: experiment.members,
+            seed: experiment.seed,
+            ..Outcome::default()
+        };
+        Run {
+            started_at: simulation.now,
+            simulation,
+            now: Time(0),
+            last_step_at: Time(0),
+            member_seconds: 0.0,
+            open_deaths: BTreeMap::new(),
+            outcome,
+        }
+    }
+
+    fn apply(&mut self, step: &Step) {
+        (self.last_step_at, self.outcome.converged_after_s) = (self.now, None);
+        let ids = step.members.as_ref().map(MemberSet::ids).unwrap_or_default();
+        let simulation = &mut self.simulation;
+        match step.action {
+            Action::Kill => ids.into_iter().for_each(|id| self.kill(id)),
+            Action::Start => {
+                for id in ids {
+                    if simulation.node(id).is_none() {
+                        simulation.start(id);
+                    }
+                }
+            }
+            Action::Pause => {
+                let duration = Duration::from_secs_f64(step.seconds.unwrap_or(0.0));
+                ids.into_iter().for_each(|id| simulation.pause(id, duration));
+            }
+            Action::Leave => ids.into_iter().for_each(|id| simulation.leave(id, false)),
+            Action::HandOver => ids.into_iter().for_each(|id| simulation.leave(id, true)),
+            Action::Partition | Action::PartitionOneWay => {
+                let from: BTreeSet<usize> = ids.into_iter().collect();
+                let to = step.to.as_ref().map(MemberSet::ids).unwrap_or_default();
+                let to: BTreeSet<usize> = to.into_iter().collect();
+                simulation.partition(|id| from.contains(&id), |id| to.contains(&id));
+                if step.action == Action::Partition {
+                    simulation.partition(|id| to.contains(&id), |id| from.contains(&id));
+                }
+            }
+            Action::Heal => simulation.partitions.clear(),
+            Action::SetNetwork => simulation.faults = step.network.unwrap_or_default(),
+        }
+    }
+
+    fn kill(&mut self, id: usize) {
+        if let Some(node) = self.simulation.node(id) {
+            let death = OpenDeath { start: node.start(), killed_at: self.now };
+            self.open_deaths.insert(id, death);
+            self.outcome.killed += 1;
+        }
+        self.simulation.kill(id);
+    }
+
+    /// Lets time pass, and notes which deaths all members know of now. A death that is not known when the member starts
+    /// again is no longer waited for.
+    fn advance(&mut self, duration: Duration) {
+        self.simulation.advance(duration);
+        self.now = self.now.after(duration);
+        let (simulation, now) = (&self.simulation, self.now);
+        self.member_seconds += simulation.living().count() as f64 * duration.as_secs_f64();
+        let detection_s = &mut self.outcome.detection_s;
+        self.open_deaths.retain(|id, death| {
+            let restarted = simulation.node(*id).is_some_and(|node| node.start() > death.start);
+            let is_present =
+                |by: usize| simulation.observed_state(by, *id).is_some_and(|state| state.is_present());
+            let detected = !simulation.living().any(is_present);
+            if detected && !restarted {
+                detection_s.push(now.since(death.killed_at).as_secs_f64());
+            }
+            !detected && !restarted
+        });
+    }
+
+    /// Adds a moment to the outcome; returns its time in seconds.
+    fn observe_moment(&mut self) -> f64 {
+        let simulation = &self.simulation;
+        let estimates: Vec<u32> = simulation.living().filter_map(|id| simulation.gatherers(id)).collect();
+        let share = |estimate: &u32| 1.0 / f64::from((*estimate).max(1));
+        let moment = Moment {
+            at: self.now.since(Time(0)).as_secs_f64(),
+            living: estimates.len(),
+            converged: simulation.converged_members(),
+            min_estimate: estimates.iter().copied().min().unwrap_or(0),
+            max_estimate: estimates.iter().copied().max().unwrap_or(0),
+            total_share: estimates.iter().map(share).sum(),
+        };
+        let at = moment.at;
+        if moment.converged == moment.living && self.outcome.converged_after_s.is_none() {
+            let elapsed = self.now.since(self.last_step_at);
+            self.outcome.converged_after_s = Some(elapsed.as_secs_f64());
+        }
+        self.outcome.moments.push(moment);
+        at
+    }
+
+    fn finish(self, experiment: &Experiment, started: Instant) -> Outcome {
+        debug_assert_eq!(self.simulation.now.since(self.started_at), self.now.since(Time(0)));
+        let (simulation, member_seconds) = (self.simulation, self.member_seconds);
+        let mut outcome = self.outcome;
+        for report in simulation.false_positives() {
+            *outcome.false_positives.entry(report.change.name.clone()).or_default() += 1;
+        }
+        outcome.datagrams_per_s = simulation.traffic.datagrams as f64 / member_seconds;
+        outcome.bytes_per_s = simulation.traffic.bytes as f64 / member_seconds;
+        outcome.cpu_us = started.elapsed().as_micros() as f64 / member_seconds;
+        outcome.broken_rules = outcome.check_rules(experiment);
+        outcome
+    }
+}
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,144 +1,152 @@
-//! Members in virtual time, under each fault that they have to bear: who is found dead and when, who is not, and what
-//! number of gatherers each goes by meanwhile.
+//! Membership in virtual time under each fault that it has to tolerate: which members are declared dead and when, which are
+//! not, and what each estimates the number of gatherers to be meanwhile.
 
 use gatherer::membership::{Node, ObservedState, Timing};
-use gatherer::simulation::engine::{self, Net, counted};
+use gatherer::simulation::engine::Report;
+use gatherer::simulation::observations::state_counts;
+use gatherer::simulation::{NetworkFaults, Simulation};
 use std::time::Duration;
 
-type World = engine::Simulation<Node>;
+type Members = Simulation<Node>;
 
 fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn world(count: usize, seed: u64) -> World {
-    let mut world = World::of_nodes(count, seed, Timing::default());
-    let first = world.living().next().expect("one");
-    assert!(world.agree(), "seed {seed}: {:?}", world.node(first).map(counted));
-    assert!(world.buried_alive().is_empty());
-    world.told.clear();
-    world
+fn converged_members(count: usize, seed: u64) -> Members {
+    let mut simulation = Members::of_nodes(count, seed, Timing::default());
+    let first = simulation.living().next().expect("one");
+    assert!(simulation.has_converged(), "seed {seed}: {:?}", simulation.node(first).map(state_counts));
+    assert!(simulation.false_positives().is_empty());
+    simulation.reports.clear();
+    simulation
 }
 
 #[test]
-fn a_death_is_known_to_all_soon_and_certain_and_the_number_falls_at_once() {
+fn a_death_is_known_to_all_within_three_seconds_and_lowers_the_estimate_at_once() {
     for (count, seed) in [(5, 1), (5, 2), (30, 3), (30, 4), (300, 5)] {
-        let mut world = world(count, seed);
-        world.kill(count - 1);
-        let took = world.until(s(10), World::agree);
-        assert!(took.is_some_and(|took| took <= s(3)), "{count} members, seed {seed}: {took:?}");
-        assert_eq!(world.sees(0, count - 1), Some(ObservedState::Dead));
-        assert_eq!(world.gatherers(0), Some(count as u32 - 1));
+        let mut simulation = converged_members(count, seed);
+        simulation.kill(count - 1);
+        let elapsed = simulation.run_until(s(10), Members::has_converged);
+        assert!(elapsed.is_some_and(|elapsed| elapsed <= s(3)), "{count} members, seed {seed}: {elapsed:?}");
+        assert_eq!(simulation.observed_state(0, count - 1), Some(ObservedState::Dead));
+        assert_eq!(simulation.gatherers(0), Some(count as u32 - 1));
     }
 }
 
 #[test]
-fn no_pause_under_five_seconds_is_a_death_and_longer_ones_are_taken_back() {
+fn no_pause_under_five_seconds_is_a_death_and_a_longer_one_is_refuted() {
     for seed in 1..6 {
-        let mut world = world(12, seed);
+        let mut simulation = converged_members(12, seed);
         for pause in [100, 900, 2500, 4900] {
-            (0..4).for_each(|id| world.stop(id, Duration::from_millis(pause)));
-            world.advance(s(12));
-            assert!(world.buried_alive().is_empty(), "seed {seed}: a pause of {pause} ms was a death");
-            assert!(world.agree());
+            (0..4).for_each(|id| simulation.pause(id, Duration::from_millis(pause)));
+            simulation.advance(s(12));
+            assert!(
+                simulation.false_positives().is_empty(),
+                "seed {seed}: a pause of {pause} ms was a death"
+            );
+            assert!(simulation.has_converged());
         }
-        world.stop(3, s(30));
-        world.advance(s(25));
-        assert_eq!(world.sees(0, 3), Some(ObservedState::Failed));
-        assert_eq!(world.gatherers(0), Some(12), "its share is not given away yet");
-        world.advance(s(15));
-        assert!(world.agree(), "seed {seed}: {:?}", world.node(0).map(counted));
-        // The one that stood still buried nobody when it woke.
+        simulation.pause(3, s(30));
+        simulation.advance(s(25));
+        assert_eq!(simulation.observed_state(0, 3), Some(ObservedState::Failed));
+        assert_eq!(simulation.gatherers(0), Some(12), "its share is not redistributed yet");
+        simulation.advance(s(15));
+        assert!(simulation.has_converged(), "seed {seed}: {:?}", simulation.node(0).map(state_counts));
+        // The paused member declared nobody dead when it resumed.
         assert!(
-            world.told.iter().all(|told| told.by != 3 || !matches!(told.change.state, ObservedState::Failed))
+            simulation
+                .reports
+                .iter()
+                .all(|report| report.by != 3 || !matches!(report.change.state, ObservedState::Failed))
         );
     }
 }
 
 #[test]
-fn loss_doubling_and_delay_bury_nobody() {
+fn loss_duplication_and_delay_cause_no_false_positive() {
     for (seed, loss) in [(1, 0.05), (2, 0.2), (3, 0.2), (4, 0.4)] {
-        let mut world = world(20, seed);
-        world.net = Net { loss, twice: 0.1, late: 0.1 };
-        world.advance(s(120));
-        assert!(world.buried_alive().is_empty(), "loss {loss}, seed {seed}");
-        world.kill(7);
-        let took = world.until(s(30), World::agree);
-        assert!(took.is_some_and(|took| took <= s(10)), "loss {loss}, seed {seed}: {took:?}");
+        let mut simulation = converged_members(20, seed);
+        simulation.faults = NetworkFaults { loss, duplicated: 0.1, delayed: 0.1 };
+        simulation.advance(s(120));
+        assert!(simulation.false_positives().is_empty(), "loss {loss}, seed {seed}");
+        simulation.kill(7);
+        let elapsed = simulation.run_until(s(30), Members::has_converged);
+        assert!(elapsed.is_some_and(|elapsed| elapsed <= s(10)), "loss {loss}, seed {seed}: {elapsed:?}");
     }
 }
 
 #[test]
-fn halves_keep_their_shares_and_lose_nobody_when_they_meet_again() {
+fn both_sides_of_a_split_keep_their_shares_and_merge_without_a_false_positive() {
     for seed in 1..4 {
-        let mut world = world(10, seed);
-        let left = |id: usize| id < 5;
-        world.cut(left, |id| !left(id));
-        world.cut(|id| !left(id), left);
-        world.advance(s(120));
-        assert_eq!(world.sees(0, 9), Some(ObservedState::Failed));
-        // Neither half is a majority: each goes on with the share that it had.
-        (0..10).for_each(|id| assert_eq!(world.gatherers(id), Some(10), "seed {seed}, member {id}"));
-        world.told.clear();
-        world.cuts.clear();
-        let took = world.until(s(60), World::agree);
-        assert!(took.is_some_and(|took| took < s(20)), "seed {seed}: {took:?}");
-        // Merging buries nobody of either half again.
-        assert!(world.buried_alive().is_empty(), "seed {seed}");
-        // What is certain goes on to be told across.
-        world.kill(9);
-        assert!(world.until(s(5), World::agree).is_some());
+        let mut simulation = converged_members(10, seed);
+        let first_half = |id: usize| id < 5;
+        simulation.partition(first_half, |id| !first_half(id));
+        simulation.partition(|id| !first_half(id), first_half);
+        simulation.advance(s(120));
+        assert_eq!(simulation.observed_state(0, 9), Some(ObservedState::Failed));
+        // Neither half is a majority: each continues with the share that it had.
+        (0..10).for_each(|id| assert_eq!(simulation.gatherers(id), Some(10), "seed {seed}, member {id}"));
+        simulation.reports.clear();
+        simulation.partitions.clear();
+        let elapsed = simulation.run_until(s(60), Members::has_converged);
+        assert!(elapsed.is_some_and(|elapsed| elapsed < s(20)), "seed {seed}: {elapsed:?}");
+        // Merging declares no member of either half dead again.
+        assert!(simulation.false_positives().is_empty(), "seed {seed}");
+        // Certain deaths still spread to both.
+        simulation.kill(9);
+        assert!(simulation.run_until(s(5), Members::has_converged).is_some());
     }
 }
 
 #[test]
-fn a_majority_takes_a_lost_minority_s_share_after_a_while_and_gives_it_back() {
-    let mut world = world(10, 7);
+fn a_majority_takes_the_share_of_a_partitioned_minority_after_a_hold_and_returns_it() {
+    let mut simulation = converged_members(10, 7);
     let cut_off = |id: usize| id < 3;
-    world.cut(cut_off, |id| !cut_off(id));
-    world.cut(|id| !cut_off(id), cut_off);
-    world.advance(s(25));
-    assert_eq!((world.gatherers(9), world.gatherers(0)), (Some(10), Some(10)));
-    world.advance(s(45));
-    assert_eq!((world.gatherers(9), world.gatherers(0)), (Some(7), Some(10)));
-    world.cuts.clear();
-    assert!(world.until(s(30), World::agree).is_some());
-    assert_eq!(world.gatherers(9), Some(10));
+    simulation.partition(cut_off, |id| !cut_off(id));
+    simulation.partition(|id| !cut_off(id), cut_off);
+    simulation.advance(s(25));
+    assert_eq!((simulation.gatherers(9), simulation.gatherers(0)), (Some(10), Some(10)));
+    simulation.advance(s(45));
+    assert_eq!((simulation.gatherers(9), simulation.gatherers(0)), (Some(7), Some(10)));
+    simulation.partitions.clear();
+    assert!(simulation.run_until(s(30), Members::has_converged).is_some());
+    assert_eq!(simulation.gatherers(9), Some(10));
 }
 
 #[test]
-fn a_cut_between_two_is_no_death_and_is_told_apart() {
+fn a_partition_between_two_members_is_observed_as_one_and_not_as_a_death() {
     for seed in 1..4 {
-        let mut world = world(8, seed);
-        // Nothing passes from 2 to 5; all else does.
-        world.cut(|id| id == 2, |id| id == 5);
-        world.advance(s(120));
-        assert!(world.buried_alive().is_empty(), "seed {seed}");
-        // 5 hears 2 through others alone, and so does 2 hear 5's answers to what never came.
-        assert_eq!(world.sees(5, 2), Some(ObservedState::Partitioned), "seed {seed}");
+        let mut simulation = converged_members(8, seed);
+        // Nothing passes from 2 to 5; everything else passes.
+        simulation.partition(|id| id == 2, |id| id == 5);
+        simulation.advance(s(120));
+        assert!(simulation.false_positives().is_empty(), "seed {seed}");
+        // 5 learns of 2 through other members only.
+        assert_eq!(simulation.observed_state(5, 2), Some(ObservedState::Partitioned), "seed {seed}");
         assert!(
             (0..8)
                 .filter(|id| ![2, 5].contains(id))
-                .all(|id| world.sees(id, 2) == Some(ObservedState::Alive))
+                .all(|id| simulation.observed_state(id, 2) == Some(ObservedState::Alive))
         );
-        world.cuts.clear();
-        world.advance(s(30));
-        assert_eq!(world.sees(5, 2), Some(ObservedState::Alive), "seed {seed}");
+        simulation.partitions.clear();
+        simulation.advance(s(30));
+        assert_eq!(simulation.observed_state(5, 2), Some(ObservedState::Alive), "seed {seed}");
     }
 }
 
 #[test]
-fn a_firewall_between_two_that_refuses_is_no_death() {
+fn a_firewall_between_two_members_that_refuses_connections_is_not_a_death() {
     for seed in 1..4 {
-        let mut world = world(8, seed);
-        world.refusing = true;
-        world.cut(|id| id == 2, |id| id == 5);
-        world.cut(|id| id == 5, |id| id == 2);
-        world.advance(s(120));
-        // Both find the other refused within a moment, and others say in the same moment that it is there.
-        assert!(world.buried_alive().is_empty(), "seed {seed}: {:?}", world.buried_alive());
+        let mut simulation = converged_members(8, seed);
+        simulation.partitions_refuse = true;
+        simulation.partition(|id| id == 2, |id| id == 5);
+        simulation.partition(|id| id == 5, |id| id == 2);
+        simulation.advance(s(120));
+        // Each is refused by the other at once, while other members report at the same time that it is alive.
+        assert!(simulation.false_positives().is_empty(), "seed {seed}: {:?}", simulation.false_positives());
         assert_eq!(
-            (world.sees(2, 5), world.sees(5, 2)),
+            (simulation.observed_state(2, 5), simulation.observed_state(5, 2)),
             (Some(ObservedState::Partitioned), Some(ObservedState::Partitioned)),
             "seed {seed}"
         );
@@ -146,66 +154,71 @@
 }
 
 #[test]
-fn one_that_is_cut_off_from_all_buries_nobody() {
-    let mut world = world(9, 11);
-    world.cut(|id| id == 4, |_| true);
-    world.cut(|_| true, |id| id == 4);
-    world.advance(s(90));
-    assert!(world.told.iter().all(|told| told.by != 4 || told.change.state != ObservedState::Failed));
-    assert!(world.node(4).is_some_and(|node| node.is_isolated(world.now)));
-    assert_eq!(world.gatherers(4), Some(9));
-    assert_eq!(world.sees(0, 4), Some(ObservedState::Failed));
-    world.cuts.clear();
-    assert!(world.until(s(30), World::agree).is_some());
+fn a_member_that_is_partitioned_from_all_declares_nobody_dead() {
+    let mut simulation = converged_members(9, 11);
+    simulation.partition(|id| id == 4, |_| true);
+    simulation.partition(|_| true, |id| id == 4);
+    simulation.advance(s(90));
+    assert!(
+        simulation
+            .reports
+            .iter()
+            .all(|report| report.by != 4 || report.change.state != ObservedState::Failed)
+    );
+    assert!(simulation.node(4).is_some_and(|node| node.is_isolated(simulation.now)));
+    assert_eq!(simulation.gatherers(4), Some(9));
+    assert_eq!(simulation.observed_state(0, 4), Some(ObservedState::Failed));
+    simulation.partitions.clear();
+    assert!(simulation.run_until(s(30), Members::has_converged).is_some());
 }
 
 #[test]
-fn a_release_that_kills_seven_of_ten_at_once_is_known_and_they_come_back_as_new() {
+fn a_release_that_kills_seven_of_ten_at_once_is_detected_and_the_restarted_members_rejoin() {
     for seed in [1, 2] {
-        let mut world = world(100, seed);
-        (0..70).for_each(|id| world.kill(id));
-        let took = world.until(s(20), World::agree);
-        assert!(took.is_some_and(|took| took <= s(8)), "seed {seed}: {took:?}");
-        assert_eq!(world.gatherers(99), Some(30));
-        // The seeds were among them.
-        (0..70).for_each(|id| world.start(id));
-        let took = world.until(s(30), World::agree);
-        assert!(took.is_some_and(|took| took <= s(15)), "seed {seed}: {took:?}");
-        assert!(world.buried_alive().is_empty());
-        assert_eq!(world.gatherers(0), Some(100));
+        let mut simulation = converged_members(100, seed);
+        (0..70).for_each(|id| simulation.kill(id));
+        let elapsed = simulation.run_until(s(20), Members::has_converged);
+        assert!(elapsed.is_some_and(|elapsed| elapsed <= s(8)), "seed {seed}: {elapsed:?}");
+        assert_eq!(simulation.gatherers(99), Some(30));
+        // The seeds are among them.
+        (0..70).for_each(|id| simulation.start(id));
+        let elapsed = simulation.run_until(s(30), Members::has_converged);
+        assert!(elapsed.is_some_and(|elapsed| elapsed <= s(15)), "seed {seed}: {elapsed:?}");
+        assert!(simulation.false_positives().is_empty());
+        assert_eq!(simulation.gatherers(0), Some(100));
     }
 }
 
 #[test]
-fn an_upgrade_is_no_death_and_who_leaves_is_gone_at_once() {
-    let mut world = world(10, 3);
-    world.leave(4, true);
-    world.advance(s(4));
-    assert_eq!(world.gatherers(0), Some(10), "it moves");
-    world.start(4);
-    assert!(world.until(s(10), World::agree).is_some());
-    world.leave(5, false);
-    let took = world.until(s(5), World::agree);
-    assert!(took.is_some_and(|took| took <= s(1)), "{took:?}");
-    let dead =
-        |told: &&engine::Told| matches!(told.change.state, ObservedState::Dead | ObservedState::Failed);
-    assert_eq!(world.told.iter().filter(dead).count(), 0);
-    // One that moves and never comes is found dead all the same.
-    world.leave(6, true);
-    world.advance(s(20));
-    assert!(world.agree());
+fn an_upgrade_is_not_a_death_and_a_leaving_member_is_gone_at_once() {
+    let mut simulation = converged_members(10, 3);
+    simulation.leave(4, true);
+    simulation.advance(s(4));
+    assert_eq!(simulation.gatherers(0), Some(10), "it is handing over");
+    simulation.start(4);
+    assert!(simulation.run_until(s(10), Members::has_converged).is_some());
+    simulation.leave(5, false);
+    let elapsed = simulation.run_until(s(5), Members::has_converged);
+    assert!(elapsed.is_some_and(|elapsed| elapsed <= s(1)), "{elapsed:?}");
+    let is_death =
+        |report: &&Report| matches!(report.change.state, ObservedState::Dead | ObservedState::Failed);
+    assert_eq!(simulation.reports.iter().filter(is_death).count(), 0);
+    // A member whose successor never comes is declared dead all the same.
+    simulation.leave(6, true);
+    simulation.advance(s(20));
+    assert!(simulation.has_converged());
 }
 
 #[test]
-fn restarts_in_a_loop_do_not_grow_what_is_remembered() {
-    let mut world = world(6, 9);
+fn a_restart_loop_does_not_grow_the_member_table() {
+    let mut simulation = converged_members(6, 9);
     for _ in 0..100 {
-        world.kill(5);
-        world.advance(Duration::from_millis(300));
-        world.start(5);
-        world.advance(Duration::from_millis(700));
+        simulation.kill(5);
+        simulation.advance(Duration::from_millis(300));
+        simulation.start(5);
+        simulation.advance(Duration::from_millis(700));
     }
-    world.advance(s(10));
-    assert!(world.agree());
-    assert!((0..6).all(|id| world.node(id).is_some_and(|node| node.table().iter().count() == 5)));
+    simulation.advance(s(10));
+    assert!(simulation.has_converged());
+    assert!((0..6).all(|id| simulation.node(id).is_some_and(|node| node.table().iter().count() == 5)));
 }
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,88 +1,101 @@
-//! Every way in which the first messages after a fault may be lost, played on the program's own state machine: three or
-//! four members, one crash, one cut, both, or one that stands still.
+//! Every pattern of loss of the first messages after a fault, run on the program's own state machine: three or four members
+//! with a crash, a partition, both, or a paused member.
 
 use gatherer::membership::{Node, ObservedState, Timing};
-use gatherer::simulation::engine;
+use gatherer::simulation::Simulation;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-type World = engine::Simulation<Node>;
+type Members = Simulation<Node>;
 
-/// Messages of which each is lost or not: all patterns are played.
+/// Messages that are each lost or delivered: all patterns are run.
 const MESSAGES: u32 = 7;
 
-struct Seen {
-    worlds: usize,
-    /// Different histories: who told what of whom, in which order.
+struct Explored {
+    runs: usize,
+    /// Different histories: which member reported which state of which other, in order.
     histories: BTreeSet<Vec<(usize, String, ObservedState)>>,
 }
 
-/// Plays a fault under all patterns of loss; what is to hold in each is checked in it.
-fn explore(members: usize, fault: impl Fn(&mut World), holds: impl Fn(&mut World, &str)) -> Seen {
-    let mut seen = Seen { worlds: 0, histories: BTreeSet::new() };
+/// Applies a fault under all patterns of loss; `check` asserts what has to hold in each.
+fn explore(members: usize, fault: impl Fn(&mut Members), check: impl Fn(&mut Members, &str)) -> Explored {
+    let mut explored = Explored { runs: 0, histories: BTreeSet::new() };
     for pattern in 0..1_u32 << MESSAGES {
-        let mut world = World::of_nodes(members, 3, Timing::default());
-        world.told.clear();
-        fault(&mut world);
-        world.script = (0..MESSAGES).map(|at| pattern >> at & 1 == 1).collect();
-        holds(&mut world, &format!("pattern {pattern:07b}"));
-        seen.worlds += 1;
-        let told = world.told.iter().map(|told| (told.by, told.change.name.clone(), told.change.state));
-        seen.histories.insert(told.collect());
+        let mut simulation = Members::of_nodes(members, 3, Timing::default());
+        simulation.reports.clear();
+        fault(&mut simulation);
+        simulation.scripted_losses = (0..MESSAGES).map(|at| pattern >> at & 1 == 1).collect();
+        check(&mut simulation, &format!("pattern {pattern:07b}"));
+        explored.runs += 1;
+        let history = simulation
+            .reports
+            .iter()
+            .map(|report| (report.by, report.change.name.clone(), report.change.state));
+        explored.histories.insert(history.collect());
     }
-    seen
+    explored
 }
 
-fn dead_to_all(world: &World, id: usize) -> bool {
-    world.living().all(|by| matches!(world.sees(by, id), Some(ObservedState::Dead | ObservedState::Failed)))
+fn dead_to_all(simulation: &Members, id: usize) -> bool {
+    simulation.living().all(|by| {
+        matches!(simulation.observed_state(by, id), Some(ObservedState::Dead | ObservedState::Failed))
+    })
 }
 
 #[test]
-fn a_crash_is_found_and_nothing_else_whatever_is_lost() {
-    let holds = |world: &mut World, what: &str| {
-        let found = world.until(Duration::from_secs(6), |world| dead_to_all(world, 2));
-        assert!(found.is_some(), "{what}: {:?}", world.told);
-        assert!(world.buried_alive().is_empty(), "{what}");
+fn a_crash_is_detected_without_a_false_positive_whatever_is_lost() {
+    let check = |simulation: &mut Members, pattern: &str| {
+        let detected = simulation.run_until(Duration::from_secs(6), |simulation| dead_to_all(simulation, 2));
+        assert!(detected.is_some(), "{pattern}: {:?}", simulation.reports);
+        assert!(simulation.false_positives().is_empty(), "{pattern}");
         assert!(
-            world.living().all(|id| world.gatherers(id) == Some(3)),
-            "{what}: its share is given on at once"
+            simulation.living().all(|id| simulation.gatherers(id) == Some(3)),
+            "{pattern}: its share is redistributed at once"
         );
     };
-    let seen = explore(4, |world| world.kill(2), holds);
-    assert!(seen.worlds == 128 && seen.histories.len() > 3, "{} histories", seen.histories.len());
+    let explored = explore(4, |simulation| simulation.kill(2), check);
+    assert!(explored.runs == 128 && explored.histories.len() > 3, "{} histories", explored.histories.len());
 }
 
 #[test]
-fn a_cut_buries_nobody_whatever_is_lost_and_a_crash_behind_it_is_found() {
-    let cut = |world: &mut World| {
-        world.cut(|id| id == 0, |id| id == 1);
-        world.cut(|id| id == 1, |id| id == 0);
+fn a_partition_causes_no_false_positive_whatever_is_lost_and_a_crash_beside_it_is_detected() {
+    let partition = |simulation: &mut Members| {
+        simulation.partition(|id| id == 0, |id| id == 1);
+        simulation.partition(|id| id == 1, |id| id == 0);
     };
-    let nobody = |world: &mut World, what: &str| {
-        world.advance(Duration::from_secs(15));
-        assert!(world.buried_alive().is_empty(), "{what}: {:?}", world.told);
-        assert_eq!(world.sees(0, 1), Some(ObservedState::Partitioned), "{what}");
+    let observes_partition = |simulation: &mut Members, pattern: &str| {
+        simulation.advance(Duration::from_secs(15));
+        assert!(simulation.false_positives().is_empty(), "{pattern}: {:?}", simulation.reports);
+        assert_eq!(simulation.observed_state(0, 1), Some(ObservedState::Partitioned), "{pattern}");
     };
-    explore(4, cut, nobody);
-    // The one that crashes is one of those who can tell the two apart.
-    let both = |world: &mut World| {
-        cut(world);
-        world.kill(2);
+    explore(4, partition, observes_partition);
+    // The member that crashes is one of those that reach both sides.
+    let both = |simulation: &mut Members| {
+        partition(simulation);
+        simulation.kill(2);
     };
-    let found = |world: &mut World, what: &str| {
-        let found = world.until(Duration::from_secs(8), |world| dead_to_all(world, 2));
-        assert!(found.is_some() && world.buried_alive().is_empty(), "{what}: {:?}", world.told);
+    let detects_crash = |simulation: &mut Members, pattern: &str| {
+        let detected = simulation.run_until(Duration::from_secs(8), |simulation| dead_to_all(simulation, 2));
+        assert!(
+            detected.is_some() && simulation.false_positives().is_empty(),
+            "{pattern}: {:?}",
+            simulation.reports
+        );
     };
-    explore(4, both, found);
+    explore(4, both, detects_crash);
 }
 
 #[test]
-fn one_that_stands_still_for_less_than_a_burial_is_there_afterwards_whatever_is_lost() {
-    let holds = |world: &mut World, what: &str| {
-        world.advance(Duration::from_secs(9));
-        let agreed = world.until(Duration::from_secs(6), World::agree);
-        assert!(agreed.is_some() && world.buried_alive().is_empty(), "{what}: {:?}", world.told);
+fn a_pause_under_the_suspicion_timeout_causes_no_false_positive_whatever_is_lost() {
+    let check = |simulation: &mut Members, pattern: &str| {
+        simulation.advance(Duration::from_secs(9));
+        let converged = simulation.run_until(Duration::from_secs(6), Members::has_converged);
+        assert!(
+            converged.is_some() && simulation.false_positives().is_empty(),
+            "{pattern}: {:?}",
+            simulation.reports
+        );
     };
-    let seen = explore(3, |world| world.stop(1, Duration::from_secs(8)), holds);
-    assert!(seen.histories.len() > 1);
+    let explored = explore(3, |simulation| simulation.pause(1, Duration::from_secs(8)), check);
+    assert!(explored.histories.len() > 1);
 }
--- a/tests/lab.rs
+++ b/tests/membership_simulation.rs
@@ -1,13 +1,13 @@
-//! The laboratory: its experiments hold, the same seed plays the same, and its rules can be broken.
+//! The membership simulation: its experiments keep their rules, the same seed gives the same run, and a broken rule is
+//! reported.
 
-use gatherer::simulation::engine::Simulation;
-use gatherer::simulation::{Experiment, Outcome, chart, play};
+use gatherer::simulation::{self, Experiment, Outcome, Simulation, chart};
 use std::path::Path;
 
 fn outcome(experiment: &Experiment) -> Outcome {
-    let world = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
-    let outcome = play(experiment, world, |_| {});
-    // Not of the play: how long it took here.
+    let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let outcome = simulation::run(experiment, members, |_| {});
+    // The processor time differs from run to run.
     Outcome { cpu_us: 0.0, ..outcome }
 }
 
@@ -19,35 +19,37 @@
 #[test]
 fn every_experiment_keeps_its_rules() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/experiments");
-    let mut played = 0;
+    let mut run_count = 0;
     for entry in std::fs::read_dir(folder).expect("the folder") {
         let file = entry.expect("an entry").file_name().into_string().expect("text");
         let mut experiment = read(&file);
-        // A part of the long ones says as much here; whole plays are the laboratory's.
+        // Long experiments are cut to 180 s here; the simulator runs them in full.
         experiment.seconds = experiment.seconds.min(180.0);
-        experiment.step.retain(|step| step.at <= 180.0);
+        experiment.steps.retain(|step| step.at <= 180.0);
         let outcome = outcome(&experiment);
-        assert_eq!(outcome.broken, Vec::<String>::new(), "{file}");
+        assert_eq!(outcome.broken_rules, Vec::<String>::new(), "{file}");
         assert_eq!(outcome.moments.len(), experiment.seconds as usize, "{file}");
-        played += 1;
+        run_count += 1;
     }
-    assert!(played >= 8);
+    assert!(run_count >= 8);
 }
 
 #[test]
-fn the_same_seed_plays_the_same_and_another_does_not() {
+fn the_same_seed_gives_the_same_outcome_and_another_seed_does_not() {
     let experiment = read("lossy.toml");
-    let short = Experiment { seconds: 40.0, step: experiment.step[..1].to_vec(), ..experiment };
+    let short = Experiment { seconds: 40.0, steps: experiment.steps[..1].to_vec(), ..experiment };
     let first = outcome(&short);
     assert_eq!(first, outcome(&short));
-    assert_ne!(first.datagrams, outcome(&Experiment { seed: 2, ..short }).datagrams);
+    assert_ne!(first.datagrams_per_s, outcome(&Experiment { seed: 2, ..short }).datagrams_per_s);
     let svg = chart::svg(&first).expect("drawn");
-    assert!(svg.contains("members that see just those") && chart::table(&[first]).lines().count() == 3);
+    assert!(
+        svg.contains("members that observe exactly those") && chart::table(&[first]).lines().count() == 3
+    );
 }
 
 #[test]
-fn rules_that_do_not_hold_are_told() {
-    // Half of the fleet falls silent for longer than it takes to be buried, and deaths are to be known at once.
+fn broken_rules_are_reported() {
+    // A third of the fleet is paused for longer than the suspicion timeout, and deaths have to be known at once.
     let text = r#"
         title = "broken"
         members = 6
@@ -67,7 +69,7 @@
         agree = true
         shared_out = 0.9
     "#;
-    let broken = outcome(&Experiment::parse(text).expect("an experiment")).broken;
+    let broken = outcome(&Experiment::parse(text).expect("an experiment")).broken_rules;
     assert_eq!(broken.len(), 4, "{broken:?}");
     assert!(broken[0].contains("gatherer-1") && broken[1].contains("1 not at all"), "{broken:?}");
 }
--- a/tests/share.rs
+++ b/tests/share.rs
@@ -208,8 +208,8 @@
 fn no_cold_worker_is_pushed_over_whoever_dies_and_whatever_is_cut() {
     for seed in [1, 2, 3] {
         let cut = |world: &mut Simulation<Node>| {
-            world.cut(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
-            world.cut(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
+            world.partition(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
+            world.partition(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
             // Longer than any wait.
             world.advance(Duration::from_secs(120));
         };
