--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Leaves, for good or for another process of the same name; returns the last commands, the leave broadcast.
+    /// Announces that this member stops, for good or for another process of the same name; returns the last commands, the
+    /// leave broadcast.
     #[must_use]
     pub fn leave(&mut self, handing_over: bool) -> Vec<Command> {
         self.own.state = if handing_over { MemberState::HandingOver } else { MemberState::Left };
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -59,7 +59,7 @@
     paused_until: Option<Time>,
     /// Events that arrived during the pause.
     buffered: Vec<Event<P::Message>>,
-    /// How often the member was started; tells an earlier process's ticks apart.
+    /// How often the member was started, by which ticks of an earlier process are recognised.
     starts: u64,
 }
 
--- a/src/simulation/peer.rs
+++ b/src/simulation/peer.rs
@@ -34,7 +34,7 @@
     fn receive_table(&mut self, now: Time, message: Self::Message);
     /// Takes the commands that have accumulated.
     fn take_commands(&mut self) -> Vec<Command<Self::Message>>;
-    /// Leaves, for good or for another process; returns the last commands.
+    /// Announces that the member stops, for good or for another process; returns the last commands.
     fn leave(&mut self, handing_over: bool) -> Vec<Command<Self::Message>>;
     /// The start of the member's process.
     fn start(&self) -> u64;
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Deaths that this member told of others member lived.
+/// Deaths of running processes that this member reported.
 fn false_positives_by(simulation: &Members, id: usize) -> usize {
     simulation.false_positives().into_iter().filter(|report| report.by == id).count()
 }
--- a/tests/members.rs
+++ b/tests/membership_processes.rs
@@ -1,5 +1,5 @@
-//! Membership with real processes of the program, and a relay before each that injects faults: what every process ends up
-//! knowing, and that nobody who lives is buried meanwhile.
+//! Membership with real processes of the program, and a proxy before each that injects faults: what every process comes to
+//! know, and that no running process is declared dead meanwhile.
 
 mod common;
 
@@ -13,17 +13,17 @@
 use std::time::Duration;
 
 #[test]
-fn a_killed_process_is_dead_to_all_and_its_next_start_is_new() {
+fn a_killed_process_is_dead_to_all_and_rejoins_with_its_next_start() {
     let mut fleet = ProxiedFleet::start("killed", 5);
     assert!(fleet.running().iter().all(|id| fleet.fleet_size_seen_by(*id) == 5));
     fleet.kill(0);
     for id in 1..5 {
         wait_until("dead to all", || fleet.state_seen_by(id, 0) == "dead");
-        // It is certain, so that its share is the others' at once; the core goes by the number.
+        // The death is certain, so the others take its share at once, and the core uses the new fleet size.
         assert_eq!(fleet.fleet_size_seen_by(id), 4);
         fleet.member(id).wait_for_log("members: 4 gatherers share the fleet");
     }
-    // The first seed is down: a further member is found through the second, and the first comes back through it too.
+    // The first seed is down: another member rejoins through the second, and so does the first.
     fleet.kill(4);
     (1..4).for_each(|id| wait_until("both dead", || fleet.fleet_size_seen_by(id) == 3));
     fleet.start_member(4);
@@ -33,17 +33,17 @@
 }
 
 #[test]
-fn those_that_stand_still_are_suspected_keep_their_shares_and_bury_nobody_when_they_wake() {
+fn paused_processes_are_suspected_keep_their_shares_and_declare_nobody_dead_when_they_resume() {
     let fleet = ProxiedFleet::start("still", 5);
     for id in [3, 4] {
         fleet.member(id).signal("-STOP");
     }
     for id in 0..3 {
         wait_until("suspected", || ["suspect", "silent"].contains(&fleet.state_seen_by(id, 3).as_str()));
-        // Whatever it turns out to be, its share stays its own.
+        // Whether it is paused or dead, it keeps its share for now.
         assert_eq!(fleet.fleet_size_seen_by(id), 5);
     }
-    // All of these were still for longer than any answer takes: who wakes is not to hold that against the others.
+    // Both were paused for longer than any answer takes: they must not take that for the others' silence.
     for id in [3, 4] {
         fleet.member(id).signal("-CONT");
     }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_network_that_loses_and_doubles_buries_nobody_and_hides_no_death() {
+fn loss_and_duplication_cause_no_false_positive_and_hide_no_death() {
     let mut fleet = ProxiedFleet::start("lossy", 6);
     {
         let mut faults = fleet.faults.lock().expect("sound");
@@ -63,20 +63,20 @@
     for id in 0..5 {
         wait_until("dead to all", || fleet.state_seen_by(id, 5) == "dead");
     }
-    // Another one joins through it.
+    // A new process joins under the same faults.
     fleet.start_member(5);
     fleet.wait_until_converged();
     assert_eq!(fleet.unexpected_death_lines(&[5]), Vec::<String>::new());
 }
 
 #[test]
-fn halves_keep_their_shares_and_meet_again_without_a_burial() {
+fn both_sides_of_a_split_keep_their_shares_and_merge_without_a_false_positive() {
     let fleet = ProxiedFleet::start("halves", 6);
-    let (left, right) = ([0, 1, 2], [3, 4, 5]);
-    fleet.partition(&left, &right);
-    fleet.partition(&right, &left);
+    let (first_half, second_half) = ([0, 1, 2], [3, 4, 5]);
+    fleet.partition(&first_half, &second_half);
+    fleet.partition(&second_half, &first_half);
     for id in 0..6 {
-        let others = if id < 3 { right } else { left };
+        let others = if id < 3 { second_half } else { first_half };
         for other in others {
             wait_until("silent", || fleet.state_seen_by(id, other) == "silent");
         }
@@ -86,14 +86,14 @@
     let before = fleet.unexpected_death_lines(&[]).len();
     fleet.heal();
     fleet.wait_until_converged();
-    assert_eq!(fleet.unexpected_death_lines(&[]).len(), before, "merging buries nobody");
+    assert_eq!(fleet.unexpected_death_lines(&[]).len(), before, "merging declares nobody dead");
 }
 
 #[test]
-fn a_cut_one_way_between_two_is_known_as_that() {
+fn a_one_way_partition_between_two_members_is_observed_as_one() {
     let fleet = ProxiedFleet::start("one_way", 5);
     fleet.partition(&[1], &[4]);
-    wait_until("told apart", || fleet.state_seen_by(4, 1) == "cut");
+    wait_until("observed as a partition", || fleet.state_seen_by(4, 1) == "cut");
     for id in [0, 2, 3] {
         assert_eq!(
             (fleet.state_seen_by(id, 1).as_str(), fleet.state_seen_by(id, 4).as_str()),
@@ -101,12 +101,12 @@
         );
     }
     fleet.heal();
-    wait_until("over", || fleet.state_seen_by(4, 1) == "alive");
+    wait_until("healed", || fleet.state_seen_by(4, 1) == "alive");
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
 #[test]
-fn an_upgrade_is_one_member_and_who_stops_has_left() {
+fn both_processes_of_an_upgrade_are_one_member_and_a_stopped_one_has_left() {
     let mut fleet = ProxiedFleet::start("upgraded", 5);
     let start = |fleet: &ProxiedFleet| {
         let view = fleet.membership_status(0);
@@ -122,7 +122,7 @@
     wait_until("the second's start", || start(&fleet) > before);
     fleet.wait_until_converged();
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
-    // A planned end needs no proof.
+    // A planned stop is announced and needs no proof.
     let mut last = fleet.members[4].take().expect("it runs");
     last.signal("-TERM");
     for id in 0..4 {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn strangers_are_counted_and_change_nothing_and_people_see_who_is_there() {
+fn foreign_datagrams_are_counted_without_effect_and_operators_see_all_members() {
     let fleet = ProxiedFleet::start("strangers", 5);
     let view = fleet.membership_status(0);
     let address = view["own"]["address"].as_str().expect("an address").to_owned();
@@ -162,13 +162,14 @@
     assert_eq!(text.lines().filter(|line| line.starts_with('g')).count(), 5, "{text}");
     let json: serde_json::Value = serde_json::from_str(&run(&["--json"])).expect("JSON");
     assert_eq!(json["members"].as_array().map(Vec::len), Some(4));
-    // A wrong call changes nothing.
+    // Another method is rejected.
     assert_eq!(call_operator_api(&fleet.member(0).operators, "PUT", "/-/members").0, 405);
 }
 
 #[test]
-fn where_the_platform_carries_datagrams_itself_membership_sends_none() {
-    // There a datagram over 256 bytes, and any other path between gatherers, is forbidden; a member's are up to 1,200.
+fn membership_stays_off_where_the_platform_carries_datagrams_itself() {
+    // There datagrams over 256 bytes, and all other paths between gatherers, are forbidden; a member's datagrams have up to
+    // 1,200 bytes.
     let (folder, worker) = (TempFolder::new("peers"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let seed = listen();
@@ -181,11 +182,11 @@
         format!("[membership]\nlisten = \"{}\"\ncluster = \"test\"\nseeds = [\"{at}\"]\n", unused_address());
     let gatherer = Gatherer::start_with_operator_file(&folder, &config, &operator);
     gatherer.wait_for_log(" serving on ");
-    // A member calls its seeds with its first beat, half a second from its start at most.
+    // A member contacts its seeds with its first tick, half a second after its start at most.
     seed.set_nonblocking(true).expect("set");
     datagrams.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
-    let heard = datagrams.recv(&mut [0; 2000]);
-    assert!(heard.is_err(), "{heard:?} bytes came");
+    let received = datagrams.recv(&mut [0; 2000]);
+    assert!(received.is_err(), "{received:?} bytes arrived");
     assert!(seed.accept().is_err(), "it connected to a seed");
     gatherer.wait_for_log("membership stays off: the platform carries datagrams");
     assert_eq!(call_operator_api(&gatherer.operators, "GET", "/-/members").0, 404);
