--- a/src/records/diagnosis.rs
+++ b/src/records/diagnosis.rs
@@ -6,106 +6,111 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A start that has written nothing for so long, while others did, is dead. Figures come each second.
-const SILENT_MS: u64 = 5_000;
-/// Fewer workers than this tell nothing of the fleet.
-const FEWEST: usize = 2;
-/// So many deaths of one gatherer, each within so long of the one before, are a loop.
-const LOOP: usize = 3;
-const LOOP_MS: u64 = 300_000;
-/// A worker is slow at so many times the usual of all, and all are slow at so many times what they usually are.
-const SLOW_WORKER: f64 = 3.0;
-const SLOW_FLEET: f64 = 2.0;
-/// Workers that have to be slow together, as a share of all, to be the fleet.
-const FLEET: f64 = 0.6;
-/// A worker loses answers where so many of its attempts end with none, and so many have to be seen.
-const LOSES: f64 = 0.1;
-const LEAST_SEEN: u64 = 20;
-/// Clients ask for too much where refusals are such a share of what is asked, and they ask so many times the usual.
-const REFUSED: f64 = 0.05;
-const RUSH: f64 = 1.3;
+/// An incarnation that has recorded nothing for this time, while others have, is dead. Metrics are recorded once per
+/// second.
+const SILENCE_OF_DEAD_MS: u64 = 5_000;
+/// Fewer workers than this prove nothing about the fleet.
+const MIN_FLEET_SIZE: usize = 2;
+/// Deaths of one gatherer within [`RESTART_LOOP_MS`] that make a restart loop.
+const RESTART_LOOP_DEATHS: usize = 3;
+/// Time within which the deaths of a restart loop happen.
+const RESTART_LOOP_MS: u64 = 300_000;
+/// A worker is slow at this multiple of the median of all workers.
+const SLOW_WORKER_RATIO: f64 = 3.0;
+/// A worker of a slow fleet takes this multiple of its own usual time.
+const SLOW_FLEET_RATIO: f64 = 2.0;
+/// The fleet is slow where this share of the workers is slow at the same time.
+const SLOW_FLEET_SHARE: f64 = 0.6;
+/// A worker is unresponsive where this share of its attempts gets no response.
+const MIN_UNANSWERED_SHARE: f64 = 0.1;
+/// Attempts at a worker, or queries, below which a time step proves nothing.
+const MIN_SAMPLES: u64 = 20;
+/// Share of rejected queries from which a time step counts as overloaded.
+const MIN_REJECTED_SHARE: f64 = 0.05;
+/// Multiple of the usual number of queries from which clients requested too much.
+const MIN_SURGE: f64 = 1.3;
 
 /// What a finding is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum FindingKind {
-    /// A gatherer ended without saying so.
+    /// A gatherer ended without a graceful shutdown.
     Death {
-        /// Which.
+        /// The gatherer.
         gatherer: String,
-        /// In which start.
+        /// The incarnation that ended.
         #[serde(rename = "start")]
         incarnation: String,
     },
     /// A gatherer dies again and again.
     RestartLoop {
-        /// Which.
+        /// The gatherer.
         gatherer: String,
     },
-    /// Most workers answer slowly at the same time.
+    /// Most workers were slow at the same time.
     FleetSlow,
-    /// One worker answers slowly while others do not.
+    /// One worker was slow while others were not.
     WorkerSlow {
-        /// Which.
+        /// The worker.
         worker: String,
     },
-    /// A worker does not answer what it is sent.
+    /// A worker did not respond to many attempts.
     #[serde(rename = "worker_loses")]
     WorkerUnresponsive {
-        /// Which.
+        /// The worker.
         worker: String,
     },
-    /// Clients ask for more than is served.
+    /// Clients requested more than could be served.
     Overload,
     /// Records are missing.
     RecordsMissing {
-        /// Of which gatherer.
+        /// The gatherer whose records are missing.
         gatherer: String,
     },
 }
 
-/// How sure a finding is.
+/// How certain a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Certainty {
-    /// Records leave no other reading.
+    /// The records have no other explanation.
     Certain,
-    /// It is the plainest reading of them.
+    /// It is the simplest explanation of the records.
     Likely,
-    /// Other readings are as good.
+    /// Other explanations are as good.
     Possible,
 }
 
 /// Something that probably happened.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// What.
+    /// What it is about.
     #[serde(flatten)]
     pub kind: FindingKind,
-    /// From when, in Unix milliseconds.
+    /// Its begin, in Unix milliseconds.
     pub from_ms: u64,
-    /// Until when.
+    /// Its end, in Unix milliseconds.
     pub to_ms: u64,
-    /// How sure it is.
+    /// How certain it is.
     pub certainty: Certainty,
-    /// What speaks for it.
+    /// What speaks for it, in words.
     pub evidence: String,
-    /// What speaks against it, where anything does.
+    /// What speaks against it, in words, where anything does.
     #[serde(rename = "against")]
     pub counter_evidence: Option<String>,
 }
 
 /// All findings, the earliest first.
 pub fn diagnose(summary: &Summary) -> Vec<Finding> {
-    let mut findings = deaths(summary);
-    findings.extend(missing(summary));
-    findings.extend(workers(summary));
-    findings.extend(overload(summary, &findings));
+    let mut findings = find_deaths(summary);
+    findings.extend(find_missing_records(summary));
+    findings.extend(find_slow_workers(summary));
+    findings.extend(find_overload(summary, &findings));
     findings.sort_by(|a, b| (a.from_ms, &a.kind).cmp(&(b.from_ms, &b.kind)));
     findings
 }
 
-fn deaths(summary: &Summary) -> Vec<Finding> {
+fn find_deaths(summary: &Summary) -> Vec<Finding> {
     let end = summary.incarnations.values().map(|seen| seen.last_ms).max().unwrap_or(0);
     let mut by_gatherer: BTreeMap<&str, Vec<(&str, &IncarnationSummary)>> = BTreeMap::new();
     for ((gatherer, start), seen) in &summary.incarnations {
@@ -117,7 +122,7 @@
         let mut dead: Vec<u64> = Vec::new();
         for (at, (start, seen)) in starts.iter().enumerate() {
             let next = starts.get(at + 1).map(|(_, next)| next.first_ms);
-            let silent = end.saturating_sub(seen.last_ms) >= SILENT_MS;
+            let silent = end.saturating_sub(seen.last_ms) >= SILENCE_OF_DEAD_MS;
             if seen.stopped || !(next.is_some() || silent) {
                 continue;
             }
@@ -141,20 +146,22 @@
                 to_ms: next.unwrap_or(end),
                 certainty: if next.is_some() { Certainty::Certain } else { Certainty::Likely },
                 evidence: format!(
-                    "its last line is no stop, {again}; it took down {took} with no end on record"
+                    "its last record is not a stop, {again}; it had accepted {took} without an end on record"
                 ),
                 counter_evidence: (next.is_none() && seen.reported_lost + seen.missing > 0)
-                    .then(|| "it had lost records before, so it may live and be unable to write".to_owned()),
+                    .then(|| "it had lost records before, so it may be alive and unable to write".to_owned()),
             });
         }
-        let looped = dead.windows(LOOP).find(|few| few[LOOP - 1].saturating_sub(few[0]) <= LOOP_MS);
+        let looped = dead
+            .windows(RESTART_LOOP_DEATHS)
+            .find(|few| few[RESTART_LOOP_DEATHS - 1].saturating_sub(few[0]) <= RESTART_LOOP_MS);
         if let Some(few) = looped {
             findings.push(Finding {
                 kind: FindingKind::RestartLoop { gatherer: gatherer.to_owned() },
                 from_ms: few[0],
                 to_ms: dead.last().copied().unwrap_or(few[0]),
                 certainty: Certainty::Certain,
-                evidence: format!("{} starts without a stop", dead.len()),
+                evidence: format!("{} incarnations without a stop", dead.len()),
                 counter_evidence: None,
             });
         }
@@ -162,7 +169,7 @@
     findings
 }
 
-fn missing(summary: &Summary) -> Vec<Finding> {
+fn find_missing_records(summary: &Summary) -> Vec<Finding> {
     let lossy = summary.incarnations.iter().filter(|(_, seen)| seen.missing > 0);
     lossy
         .map(|((gatherer, start), seen)| Finding {
@@ -171,7 +178,7 @@
             to_ms: seen.last_ms,
             certainty: Certainty::Certain,
             evidence: format!(
-                "{} lines of start {start} are on no record; it tells of {}",
+                "{} records of incarnation {start} are missing; it reports {} as lost",
                 seen.missing, seen.reported_lost
             ),
             counter_evidence: None,
@@ -186,38 +193,38 @@
 
 /// Time that a worker's answers took on average, where enough were seen.
 fn pace(attempts: &AttemptMetrics) -> Option<f64> {
-    (attempts.successful() >= LEAST_SEEN).then(|| attempts.done_us as f64 / attempts.successful() as f64)
+    (attempts.successful() >= MIN_SAMPLES).then(|| attempts.done_us as f64 / attempts.successful() as f64)
 }
 
-/// Whether enough was sent in a step to tell of any worker.
-fn tells(step: &TimeStep) -> bool {
-    step.attempts.values().any(|attempts| attempts.total() >= LEAST_SEEN)
+/// Whether a step has enough attempts at any worker to prove anything.
+fn has_enough_attempts(step: &TimeStep) -> bool {
+    step.attempts.values().any(|attempts| attempts.total() >= MIN_SAMPLES)
 }
 
-/// Steps in a row become one span; steps that cannot tell do not part them.
-fn spans(
+/// Merges steps in a row into spans. A step in between ends a span only if it is `conclusive`.
+fn merge_into_spans(
     summary: &Summary,
     steps: &BTreeSet<u64>,
-    tells: impl Fn(u64, &TimeStep) -> bool,
+    conclusive: impl Fn(u64, &TimeStep) -> bool,
 ) -> Vec<(u64, u64)> {
     let mut spans: Vec<(u64, u64)> = Vec::new();
-    let mut goes_on = false;
+    let mut continues = false;
     for (begin, step) in &summary.steps {
         if !steps.contains(begin) {
-            goes_on &= !tells(*begin, step);
+            continues &= !conclusive(*begin, step);
             continue;
         }
         let to = begin + summary.step_ms();
-        match spans.last_mut().filter(|_| goes_on) {
+        match spans.last_mut().filter(|_| continues) {
             Some(span) => span.1 = to,
             None => spans.push((*begin, to)),
         }
-        goes_on = true;
+        continues = true;
     }
     spans
 }
 
-fn workers(summary: &Summary) -> Vec<Finding> {
+fn find_slow_workers(summary: &Summary) -> Vec<Finding> {
     let paces: BTreeMap<u64, BTreeMap<&str, f64>> = summary
         .steps
         .iter()
@@ -226,7 +233,7 @@
             (*begin, paces.collect())
         })
         .collect();
-    // What each worker usually takes: the quick half of its steps says so, for trouble is in the other.
+    // The time that each worker usually takes: the lower quartile, because faults only lengthen times.
     let mut by_worker: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (name, pace) in paces.values().flatten() {
         by_worker.entry(name).or_default().push(*pace);
@@ -244,8 +251,8 @@
     let mut fleet_worst: f64 = 0.0;
     for (begin, paces) in &paces {
         let behind = |name: &str, pace: f64| pace / usual.get(name).copied().unwrap_or(pace).max(1.0);
-        let slower = paces.iter().filter(|(name, pace)| behind(name, **pace) >= SLOW_FLEET).count();
-        if paces.len() >= FEWEST && slower as f64 >= FLEET * paces.len() as f64 {
+        let slower = paces.iter().filter(|(name, pace)| behind(name, **pace) >= SLOW_FLEET_RATIO).count();
+        if paces.len() >= MIN_FLEET_SIZE && slower as f64 >= SLOW_FLEET_SHARE * paces.len() as f64 {
             fleet.insert(*begin);
             let all = median(paces.iter().map(|(name, pace)| behind(name, *pace)).collect());
             fleet_worst = fleet_worst.max(all.unwrap_or(0.0));
@@ -253,7 +260,7 @@
         }
         let Some(middle) = median(paces.values().copied().collect()) else { continue };
         for (name, pace) in paces {
-            if paces.len() >= 3 && *pace >= SLOW_WORKER * middle {
+            if paces.len() >= 3 && *pace >= SLOW_WORKER_RATIO * middle {
                 slow.entry(name).or_default().insert(*begin);
                 let most = worst.entry(name).or_default();
                 *most = most.max(pace / middle);
@@ -261,9 +268,9 @@
         }
     }
     let mut findings = Vec::new();
-    for (from_ms, to_ms) in
-        spans(summary, &fleet, |begin, _| paces.get(&begin).is_some_and(|paces| paces.len() >= FEWEST))
-    {
+    for (from_ms, to_ms) in merge_into_spans(summary, &fleet, |begin, _| {
+        paces.get(&begin).is_some_and(|paces| paces.len() >= MIN_FLEET_SIZE)
+    }) {
         findings.push(Finding {
             kind: FindingKind::FleetSlow,
             from_ms,
@@ -276,7 +283,7 @@
         });
     }
     for (worker, steps) in slow {
-        for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
+        for (from_ms, to_ms) in merge_into_spans(summary, &steps, |_, step| has_enough_attempts(step)) {
             findings.push(Finding {
                 kind: FindingKind::WorkerSlow { worker: worker.to_owned() },
                 from_ms,
@@ -287,18 +294,20 @@
             });
         }
     }
-    findings.extend(losers(summary));
+    findings.extend(find_unresponsive_workers(summary));
     findings
 }
 
-fn losers(summary: &Summary) -> Vec<Finding> {
+fn find_unresponsive_workers(summary: &Summary) -> Vec<Finding> {
     let lost = |attempts: &AttemptMetrics| -> u64 {
         ["error", "timed_out", "reset", "refused"].iter().filter_map(|end| attempts.ends.get(*end)).sum()
     };
     let mut steps: BTreeMap<&str, (BTreeSet<u64>, u64, u64)> = BTreeMap::new();
     for (begin, step) in &summary.steps {
         for (worker, attempts) in &step.attempts {
-            if attempts.total() >= LEAST_SEEN && lost(attempts) as f64 >= LOSES * attempts.total() as f64 {
+            if attempts.total() >= MIN_SAMPLES
+                && lost(attempts) as f64 >= MIN_UNANSWERED_SHARE * attempts.total() as f64
+            {
                 let seen = steps.entry(worker).or_default();
                 seen.0.insert(*begin);
                 seen.1 += lost(attempts);
@@ -308,13 +317,13 @@
     }
     let mut findings = Vec::new();
     for (worker, (steps, lost, all)) in steps {
-        for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
+        for (from_ms, to_ms) in merge_into_spans(summary, &steps, |_, step| has_enough_attempts(step)) {
             findings.push(Finding {
                 kind: FindingKind::WorkerUnresponsive { worker: worker.to_owned() },
                 from_ms,
                 to_ms,
                 certainty: Certainty::Likely,
-                evidence: format!("{lost} of {all} attempts at it brought no answer"),
+                evidence: format!("{lost} of {all} attempts at it got no response"),
                 counter_evidence: None,
             });
         }
@@ -322,7 +331,7 @@
     findings
 }
 
-fn asked(step: &TimeStep) -> QueryCounts {
+fn sum_queries(step: &TimeStep) -> QueryCounts {
     let mut all = QueryCounts::default();
     for counts in step.queries.values() {
         all.received += counts.received;
@@ -331,34 +340,34 @@
     all
 }
 
-fn overload(summary: &Summary, others: &[Finding]) -> Vec<Finding> {
+fn find_overload(summary: &Summary, others: &[Finding]) -> Vec<Finding> {
     let usual =
-        median(summary.steps.values().map(|step| asked(step).received as f64).collect()).unwrap_or(0.0);
+        median(summary.steps.values().map(|step| sum_queries(step).received as f64).collect()).unwrap_or(0.0);
     let mut steps = BTreeSet::new();
     let (mut refused, mut most) = (0, 0.0_f64);
     for (begin, step) in &summary.steps {
-        let all = asked(step);
-        if all.received >= LEAST_SEEN && all.rejected as f64 >= REFUSED * all.received as f64 {
+        let all = sum_queries(step);
+        if all.received >= MIN_SAMPLES && all.rejected as f64 >= MIN_REJECTED_SHARE * all.received as f64 {
             steps.insert(*begin);
             refused += all.rejected;
             most = most.max(all.received as f64 / usual.max(1.0));
         }
     }
     let mut findings = Vec::new();
-    for (from_ms, to_ms) in spans(summary, &steps, |_, step| tells(step)) {
+    for (from_ms, to_ms) in merge_into_spans(summary, &steps, |_, step| has_enough_attempts(step)) {
         let slow = others.iter().find(|finding| {
             finding.kind == FindingKind::FleetSlow && finding.from_ms < to_ms && finding.to_ms > from_ms
         });
         // Where the servers are slow, refusals are their doing: nobody asked for more than before.
-        if slow.is_some() && most < RUSH {
+        if slow.is_some() && most < MIN_SURGE {
             continue;
         }
         findings.push(Finding {
             kind: FindingKind::Overload,
             from_ms,
             to_ms,
-            certainty: if most >= RUSH { Certainty::Likely } else { Certainty::Possible },
-            evidence: format!("{refused} refused; up to {most:.1} times as many asked as usual"),
+            certainty: if most >= MIN_SURGE { Certainty::Likely } else { Certainty::Possible },
+            evidence: format!("{refused} rejected; up to {most:.1} times as many queries as usual"),
             counter_evidence: slow.map(|_| "the workers are slow at the same time".to_owned()),
         });
     }
--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -8,22 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Columns of the workers' map and rows of a table at most; more steps are left to the charts and the JSON.
-const MOST_COLUMNS: usize = 120;
-const MOST_ROWS: usize = 500;
+const MAX_MAP_COLUMNS: usize = 120;
+const MAX_TABLE_ROWS: usize = 500;
 /// Size of a chart, in its own units: it scales with the page.
-const CHART: (u32, u32) = (900, 220);
+const CHART_SIZE: (u32, u32) = (900, 220);
 /// Text and lines of charts: readable on dark and on light.
-const INK: RGBColor = RGBColor(128, 134, 139);
+const AXIS_COLOUR: RGBColor = RGBColor(128, 134, 139);
 
 /// Ends in the order in which they are stacked, with their colours.
-type Part = (&'static str, RGBColor, fn(&QueryCounts) -> u64);
-const PARTS: [Part; 7] = [
-    ("whole in time", RGBColor(46, 125, 80), |counts| counts.complete_in_time),
-    ("whole late", RGBColor(150, 170, 60), |counts| counts.complete_late),
-    ("in part", RGBColor(70, 130, 180), |counts| counts.partial),
-    ("refused", RGBColor(222, 150, 50), |counts| counts.rejected),
+type EndColumn = (&'static str, RGBColor, fn(&QueryCounts) -> u64);
+const END_COLUMNS: [EndColumn; 7] = [
+    ("complete in time", RGBColor(46, 125, 80), |counts| counts.complete_in_time),
+    ("complete late", RGBColor(150, 170, 60), |counts| counts.complete_late),
+    ("partial", RGBColor(70, 130, 180), |counts| counts.partial),
+    ("rejected", RGBColor(222, 150, 50), |counts| counts.rejected),
     ("failed", RGBColor(200, 62, 62), |counts| counts.failed),
-    ("left", RGBColor(150, 110, 170), |counts| counts.client_disconnected),
+    ("client disconnected", RGBColor(150, 110, 170), |counts| counts.client_disconnected),
     ("unknown", RGBColor(110, 70, 60), |counts| counts.unknown),
 ];
 
@@ -41,13 +41,13 @@
 @media print{body{max-width:none}details{display:block}.finding{break-inside:avoid}}
 ";
 
-fn time(ms: u64) -> String {
+fn date_time(ms: u64) -> String {
     let moment = i64::try_from(ms).ok().and_then(|ms| Timestamp::from_millisecond(ms).ok());
     moment.map_or_else(|| ms.to_string(), |moment| moment.strftime("%Y-%m-%d %H:%M:%S").to_string())
 }
 
-fn clock(ms: u64) -> String {
-    time(ms).split_off(11)
+fn time_of_day(ms: u64) -> String {
+    date_time(ms).split_off(11)
 }
 
 /// What a finding says, in words.
@@ -63,7 +63,7 @@
     }
 }
 
-fn certainty(certainty: Certainty) -> &'static str {
+fn certainty_label(certainty: Certainty) -> &'static str {
     match certainty {
         Certainty::Certain => "certain",
         Certainty::Likely => "likely",
@@ -82,29 +82,29 @@
             head {
                 meta charset="utf-8";
                 meta name="viewport" content="width=device-width,initial-scale=1";
-                title { "Report " (time(first)) }
+                title { "Report " (date_time(first)) }
                 style { (PreEscaped(STYLE)) }
             }
             body {
                 h1 { "What happened" }
                 p.quiet {
-                    (time(first)) " to " (time(last)) " UTC, " (summary.incarnations.len()) " starts, in steps of "
+                    (date_time(first)) " to " (date_time(last)) " UTC, " (summary.incarnations.len()) " incarnations, in steps of "
                     (summary.step_ms() / 1000) " s"
                 }
                 h2 { "Findings" }
                 @if findings.is_empty() { p { "Nothing out of the ordinary." } }
-                @for finding in findings { (card(finding)) }
-                h2 { "Service" }
-                (totals(&classes))
-                p.key { @for (name, colour, _) in PARTS { span style={"background:" (hex(colour))} {} (name) } }
-                @for class in classes.keys() { (of_class(summary, class)) }
-                (tenants(summary))
+                @for finding in findings { (finding_card(finding)) }
+                h2 { "Queries" }
+                (class_totals(&classes))
+                p.key { @for (name, colour, _) in END_COLUMNS { span style={"background:" (hex(colour))} {} (name) } }
+                @for class in classes.keys() { (class_section(summary, class)) }
+                (tenant_totals(summary))
                 h2 { "Workers" }
-                (map(summary))
-                h2 { "Course" }
-                (course(summary))
+                (worker_map(summary))
+                h2 { "Timeline" }
+                (timeline(summary))
                 h2 { "Records" }
-                (records(summary, faults, damaged))
+                (record_section(summary, faults, damaged))
             }
         }
     }
@@ -115,39 +115,39 @@
     format!("#{:02x}{:02x}{:02x}", colour.0, colour.1, colour.2)
 }
 
-fn card(finding: &Finding) -> Markup {
+fn finding_card(finding: &Finding) -> Markup {
     let kind = if finding.certainty == Certainty::Possible { "finding possible" } else { "finding" };
     html! {
         div class=(kind) {
-            b { (finding_title(&finding.kind)) } " " span.quiet { "(" (certainty(finding.certainty)) ")" }
-            div { (time(finding.from_ms)) " to " (clock(finding.to_ms)) }
+            b { (finding_title(&finding.kind)) } " " span.quiet { "(" (certainty_label(finding.certainty)) ")" }
+            div { (date_time(finding.from_ms)) " to " (time_of_day(finding.to_ms)) }
             div { (finding.evidence) "." }
             @if let Some(against) = &finding.counter_evidence { div.quiet { "Against it: " (against) "." } }
         }
     }
 }
 
-fn header(first: &str) -> Markup {
-    html! { tr { th { (first) } th { "asked" } @for (name, _, _) in PARTS { th { (name) } } } }
+fn count_header(first: &str) -> Markup {
+    html! { tr { th { (first) } th { "received" } @for (name, _, _) in END_COLUMNS { th { (name) } } } }
 }
 
-fn row(first: &str, counts: &QueryCounts) -> Markup {
-    html! { tr { td { (first) } td { (counts.received) } @for (_, _, count) in PARTS { td { (count(counts)) } } } }
+fn count_row(first: &str, counts: &QueryCounts) -> Markup {
+    html! { tr { td { (first) } td { (counts.received) } @for (_, _, count) in END_COLUMNS { td { (count(counts)) } } } }
 }
 
-fn totals(classes: &BTreeMap<String, QueryCounts>) -> Markup {
-    html! { div.wide { table { (header("class")) @for (class, counts) in classes { (row(class, counts)) } } } }
+fn class_totals(classes: &BTreeMap<String, QueryCounts>) -> Markup {
+    html! { div.wide { table { (count_header("class")) @for (class, counts) in classes { (count_row(class, counts)) } } } }
 }
 
-fn sum<'a>(step: &'a TimeStep, class: &'a str) -> QueryCounts {
+fn sum_of_class<'a>(step: &'a TimeStep, class: &'a str) -> QueryCounts {
     let mut all = QueryCounts::default();
     step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| all.merge(counts));
     all
 }
 
-fn of_class(summary: &Summary, class: &str) -> Markup {
+fn class_section(summary: &Summary, class: &str) -> Markup {
     let steps: Vec<(u64, QueryCounts)> =
-        summary.steps.iter().map(|(begin, step)| (*begin, sum(step, class))).collect();
+        summary.steps.iter().map(|(begin, step)| (*begin, sum_of_class(step, class))).collect();
     let latencies: Vec<(u64, f64, f64)> = summary
         .steps
         .iter()
@@ -159,47 +159,47 @@
         .collect();
     html! {
         h3 { (class) }
-        (service_chart(summary, &steps).unwrap_or_default())
+        (query_chart(summary, &steps).unwrap_or_default())
         p.quiet { "Latency in ms, median and 99th percentile" }
         (latency_chart(summary, &latencies).unwrap_or_default())
         details {
-            summary { "Figures of " (class) ", step by step" }
+            summary { "Counts of " (class) ", step by step" }
             div.wide { table {
-                (header("from"))
-                @for (begin, counts) in steps.iter().take(MOST_ROWS) { (row(&clock(*begin), counts)) }
+                (count_header("from"))
+                @for (begin, counts) in steps.iter().take(MAX_TABLE_ROWS) { (count_row(&time_of_day(*begin), counts)) }
             } }
-            @if steps.len() > MOST_ROWS { p { (steps.len() - MOST_ROWS) " further steps are in the JSON." } }
+            @if steps.len() > MAX_TABLE_ROWS { p { (steps.len() - MAX_TABLE_ROWS) " further steps are in the JSON." } }
         }
     }
 }
 
-/// Draws with this function; a chart that cannot be drawn is left out, and its figures are in the table.
-fn chart(
+/// Draws with this function; a chart that cannot be drawn is left out, because its values are also in the table and in the JSON.
+fn draw_chart(
     draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> Option<()>,
 ) -> Option<Markup> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, CHART).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
         draw(&area)?;
         area.present().ok()?;
     }
     Some(PreEscaped(svg))
 }
 
-fn service_chart(summary: &Summary, steps: &[(u64, QueryCounts)]) -> Option<Markup> {
+fn query_chart(summary: &Summary, steps: &[(u64, QueryCounts)]) -> Option<Markup> {
     let (first, last) = (steps.first()?.0, steps.last()?.0 + summary.step_ms());
     let most = steps.iter().map(|(_, counts)| counts.ended() + counts.unknown).max()?.max(1);
-    chart(|area| {
+    draw_chart(|area| {
         let mut plot = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(56)
             .build_cartesian_2d(first..last, 0..most + most / 20)
             .ok()?;
-        axes(&mut plot, &|ms: &u64| clock(*ms), &|count: &u64| count.to_string())?;
+        draw_axes(&mut plot, &|ms: &u64| time_of_day(*ms), &|count: &u64| count.to_string())?;
         for (begin, counts) in steps {
             let mut from = 0;
-            for (_, colour, count) in PARTS {
+            for (_, colour, count) in END_COLUMNS {
                 let to = from + count(counts);
                 let bar = Rectangle::new([(*begin, from), (begin + summary.step_ms(), to)], colour.filled());
                 plot.draw_series(std::iter::once(bar)).ok()?;
@@ -213,24 +213,24 @@
 fn latency_chart(summary: &Summary, steps: &[(u64, f64, f64)]) -> Option<Markup> {
     let (first, last) = (steps.first()?.0, steps.last()?.0 + summary.step_ms());
     let most = steps.iter().map(|step| step.2).fold(1.0, f64::max);
-    chart(|area| {
+    draw_chart(|area| {
         let mut plot = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(56)
             .build_cartesian_2d(first..last, 0.0..most * 1.05)
             .ok()?;
-        axes(&mut plot, &|ms: &u64| clock(*ms), &|value: &f64| format!("{value:.0}"))?;
+        draw_axes(&mut plot, &|ms: &u64| time_of_day(*ms), &|value: &f64| format!("{value:.0}"))?;
         let middle = |begin: u64| begin + summary.step_ms() / 2;
         let median = steps.iter().map(|step| (middle(step.0), step.1));
-        plot.draw_series(LineSeries::new(median, PARTS[0].1.stroke_width(2))).ok()?;
+        plot.draw_series(LineSeries::new(median, END_COLUMNS[0].1.stroke_width(2))).ok()?;
         let high = steps.iter().map(|step| (middle(step.0), step.2));
-        plot.draw_series(LineSeries::new(high, PARTS[3].1.stroke_width(2))).ok()?;
+        plot.draw_series(LineSeries::new(high, END_COLUMNS[3].1.stroke_width(2))).ok()?;
         Some(())
     })
 }
 
-fn axes<Y: plotters::coord::ranged1d::ValueFormatter<<Y as Ranged>::ValueType> + Ranged>(
+fn draw_axes<Y: plotters::coord::ranged1d::ValueFormatter<<Y as Ranged>::ValueType> + Ranged>(
     plot: &mut ChartContext<'_, SVGBackend<'_>, Cartesian2d<plotters::coord::types::RangedCoordu64, Y>>,
     x: &dyn Fn(&u64) -> String,
     y: &dyn Fn(&<Y as Ranged>::ValueType) -> String,
@@ -241,35 +241,35 @@
         .y_labels(5)
         .x_label_formatter(x)
         .y_label_formatter(y)
-        .axis_style(INK)
-        .light_line_style(INK.mix(0.0))
-        .bold_line_style(INK.mix(0.25))
-        .label_style(("sans-serif", 12).into_font().color(&INK))
+        .axis_style(AXIS_COLOUR)
+        .light_line_style(AXIS_COLOUR.mix(0.0))
+        .bold_line_style(AXIS_COLOUR.mix(0.25))
+        .label_style(("sans-serif", 12).into_font().color(&AXIS_COLOUR))
         .draw()
         .ok()
 }
 
-fn tenants(summary: &Summary) -> Markup {
+fn tenant_totals(summary: &Summary) -> Markup {
     let mut all: BTreeMap<(String, String), QueryCounts> = BTreeMap::new();
     for (key, counts) in summary.steps.values().flat_map(|step| &step.queries) {
         all.entry(key.clone()).or_default().merge(counts);
     }
     let name = |(class, tenant): &(String, String)| match tenant.as_str() {
-        "" => format!("{class}, no tenant told"),
+        "" => format!("{class}, no tenant given"),
         tenant => format!("{class}, {tenant}"),
     };
     html! {
         details {
             summary { "By class and tenant" }
-            div.wide { table { (header("class, tenant")) @for (key, counts) in &all { (row(&name(key), counts)) } } }
+            div.wide { table { (count_header("class, tenant")) @for (key, counts) in &all { (count_row(&name(key), counts)) } } }
         }
     }
 }
 
-/// Workers by time: the redder, the more attempts brought no answer.
-fn map(summary: &Summary) -> Markup {
+/// Workers by time: the redder, the more attempts got no response.
+fn worker_map(summary: &Summary) -> Markup {
     let workers: BTreeSet<&String> = summary.steps.values().flat_map(|step| step.attempts.keys()).collect();
-    let each = summary.steps.len().div_ceil(MOST_COLUMNS).max(1);
+    let each = summary.steps.len().div_ceil(MAX_MAP_COLUMNS).max(1);
     let steps: Vec<(&u64, &TimeStep)> = summary.steps.iter().collect();
     let cell = |worker: &String, steps: &[(&u64, &TimeStep)]| {
         let mut all = super::metrics::AttemptMetrics::default();
@@ -285,12 +285,12 @@
         let colour =
             if all.total() == 0 { "transparent".to_owned() } else { format!("hsl({hue:.0} 55% 45%)") };
         let pace = all.done_us as f64 / all.successful().max(1) as f64 / 1000.0;
-        let told = format!(
-            "{worker} {}: {} attempts, {bad} without an answer, {pace:.1} ms",
-            clock(*steps[0].0),
+        let tooltip = format!(
+            "{worker} {}: {} attempts, {bad} without a response, {pace:.1} ms",
+            time_of_day(*steps[0].0),
             all.total()
         );
-        html! { td style={"background:" (colour)} title=(told) {} }
+        html! { td style={"background:" (colour)} title=(tooltip) {} }
     };
     html! {
         @if workers.is_empty() { p { "No attempt is on record." } }
@@ -299,38 +299,38 @@
                 tr { td { (worker) } @for few in steps.chunks(each) { (cell(worker, few)) } }
             }
         } }
-        p.quiet { "From left to right as time passes; green: answered, red: a fifth or more brought no answer; empty: nothing was sent." }
+        p.quiet { "From left to right as time passes; green: got a response, red: a fifth or more got none; empty: nothing was sent." }
     }
 }
 
-fn course(summary: &Summary) -> Markup {
-    let mut told: Vec<_> = summary.timeline.iter().collect();
-    told.sort_by_key(|told| told.at_ms);
-    let left_out = told.len().saturating_sub(MOST_ROWS) as u64 + summary.timeline_dropped;
+fn timeline(summary: &Summary) -> Markup {
+    let mut events: Vec<_> = summary.timeline.iter().collect();
+    events.sort_by_key(|event| event.at_ms);
+    let not_shown = events.len().saturating_sub(MAX_TABLE_ROWS) as u64 + summary.timeline_dropped;
     html! {
         div.wide { table {
             tr { th { "at" } th.text { "gatherer" } th.text { "what" } }
-            @for told in told.iter().take(MOST_ROWS) {
-                tr { td { (time(told.at_ms)) } td.text { (told.gatherer) } td.text { (told.description) } }
+            @for event in events.iter().take(MAX_TABLE_ROWS) {
+                tr { td { (date_time(event.at_ms)) } td.text { (event.gatherer) } td.text { (event.description) } }
             }
         } }
-        @if left_out > 0 { p { (left_out) " further events are not shown." } }
+        @if not_shown > 0 { p { (not_shown) " further events are not shown." } }
     }
 }
 
-fn records(summary: &Summary, faults: &[String], damaged: u64) -> Markup {
+fn record_section(summary: &Summary, faults: &[String], damaged: u64) -> Markup {
     html! {
         div.wide { table {
-            tr { th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "lines missing" } }
-            @for ((gatherer, start), seen) in summary.incarnations.iter().take(MOST_ROWS) {
+            tr { th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "records missing" } }
+            @for ((gatherer, start), seen) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
                 tr {
-                    td { (gatherer) } td.text { (start) } td { (time(seen.first_ms)) } td { (time(seen.last_ms)) }
+                    td { (gatherer) } td.text { (start) } td { (date_time(seen.first_ms)) } td { (date_time(seen.last_ms)) }
                     td { @if seen.stopped { "stop" } @else { "none on record" } } td { (seen.missing) }
                 }
             }
         } }
         @if damaged > 0 {
-            p { (damaged) " lines do not count:" }
+            p { (damaged) " records are damaged and not counted:" }
             ul { @for fault in faults { li { (fault) } } }
         }
         p.quiet { "Clocks of gatherers may differ; each one's records stand at its own time." }
