--- /dev/null
+++ b/src/bin/soak-test/harness.rs
@@ -0,0 +1,233 @@
+//! Runs a soak test: starts the processes, injects faults as scheduled, and hands what was observed to the checker.
+
+use crate::RunOptions;
+use crate::clients::{self, ClientContext, ResponseCounts};
+use crate::discovery::{DiscoveryAgent, Endpoint, EndpointList};
+use crate::gatherer_process::{Environment, Gatherer, GathererProcess};
+use crate::gatherer_settings::{self, DEADLINE_MS, DRAIN_GRACE_MS};
+use crate::monotonic::now_us;
+use crate::process::free_address;
+use crate::worker_process::WorkerProcess;
+use fastrand::Rng;
+use gatherer::soak::checker::{Observations, Violation, check};
+use std::cell::{Cell, RefCell};
+use std::path::{Path, PathBuf};
+use std::process::{Command, ExitCode};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+
+/// How often the state of processes is polled.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The workers' last lines are read within this.
+const LAST_LINES_WITHIN: Duration = Duration::from_millis(100);
+/// What is added to the drain's grace period before an attempt counts as late.
+const DRAIN_GRACE_SLACK_MS: u64 = 50;
+/// Violations that are printed.
+const PRINTED_VIOLATIONS: usize = 20;
+
+/// A soak test: its processes, and what was observed of them.
+pub struct SoakTest {
+    /// The options of the run.
+    pub options: RunOptions,
+    /// What was observed so far.
+    pub observations: Rc<RefCell<Observations>>,
+    /// The gatherers, by their number.
+    pub gatherers: Vec<Rc<Gatherer>>,
+    /// The workers, by their number.
+    pub workers: Vec<Rc<WorkerProcess>>,
+    /// Workers into which a fault is being injected.
+    pub faulted_workers: RefCell<Vec<usize>>,
+    /// The endpoint list as it is to be.
+    pub list: RefCell<EndpointList>,
+    /// Processes of gatherers that were started.
+    pub starts: Cell<u64>,
+    /// What the clients share.
+    pub clients: Rc<ClientContext>,
+    /// Faults that were injected.
+    pub injected: Cell<usize>,
+}
+
+/// Runs a soak test and prints which invariants were violated.
+pub fn run(options: &RunOptions) -> ExitCode {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let (violations, summary) =
+        LocalSet::new().block_on(&runtime, async { SoakTest::start(options).await.run().await });
+    println!("{summary}");
+    if violations.is_empty() {
+        println!("no invariant was violated");
+        return ExitCode::SUCCESS;
+    }
+    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
+        println!("VIOLATED {violation}");
+    }
+    if violations.len() > PRINTED_VIOLATIONS {
+        println!("... and {} more", violations.len() - PRINTED_VIOLATIONS);
+    }
+    println!("to repeat this run: {}", command_line(options));
+    ExitCode::FAILURE
+}
+
+fn command_line(options: &RunOptions) -> String {
+    let mut line = format!(
+        "soak-test run --seed {} --seconds {} --gatherers {} --workers {} --clients {}",
+        options.seed, options.seconds, options.gatherers, options.workers, options.clients
+    );
+    options.only.iter().for_each(|name| line.push_str(&format!(" --only {name}")));
+    line.push_str(if options.no_faults { " --no-faults" } else { "" });
+    line
+}
+
+/// The fault library: the one that was named, or one built here.
+fn fault_library(options: &RunOptions, folder: &Path) -> Option<PathBuf> {
+    if options.no_faults {
+        return None;
+    }
+    if let Some(library) = &options.library {
+        return Some(library.clone());
+    }
+    let library = folder.join("faults.so");
+    let mut compiler = Command::new("cc");
+    compiler.args(["-O2", "-shared", "-fPIC", "-o"]).arg(&library).args(["tools/faults/faults.c", "-ldl"]);
+    assert!(compiler.status().is_ok_and(|status| status.success()), "tools/faults/faults.c is compiled");
+    Some(library)
+}
+
+fn start_workers(options: &RunOptions) -> Vec<Rc<WorkerProcess>> {
+    let start = |at| WorkerProcess::start(&format!("w{at}"), options.seed * 1000 + at as u64);
+    (0..options.workers).map(start).collect()
+}
+
+fn endpoint_list(workers: &[Rc<WorkerProcess>]) -> EndpointList {
+    let cells = gatherer_settings::cells(workers.len());
+    let endpoint = |(at, worker): (usize, &Rc<WorkerProcess>)| {
+        let (address, cell) = (worker.address.clone(), (at % cells) as u32);
+        (worker.name.clone(), Endpoint { address, cell, phase: "SERVING", up_since_ms: 0 })
+    };
+    workers.iter().enumerate().map(endpoint).collect()
+}
+
+impl SoakTest {
+    async fn start(options: &RunOptions) -> Rc<SoakTest> {
+        let folder = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let library = fault_library(options, &folder);
+        let environment = Rc::new(Environment {
+            folder,
+            program: options.program.clone(),
+            library,
+            logs: options.logs.clone(),
+            membership_addresses: (0..options.gatherers).map(|_| free_address()).collect(),
+            gatherers: options.gatherers,
+            workers: options.workers,
+        });
+        let workers = start_workers(options);
+        let list = endpoint_list(&workers);
+        let mut gatherers = Vec::new();
+        for number in 0..options.gatherers {
+            gatherers.push(Gatherer::new(number, DiscoveryAgent::start(&list).await, environment.clone()));
+        }
+        let observations = Rc::new(RefCell::new(Observations {
+            drain_grace_us: (DRAIN_GRACE_MS + DRAIN_GRACE_SLACK_MS) * 1000,
+            longest_deadline_us: DEADLINE_MS * 1000,
+            ..Observations::default()
+        }));
+        let clients = ClientContext {
+            gatherers: gatherers.iter().map(|gatherer| gatherer.endpoint.clone()).collect(),
+            observations: observations.clone(),
+            finished: Cell::new(false),
+            responses: ResponseCounts::default(),
+        };
+        Rc::new(SoakTest {
+            options: options.clone(),
+            observations,
+            gatherers,
+            workers,
+            faulted_workers: RefCell::default(),
+            list: RefCell::new(list),
+            starts: Cell::new(0),
+            clients: Rc::new(clients),
+            injected: Cell::new(0),
+        })
+    }
+
+    async fn run(self: Rc<Self>) -> (Vec<Violation>, String) {
+        let lag = spawn_local(measure_observer_lag(self.observations.clone()));
+        for gatherer in &self.gatherers {
+            gatherer.in_transition.set(true);
+            self.launch(gatherer).await;
+            gatherer.in_transition.set(false);
+        }
+        let mut random = Rng::with_seed(self.options.seed);
+        let clients: Vec<JoinHandle<()>> = (0..self.options.clients)
+            .map(|_| spawn_local(clients::run_client(self.clients.clone(), random.fork())))
+            .collect();
+        let restarts = spawn_local(self.clone().restart_ended_processes());
+        self.clone().inject_faults().await;
+        self.clients.finished.set(true);
+        for client in clients {
+            client.await.expect("no client panics");
+        }
+        restarts.abort();
+        self.stop().await;
+        lag.abort();
+        (check(&self.observations.borrow()), self.summary())
+    }
+
+    fn summary(&self) -> String {
+        let observations = self.observations.borrow();
+        let responses = &self.clients.responses;
+        format!(
+            "seed {}: {} faults, {} processes, {} requests: {} served, {} rejected, {} failed; {} parts; lag {} ms",
+            self.options.seed,
+            self.injected.get(),
+            observations.processes.len() + self.workers.len(),
+            observations.requests.len(),
+            responses.served.get(),
+            responses.rejected.get(),
+            responses.failed.get(),
+            observations.parts.len(),
+            observations.observer_lag_us / 1000
+        )
+    }
+
+    /// Ends all processes and collects what is not yet observed.
+    async fn stop(&self) {
+        for gatherer in &self.gatherers {
+            // The file is there only while system calls fail.
+            let _ = std::fs::remove_file(gatherer.fault_switch());
+            gatherer.endpoint.accepts_connections.set(false);
+        }
+        let running: Vec<GathererProcess> =
+            self.gatherers.iter().filter_map(|gatherer| gatherer.process.take()).collect();
+        for process in running {
+            self.terminate(process).await;
+        }
+        for worker in &self.workers {
+            worker.kill();
+        }
+        tokio::time::sleep(LAST_LINES_WITHIN).await;
+        let mut observations = self.observations.borrow_mut();
+        self.workers.iter().for_each(|worker| worker.collect(&mut observations));
+        // Only now are all exemptions known.
+        for removal in &mut observations.removals {
+            removal.effective_at = self.gatherers[removal.gatherer].effective_at(removal.effective_at);
+        }
+        let switch = self.gatherers.first().map(|gatherer| gatherer.fault_switch());
+        if let Some(folder) = switch.as_deref().and_then(Path::parent) {
+            // A file that is left does no harm.
+            let _ = std::fs::remove_dir_all(folder);
+        }
+    }
+}
+
+/// Notes how long this process itself was paused.
+async fn measure_observer_lag(observations: Rc<RefCell<Observations>>) {
+    loop {
+        let since = now_us();
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let lag_us = (now_us() - since).saturating_sub(POLL_INTERVAL.as_micros() as u64);
+        let mut observations = observations.borrow_mut();
+        observations.observer_lag_us = observations.observer_lag_us.max(lag_us);
+    }
+}
