--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -146,7 +146,7 @@
 
 /// Whether one that is seen so is taken to be there.
 pub fn there(state: ObservedState) -> bool {
-    !matches!(state, ObservedState::Silent | ObservedState::Dead | ObservedState::Left)
+    !matches!(state, ObservedState::Failed | ObservedState::Dead | ObservedState::Left)
 }
 
 #[derive(Clone)]
@@ -338,7 +338,7 @@
     }
     /// Deaths told of processes that were there.
     pub fn buried_alive(&self) -> Vec<&Told> {
-        let dead = |told: &&Told| matches!(told.change.state, ObservedState::Silent | ObservedState::Dead);
+        let dead = |told: &&Told| matches!(told.change.state, ObservedState::Failed | ObservedState::Dead);
         self.told.iter().filter(dead).filter(|told| told.lives).collect()
     }
     /// Lets time pass until this is so, in steps of 50 ms; how long that took, if it came to be.
