--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -1,156 +1,202 @@
-//! What an aggregator has learned, as others may read it, and as a successor takes it over. Nothing here
-//! decides.
+//! What an aggregator has learned, as others may read it, and as a successor takes it over in a hot restart.
+//! Nothing here decides.
+//!
+//! A snapshot travels in the hand-over message to a process that may be of another version: each field keeps
+//! the name and each tuple the form that the message has always had, whatever the Rust names are.
 
-use super::Aggregator;
-use crate::policy::client_retries::KnownPatience;
-use crate::policy::estimates::{Model, normalise};
-use crate::policy::state::WorkerState;
-use crate::policy::*;
+use crate::policy::client_retries::ClientRetriesSnapshot;
+use crate::policy::estimates::{Decaying, LatencyModel, QueryArrivals};
+use crate::policy::load_reports::{Replica, normalise};
+use crate::policy::worker_state::{Ejection, SentCost, WorkerState};
+use crate::policy::{Aggregator, ClassId, ShardId, TenantId, Time, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What was learned of one leaf, by its name.
+/// What was learned of one worker, by its name; fields as in [`WorkerState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSnapshot {
     name: String,
     /// The start of the process of which it was learned.
-    since: Option<Time>,
-    cold_from: Option<Time>,
-    sent: Vec<(Time, f64)>,
+    #[serde(rename = "since")]
+    started_at: Option<Time>,
+    #[serde(rename = "cold_from")]
+    warming_since: Option<Time>,
+    #[serde(rename = "sent")]
+    recent_sends: Vec<(Time, f64)>,
     utilization: Option<f64>,
-    heard: Option<Time>,
-    seen: f64,
-    planned: f64,
-    last_done: Time,
-    spoke: Time,
-    silent: bool,
-    inferred: bool,
-    unreached: Option<Time>,
-    strikes: u32,
-    lost: Vec<(Option<ClassId>, f64, Time)>,
-    suspect: Option<(Time, Duration)>,
-    served: f64,
+    #[serde(rename = "heard")]
+    last_report_at: Option<Time>,
+    #[serde(rename = "seen")]
+    mean_latency: f64,
+    #[serde(rename = "planned")]
+    mean_expected_latency: f64,
+    #[serde(rename = "last_done")]
+    last_success_at: Time,
+    #[serde(rename = "spoke")]
+    last_response_at: Time,
+    #[serde(rename = "silent")]
+    unresponsive: bool,
+    #[serde(rename = "inferred")]
+    ejected_with_zone: bool,
+    #[serde(rename = "unreached")]
+    connect_failed_at: Option<Time>,
+    #[serde(rename = "strikes")]
+    consecutive_failures: u32,
+    #[serde(rename = "lost")]
+    failure_rates: Vec<(Option<ClassId>, f64, Time)>,
+    /// The time of the next half-open attempt, and the ejection's duration.
+    #[serde(rename = "suspect")]
+    ejection: Option<(Time, Duration)>,
+    #[serde(rename = "served")]
+    served_cost_rate: f64,
 }
 
-/// What was learned in all: of leaves, of the multipliers of each shard's replicas, and for admission.
+/// What was learned in all: of workers, of the weights of each shard's replicas, and for admission.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
-    leaves: Vec<WorkerSnapshot>,
-    shards: Vec<(ShardId, Vec<(String, f64)>)>,
-    shares: Vec<(TenantId, f64, Time)>,
+    #[serde(rename = "leaves")]
+    workers: Vec<WorkerSnapshot>,
+    #[serde(rename = "shards")]
+    replica_sets: Vec<(ShardId, Vec<(String, f64)>)>,
+    #[serde(rename = "shares")]
+    tenant_quotas: Vec<(TenantId, f64, Time)>,
     #[serde(flatten)]
-    clients: KnownPatience,
-    model: Model,
-    lost: f64,
-    gap: f64,
-    asked: Time,
-    answered: Time,
-    base: Vec<f64>,
+    client_retries: ClientRetriesSnapshot,
+    #[serde(rename = "model")]
+    latency_model: LatencyModel,
+    #[serde(rename = "lost")]
+    recent_failure_rate: f64,
+    #[serde(rename = "gap")]
+    query_interval: f64,
+    #[serde(rename = "asked")]
+    last_query_at: Time,
+    #[serde(rename = "answered")]
+    last_success_at: Time,
+    #[serde(rename = "base")]
+    base_latency: Vec<f64>,
 }
 
 impl PolicySnapshot {
-    /// The leaves of which anything was learned, those that are gone among them.
+    /// The workers of which anything was learned, those that are gone among them.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
-        self.leaves.iter().map(|leaf| leaf.name.as_str())
+        self.workers.iter().map(|worker| worker.name.as_str())
+    }
+}
+
+impl WorkerSnapshot {
+    fn of(name: &str, worker: &WorkerState) -> Self {
+        let rate = |(class, rate): (&Option<ClassId>, &Decaying)| (*class, rate.value, rate.updated_at);
+        WorkerSnapshot {
+            name: name.to_owned(),
+            started_at: worker.endpoint.started_at,
+            warming_since: worker.warming_since,
+            recent_sends: worker.recent_sends.iter().map(|sent| (sent.at, sent.cost)).collect(),
+            utilization: worker.utilization,
+            last_report_at: worker.last_report_at,
+            mean_latency: worker.mean_latency,
+            mean_expected_latency: worker.mean_expected_latency,
+            last_success_at: worker.last_success_at,
+            last_response_at: worker.last_response_at,
+            unresponsive: worker.unresponsive,
+            ejected_with_zone: worker.ejected_with_zone,
+            connect_failed_at: worker.connect_failed_at,
+            consecutive_failures: worker.consecutive_failures,
+            failure_rates: worker.failure_rates.iter().map(rate).collect(),
+            ejection: worker.ejection.map(|ejection| (ejection.retry_at, ejection.duration)),
+            served_cost_rate: worker.served_cost_rate,
+        }
+    }
+
+    /// Takes it over into a worker's state. Of a process that has been replaced since, only when it was last
+    /// sent a part is taken over.
+    fn restore(self, worker: &mut WorkerState) {
+        worker.recent_sends = self.recent_sends.into_iter().map(|(at, cost)| SentCost { at, cost }).collect();
+        worker.warming_since = worker.warming_since.max(self.warming_since);
+        if worker.endpoint.started_at != self.started_at {
+            return;
+        }
+        let rate = |(class, value, updated_at)| (class, Decaying { value, updated_at });
+        worker.utilization = self.utilization;
+        worker.last_report_at = self.last_report_at;
+        worker.mean_latency = self.mean_latency;
+        worker.mean_expected_latency = self.mean_expected_latency;
+        worker.last_success_at = self.last_success_at;
+        worker.last_response_at = self.last_response_at;
+        worker.unresponsive = self.unresponsive;
+        worker.ejected_with_zone = self.ejected_with_zone;
+        worker.connect_failed_at = self.connect_failed_at;
+        worker.consecutive_failures = self.consecutive_failures;
+        worker.failure_rates = self.failure_rates.into_iter().map(rate).collect();
+        worker.ejection = self.ejection.map(|(retry_at, duration)| Ejection { retry_at, duration });
+        worker.served_cost_rate = self.served_cost_rate;
     }
 }
 
 impl Aggregator {
-    /// The active leaves that it sends nothing to but trials.
+    /// The active workers that are ejected: they get half-open attempts and health checks only.
     pub fn ejected_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
-        let suspect = self
-            .leaves
-            .iter()
-            .filter(|(_, leaf)| leaf.entry.status == EndpointStatus::Active && leaf.suspect.is_some());
-        suspect.map(|(id, _)| *id)
+        let ejected =
+            self.workers.iter().filter(|(_, worker)| worker.is_active() && worker.ejection.is_some());
+        ejected.map(|(id, _)| *id)
     }
 
-    /// Has it push cold leaves by this multiple of what they bear, in place of that of its settings: two
-    /// processes of one root share it.
-    pub fn set_slow_start_budget_factor(&mut self, multiple: f64) {
-        self.settings.slow_start_budget_factor = multiple;
+    /// Replaces the setting of this name: two processes of one aggregator share the slow-start budget.
+    pub fn set_slow_start_budget_factor(&mut self, factor: f64) {
+        self.settings.slow_start_budget_factor = factor;
     }
 
-    /// So many roots share the fleet, in place of the number of its settings.
-    pub fn set_fleet_size(&mut self, roots: u32) {
-        self.settings.fleet_size = roots.max(1);
+    /// Replaces the setting of this name: so many aggregators share the workers, at least 1.
+    pub fn set_fleet_size(&mut self, aggregators: u32) {
+        self.settings.fleet_size = aggregators.max(1);
     }
 
-    /// What it has learned of the leaves that have a name.
+    /// What it has learned of the workers that have a name.
+    #[must_use]
     pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
-        let of = |(id, leaf): (&WorkerId, &WorkerState)| {
-            Some(WorkerSnapshot {
-                name: name(*id)?.to_owned(),
-                since: leaf.entry.started_at,
-                cold_from: leaf.cold_from,
-                sent: leaf.sent.iter().copied().collect(),
-                utilization: leaf.utilization,
-                heard: leaf.heard,
-                seen: leaf.seen,
-                planned: leaf.planned,
-                last_done: leaf.last_done,
-                spoke: leaf.spoke,
-                silent: leaf.silent,
-                inferred: leaf.inferred,
-                unreached: leaf.unreached,
-                strikes: leaf.strikes,
-                lost: leaf.lost.iter().map(|(class, (share, at))| (*class, *share, *at)).collect(),
-                suspect: leaf.suspect,
-                served: leaf.served,
-            })
-        };
-        let row = |row: &Vec<(WorkerId, f64)>| {
-            row.iter().filter_map(|(id, m)| Some((name(*id)?.to_owned(), *m))).collect()
-        };
+        let worker = |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::of(name(*id)?, worker));
+        let weight = |replica: &Replica| Some((name(replica.worker)?.to_owned(), replica.weight));
+        let weights = |set: &Vec<Replica>| set.iter().filter_map(weight).collect();
         PolicySnapshot {
-            leaves: self.leaves.iter().filter_map(of).collect(),
-            shards: self.shards.iter().map(|(shard, held)| (*shard, row(held))).collect(),
-            shares: self.shares.known(),
-            clients: self.retries.known(),
-            model: self.model.clone(),
-            lost: self.lost,
-            gap: self.gap,
-            asked: self.asked,
-            answered: self.answered,
-            base: self.base.clone(),
+            workers: self.workers.iter().filter_map(worker).collect(),
+            replica_sets: self.replica_sets.iter().map(|(shard, set)| (*shard, weights(set))).collect(),
+            tenant_quotas: self.tenant_quotas.snapshot(),
+            client_retries: self.client_retries.snapshot(),
+            latency_model: self.latency_model.clone(),
+            recent_failure_rate: self.recent_failure_rate,
+            query_interval: self.query_arrivals.mean_interval_s,
+            last_query_at: self.query_arrivals.last_at,
+            last_success_at: self.last_success_at,
+            base_latency: self.base_latency.clone(),
         }
     }
 
-    /// Takes over what another has learned, of the leaves that it knows itself by now. What was learned of a
-    /// process that has been replaced since is left out, but for when it was last sent work.
-    pub fn restore(&mut self, learned: PolicySnapshot, leaf: impl Fn(&str) -> Option<WorkerId>) {
-        for of in learned.leaves {
-            let Some(own) = leaf(&of.name).and_then(|id| self.leaves.get_mut(&id)) else { continue };
-            own.sent = of.sent.into();
-            own.cold_from = own.cold_from.max(of.cold_from);
-            if own.entry.started_at != of.since {
-                continue;
+    /// Takes over what a predecessor has learned, of the workers that are known here by now.
+    pub fn restore(&mut self, snapshot: PolicySnapshot, id: impl Fn(&str) -> Option<WorkerId>) {
+        for worker in snapshot.workers {
+            if let Some(known) = id(&worker.name).and_then(|id| self.workers.get_mut(&id)) {
+                worker.restore(known);
             }
-            (own.utilization, own.heard) = (of.utilization, of.heard);
-            (own.seen, own.planned) = (of.seen, of.planned);
-            (own.last_done, own.spoke) = (of.last_done, of.spoke);
-            (own.silent, own.inferred, own.unreached) = (of.silent, of.inferred, of.unreached);
-            (own.strikes, own.suspect, own.served) = (of.strikes, of.suspect, of.served);
-            own.lost = of.lost.into_iter().map(|(class, share, at)| (class, (share, at))).collect();
         }
-        for (shard, held) in learned.shards {
-            let Some(row) = self.shards.get_mut(&shard) else { continue };
-            for (name, m) in held {
-                if let Some(id) = leaf(&name)
-                    && let Some(own) = row.iter_mut().find(|own| own.0 == id)
+        for (shard, weights) in snapshot.replica_sets {
+            let Some(set) = self.replica_sets.get_mut(&shard) else { continue };
+            for (name, weight) in weights {
+                if let Some(id) = id(&name)
+                    && let Some(replica) = set.iter_mut().find(|replica| replica.worker == id)
                 {
-                    own.1 = m;
+                    replica.weight = weight;
                 }
             }
-            normalise(row);
+            normalise(set);
         }
-        self.shares.take_over(learned.shares);
-        self.retries.take_over(learned.clients);
-        if learned.base.len() == self.base.len() {
-            self.base = learned.base;
+        self.tenant_quotas.restore(snapshot.tenant_quotas);
+        self.client_retries.restore(snapshot.client_retries);
+        if snapshot.base_latency.len() == self.base_latency.len() {
+            self.base_latency = snapshot.base_latency;
         }
-        self.model = learned.model;
-        (self.lost, self.gap) = (learned.lost, learned.gap);
-        (self.asked, self.answered) = (learned.asked, learned.answered);
+        self.latency_model = snapshot.latency_model;
+        self.recent_failure_rate = snapshot.recent_failure_rate;
+        self.query_arrivals =
+            QueryArrivals { mean_interval_s: snapshot.query_interval, last_at: snapshot.last_query_at };
+        self.last_success_at = snapshot.last_success_at;
     }
 }
