--- /dev/null
+++ b/src/transport/clients/connection.rs
@@ -0,0 +1,298 @@
+//! Serves one client's connection: reads its requests and writes exactly one response to each, until it is closed.
+//!
+//! It owns the bytes of the connection from admission to close. It never decides what a response says, which is the
+//! [`Front`]'s, nor when the connection is evicted, which is the connection manager's.
+
+use super::closing::{
+    MAX_PIPELINED_BYTES, READ_CHUNK_BYTES, final_write_timeout, linger, poll_once, write_and_close,
+};
+use super::connection_permit::ConnectionPermit;
+use super::front::Front;
+use super::response_guard::ResponseGuard;
+use super::source::source;
+use crate::limits::client_connections::{EvictionReason, RequestValidity};
+use crate::protocol::http::{self, Request, Response};
+use crate::transport::connector::Stream;
+use bytes::{Bytes, BytesMut};
+use std::io;
+use std::net::SocketAddr;
+use std::ops::ControlFlow;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
+
+/// How long writing a response to a client may take.
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// Serves one connection until it is closed.
+pub async fn serve<F: Front>(stream: impl Stream, peer: SocketAddr, front: &F, permit: ConnectionPermit) {
+    let (read, write) = tokio::io::split(stream);
+    let mut connection =
+        ClientConnection { read, write, buffer: BytesMut::new(), responses: 0, peer, front, permit };
+    while let Some(request) = connection.next_request().await {
+        if connection.respond_to(request).await.is_break() {
+            return;
+        }
+    }
+}
+
+/// What a connection's next step is, once it has read what came.
+enum NextStep {
+    /// A complete request was read.
+    Serve(Request),
+    /// These bytes are written, then the connection is closed.
+    CloseAfterWriting(Bytes),
+    /// The connection is closed without a further byte.
+    Close,
+}
+
+/// One connection. Its fields are dropped in this order: the socket is closed before its descriptor is released.
+struct ClientConnection<'a, S, F> {
+    read: ReadHalf<S>,
+    write: WriteHalf<S>,
+    /// Bytes that were read and are not yet part of a request.
+    buffer: BytesMut,
+    /// How many responses were written.
+    responses: u64,
+    peer: SocketAddr,
+    front: &'a F,
+    permit: ConnectionPermit,
+}
+
+impl<S: Stream, F: Front> ClientConnection<'_, S, F> {
+    /// Reads the next request. `None` where the connection ends instead, with its last bytes written.
+    async fn next_request(&mut self) -> Option<Request> {
+        match self.next_step().await {
+            NextStep::Serve(request) => Some(Request { waited: self.permit.take_queue_time(), ..request }),
+            NextStep::CloseAfterWriting(bytes) => {
+                self.write_and_close(&bytes).await;
+                None
+            }
+            NextStep::Close => None,
+        }
+    }
+
+    /// Gets the response to a request and writes it. Breaks where the connection has ended.
+    async fn respond_to(&mut self, request: Request) -> ControlFlow<()> {
+        let guard = ResponseGuard::new(self.front, &request);
+        if let Some(caller) = self.front.caller(&request) {
+            self.permit.set_source(source(self.peer, Some(caller)));
+        }
+        if !self.permit.try_begin_request() {
+            let rejection = self.front.overloaded(Some(&request)).encode(true);
+            if self.write_and_close(&rejection).await {
+                guard.mark_sent();
+            }
+            return ControlFlow::Break(());
+        }
+        let (keep_alive, is_head, body_bytes) =
+            (request.keep_alive, request.method == "HEAD", request.body.len());
+        let mut pipelining_overflowed = false;
+        let response = tokio::select! {
+            biased;
+            response = self.front.respond(request) => response,
+            () = client_closed(&mut self.read, &mut self.buffer, &self.permit, body_bytes, &mut pipelining_overflowed) => {
+                self.permit.update_counters(|counters| counters.client_closed_waiting += 1);
+                guard.mark_client_gone();
+                return ControlFlow::Break(());
+            }
+        };
+        let close = !keep_alive
+            || pipelining_overflowed
+            || self.permit.connection_manager().lifecycle_state().closes_after_response();
+        let mut bytes = response.encode(close);
+        if is_head {
+            bytes.truncate(bytes.len() - response.body.len());
+        }
+        self.write_response(&bytes, guard).await?;
+        if close {
+            if self.write.shutdown().await.is_ok() {
+                linger(&mut self.read, final_write_timeout(self.permit.connection_manager())).await;
+            }
+            return ControlFlow::Break(());
+        }
+        self.responses += 1;
+        self.permit.on_response_sent(match response.status {
+            400 | 405 | 411..=414 | 431 | 501 => RequestValidity::Invalid,
+            _ => RequestValidity::Valid,
+        });
+        ControlFlow::Continue(())
+    }
+
+    /// Writes a response; breaks where its client has gone or does not read it in time.
+    async fn write_response(&mut self, bytes: &[u8], guard: ResponseGuard<'_, F>) -> ControlFlow<()> {
+        self.permit.buffer_reservation.set(self.buffer.capacity() + bytes.len());
+        match tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, self.write.write_all(bytes)).await {
+            Ok(Ok(())) => {
+                guard.mark_sent();
+                ControlFlow::Continue(())
+            }
+            Ok(Err(error)) => {
+                log::debug!("client at {}: the response could not be written: {error}", self.peer);
+                self.permit.update_counters(|counters| counters.response_write_failed += 1);
+                guard.mark_client_gone();
+                ControlFlow::Break(())
+            }
+            Err(_) => {
+                self.permit.update_counters(|counters| counters.response_write_timed_out += 1);
+                ControlFlow::Break(())
+            }
+        }
+    }
+
+    /// Reads until the next request is complete or the connection has to end. Its time limits, and those of an idle
+    /// connection, are decided in [`crate::limits::client_connections`] and arrive here as an eviction.
+    async fn next_step(&mut self) -> NextStep {
+        let mut continue_sent = false;
+        if !self.buffer.is_empty() {
+            self.permit.on_bytes_received(self.buffer.len());
+        }
+        loop {
+            match http::take_request(&mut self.buffer) {
+                Ok(Some(request)) => return NextStep::Serve(request),
+                Ok(None) => {}
+                Err(error) => {
+                    self.permit.on_malformed_input();
+                    return NextStep::CloseAfterWriting(self.front.malformed(error).encode(true));
+                }
+            }
+            if !continue_sent && http::expects_continue(&self.buffer) {
+                continue_sent = true;
+                if self.write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
+                    return NextStep::Close;
+                }
+            }
+            if let Some(end) = self.read_more().await {
+                return end;
+            }
+        }
+    }
+
+    /// Waits for further bytes, an eviction or the end of idle connections. Returns how the connection ends, if it does.
+    async fn read_more(&mut self) -> Option<NextStep> {
+        // Many incomplete requests could fill the memory together: the more is buffered in all, the less each may hold.
+        let may_read = self.permit.buffer_reservation.allowance() >= self.buffer.len() + READ_CHUNK_BYTES;
+        if may_read {
+            self.buffer.reserve(READ_CHUNK_BYTES);
+        }
+        self.permit.buffer_reservation.set(self.buffer.capacity());
+        let closes_when_idle = self.buffer.is_empty()
+            && (self.responses > 0 || !self.permit.connection_manager().lifecycle_state().accepts_queries());
+        tokio::select! {
+            biased;
+            read = self.read.read_buf(&mut self.buffer), if may_read => return self.on_read(read),
+            () = self.permit.buffer_reservation.wait_for_space(), if !may_read => return None,
+            reason = self.permit.evicted() => {
+                if !self.buffer.is_empty() {
+                    return Some(request_timeout(reason));
+                }
+            }
+            // A new connection to a drained process still gets the response to its first request.
+            () = idle_close_due(&self.permit, self.responses), if closes_when_idle => {}
+        }
+        self.close_if_idle().await
+    }
+
+    /// Handles the result of a read. Returns how the connection ends, if it does.
+    fn on_read(&self, read: io::Result<usize>) -> Option<NextStep> {
+        match read {
+            Ok(count @ 1..) => {
+                self.permit.on_bytes_received(count);
+                return None;
+            }
+            Ok(0) => {}
+            Err(error) => log::debug!("client: {error}"),
+        }
+        let mid_request = !self.buffer.is_empty();
+        self.permit.update_counters(|counters| {
+            *if mid_request {
+                &mut counters.client_closed_mid_request
+            } else {
+                &mut counters.client_closed_idle
+            } += 1;
+        });
+        Some(NextStep::Close)
+    }
+
+    /// Ends a connection on which nothing is in flight, unless a request has arrived meanwhile. A connection that never
+    /// had a response gets a rejection first: its first request may be on its way, and its client then finds that
+    /// rejection in place of a close without any response.
+    async fn close_if_idle(&mut self) -> Option<NextStep> {
+        self.buffer.reserve(READ_CHUNK_BYTES);
+        if self.request_arrived().await {
+            return None;
+        }
+        if self.responses == 0 {
+            return Some(NextStep::CloseAfterWriting(self.front.overloaded(None).encode(true)));
+        }
+        self.close_idle().await;
+        Some(NextStep::Close)
+    }
+
+    /// Whether bytes of a request have arrived by now; if so, the connection is not closed.
+    async fn request_arrived(&mut self) -> bool {
+        // After the yield the runtime has polled its sockets and knows what has arrived.
+        tokio::task::yield_now().await;
+        let Some(Ok(count @ 1..)) = poll_once(self.read.read_buf(&mut self.buffer)).await else {
+            return false;
+        };
+        self.permit.cancel_eviction(count);
+        true
+    }
+
+    /// Closes an idle connection that has had responses. The close lingers: bytes that cross it are read and discarded,
+    /// so that no reset takes the last response with it, and the client sees an orderly end of the connection.
+    async fn close_idle(&mut self) {
+        if self.write.shutdown().await.is_ok()
+            && linger(&mut self.read, final_write_timeout(self.permit.connection_manager())).await
+        {
+            self.permit.on_request_after_close();
+        }
+    }
+
+    /// Writes the last bytes of the connection and closes it. True if all were written.
+    async fn write_and_close(&mut self, bytes: &[u8]) -> bool {
+        write_and_close(&mut self.read, &mut self.write, bytes, self.permit.connection_manager()).await
+    }
+}
+
+/// The end of a connection that is evicted in the middle of a request.
+fn request_timeout(reason: EvictionReason) -> NextStep {
+    let reason = match reason {
+        EvictionReason::Slow => "the request did not end in time",
+        _ => "no room",
+    };
+    NextStep::CloseAfterWriting(Response::text(408, reason).encode(true))
+}
+
+/// Waits until idle connections are to be closed. A connection without a response so far gets some time more: its first
+/// request may be on its way, and a close without a response says nothing to its client.
+async fn idle_close_due(permit: &ConnectionPermit, responses: u64) {
+    permit.connection_manager().wait_for_idle_close().await;
+    if responses == 0 {
+        tokio::time::sleep(final_write_timeout(permit.connection_manager())).await;
+    }
+}
+
+/// Returns when the client has closed its connection. Bytes that it sends ahead are kept up to a limit; past that they
+/// are discarded, `overflowed` is set and the connection ends after its response. Without these reads, a client that
+/// left behind unread bytes would not be noticed.
+async fn client_closed(
+    read: &mut (impl AsyncRead + Unpin),
+    buffer: &mut BytesMut,
+    permit: &ConnectionPermit,
+    body_bytes: usize,
+    overflowed: &mut bool,
+) {
+    loop {
+        let limit = MAX_PIPELINED_BYTES.min(permit.buffer_reservation.allowance().saturating_sub(body_bytes));
+        if *overflowed || buffer.len() + READ_CHUNK_BYTES > limit.max(READ_CHUNK_BYTES) {
+            *overflowed = true;
+            buffer.clear();
+        }
+        buffer.reserve(READ_CHUNK_BYTES);
+        permit.buffer_reservation.set(buffer.capacity() + body_bytes);
+        if !matches!(read.read_buf(buffer).await, Ok(1..)) {
+            return;
+        }
+    }
+}
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -2,13 +2,12 @@
 //! end. It owns the set of open connections and the process's lifecycle. It reads and writes no bytes; the order and the
 //! time limits of evictions are decided in [`crate::limits::client_connections`].
 
-use crate::limits::client_connections::{EVICTION_REASONS, EvictionReason, RequestValidity, Source};
-use crate::limits::{
-    ClientConnections, ConnectionCounters, DescriptorClass, DescriptorDenied, ResourcePressure,
-};
+use super::connection_permit::ConnectionPermit;
+use crate::limits::client_connections::{EVICTION_REASONS, EvictionReason, Source};
+use crate::limits::{ClientConnections, DescriptorClass, DescriptorDenied, ResourcePressure};
 use crate::service::lifecycle::{LifecycleError, LifecycleRequest};
 use crate::service::{Lifecycle, LifecycleState};
-use crate::transport::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
+use crate::transport::descriptor_pool::DescriptorPool;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,19 +22,19 @@
 /// The clients' connections of one process, and what notifies them that they are to end.
 pub struct ConnectionManager {
     descriptor_pool: Rc<DescriptorPool>,
-    connections: RefCell<ClientConnections>,
-    evictions: RefCell<HashMap<u64, Rc<Eviction>>>,
+    pub(super) connections: RefCell<ClientConnections>,
+    pub(super) evictions: RefCell<HashMap<u64, Rc<Eviction>>>,
     /// Notified when a connection has become evictable.
-    evictable: Notify,
+    pub(super) evictable: Notify,
     lifecycle: RefCell<Lifecycle>,
     lifecycle_state: watch::Sender<LifecycleState>,
 }
 
 /// Notifies one connection's task that it is to close.
 #[derive(Default)]
-struct Eviction {
-    reason: Cell<Option<EvictionReason>>,
-    requested: Notify,
+pub(super) struct Eviction {
+    pub(super) reason: Cell<Option<EvictionReason>>,
+    pub(super) requested: Notify,
 }
 
 impl ConnectionManager {
@@ -152,16 +151,7 @@
         self.evictions.borrow_mut().insert(id, eviction.clone());
         self.descriptor_pool.counters.borrow_mut().admitted += 1;
         self.evictable.notify_one();
-        let buffer_reservation = BufferReservation::new(&self.descriptor_pool);
-        let queue_time = Cell::default();
-        let permit = ConnectionPermit {
-            manager: self.clone(),
-            id,
-            descriptor,
-            eviction,
-            buffer_reservation,
-            queue_time,
-        };
+        let permit = ConnectionPermit::new(self.clone(), id, descriptor, eviction);
         // The next connection is to find a free descriptor. It is freed only now, so that nobody is evicted before it is
         // needed, and so that the new connection is compared with the others.
         let (free, headroom) = self.descriptor_pool.descriptors(|all| (all.free(), all.budget().headroom));
@@ -241,100 +231,3 @@
         pairs.join(" ")
     }
 }
-
-/// The right of one client's connection to exist, from its admission to its close. Dropping it releases the descriptor
-/// and forgets the connection.
-pub struct ConnectionPermit {
-    manager: Rc<ConnectionManager>,
-    id: u64,
-    descriptor: DescriptorPermit,
-    eviction: Rc<Eviction>,
-    /// The bytes that are buffered for this connection.
-    pub buffer_reservation: BufferReservation,
-    /// How long the connection may have waited in the backlog before it was accepted.
-    queue_time: Cell<Duration>,
-}
-
-impl ConnectionPermit {
-    /// The manager that admitted the connection.
-    pub fn connection_manager(&self) -> &ConnectionManager {
-        &self.manager
-    }
-    fn with_connections<T>(&self, change: impl FnOnce(&mut ClientConnections) -> T) -> T {
-        change(&mut self.manager.connections.borrow_mut())
-    }
-
-    /// Notes how long the connection may have waited in the backlog before it was accepted.
-    pub fn set_queue_time(&self, waited: Duration) {
-        self.queue_time.set(waited);
-    }
-    /// How long the next request may have waited unread: zero from a connection's second request on.
-    pub fn take_queue_time(&self) -> Duration {
-        self.queue_time.take()
-    }
-
-    /// Waits until the connection is evicted; says why it is.
-    pub async fn evicted(&self) -> EvictionReason {
-        loop {
-            match self.eviction.reason.take() {
-                Some(reason) => return reason,
-                None => self.eviction.requested.notified().await,
-            }
-        }
-    }
-    /// Bytes of a request that is not complete yet have arrived. They cancel an eviction.
-    pub fn on_bytes_received(&self, bytes: usize) {
-        if self.eviction.reason.take().is_some() {
-            self.update_counters(|counters| counters.eviction_cancelled += 1);
-        }
-        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool.now(), self.id, bytes));
-    }
-    /// The client has said who it is.
-    pub fn set_source(&self, source: Source) {
-        self.with_connections(|all| all.set_source(self.id, source));
-    }
-    /// A request is complete: makes the connection busy. False where that would take a descriptor that another class is
-    /// guaranteed; the request is then to be rejected.
-    #[must_use]
-    pub fn try_begin_request(&self) -> bool {
-        let marked = self.descriptor.try_mark_busy();
-        if marked {
-            self.eviction.reason.take();
-            self.with_connections(|all| all.start_query(self.manager.descriptor_pool.now(), self.id));
-        } else {
-            self.update_counters(|counters| counters.rejected_no_descriptor += 1);
-            self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool.now(), self.id));
-        }
-        marked
-    }
-    /// The response was written: the connection is idle again.
-    pub fn on_response_sent(&self, validity: RequestValidity) {
-        self.descriptor.mark_idle();
-        self.with_connections(|all| all.finish_query(self.manager.descriptor_pool.now(), self.id, validity));
-        self.manager.evictable.notify_one();
-    }
-    /// Changes the process's counters.
-    pub fn update_counters(&self, change: impl FnOnce(&mut ConnectionCounters)) {
-        change(&mut self.manager.descriptor_pool.counters.borrow_mut());
-    }
-    /// The bytes that arrived are not a valid request.
-    pub fn on_malformed_input(&self) {
-        self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool.now(), self.id));
-    }
-    /// Bytes of a request arrived as the connection was about to be closed: it stays open.
-    pub fn cancel_eviction(&self, bytes: usize) {
-        self.update_counters(|counters| counters.eviction_cancelled += 1);
-        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool.now(), self.id, bytes));
-    }
-    /// Bytes arrived after the connection was closed from this side.
-    pub fn on_request_after_close(&self) {
-        self.update_counters(|counters| counters.close_races += 1);
-    }
-}
-
-impl Drop for ConnectionPermit {
-    fn drop(&mut self) {
-        self.with_connections(|all| all.close(self.id));
-        self.manager.evictions.borrow_mut().remove(&self.id);
-    }
-}
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -1,5 +1,12 @@
 //! The clients' side: accepting connections, admitting and evicting them, and one response to each request.
 
+mod closing;
+mod connection;
 pub mod connection_manager;
+pub mod connection_permit;
+pub mod front;
 pub mod listener;
 pub mod response_guard;
+mod source;
+
+pub(super) use closing::linger;
--- a/src/transport/clients/response_guard.rs
+++ b/src/transport/clients/response_guard.rs
@@ -1,7 +1,7 @@
 //! Guards the promise of one response to each request: from the moment a request is read, its connection may not be
 //! closed from this side before the response is written. It only detects and reports; it writes nothing itself.
 
-use super::listener::Front;
+use super::front::Front;
 use crate::protocol::http::Request;
 use crate::routing::Invariant;
 
--- /dev/null
+++ b/src/transport/clients/source.rs
@@ -0,0 +1,15 @@
+//! Whom a client's connection is counted under.
+
+use crate::limits::client_connections::Source;
+use std::net::SocketAddr;
+
+/// Hashes a client's address, and what it says of itself, to the source that connections are counted by.
+pub(super) fn source(address: SocketAddr, caller: Option<&str>) -> Source {
+    let mut hash = xxhash_rust::xxh3::Xxh3::new();
+    match address {
+        SocketAddr::V4(address) => hash.update(&address.ip().octets()),
+        SocketAddr::V6(address) => hash.update(&address.ip().octets()),
+    }
+    hash.update(caller.unwrap_or_default().as_bytes());
+    Source(hash.digest())
+}
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the callers' connections. What a call does is decided behind [`OperatorApi`].
 
-use super::clients::listener::linger;
+use super::clients::linger;
 use super::descriptor_pool::{DescriptorPermit, DescriptorPool};
 use super::socket::Socket;
 use crate::limits::DescriptorClass;
