--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -9,7 +9,8 @@
 use super::http_client::{self, ExchangeError};
 use crate::limits::DescriptorClass;
 use crate::policy::{AttemptOutcome, WorkerId};
-use crate::protocol::{http, opensearch};
+use crate::protocol::http::{self, ReceivedResponse};
+use crate::protocol::opensearch;
 use crate::routing::{AttemptCompletion, AttemptId, Broker, BrokerLimits, Dispatch, WorkerTransport};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -110,6 +111,7 @@
         }
     }
 
+    /// Waits for a search permit, then sends the search and reads its result.
     async fn exchange(&self, worker: WorkerId, server: &Rc<Server>, part: &Dispatch) -> AttemptCompletion {
         let Ok(_search_permit) = server.search_permits.acquire().await else {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
@@ -117,31 +119,9 @@
         if !server.accepts_searches.get() {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         }
-        // A non-idempotent search gets a new connection: the server could close an idle one just as the search is
-        // written, and whether it ran would then be unknown.
-        let idle = if part.at_most_once { None } else { self.take_idle(server).await };
-        let (mut stream, descriptor) = match idle {
-            Some(idle) => idle,
-            None => {
-                // Without a connect permit nothing was sent.
-                let time_left = part.time_left(self.0.broker.now());
-                let Ok(permit) = self.0.descriptor_pool.acquire_connect_permit(worker, time_left).await
-                else {
-                    return AttemptCompletion::without_value(AttemptOutcome::NotSent);
-                };
-                let limit = self.0.limits.connect_timeout;
-                match connect_with_timeout(&*self.0.connector, &server.address, limit).await {
-                    Ok(stream) => (stream, permit.into_descriptor_permit()),
-                    Err(error) => {
-                        log::warn!("index server at {}: cannot connect: {error}", server.address);
-                        return AttemptCompletion::without_value(if errors::is_local(&error) {
-                            AttemptOutcome::NotSent
-                        } else {
-                            AttemptOutcome::ConnectFailed
-                        });
-                    }
-                }
-            }
+        let (mut stream, descriptor) = match self.connection(worker, server, part).await {
+            Ok(connection) => connection,
+            Err(outcome) => return AttemptCompletion::without_value(outcome),
         };
         let timeout_ms = part.time_left(self.0.broker.now()).as_millis().max(1);
         let target =
@@ -160,22 +140,7 @@
                     descriptor.mark_idle();
                     self.keep_idle(server, stream, descriptor);
                 }
-                match response.status {
-                    200 if opensearch::is_complete_result(&response.body) => AttemptCompletion {
-                        outcome: AttemptOutcome::Succeeded,
-                        value: response.body,
-                        load_report: None,
-                    },
-                    // The only status that says that the server rejected the search without executing it.
-                    429 => AttemptCompletion::without_value(AttemptOutcome::Rejected),
-                    status => {
-                        log::warn!(
-                            "index server at {}: response without a complete result: status={status}",
-                            server.address
-                        );
-                        AttemptCompletion::without_value(AttemptOutcome::Failed)
-                    }
-                }
+                completion(server, response)
             }
             Err(error) => {
                 log::warn!("index server at {}: {error}", server.address);
@@ -188,6 +153,38 @@
         }
     }
 
+    /// Takes an idle connection or opens one. Where there is none the search was not sent, with this outcome.
+    async fn connection(
+        &self,
+        worker: WorkerId,
+        server: &Server,
+        part: &Dispatch,
+    ) -> Result<(Box<dyn Stream>, DescriptorPermit), AttemptOutcome> {
+        // A non-idempotent search gets a new connection: the server could close an idle one just as the search is
+        // written, and whether it ran would then be unknown.
+        if !part.at_most_once
+            && let Some(idle) = self.take_idle(server).await
+        {
+            return Ok(idle);
+        }
+        // Without a connect permit nothing was sent.
+        let time_left = part.time_left(self.0.broker.now());
+        let permit = self.0.descriptor_pool.acquire_connect_permit(worker, time_left).await;
+        let permit = permit.map_err(|_| AttemptOutcome::NotSent)?;
+        let limit = self.0.limits.connect_timeout;
+        match connect_with_timeout(&*self.0.connector, &server.address, limit).await {
+            Ok(stream) => Ok((stream, permit.into_descriptor_permit())),
+            Err(error) => {
+                log::warn!("index server at {}: cannot connect: {error}", server.address);
+                Err(if errors::is_local(&error) {
+                    AttemptOutcome::NotSent
+                } else {
+                    AttemptOutcome::ConnectFailed
+                })
+            }
+        }
+    }
+
     /// Takes an idle connection that the server has not closed meanwhile, and makes its descriptor busy.
     async fn take_idle(&self, server: &Server) -> Option<(Box<dyn Stream>, DescriptorPermit)> {
         loop {
@@ -207,6 +204,24 @@
     }
 }
 
+/// What a response says of the attempt.
+fn completion(server: &Server, response: ReceivedResponse) -> AttemptCompletion {
+    match response.status {
+        200 if opensearch::is_complete_result(&response.body) => {
+            AttemptCompletion { outcome: AttemptOutcome::Succeeded, value: response.body, load_report: None }
+        }
+        // The only status that says that the server rejected the search without executing it.
+        429 => AttemptCompletion::without_value(AttemptOutcome::Rejected),
+        status => {
+            log::warn!(
+                "index server at {}: response without a complete result: status={status}",
+                server.address
+            );
+            AttemptCompletion::without_value(AttemptOutcome::Failed)
+        }
+    }
+}
+
 /// Closes connections. Their descriptors go to calls that wait, so the caller may hold no borrow.
 fn close(idle: Vec<IdleConnection>) {
     drop(idle);
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -4,14 +4,13 @@
 //! It owns the sockets of one member and its timers. What is sent and what is concluded is decided in
 //! [`crate::membership`].
 
+mod status;
+
 use super::errors;
 use super::socket::Socket;
-use crate::membership::{
-    Command, ConnectionProbeResult, KnownMember, MemberChange, Message, Node, ObservedState,
-};
+use crate::membership::{Command, ConnectionProbeResult, MemberChange, Message, Node};
 use crate::protocol::gossip::{self, ClusterKey, GossipError, MAX_DATAGRAM_BYTES};
 use crate::routing::Clock;
-use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -73,35 +72,6 @@
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
-/// A member as the operators' API shows it. Operators' tools read these JSON names, so they outlive Rust names.
-#[derive(Serialize)]
-struct MemberStatus {
-    name: String,
-    zone: String,
-    address: SocketAddr,
-    /// A process's start identifies it among those of one name.
-    start: u64,
-    incarnation: u32,
-    state: ObservedState,
-    #[serde(rename = "since_s")]
-    state_age_s: f64,
-    #[serde(rename = "heard_s")]
-    last_message_age_s: Option<f64>,
-}
-
-/// What the operators' API shows of membership. Operators' tools read these JSON names, so they outlive Rust names.
-#[derive(Serialize)]
-struct MembershipStatus {
-    #[serde(rename = "gatherers")]
-    fleet_size: u32,
-    #[serde(rename = "alone")]
-    is_isolated: bool,
-    own: MemberStatus,
-    members: Vec<MemberStatus>,
-    #[serde(rename = "refused")]
-    discarded: BTreeMap<String, u64>,
-}
-
 impl MembershipTransport {
     /// Creates the transport of a member that remembers `max_members` others at most.
     pub fn new(
@@ -352,35 +322,6 @@
 
     /// Describes all known members, as JSON.
     pub fn status_json(&self) -> String {
-        let (node, now) = (self.node.borrow(), self.clock.now());
-        let own = node.own();
-        let status = |member: &KnownMember| MemberStatus {
-            name: member.update.name.clone(),
-            zone: member.update.zone.clone(),
-            address: member.update.address,
-            start: member.update.start,
-            incarnation: member.update.incarnation,
-            state: member.state(),
-            state_age_s: now.since(member.state_since).as_secs_f64(),
-            last_message_age_s: member.last_message_at.map(|at| now.since(at).as_secs_f64()),
-        };
-        let membership = MembershipStatus {
-            fleet_size: node.gatherers(now),
-            is_isolated: node.is_isolated(now),
-            own: MemberStatus {
-                name: own.name.clone(),
-                zone: own.zone.clone(),
-                address: own.address,
-                start: own.start,
-                incarnation: own.incarnation,
-                state: ObservedState::Alive,
-                state_age_s: now.0.saturating_sub(own.start) as f64 / 1e9,
-                last_message_age_s: None,
-            },
-            members: node.table().iter().map(status).collect(),
-            discarded: self.discarded.borrow().clone(),
-        };
-        // Plain structs and maps with text keys always serialise.
-        serde_json::to_string(&membership).unwrap_or_default()
+        status::json(&self.node.borrow(), self.clock.now(), &self.discarded.borrow())
     }
 }
