--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -9,6 +9,7 @@
 pub mod opensearch_file;
 pub mod operator;
 mod recording;
+mod reload;
 mod resource_limits;
 pub mod run;
 pub mod settings;
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -7,16 +7,16 @@
 use super::opensearch_file::FrontFile;
 use super::operator::OperatorFile;
 use super::recording::Recording;
+use super::reload::reload_on_signal;
 use super::resource_limits::ProcessLimits;
-use super::signals::{self, ReloadSignal, ShutdownSignal};
+use super::signals::{self, ShutdownSignal};
 use super::upgrade::Upgrade;
 use crate::fronts::counters_text;
 use crate::fronts::opensearch::OpenSearchFront;
 use crate::fronts::operators::OperatorFront;
 use crate::fronts::platform::PlatformFront;
-use crate::limits::{Backoff, DescriptorClass};
+use crate::limits::Backoff;
 use crate::policy::Settings;
-use crate::records::record::RecordBody;
 use crate::routing::{Broker, Clock, Contracts, Core, Invariant, WorkerTransport};
 use crate::service::lifecycle::LifecycleRequest;
 use crate::transport::connection_manager::ConnectionManager;
@@ -48,16 +48,12 @@
 /// Time after the longest deadline in which clients may still read their responses; then the process ends.
 const RESPONSE_READ_GRACE: Duration = Duration::from_millis(300);
 
-/// How long after SIGHUP an invalid configuration file may be one that is still being written.
-const RELOAD_RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// How often such a file is read again.
-const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a call that the start needs is retried after transient errors, before the start fails.
 pub const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(8);
 
 /// Makes a call that the start needs, and retries it after transient errors.
-async fn retry_at_startup<T>(lifecycle_request: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, lifecycle_request).await
+async fn retry_at_startup<T>(call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+    errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, call).await
 }
 
 /// Reads the configuration, and retries after transient errors.
@@ -312,69 +308,6 @@
     Ok(DescriptorPool::new(plan, process_limits.buffer_bytes(1)))
 }
 
-/// Reloads the configuration at each SIGHUP and logs what changed; nothing in flight is affected. An invalid file changes
-/// nothing. A file that cannot be read now, or may still be being written, is read again until that succeeds or SIGHUP is
-/// received once more: the previous discovery address may no longer answer.
-async fn reload_on_signal(
-    hangups: ReloadSignal,
-    descriptor_pool: Rc<DescriptorPool>,
-    recording: Recording,
-    mut read: impl FnMut() -> Result<String, ConfigError>,
-) {
-    loop {
-        hangups.received().await;
-        while let Some(error) = reload_once(&descriptor_pool, &recording, &mut read).await {
-            tokio::select! {
-                biased;
-                () = hangups.received() => log::info!("configuration not read again: SIGHUP received once more"),
-                () = retry_reload(error, &descriptor_pool, &recording, &mut read) => break,
-            }
-        }
-    }
-}
-
-/// Reads the configuration once; returns the error, if there is one.
-async fn reload_once(
-    descriptor_pool: &Rc<DescriptorPool>,
-    recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, ConfigError>,
-) -> Option<ConfigError> {
-    let _permit = descriptor_pool.acquire(DescriptorClass::Files).await;
-    match read() {
-        Ok(what) => {
-            log::info!("configuration read again: {what}");
-            recording.record(RecordBody::Reload { applied: true, detail: what });
-            None
-        }
-        Err(error) => {
-            log::error!("configuration not read again, the old one holds: {error}");
-            recording.record(RecordBody::Reload { applied: false, detail: error.to_string() });
-            Some(error)
-        }
-    }
-}
-
-/// Reads the configuration again and again, while the error is transient or the file may still be being written.
-async fn retry_reload(
-    mut error: ConfigError,
-    descriptor_pool: &Rc<DescriptorPool>,
-    recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, ConfigError>,
-) {
-    let since = Instant::now();
-    while error.is_transient() || since.elapsed() < RELOAD_RETRY_WINDOW {
-        tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
-        let _permit = descriptor_pool.acquire(DescriptorClass::Files).await;
-        match read() {
-            Ok(what) => {
-                log::info!("configuration read again: {what}");
-                return recording.record(RecordBody::Reload { applied: true, detail: what });
-            }
-            Err(latest) => error = latest,
-        }
-    }
-}
-
 /// Shuts down gracefully: serves the grace period, then accepts nothing new, and returns `true` once every accepted query
 /// has its response, or `false` once the time for that is over.
 async fn shut_down(
