--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -7,7 +7,6 @@
 use crate::policy::*;
 use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -171,16 +170,34 @@
 }
 
 impl FileContent {
-    fn check(self, seed: u64) -> Result<FrontFile, InvalidSetting> {
+    /// Checks the sections in their order, and makes what they describe.
+    fn check(&self, seed: u64) -> Result<FrontFile, InvalidSetting> {
         let listen = self.listen.parse::<SocketAddr>();
         let listen =
             listen.map_err(|_| InvalidSetting::new("listen", format!("no address {:?}", self.listen)))?;
+        self.check_layout()?;
+        self.check_limits()?;
+        let classes = self.classes()?;
+        let workers = self.listed_workers()?;
+        let contracts = self.contracts(seed, classes);
+        let names = self.request_names(&contracts)?;
+        let servers = WorkerListUpdate { revision: 0, complete: true, workers };
+        let LimitsSection { sockets, memory_mb, .. } = self.limits;
+        Ok(FrontFile { listen, contracts, names, servers, sockets, memory_mb })
+    }
+
+    fn check_layout(&self) -> Result<(), InvalidSetting> {
         let LayoutSection { shards, cells, span } = self.layout;
         if shards == 0 || cells == 0 || !(1..=cells).contains(&span) {
             return Err(InvalidSetting::new("layout", "shards and cells are 1 at least, span is 1 to cells"));
         }
+        Ok(())
+    }
+
+    fn check_limits(&self) -> Result<(), InvalidSetting> {
         let LimitsSection { max_open, window, searches_per_server, attempts, .. } = self.limits;
-        if window == 0 || searches_per_server == 0 || attempts == 0 || max_open <= shards as usize {
+        if window == 0 || searches_per_server == 0 || attempts == 0 || max_open <= self.layout.shards as usize
+        {
             return Err(InvalidSetting::new("limits", "1 at least; max_open over layout.shards"));
         }
         let LimitsSection { sockets, memory_mb, .. } = self.limits;
@@ -201,6 +218,10 @@
             );
             return Err(InvalidSetting::new("limits.searches_per_server", what));
         }
+        Ok(())
+    }
+
+    fn classes(&self) -> Result<Vec<Class>, InvalidSetting> {
         let mut classes = Vec::new();
         for (at, class) in self.class.iter().enumerate() {
             let key = |name: &str| format!("class.{at}.{name}");
@@ -227,26 +248,43 @@
                 second_step_parts: 0,
             });
         }
-        let mut zones = vec![self.zone];
-        let mut members = Vec::new();
-        for (at, server) in self.server.into_iter().enumerate() {
+        Ok(classes)
+    }
+
+    /// The index servers, in the form in which discovery lists workers.
+    fn listed_workers(&self) -> Result<Vec<ListedWorker>, InvalidSetting> {
+        let mut workers = Vec::new();
+        let cells = self.layout.cells;
+        for (at, server) in self.server.iter().enumerate() {
             if server.cell >= cells {
                 return Err(InvalidSetting::new(&format!("server.{at}.cell"), format!("there are {cells}")));
             }
-            if !zones.contains(&server.zone) {
-                zones.push(server.zone.clone());
-            }
-            members.push(ListedWorker {
-                name: server.name,
-                address: server.address,
-                zone: server.zone,
+            workers.push(ListedWorker {
+                name: server.name.clone(),
+                address: server.address.clone(),
+                zone: server.zone.clone(),
                 cell: server.cell,
                 status: EndpointStatus::Active,
                 units: 1.0,
                 started_at: None,
             });
         }
-        let contracts = Contracts {
+        Ok(workers)
+    }
+
+    /// Names of zones; the first is the gatherer's own.
+    fn zones(&self) -> Vec<String> {
+        let mut zones = vec![self.zone.clone()];
+        for server in &self.server {
+            if !zones.contains(&server.zone) {
+                zones.push(server.zone.clone());
+            }
+        }
+        zones
+    }
+
+    fn contracts(&self, seed: u64, classes: Vec<Class>) -> Contracts {
+        Contracts {
             settings: Settings {
                 seed,
                 fleet_size: self.gatherers.max(1),
@@ -260,11 +298,11 @@
                 min_step_interval: Duration::from_millis(5),
                 may_cancel: true,
                 hedging_allowed: true,
-                max_attempts: Some(attempts),
+                max_attempts: Some(self.limits.attempts),
                 max_retry_after: Some(Duration::from_millis(self.limits.longest_pause_ms)),
-                cells,
-                cells_per_shard: span,
-                shards,
+                cells: self.layout.cells,
+                cells_per_shard: self.layout.span,
+                shards: self.layout.shards,
                 parts_per_call: 1,
                 keys_are_cached: true,
                 cold_capacity_fraction: 1.0,
@@ -274,34 +312,34 @@
             },
             classes: self.class.iter().map(|class| class.name.clone()).collect(),
             tenants: self.tenant.iter().map(|tenant| tenant.name.clone()).collect(),
-            zones,
+            zones: self.zones(),
             limits: BrokerLimits {
-                max_open_requests: max_open,
+                max_open_requests: self.limits.max_open,
                 connect_timeout: Duration::from_millis(self.limits.connect_timeout_ms),
                 connection_idle_timeout: Duration::from_millis(self.limits.idle_ms),
-                max_parts_per_connection: searches_per_server,
+                max_parts_per_connection: self.limits.searches_per_server,
                 // The file itself is the list of servers: no server drains.
                 drain_grace: Duration::ZERO,
                 may_gossip: true,
             },
-        };
-        let mut names = RequestNames { window, ..RequestNames::default() };
-        for (at, index) in self.index.into_iter().enumerate() {
+        }
+    }
+
+    fn request_names(&self, contracts: &Contracts) -> Result<RequestNames, InvalidSetting> {
+        let mut names = RequestNames { window: self.limits.window, ..RequestNames::default() };
+        for (at, index) in self.index.iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
             let unknown =
                 || InvalidSetting::new(&format!("index.{at}.class"), format!("no class {:?}", index.class));
             names.indexes.insert(index.name.clone(), class.ok_or_else(unknown)?);
         }
-        let mut callers = HashMap::new();
-        for (at, caller) in self.caller.into_iter().enumerate() {
+        for (at, caller) in self.caller.iter().enumerate() {
             let tenant = contracts.tenant(&caller.tenant);
             let unknown = || {
                 InvalidSetting::new(&format!("caller.{at}.tenant"), format!("no tenant {:?}", caller.tenant))
             };
-            callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
+            names.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
         }
-        names.callers = callers;
-        let servers = WorkerListUpdate { revision: 0, complete: true, workers: members };
-        Ok(FrontFile { listen, contracts, names, servers, sockets, memory_mb })
+        Ok(names)
     }
 }
