--- a/src/limits/resource_pressure.rs
+++ b/src/limits/resource_pressure.rs
@@ -30,11 +30,6 @@
         if other > self { other } else { self }
     }
 
-    /// The pressure as a fraction from 0 to 1.
-    pub fn share(self) -> f64 {
-        self.0
-    }
-
     /// Returns a time limit that is `relaxed` without pressure and `tight` under full pressure. In between, it falls
     /// geometrically: the number of connections that a limit lets stand is their arrival rate times the limit, so a
     /// limit has to fall by a factor to answer a rate that grows by a factor.
