--- /dev/null
+++ b/src/limits/accept_pacer/tests.rs
@@ -0,0 +1,34 @@
+//! Tests of the pace at which connections are accepted.
+
+use super::{ACCEPTS_PER_BURST, AcceptPacer, MAX_PAUSE};
+use crate::policy::Time;
+use std::time::Duration;
+
+#[test]
+fn a_flood_takes_a_quarter_of_the_time_and_a_trickle_is_never_paused() {
+    let (mut pacer, mut now, mut working, mut resting) =
+        (AcceptPacer::default(), Time(0), Duration::ZERO, Duration::ZERO);
+    let one_accept = Duration::from_micros(20);
+    for _ in 0..1600 {
+        let began_at = now;
+        now = now.after(one_accept);
+        working += one_accept;
+        if let Some(pause) = pacer.record_accept(began_at, now) {
+            now = now.after(pause);
+            resting += pause;
+        }
+    }
+    assert_eq!(resting, working * 3);
+    for _ in 0..1600 {
+        pacer.reset();
+        assert_eq!(pacer.record_accept(now, now.after(one_accept)), None);
+    }
+}
+
+#[test]
+fn a_stalled_process_resumes_accepting_after_the_longest_pause() {
+    let mut pacer = AcceptPacer::default();
+    let pauses: Vec<_> =
+        (0..ACCEPTS_PER_BURST).filter_map(|_| pacer.record_accept(Time(0), Time(3_000_000_000))).collect();
+    assert_eq!(pauses, [MAX_PAUSE]);
+}
