--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -1,30 +1,56 @@
-//! The report as one HTML page that needs nothing else: findings first, then service, latency, workers and events.
+//! The report as one HTML page that needs no other file: findings first, then queries, latency, workers, the timeline and
+//! the records themselves.
+//!
+//! Pure functions of a [`Summary`] and its findings. The page is for people; programs read the report's JSON.
 
+mod charts;
+
+use self::charts::{LatencyStep, QueryStep, latency_chart, query_chart};
 use super::diagnosis::{Certainty, Finding, FindingKind};
+use super::metrics::AttemptMetrics;
 use super::summary::{QueryCounts, Summary, TimeStep};
 use jiff::Timestamp;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
-use plotters::prelude::*;
+use plotters::style::RGBColor;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Columns of the workers' map and rows of a table at most; more steps are left to the charts and the JSON.
+/// Most columns of the map of workers; where there are more time steps, several share a column.
 const MAX_MAP_COLUMNS: usize = 120;
+/// Most rows of a table; the JSON has all of them.
 const MAX_TABLE_ROWS: usize = 500;
-/// Size of a chart, in its own units: it scales with the page.
-const CHART_SIZE: (u32, u32) = (900, 220);
-/// Text and lines of charts: readable on dark and on light.
-const AXIS_COLOUR: RGBColor = RGBColor(128, 134, 139);
+/// Share of attempts without a response at which a cell of the map of workers is fully red.
+const RED_AT_UNANSWERED_SHARE: f64 = 0.2;
+/// Hue of a cell of the map in which every attempt got a response, in degrees: green. Red is at zero.
+const GREEN_HUE: f64 = 130.0;
+
+/// One way in which queries end, as it is shown.
+struct EndColumn {
+    label: &'static str,
+    colour: RGBColor,
+    count: fn(&QueryCounts) -> u64,
+}
 
-/// Ends in the order in which they are stacked, with their colours.
-type EndColumn = (&'static str, RGBColor, fn(&QueryCounts) -> u64);
+/// All ends, in the order in which charts stack them.
 const END_COLUMNS: [EndColumn; 7] = [
-    ("complete in time", RGBColor(46, 125, 80), |counts| counts.complete_in_time),
-    ("complete late", RGBColor(150, 170, 60), |counts| counts.complete_late),
-    ("partial", RGBColor(70, 130, 180), |counts| counts.partial),
-    ("rejected", RGBColor(222, 150, 50), |counts| counts.rejected),
-    ("failed", RGBColor(200, 62, 62), |counts| counts.failed),
-    ("client disconnected", RGBColor(150, 110, 170), |counts| counts.client_disconnected),
-    ("unknown", RGBColor(110, 70, 60), |counts| counts.unknown),
+    EndColumn {
+        label: "complete in time",
+        colour: RGBColor(46, 125, 80),
+        count: |counts| counts.complete_in_time,
+    },
+    EndColumn {
+        label: "complete late",
+        colour: RGBColor(150, 170, 60),
+        count: |counts| counts.complete_late,
+    },
+    EndColumn { label: "partial", colour: RGBColor(70, 130, 180), count: |counts| counts.partial },
+    EndColumn { label: "rejected", colour: RGBColor(222, 150, 50), count: |counts| counts.rejected },
+    EndColumn { label: "failed", colour: RGBColor(200, 62, 62), count: |counts| counts.failed },
+    EndColumn {
+        label: "client disconnected",
+        colour: RGBColor(150, 110, 170),
+        count: |counts| counts.client_disconnected,
+    },
+    EndColumn { label: "unknown", colour: RGBColor(110, 70, 60), count: |counts| counts.unknown },
 ];
 
 const STYLE: &str = "
@@ -41,19 +67,21 @@
 @media print{body{max-width:none}details{display:block}.finding{break-inside:avoid}}
 ";
 
+/// Formats Unix milliseconds as date and time of UTC.
 fn date_time(ms: u64) -> String {
     let moment = i64::try_from(ms).ok().and_then(|ms| Timestamp::from_millisecond(ms).ok());
     moment.map_or_else(|| ms.to_string(), |moment| moment.strftime("%Y-%m-%d %H:%M:%S").to_string())
 }
 
+/// Formats Unix milliseconds as time of day in UTC.
 fn time_of_day(ms: u64) -> String {
-    date_time(ms).split_off(11)
+    date_time(ms).split_off("YYYY-MM-DD ".len())
 }
 
-/// What a finding says, in words.
-pub fn finding_title(what: &FindingKind) -> String {
-    match what {
-        FindingKind::Death { gatherer, incarnation: start } => format!("{gatherer} died (start {start})"),
+/// The title of a finding, in words.
+pub fn finding_title(kind: &FindingKind) -> String {
+    match kind {
+        FindingKind::Death { gatherer, incarnation } => format!("{gatherer} died (start {incarnation})"),
         FindingKind::RestartLoop { gatherer } => format!("{gatherer} dies again and again"),
         FindingKind::FleetSlow => "The whole fleet was slow".to_owned(),
         FindingKind::WorkerSlow { worker } => format!("Worker {worker} was slow"),
@@ -71,32 +99,35 @@
     }
 }
 
-/// The page of these records; `faults` are lines that did not count, of `damaged` in all.
-pub fn render(summary: &Summary, findings: &[Finding], faults: &[String], damaged: u64) -> String {
+/// Renders the page of these records. `damaged` is the number of damaged records, and `first_damaged` has the first of
+/// them, in words.
+pub fn render(summary: &Summary, findings: &[Finding], first_damaged: &[String], damaged: u64) -> String {
     let classes = summary.totals_by_class();
-    let first = summary.incarnations.values().map(|seen| seen.first_ms).min().unwrap_or(0);
-    let last = summary.incarnations.values().map(|seen| seen.last_ms).max().unwrap_or(0);
+    let first_ms = summary.incarnations.values().map(|incarnation| incarnation.first_ms).min().unwrap_or(0);
+    let last_ms = summary.incarnations.values().map(|incarnation| incarnation.last_ms).max().unwrap_or(0);
     html! {
         (DOCTYPE)
         html lang="en" {
             head {
                 meta charset="utf-8";
                 meta name="viewport" content="width=device-width,initial-scale=1";
-                title { "Report " (date_time(first)) }
+                title { "Report " (date_time(first_ms)) }
                 style { (PreEscaped(STYLE)) }
             }
             body {
                 h1 { "What happened" }
                 p.quiet {
-                    (date_time(first)) " to " (date_time(last)) " UTC, " (summary.incarnations.len()) " incarnations, in steps of "
-                    (summary.step_ms() / 1000) " s"
+                    (date_time(first_ms)) " to " (date_time(last_ms)) " UTC, " (summary.incarnations.len())
+                    " incarnations, in steps of " (summary.step_ms() / 1000) " s"
                 }
                 h2 { "Findings" }
                 @if findings.is_empty() { p { "Nothing out of the ordinary." } }
                 @for finding in findings { (finding_card(finding)) }
                 h2 { "Queries" }
                 (class_totals(&classes))
-                p.key { @for (name, colour, _) in END_COLUMNS { span style={"background:" (hex(colour))} {} (name) } }
+                p.key {
+                    @for end in &END_COLUMNS { span style={"background:" (hex(end.colour))} {} (end.label) }
+                }
                 @for class in classes.keys() { (class_section(summary, class)) }
                 (tenant_totals(summary))
                 h2 { "Workers" }
@@ -104,7 +135,7 @@
                 h2 { "Timeline" }
                 (timeline(summary))
                 h2 { "Records" }
-                (record_section(summary, faults, damaged))
+                (record_section(summary, first_damaged, damaged))
             }
         }
     }
@@ -116,193 +147,139 @@
 }
 
 fn finding_card(finding: &Finding) -> Markup {
-    let kind = if finding.certainty == Certainty::Possible { "finding possible" } else { "finding" };
+    let style = if finding.certainty == Certainty::Possible { "finding possible" } else { "finding" };
     html! {
-        div class=(kind) {
+        div class=(style) {
             b { (finding_title(&finding.kind)) } " " span.quiet { "(" (certainty_label(finding.certainty)) ")" }
             div { (date_time(finding.from_ms)) " to " (time_of_day(finding.to_ms)) }
             div { (finding.evidence) "." }
-            @if let Some(against) = &finding.counter_evidence { div.quiet { "Against it: " (against) "." } }
+            @if let Some(counter_evidence) = &finding.counter_evidence {
+                div.quiet { "Against it: " (counter_evidence) "." }
+            }
         }
     }
 }
 
 fn count_header(first: &str) -> Markup {
-    html! { tr { th { (first) } th { "received" } @for (name, _, _) in END_COLUMNS { th { (name) } } } }
+    html! { tr { th { (first) } th { "received" } @for end in &END_COLUMNS { th { (end.label) } } } }
 }
 
 fn count_row(first: &str, counts: &QueryCounts) -> Markup {
-    html! { tr { td { (first) } td { (counts.received) } @for (_, _, count) in END_COLUMNS { td { (count(counts)) } } } }
+    html! { tr { td { (first) } td { (counts.received) } @for end in &END_COLUMNS { td { ((end.count)(counts)) } } } }
 }
 
 fn class_totals(classes: &BTreeMap<String, QueryCounts>) -> Markup {
-    html! { div.wide { table { (count_header("class")) @for (class, counts) in classes { (count_row(class, counts)) } } } }
+    html! {
+        div.wide { table { (count_header("class")) @for (class, counts) in classes { (count_row(class, counts)) } } }
+    }
 }
 
-fn sum_of_class<'a>(step: &'a TimeStep, class: &'a str) -> QueryCounts {
-    let mut all = QueryCounts::default();
-    step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| all.merge(counts));
-    all
+/// Counts of one class over all tenants in a time step.
+fn sum_of_class(step: &TimeStep, class: &str) -> QueryCounts {
+    let mut sum = QueryCounts::default();
+    step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| sum.merge(counts));
+    sum
 }
 
+/// Charts of one class, and its counts in each time step.
 fn class_section(summary: &Summary, class: &str) -> Markup {
-    let steps: Vec<(u64, QueryCounts)> =
-        summary.steps.iter().map(|(begin, step)| (*begin, sum_of_class(step, class))).collect();
-    let latencies: Vec<(u64, f64, f64)> = summary
+    let query_steps: Vec<QueryStep> = summary
+        .steps
+        .iter()
+        .map(|(begin_ms, step)| QueryStep { begin_ms: *begin_ms, counts: sum_of_class(step, class) })
+        .collect();
+    let latency_steps: Vec<LatencyStep> = summary
         .steps
         .iter()
-        .filter_map(|(begin, step)| {
-            let all = step.latency.get(class)?;
-            let at = |share| all.value_at_quantile(share) as f64 / 1000.0;
-            Some((*begin, at(0.5), at(0.99)))
+        .filter_map(|(begin_ms, step)| {
+            let latency = step.latency.get(class)?;
+            let quantile_ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1000.0;
+            Some(LatencyStep { begin_ms: *begin_ms, p50_ms: quantile_ms(0.5), p99_ms: quantile_ms(0.99) })
         })
         .collect();
     html! {
         h3 { (class) }
-        (query_chart(summary, &steps).unwrap_or_default())
+        (query_chart(summary.step_ms(), &query_steps).unwrap_or_default())
         p.quiet { "Latency in ms, median and 99th percentile" }
-        (latency_chart(summary, &latencies).unwrap_or_default())
+        (latency_chart(summary.step_ms(), &latency_steps).unwrap_or_default())
         details {
             summary { "Counts of " (class) ", step by step" }
             div.wide { table {
                 (count_header("from"))
-                @for (begin, counts) in steps.iter().take(MAX_TABLE_ROWS) { (count_row(&time_of_day(*begin), counts)) }
+                @for step in query_steps.iter().take(MAX_TABLE_ROWS) {
+                    (count_row(&time_of_day(step.begin_ms), &step.counts))
+                }
             } }
-            @if steps.len() > MAX_TABLE_ROWS { p { (steps.len() - MAX_TABLE_ROWS) " further steps are in the JSON." } }
-        }
-    }
-}
-
-/// Draws with this function; a chart that cannot be drawn is left out, because its values are also in the table and in the JSON.
-fn draw_chart(
-    draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, plotters::coord::Shift>) -> Option<()>,
-) -> Option<Markup> {
-    let mut svg = String::new();
-    {
-        let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
-        draw(&area)?;
-        area.present().ok()?;
-    }
-    Some(PreEscaped(svg))
-}
-
-fn query_chart(summary: &Summary, steps: &[(u64, QueryCounts)]) -> Option<Markup> {
-    let (first, last) = (steps.first()?.0, steps.last()?.0 + summary.step_ms());
-    let most = steps.iter().map(|(_, counts)| counts.ended() + counts.unknown).max()?.max(1);
-    draw_chart(|area| {
-        let mut plot = ChartBuilder::on(area)
-            .margin(8)
-            .x_label_area_size(24)
-            .y_label_area_size(56)
-            .build_cartesian_2d(first..last, 0..most + most / 20)
-            .ok()?;
-        draw_axes(&mut plot, &|ms: &u64| time_of_day(*ms), &|count: &u64| count.to_string())?;
-        for (begin, counts) in steps {
-            let mut from = 0;
-            for (_, colour, count) in END_COLUMNS {
-                let to = from + count(counts);
-                let bar = Rectangle::new([(*begin, from), (begin + summary.step_ms(), to)], colour.filled());
-                plot.draw_series(std::iter::once(bar)).ok()?;
-                from = to;
+            @if query_steps.len() > MAX_TABLE_ROWS {
+                p { (query_steps.len() - MAX_TABLE_ROWS) " further steps are in the JSON." }
             }
         }
-        Some(())
-    })
-}
-
-fn latency_chart(summary: &Summary, steps: &[(u64, f64, f64)]) -> Option<Markup> {
-    let (first, last) = (steps.first()?.0, steps.last()?.0 + summary.step_ms());
-    let most = steps.iter().map(|step| step.2).fold(1.0, f64::max);
-    draw_chart(|area| {
-        let mut plot = ChartBuilder::on(area)
-            .margin(8)
-            .x_label_area_size(24)
-            .y_label_area_size(56)
-            .build_cartesian_2d(first..last, 0.0..most * 1.05)
-            .ok()?;
-        draw_axes(&mut plot, &|ms: &u64| time_of_day(*ms), &|value: &f64| format!("{value:.0}"))?;
-        let middle = |begin: u64| begin + summary.step_ms() / 2;
-        let median = steps.iter().map(|step| (middle(step.0), step.1));
-        plot.draw_series(LineSeries::new(median, END_COLUMNS[0].1.stroke_width(2))).ok()?;
-        let high = steps.iter().map(|step| (middle(step.0), step.2));
-        plot.draw_series(LineSeries::new(high, END_COLUMNS[3].1.stroke_width(2))).ok()?;
-        Some(())
-    })
-}
-
-fn draw_axes<Y: plotters::coord::ranged1d::ValueFormatter<<Y as Ranged>::ValueType> + Ranged>(
-    plot: &mut ChartContext<'_, SVGBackend<'_>, Cartesian2d<plotters::coord::types::RangedCoordu64, Y>>,
-    x: &dyn Fn(&u64) -> String,
-    y: &dyn Fn(&<Y as Ranged>::ValueType) -> String,
-) -> Option<()> {
-    plot.configure_mesh()
-        .disable_x_mesh()
-        .x_labels(8)
-        .y_labels(5)
-        .x_label_formatter(x)
-        .y_label_formatter(y)
-        .axis_style(AXIS_COLOUR)
-        .light_line_style(AXIS_COLOUR.mix(0.0))
-        .bold_line_style(AXIS_COLOUR.mix(0.25))
-        .label_style(("sans-serif", 12).into_font().color(&AXIS_COLOUR))
-        .draw()
-        .ok()
+    }
 }
 
 fn tenant_totals(summary: &Summary) -> Markup {
-    let mut all: BTreeMap<(String, String), QueryCounts> = BTreeMap::new();
+    let mut totals: BTreeMap<(String, String), QueryCounts> = BTreeMap::new();
     for (key, counts) in summary.steps.values().flat_map(|step| &step.queries) {
-        all.entry(key.clone()).or_default().merge(counts);
+        totals.entry(key.clone()).or_default().merge(counts);
     }
-    let name = |(class, tenant): &(String, String)| match tenant.as_str() {
+    let label = |(class, tenant): &(String, String)| match tenant.as_str() {
         "" => format!("{class}, no tenant given"),
         tenant => format!("{class}, {tenant}"),
     };
     html! {
         details {
             summary { "By class and tenant" }
-            div.wide { table { (count_header("class, tenant")) @for (key, counts) in &all { (count_row(&name(key), counts)) } } }
+            div.wide { table {
+                (count_header("class, tenant"))
+                @for (key, counts) in &totals { (count_row(&label(key), counts)) }
+            } }
         }
     }
 }
 
-/// Workers by time: the redder, the more attempts got no response.
+/// A map of workers over time: the redder a cell, the more attempts got no response.
 fn worker_map(summary: &Summary) -> Markup {
     let workers: BTreeSet<&String> = summary.steps.values().flat_map(|step| step.attempts.keys()).collect();
-    let each = summary.steps.len().div_ceil(MAX_MAP_COLUMNS).max(1);
+    let steps_per_column = summary.steps.len().div_ceil(MAX_MAP_COLUMNS).max(1);
     let steps: Vec<(&u64, &TimeStep)> = summary.steps.iter().collect();
-    let cell = |worker: &String, steps: &[(&u64, &TimeStep)]| {
-        let mut all = super::metrics::AttemptMetrics::default();
-        steps
-            .iter()
-            .filter_map(|(_, step)| step.attempts.get(worker))
-            .for_each(|more| all.merge(more.clone()));
-        let bad = all.total()
-            - all.successful()
-            - all.ends.get("cancelled").copied().unwrap_or(0).min(all.total() - all.successful());
-        let share = bad as f64 / all.total().max(1) as f64;
-        let hue = 130.0 * (1.0 - (share * 5.0).min(1.0));
-        let colour =
-            if all.total() == 0 { "transparent".to_owned() } else { format!("hsl({hue:.0} 55% 45%)") };
-        let pace = all.done_us as f64 / all.successful().max(1) as f64 / 1000.0;
-        let tooltip = format!(
-            "{worker} {}: {} attempts, {bad} without a response, {pace:.1} ms",
-            time_of_day(*steps[0].0),
-            all.total()
-        );
-        html! { td style={"background:" (colour)} title=(tooltip) {} }
-    };
     html! {
         @if workers.is_empty() { p { "No attempt is on record." } }
         div.wide { table.map {
             @for worker in workers {
-                tr { td { (worker) } @for few in steps.chunks(each) { (cell(worker, few)) } }
+                tr {
+                    td { (worker) }
+                    @for steps in steps.chunks(steps_per_column) { (worker_map_cell(worker, steps)) }
+                }
             }
         } }
-        p.quiet { "From left to right as time passes; green: got a response, red: a fifth or more got none; empty: nothing was sent." }
+        p.quiet {
+            "From left to right as time passes; green: got a response, red: a fifth or more got none; empty: nothing was sent."
+        }
     }
 }
 
+/// One cell of the map: the attempts at a worker in a few time steps, of which there is one at least.
+fn worker_map_cell(worker: &str, steps: &[(&u64, &TimeStep)]) -> Markup {
+    let mut attempts = AttemptMetrics::default();
+    for (_, step) in steps {
+        if let Some(of_step) = step.attempts.get(worker) {
+            attempts.merge(of_step.clone());
+        }
+    }
+    let (total, successful) = (attempts.total(), attempts.successful());
+    let cancelled = attempts.ends.get("cancelled").copied().unwrap_or(0).min(total - successful);
+    let unanswered = total - successful - cancelled;
+    let unanswered_share = unanswered as f64 / total.max(1) as f64;
+    let hue = GREEN_HUE * (1.0 - (unanswered_share / RED_AT_UNANSWERED_SHARE).min(1.0));
+    let colour = if total == 0 { "transparent".to_owned() } else { format!("hsl({hue:.0} 55% 45%)") };
+    let mean_ms = attempts.done_us as f64 / successful.max(1) as f64 / 1000.0;
+    let tooltip = format!(
+        "{worker} {}: {total} attempts, {unanswered} without a response, {mean_ms:.1} ms",
+        time_of_day(*steps[0].0)
+    );
+    html! { td style={"background:" (colour)} title=(tooltip) {} }
+}
+
 fn timeline(summary: &Summary) -> Markup {
     let mut events: Vec<_> = summary.timeline.iter().collect();
     events.sort_by_key(|event| event.at_ms);
@@ -311,27 +288,37 @@
         div.wide { table {
             tr { th { "at" } th.text { "gatherer" } th.text { "what" } }
             @for event in events.iter().take(MAX_TABLE_ROWS) {
-                tr { td { (date_time(event.at_ms)) } td.text { (event.gatherer) } td.text { (event.description) } }
+                tr {
+                    td { (date_time(event.at_ms)) }
+                    td.text { (event.gatherer) }
+                    td.text { (event.description) }
+                }
             }
         } }
         @if not_shown > 0 { p { (not_shown) " further events are not shown." } }
     }
 }
 
-fn record_section(summary: &Summary, faults: &[String], damaged: u64) -> Markup {
+fn record_section(summary: &Summary, first_damaged: &[String], damaged: u64) -> Markup {
     html! {
         div.wide { table {
-            tr { th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "records missing" } }
-            @for ((gatherer, start), seen) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
+            tr {
+                th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "records missing" }
+            }
+            @for ((gatherer, name), incarnation) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
                 tr {
-                    td { (gatherer) } td.text { (start) } td { (date_time(seen.first_ms)) } td { (date_time(seen.last_ms)) }
-                    td { @if seen.stopped { "stop" } @else { "none on record" } } td { (seen.missing) }
+                    td { (gatherer) }
+                    td.text { (name) }
+                    td { (date_time(incarnation.first_ms)) }
+                    td { (date_time(incarnation.last_ms)) }
+                    td { @if incarnation.stopped { "stop" } @else { "none on record" } }
+                    td { (incarnation.missing) }
                 }
             }
         } }
         @if damaged > 0 {
             p { (damaged) " records are damaged and not counted:" }
-            ul { @for fault in faults { li { (fault) } } }
+            ul { @for damage in first_damaged { li { (damage) } } }
         }
         p.quiet { "Clocks of gatherers may differ; each one's records stand at its own time." }
     }
