--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -17,10 +17,14 @@
 //! Connections within their minimum residence are passed over in 1 to 3. Where sources can be distinguished, a
 //! well-behaved connection of a source over its quota goes before one of another source.
 
+mod eviction;
+
+pub use eviction::{EVICTION_REASONS, EvictionReason};
+
+use self::eviction::{Connection, ConnectionState, EvictionRank, TIME_LIMITS};
 use super::resource_pressure::ResourcePressure;
 use crate::policy::Time;
 use std::collections::{BTreeSet, HashMap};
-use std::fmt;
 use std::time::Duration;
 
 /// The client that a connection belongs to, as far as that can be known: a hash of its address, or of the name that it
@@ -28,47 +32,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source(pub u64);
 
-/// Why a connection is evicted. The order is that of eviction.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum EvictionReason {
-    /// It never sent a byte.
-    Silent,
-    /// Its request is not received in time.
-    Slow,
-    /// It sent one request, and stays.
-    SingleRequest,
-    /// It sent malformed input before.
-    Penalised,
-    /// It has not sent another request.
-    Idle,
-    /// Its source holds more connections than its quota.
-    OverQuota,
-}
-
-/// All reasons, in the order in which they are counted.
-pub const EVICTION_REASONS: [EvictionReason; 6] = [
-    EvictionReason::Silent,
-    EvictionReason::Slow,
-    EvictionReason::SingleRequest,
-    EvictionReason::Penalised,
-    EvictionReason::Idle,
-    EvictionReason::OverQuota,
-];
-
-impl fmt::Display for EvictionReason {
-    /// Writes the reason as it stands in names of counters, which operators' tools match: these words stay as they are.
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            EvictionReason::Silent => "silent",
-            EvictionReason::Slow => "slow",
-            EvictionReason::SingleRequest => "asked_once",
-            EvictionReason::Penalised => "marked",
-            EvictionReason::Idle => "idle",
-            EvictionReason::OverQuota => "over_share",
-        })
-    }
-}
-
 /// What a connection sent, as far as its own record is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestValidity {
@@ -78,34 +41,6 @@
     Invalid,
 }
 
-/// Time limits of an evictable connection.
-struct TimeLimits {
-    /// The limit without pressure.
-    relaxed: Duration,
-    /// The limit under full pressure.
-    tight: Duration,
-    /// For this long, the connection is passed over when another needs its descriptor.
-    min_residence: Duration,
-}
-
-const fn time_limits_ms(relaxed: u64, tight: u64, min_residence: u64) -> TimeLimits {
-    let ms = Duration::from_millis;
-    TimeLimits { relaxed: ms(relaxed), tight: ms(tight), min_residence: ms(min_residence) }
-}
-
-/// Time limits by [`EvictionReason`], in its order. The relaxed limits are those that clients always had; 2.5 s gets
-/// the response to a bad client out within 3 s. The tight limits are a multiple of what a well-behaved client needs on
-/// a loaded machine: a request follows its connection at once, and on a kept connection of a busy client the next
-/// request follows the last response in well under 150 ms.
-const TIME_LIMITS: [TimeLimits; 5] = [
-    time_limits_ms(2500, 200, 100),
-    time_limits_ms(2500, 300, 200),
-    time_limits_ms(10_000, 150, 100),
-    time_limits_ms(2000, 50, 0),
-    time_limits_ms(10_000, 1000, 0),
-];
-/// The longest time in which a request may be received, at whatever rate.
-const MAX_RECEIVE_TIME: Duration = Duration::from_millis(2500);
 /// A request received at this rate is not slow: one of 64 kB has one second more.
 const MIN_RECEIVE_BYTES_PER_SECOND: f64 = 64_000.0;
 /// An idle connection is expected to be used again within this multiple of its usual idle interval...
@@ -119,70 +54,6 @@
 /// How long such a source is remembered.
 const PENALTY_TIME: Duration = Duration::from_secs(10);
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ConnectionState {
-    /// It may be evicted, for this reason.
-    Evictable(EvictionReason),
-    /// A query is open on it.
-    Busy,
-    /// It is about to be closed.
-    Closing,
-}
-
-/// The position of a connection in the eviction order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct EvictionRank {
-    reason: EvictionReason,
-    /// The moment that counts against the connection: the earlier, the sooner it is evicted.
-    counted_from: Time,
-    id: u64,
-}
-
-#[derive(Debug)]
-struct Connection {
-    source: Source,
-    state: ConnectionState,
-    /// When its state began.
-    state_since: Time,
-    /// See [`EvictionRank::counted_from`].
-    counted_from: Time,
-    /// Bytes of the request that is being received.
-    request_bytes: usize,
-    /// Responses sent on it.
-    responses: u32,
-    /// Average time between a response and the next request.
-    usual_idle: Duration,
-    penalised: bool,
-}
-
-impl Connection {
-    fn rank(&self, id: u64) -> Option<EvictionRank> {
-        let ConnectionState::Evictable(reason) = self.state else { return None };
-        Some(EvictionRank { reason, counted_from: self.counted_from, id })
-    }
-
-    /// Returns until when it may stay as it is under this pressure. A busy connection has no deadline.
-    fn deadline(&self, pressure: ResourcePressure) -> Option<Time> {
-        let ConnectionState::Evictable(reason) = self.state else { return None };
-        let limit = |reason: EvictionReason| {
-            let TimeLimits { relaxed, tight, .. } = TIME_LIMITS[reason as usize];
-            pressure.limit(relaxed, tight)
-        };
-        Some(match reason {
-            EvictionReason::Slow => {
-                self.counted_from.after(limit(reason)).min(self.state_since.after(MAX_RECEIVE_TIME))
-            }
-            // Its usual idle interval applies where that is longer.
-            EvictionReason::Idle => self.counted_from.max(self.state_since.after(limit(reason))),
-            // A source that reconnects after malformed input gets the time limit of malformed input.
-            EvictionReason::Silent if self.penalised => {
-                self.state_since.after(limit(EvictionReason::Penalised).min(limit(reason)))
-            }
-            reason => self.state_since.after(limit(reason)),
-        })
-    }
-}
-
 /// The clients' connections, in the order in which they would be evicted.
 #[derive(Debug, Default)]
 pub struct ClientConnections {
