--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -182,3 +182,19 @@
         *self.sent.last().expect("something was sent")
     }
 }
+
+/// Whether a query was answered in the last step, and if so, whether the answer was complete.
+pub fn answered(root: &AggregatorHarness, id: RequestId) -> Option<bool> {
+    root.actions.iter().find_map(|action| match action {
+        Action::Respond { id: of, complete: whole } if *of == id => Some(*whole),
+        _ => None,
+    })
+}
+
+/// Whether a query ended in the last step.
+pub fn ended(root: &AggregatorHarness, id: RequestId) -> bool {
+    root.actions.iter().any(|action| match action {
+        Action::Respond { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of } => *of == id,
+        _ => false,
+    })
+}
