--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A root in miniature: hands events to the module and books what it asks for.
+//! A host in miniature: it hands events to the decision module and records the actions that come back.
 #![allow(dead_code)] // each test file uses its own share of this
 
 pub mod process;
@@ -16,7 +16,7 @@
     Duration::from_millis(span)
 }
 
-/// Three replicas in sets: every leaf holds every shard.
+/// Every worker holds every shard.
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
@@ -42,12 +42,12 @@
     }
 }
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: ms(1500),
         objective_stretch: 0.0,
         deadline: ms(5000),
-        idempotency: effect,
+        idempotency,
         repeat_window: ms(1000),
         priority_weight: 1.0,
         late_weight: 0.0,
@@ -58,19 +58,12 @@
     }
 }
 
-pub fn entry(leaf: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
-    Endpoint {
-        worker: WorkerId(leaf),
-        zone: ZoneId(0),
-        cell: CellId(0),
-        status,
-        units: 1.0,
-        started_at: since,
-    }
+pub fn entry(worker: u32, status: EndpointStatus, started_at: Option<Time>) -> Endpoint {
+    Endpoint { worker: WorkerId(worker), zone: ZoneId(0), cell: CellId(0), status, units: 1.0, started_at }
 }
 
-pub fn endpoint_list(leaves: &[u32]) -> Arc<[Endpoint]> {
-    leaves.iter().map(|leaf| entry(*leaf, EndpointStatus::Active, None)).collect()
+pub fn endpoint_list(workers: &[u32]) -> Arc<[Endpoint]> {
+    workers.iter().map(|worker| entry(*worker, EndpointStatus::Active, None)).collect()
 }
 
 /// A send that the module asked for.
@@ -88,31 +81,31 @@
     pub now: Time,
     /// Every send so far.
     pub sent: Vec<Sent>,
-    /// Actions of the last turn.
+    /// Actions of the last step.
     pub actions: Vec<Action>,
     next: u64,
 }
 
 impl AggregatorHarness {
-    pub fn new(settings: Settings, leaves: &[u32]) -> AggregatorHarness {
-        let mut root = AggregatorHarness {
+    pub fn new(settings: Settings, workers: &[u32]) -> AggregatorHarness {
+        let mut harness = AggregatorHarness {
             aggregator: Aggregator::new(settings),
             now: Time(1_000_000 * MS),
             sent: Vec::new(),
             actions: Vec::new(),
             next: 1,
         };
-        root.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(leaves)))]);
-        root
+        harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(workers)))]);
+        harness
     }
 
     pub fn step(&mut self, events: Vec<Event>) {
         self.actions.clear();
         self.aggregator.step(self.now, events, &mut self.actions);
         for action in &self.actions {
-            if let Action::Send { id, worker: leaf, timeout } = action {
+            if let Action::Send { id, worker, timeout } = action {
                 let attempt = AttemptNo(self.sent.iter().filter(|sent| sent.id == *id).count() as u32);
-                self.sent.push(Sent { id: *id, attempt, worker: *leaf, at: self.now, timeout: *timeout });
+                self.sent.push(Sent { id: *id, attempt, worker: *worker, at: self.now, timeout: *timeout });
             }
         }
     }
@@ -184,16 +177,16 @@
 }
 
 /// Whether a query was answered in the last step, and if so, whether the answer was complete.
-pub fn answered(root: &AggregatorHarness, id: RequestId) -> Option<bool> {
-    root.actions.iter().find_map(|action| match action {
-        Action::Respond { id: of, complete: whole } if *of == id => Some(*whole),
+pub fn answered(harness: &AggregatorHarness, id: RequestId) -> Option<bool> {
+    harness.actions.iter().find_map(|action| match action {
+        Action::Respond { id: of, complete } if *of == id => Some(*complete),
         _ => None,
     })
 }
 
 /// Whether a query ended in the last step.
-pub fn ended(root: &AggregatorHarness, id: RequestId) -> bool {
-    root.actions.iter().any(|action| match action {
+pub fn ended(harness: &AggregatorHarness, id: RequestId) -> bool {
+    harness.actions.iter().any(|action| match action {
         Action::Respond { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of } => *of == id,
         _ => false,
     })
--- a/tests/event_ordering.rs
+++ b/tests/event_ordering.rs
@@ -12,7 +12,7 @@
     let partial = Class { min_coverage: 0.6, ..class(effect) };
     let settings =
         Settings { seed, fleet_size: 2, classes: vec![partial], retry_budget: Some(budget), ..settings() };
-    let mut root = AggregatorHarness::new(settings, &[1, 2, 3, 4]);
+    let mut harness = AggregatorHarness::new(settings, &[1, 2, 3, 4]);
     let mut open: BTreeMap<RequestId, (Time, Vec<RequestId>)> = BTreeMap::new();
     let mut out: Vec<Sent> = Vec::new();
     let mut done: Vec<RequestId> = Vec::new();
@@ -21,17 +21,17 @@
     let mut taken: Vec<Time> = Vec::new();
     let mut further: Vec<Time> = Vec::new();
     for step in 0..3000 {
-        root.now = root.now.after(ms(random.u64(1..20)));
+        harness.now = harness.now.after(ms(random.u64(1..20)));
         let mut events = vec![Event::TimerFired { timer: TimerId(0) }];
         if step < 2500 && random.u8(0..4) == 0 {
-            let (id, parts, new) = root.new_query(Some(&format!("k{}", random.u8(0..9))), &[0, 1, 2]);
+            let (id, parts, new) = harness.new_query(Some(&format!("k{}", random.u8(0..9))), &[0, 1, 2]);
             events.extend(new);
-            taken.extend([root.now; 4]);
-            open.insert(id, (root.now.after(ms(5000)), parts));
+            taken.extend([harness.now; 4]);
+            open.insert(id, (harness.now.after(ms(5000)), parts));
         }
         let mut still = Vec::new();
         for sent in std::mem::take(&mut out) {
-            let over = root.now.since(sent.at) >= sent.timeout;
+            let over = harness.now.since(sent.at) >= sent.timeout;
             if !over && random.u8(0..10) > 0 {
                 still.push(sent);
                 continue;
@@ -50,45 +50,45 @@
             if outcome == AttemptOutcome::Succeeded {
                 done.push(sent.id);
             }
-            events.push(root.attempt_finished(sent, outcome, Some(f64::from(random.u8(0..200)) / 100.0)));
+            events.push(harness.attempt_finished(sent, outcome, Some(f64::from(random.u8(0..200)) / 100.0)));
         }
         out = still;
         if random.u16(0..400) == 0 {
-            let leaf = random.u32(1..5);
-            let status = if drained.contains_key(&WorkerId(leaf)) {
+            let worker = random.u32(1..5);
+            let status = if drained.contains_key(&WorkerId(worker)) {
                 EndpointStatus::Active
             } else {
                 EndpointStatus::Draining
             };
             match status {
-                EndpointStatus::Active => drained.remove(&WorkerId(leaf)),
-                _ => drained.insert(WorkerId(leaf), root.now),
+                EndpointStatus::Active => drained.remove(&WorkerId(worker)),
+                _ => drained.insert(WorkerId(worker), harness.now),
             };
-            let news = vec![entry(leaf, status, None)].into();
+            let news = vec![entry(worker, status, None)].into();
             events.push(Event::EndpointUpdate(EndpointUpdate::Delta(news)));
         }
-        let before = root.sent.len();
-        root.step(events);
-        for sent in root.sent[before..].iter().copied() {
-            assert!(!drained.contains_key(&sent.worker), "seed {seed}: sent to a draining leaf");
+        let before = harness.sent.len();
+        harness.step(events);
+        for sent in harness.sent[before..].iter().copied() {
+            assert!(!drained.contains_key(&sent.worker), "seed {seed}: sent to a draining worker");
             assert!(!done.contains(&sent.id), "seed {seed}: sent a part that is done");
             assert!(open.values().any(|(_, parts)| parts.contains(&sent.id)), "seed {seed}: query is over");
             let earlier = out.iter().filter(|other| other.id == sent.id).map(|other| other.at).min();
             let risk = may_have_run.get(&sent.id).copied().into_iter().chain(earlier).min();
             match effect {
                 Idempotency::Idempotent => {}
-                Idempotency::Keyed => assert!(risk.is_none_or(|at| root.now.since(at) <= ms(1000))),
+                Idempotency::Keyed => assert!(risk.is_none_or(|at| harness.now.since(at) <= ms(1000))),
                 Idempotency::NonIdempotent => assert!(risk.is_none(), "seed {seed}: effect may happen twice"),
             }
             if sent.attempt.0 > 0 {
-                further.push(root.now);
-                further.retain(|at| root.now.since(*at) <= ms(2000));
-                let counted = taken.iter().filter(|at| root.now.since(**at) < ms(2000)).count();
+                further.push(harness.now);
+                further.retain(|at| harness.now.since(*at) <= ms(2000));
+                let counted = taken.iter().filter(|at| harness.now.since(**at) < ms(2000)).count();
                 assert!(further.len() as f64 <= 3.0 + 0.1 * counted as f64, "seed {seed}: over budget");
             }
             out.push(sent);
         }
-        for action in root.actions.clone() {
+        for action in harness.actions.clone() {
             let (id, whole) = match action {
                 Action::Respond { id, complete: whole } => (id, Some(whole)),
                 Action::Reject { id, .. } | Action::Fail { id } => (id, None),
@@ -103,17 +103,20 @@
                 .iter()
                 .any(|part| may_have_run.contains_key(part) || out.iter().any(|other| other.id == *part));
             if matches!(action, Action::Reject { .. }) && effect == Idempotency::NonIdempotent {
-                assert!(!risky, "seed {seed}: refused though it may have run");
+                assert!(!risky, "seed {seed}: rejected though it may have run");
             }
         }
-        assert!(open.values().all(|(until, _)| root.now <= until.after(ms(20))), "seed {seed}: query lost");
+        assert!(
+            open.values().all(|(until, _)| harness.now <= until.after(ms(20))),
+            "seed {seed}: query lost"
+        );
     }
-    assert!(open.is_empty() || !root.sent.is_empty());
-    assert!(root.sent.len() > 100, "seed {seed}: hardly anything was sent");
+    assert!(open.is_empty() || !harness.sent.is_empty());
+    assert!(harness.sent.len() > 100, "seed {seed}: hardly anything was sent");
 }
 
 #[test]
-fn the_rules_hold_in_odd_orders() {
+fn the_invariants_hold_whatever_the_order_of_events() {
     for seed in 0..12 {
         play(seed, Idempotency::Idempotent);
         play(seed, Idempotency::Keyed);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A hundred roots in one process, each with its own share of the traffic: what they do together.
+//! A hundred aggregators in one process, each with its own share of the traffic: what they do together.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use gatherer::policy::*;
 
 #[test]
-fn a_lost_zone_is_learned_from_few_of_its_workers_and_trusted_again_at_one_answer() {
+fn a_lost_zone_is_ejected_after_few_of_its_workers_and_reinstated_at_one_response() {
     let zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
         let mut fleet = Fleet::new(seed, Idempotency::Idempotent);
@@ -17,7 +17,8 @@
         let (first, later) = (fleet.advance(1000, zone).0, fleet.advance(2000, zone).0);
         // Each on its own: 900 sends in the first second, and 800 in the next two.
         assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
-        // Healed without a restart, so that no list tells of it. Each on its own: 1,190 sends in three seconds.
+        // Healed without a restart, so that no list tells of it. Each on its own: 1,190 sends in three
+        // seconds.
         fleet.set_behavior(zone, WorkerBehavior::Answers);
         fleet.advance(1000, zone);
         let back = fleet.advance(3000, zone).0;
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn what_runs_once_is_kept_from_workers_that_err() {
+fn non_idempotent_parts_are_kept_from_workers_that_return_errors() {
     let bad = |id| id % 10 == 0;
     for seed in [1, 2] {
         let mut fleet = Fleet::new(seed, Idempotency::NonIdempotent);
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn an_overbooked_discovery_is_reached_by_all() {
+fn an_overloaded_discovery_is_reached_by_all() {
     let all = AGGREGATORS as usize;
     assert!(
         simulate_discovery_polls(vec![0; all], |_| 100).0 < all / 4,
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -1,6 +1,6 @@
-//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member, before twelve
-//! workers, when half of the gatherers die or are cut off. One tenant asks for far more than its share, the other stays
-//! inside its own; workers that start cold are counted at the workers.
+//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member,
+//! before twelve workers, when half of the gatherers die or are cut off. One tenant asks for far more than
+//! its share, the other stays inside its own; workers that start warming-up are counted at the workers.
 
 mod common;
 
@@ -15,13 +15,13 @@
 const WORKERS: u32 = 12;
 const WARM: u32 = 3;
 const STEP: u64 = 10;
-/// Queries a second of two parts of a tenth of a second each, over all gatherers: of the tenant that stays inside its
-/// share, and of the one that does not. The workers carry 60.
+/// Queries a second of two parts of a tenth of a second each, over all gatherers: of the tenant that stays
+/// inside its share, and of the one that does not. The workers carry 60.
 const QUERIES: [u64; 2] = [16, 100];
 /// What either may ask for a second.
 const QUOTA: f64 = 20.0;
 
-/// A worker of one core: it works off what comes in turn, slower while it is cold.
+/// A worker of one core: it works off what comes in turn, slower while it is warming-up.
 struct Worker {
     since: Option<Time>,
     free_at: Time,
@@ -37,15 +37,15 @@
 struct Played {
     /// By tenant.
     answered: [usize; 2],
-    refused: [usize; 2],
-    /// The most that any cold worker got in a window, as a share of what makes it fall then.
+    rejected: [usize; 2],
+    /// The most that any warming-up worker got in a window, as a share of what makes it fall then.
     pushed: f64,
 }
 
 struct Fleet {
     world: Simulation<Node>,
     /// Each with what is due to come back to it, and whose its queries are.
-    roots: Vec<(AggregatorHarness, Due, Asks)>,
+    harnesses: Vec<(AggregatorHarness, Due, Asks)>,
     workers: Vec<Worker>,
     random: fastrand::Rng,
     /// Whether the modules go by what membership tells, or by the settings' number.
@@ -56,16 +56,16 @@
     fn new(seed: u64, told: bool) -> Fleet {
         let classes = vec![Class { latency_objective: ms(1500), ..class(Idempotency::Idempotent) }];
         let tenants = vec![Tenant { quota_per_s: Some(QUOTA) }; 2];
-        let (roots, over_share_worth) = (GATHERERS as u32, Some(0.1));
+        let (harnesses, over_share_worth) = (GATHERERS as u32, Some(0.1));
         let rules = Settings {
-            fleet_size: roots,
+            fleet_size: harnesses,
             classes,
             tenants,
             over_quota_weight: over_share_worth,
             may_health_check: false,
             ..settings()
         };
-        let root = |id: usize| {
+        let harness = |id: usize| {
             let all: Vec<u32> = (0..WORKERS).collect();
             (
                 AggregatorHarness::new(Settings { seed: seed << 8 | id as u64, ..rules.clone() }, &all),
@@ -76,7 +76,7 @@
         let worker = |_| Worker { since: None, free_at: Time(0), came: VecDeque::new() };
         Fleet {
             world: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
-            roots: (0..GATHERERS).map(root).collect(),
+            harnesses: (0..GATHERERS).map(harness).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
             told,
@@ -85,12 +85,12 @@
 
     /// All but a few workers start anew, and all gatherers are told.
     fn restart_workers(&mut self) {
-        let now = self.roots[0].0.now;
+        let now = self.harnesses[0].0.now;
         for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM as usize) {
             worker.since = Some(now);
             let news = [entry(id as u32, EndpointStatus::Active, Some(now))];
-            for (root, _, _) in &mut self.roots {
-                root.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
+            for (harness, _, _) in &mut self.harnesses {
+                harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
             }
         }
     }
@@ -101,7 +101,7 @@
 
     /// Lets time pass; queries come to those that live.
     fn pass(&mut self, span: u64) -> Played {
-        let mut played = Played { answered: [0; 2], refused: [0; 2], pushed: 0.0 };
+        let mut played = Played { answered: [0; 2], rejected: [0; 2], pushed: 0.0 };
         for _ in 0..span / STEP {
             self.world.advance(Duration::from_millis(STEP));
             let living: Vec<usize> = self.world.living().collect();
@@ -110,17 +110,17 @@
                 (self.random.u64(..1000) < rate * STEP).then(|| self.random.usize(..living.len()))
             });
             for (at, id) in living.into_iter().enumerate() {
-                let (root, due, asks) = &mut self.roots[id];
-                root.now = root.now.after(ms(STEP));
+                let (harness, due, asks) = &mut self.harnesses[id];
+                harness.now = harness.now.after(ms(STEP));
                 if self.told {
-                    root.aggregator.set_fleet_size(self.world.gatherers(id).expect("it lives"));
+                    harness.aggregator.set_fleet_size(self.world.gatherers(id).expect("it lives"));
                 }
-                let now = root.now;
+                let now = harness.now;
                 let ready: Vec<_> = due.extract_if(.., |(at, _)| *at <= now).collect();
                 let mut events: Vec<Event> = Vec::new();
                 for (_, sent) in ready {
                     let queue = self.workers[sent.worker.0 as usize].free_at.since(now).as_secs_f64();
-                    events.push(root.attempt_finished(
+                    events.push(harness.attempt_finished(
                         sent,
                         AttemptOutcome::Succeeded,
                         Some((queue * 2.0).min(1.0)),
@@ -133,7 +133,7 @@
                     }
                     let shards = [self.random.u32(..8), self.random.u32(..8)];
                     let key = format!("k{}", self.random.u32(..40));
-                    let (id, _, mut query) = root.new_query(Some(&key), &shards);
+                    let (id, _, mut query) = harness.new_query(Some(&key), &shards);
                     if let Some(Event::QueryReceived(asked)) = query.first_mut() {
                         asked.tenant = Some(TenantId(tenant));
                     }
@@ -141,26 +141,26 @@
                     asks.insert(id, tenant);
                 }
                 // What is long over is not looked through at each further attempt.
-                if root.sent.len() > 400 {
-                    root.sent.drain(..200);
+                if harness.sent.len() > 400 {
+                    harness.sent.drain(..200);
                 }
-                let before = root.sent.len();
-                root.step(events);
-                for action in &root.actions {
+                let before = harness.sent.len();
+                harness.step(events);
+                for action in &harness.actions {
                     match action {
                         Action::Respond { id, .. } => played.answered[asks[id]] += 1,
-                        Action::Reject { id, .. } | Action::Fail { id } => played.refused[asks[id]] += 1,
+                        Action::Reject { id, .. } | Action::Fail { id } => played.rejected[asks[id]] += 1,
                         _ => {}
                     }
                 }
-                for sent in &root.sent[before..] {
+                for sent in &harness.sent[before..] {
                     let worker = &mut self.workers[sent.worker.0 as usize];
                     let carries = worker.since.map_or(1.0, |since| Fleet::carries(since, now));
                     if carries < 1.0 {
                         worker.came.push_back(now);
                         worker.came.retain(|at| now.since(*at) <= ms(1000));
-                        // Parts of a tenth of a second each, against twice what it carries in a second, with the
-                        // slack for chance that a worker has.
+                        // Parts of a tenth of a second each, against twice what it carries in a second, with
+                        // the slack for chance that a worker has.
                         let allowed = 2.0 * carries / 0.1;
                         let share = worker.came.len() as f64 / (allowed + 3.0 * allowed.sqrt() + 3.0);
                         played.pushed = played.pushed.max(share);
@@ -174,7 +174,8 @@
     }
 }
 
-/// Half of the gatherers meet this; then most workers start cold if that is wanted, and ten seconds pass.
+/// Half of the gatherers meet this; then most workers start warming-up if that is wanted, and ten seconds
+/// pass.
 fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
     let mut fleet = Fleet::new(seed, told);
     fleet.pass(3000);
@@ -191,21 +192,22 @@
 }
 
 #[test]
-fn when_half_die_a_tenant_inside_its_share_keeps_all_of_it() {
+fn when_half_of_the_gatherers_die_a_tenant_inside_its_quota_keeps_it() {
     // Single plays vary; the sum over eight does not hang on one.
     let served = |told: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
         let plays = (1..9).map(|seed| play(seed, told, false, fault));
-        let (answered, refused) =
-            plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.refused[0]));
-        answered as f64 / (answered + refused) as f64
+        let (answered, rejected) =
+            plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.rejected[0]));
+        answered as f64 / (answered + rejected) as f64
     };
     let (before, without, with) = (served(false, &|_| {}), served(false, &half_die), served(true, &half_die));
-    // 0.89, 0.65 and 0.86: by the settings' number each that lives gives out a twentieth of the quota, to twice as many.
+    // 0.89, 0.65 and 0.86: by the settings' number each that lives gives out a twentieth of the quota, to
+    // twice as many.
     assert!(with > without + 0.15 && with > before - 0.1, "{before} before, {without} without, {with} with");
 }
 
 #[test]
-fn no_cold_worker_is_pushed_over_whoever_dies_and_whatever_is_cut() {
+fn no_warming_up_worker_is_overloaded_when_gatherers_die_or_are_partitioned() {
     for seed in [1, 2, 3] {
         let cut = |world: &mut Simulation<Node>| {
             world.cut(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -46,15 +46,15 @@
 
 fn issued(reply: &str) -> String {
     let line = reply.lines().find(|line| line.starts_with("issue ")).expect("an attempt");
-    line.split(' ').nth(2).expect("a leaf").to_owned()
+    line.split(' ').nth(2).expect("a worker").to_owned()
 }
 
 #[test]
 fn a_query_is_sent_and_answered() {
     let (_, reply, _) = run(&format!("{START}{ASK}"));
-    let leaf = issued(&reply);
+    let worker = issued(&reply);
     let done =
-        format!("turn 1100000000\nto 3\ncompleted 560c18c75d3a91c5 0 {leaf} done 95000000 1 0.5,7\nend\n");
+        format!("turn 1100000000\nto 3\ncompleted 560c18c75d3a91c5 0 {worker} done 95000000 1 0.5,7\nend\n");
     let (ok, reply, errors) = run(&format!("turn 1\nend\n{START}{ASK}{done}"));
     assert!(ok, "{errors}");
     assert!(reply.starts_with("done\nfrom 3\ntail 1\n"), "{reply}");
