--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -183,3 +183,19 @@
         *self.sent.last().expect("something was dispatched")
     }
 }
+
+/// Whether a query was answered in the last step, and if so, whether the answer was complete.
+pub fn answered(harness: &AggregatorHarness, id: RequestId) -> Option<bool> {
+    harness.actions.iter().find_map(|action| match action {
+        Action::Respond { id: of, complete } if *of == id => Some(*complete),
+        _ => None,
+    })
+}
+
+/// Whether a query ended in the last step.
+pub fn ended(harness: &AggregatorHarness, id: RequestId) -> bool {
+    harness.actions.iter().any(|action| match action {
+        Action::Respond { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of } => *of == id,
+        _ => false,
+    })
+}
