--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,11 @@
 pub mod simulated_fleet;
 
 use gatherer::Aggregator;
-use gatherer::policy::*;
+use gatherer::policy::{
+    Action, AttemptNo, AttemptOutcome, AttemptResult, CellId, Class, ClassId, Endpoint, EndpointStatus,
+    EndpointUpdate, Event, Idempotency, JobId, NewPart, NewQuery, ReportField, ReportSource, RequestId,
+    Settings, ShardId, Time, TimerId, WorkerId, ZoneId,
+};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -2,7 +2,10 @@
 //! duplicates and partitions by sender.
 #![allow(dead_code)] // each test file uses a part of this
 
-use super::process::*;
+use super::process::{
+    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, listen, member, unused_address,
+    wait_until,
+};
 use gatherer::protocol::gossip::ClusterKey;
 use serde_json::Value;
 use std::collections::HashSet;
--- a/tests/common/simulated_fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -1,7 +1,10 @@
 //! A simulated fleet at full size: a hundred aggregators, sixty workers in three zones, and an overloaded discovery.
 
 use super::{AggregatorHarness, Sent, class, entry, ms, settings};
-use gatherer::policy::*;
+use gatherer::policy::{
+    Action, AttemptOutcome, CellId, Class, Endpoint, EndpointStatus, EndpointUpdate, Event, Idempotency,
+    Settings, Time, TimerId, ZoneId,
+};
 use std::collections::VecDeque;
 
 pub const AGGREGATORS: u32 = 100;
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::process::*;
+use common::process::{
+    Discovery, Gatherer, TempFolder, Worker, config, member, query, response, unused_address,
+};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::sync::mpsc;
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use gatherer::limits::DescriptorBudget;
-use gatherer::policy::*;
+use gatherer::policy::{ShardId, Time};
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Response};
 use gatherer::routing::{Broker, Clock, Core, QueryOutcome, QueryPart, SearchRequest};
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
-use gatherer::policy::*;
+use gatherer::policy::{ShardId, Time};
 use gatherer::program::config::Config;
 use gatherer::routing::{Broker, Clock, Command, Core, QueryOutcome, QueryPart, SearchRequest};
 use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
