--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A host in miniature: it hands events to the decision module and records the actions that come back.
-#![allow(dead_code)] // each test file uses its own share of this
+//! What tests share: the decision module under test with its actions recorded, real processes, and fleets of both.
+#![allow(dead_code)] // each test file uses a part of this
 
 pub mod process;
 pub mod proxied_fleet;
@@ -16,7 +16,7 @@
     Duration::from_millis(span)
 }
 
-/// Every worker holds every shard.
+/// Settings in which every worker holds every shard.
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
@@ -58,15 +58,22 @@
     }
 }
 
-pub fn entry(worker: u32, status: EndpointStatus, started_at: Option<Time>) -> Endpoint {
-    Endpoint { worker: WorkerId(worker), zone: ZoneId(0), cell: CellId(0), status, units: 1.0, started_at }
+pub fn entry(worker: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
+    Endpoint {
+        worker: WorkerId(worker),
+        zone: ZoneId(0),
+        cell: CellId(0),
+        status,
+        units: 1.0,
+        started_at: since,
+    }
 }
 
 pub fn endpoint_list(workers: &[u32]) -> Arc<[Endpoint]> {
     workers.iter().map(|worker| entry(*worker, EndpointStatus::Active, None)).collect()
 }
 
-/// A send that the module asked for.
+/// A dispatch that the decision module asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub id: RequestId,
@@ -76,12 +83,13 @@
     pub timeout: Duration,
 }
 
+/// The decision module of one aggregator; it records what the module asks for.
 pub struct AggregatorHarness {
     pub aggregator: Aggregator,
     pub now: Time,
-    /// Every send so far.
+    /// Every dispatch so far.
     pub sent: Vec<Sent>,
-    /// Actions of the last step.
+    /// The actions of the last step.
     pub actions: Vec<Action>,
     next: u64,
 }
@@ -110,7 +118,7 @@
         }
     }
 
-    /// Lets time pass in steps of 10 ms, as the module's own timer would.
+    /// Advances time by a span in milliseconds, in steps of 10 ms, as the module's own timer would.
     pub fn advance(&mut self, span: u64) {
         for _ in 0..span / 10 {
             self.now = self.now.after(ms(10));
@@ -118,7 +126,7 @@
         }
     }
 
-    /// A query of class 0 with one part for each shard; returns its id and its parts'.
+    /// Submits a query of class 0 with one part for each shard; returns its id and its parts'.
     pub fn submit(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>) {
         let (query, parts, events) = self.new_query(key, shards);
         self.step(events);
@@ -172,7 +180,7 @@
     }
 
     pub fn last_sent(&self) -> Sent {
-        *self.sent.last().expect("something was sent")
+        *self.sent.last().expect("something was dispatched")
     }
 }
 
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -210,8 +210,8 @@
 fn no_warming_up_worker_is_overloaded_when_gatherers_die_or_are_partitioned() {
     for seed in [1, 2, 3] {
         let cut = |world: &mut Simulation<Node>| {
-            world.cut(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
-            world.cut(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
+            world.partition(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
+            world.partition(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
             // Longer than any wait.
             world.advance(Duration::from_secs(120));
         };
