--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decisions of an aggregator (aggregator) that serves each query from many shards.
+//! Decisions of an aggregator that serves each query from many shards.
 //!
-//! A aggregator owns sockets, clocks and timers; this crate owns the decisions: which replica each part goes to, when to
+//! An aggregator owns sockets, clocks and timers; this crate owns the decisions: which replica each part goes to, when to
 //! try again or send a hedged request, which queries to reject, and when to answer. It does no input or output. Hand
 //! all events of a moment to [`Aggregator::step`] and carry out the actions that come back.
 //!
@@ -51,7 +51,7 @@
 //! });
 //! let worker = sent.expect("the part is sent");
 //!
-//! // The leaf answers, and so does the aggregator.
+//! // The worker responds, and the aggregator answers.
 //! let result = AttemptResult {
 //!     id: part,
 //!     attempt: AttemptNo(0),
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -49,11 +49,11 @@
     workers: Vec<Worker>,
     random: fastrand::Rng,
     /// Whether the modules go by what membership tells, or by the settings' number.
-    told: bool,
+    follows_membership: bool,
 }
 
 impl Fleet {
-    fn new(seed: u64, told: bool) -> Fleet {
+    fn new(seed: u64, follows_membership: bool) -> Fleet {
         let classes = vec![Class { latency_objective: ms(1500), ..class(Idempotency::Idempotent) }];
         let tenants = vec![Tenant { quota_per_s: Some(QUOTA) }; 2];
         let (harnesses, over_share_worth) = (GATHERERS as u32, Some(0.1));
@@ -79,11 +79,11 @@
             harnesses: (0..GATHERERS).map(harness).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
-            told,
+            follows_membership,
         }
     }
 
-    /// All but a few workers start anew, and all gatherers are told.
+    /// All but a few workers start anew, and all gatherers are notified.
     fn restart_workers(&mut self) {
         let now = self.harnesses[0].0.now;
         for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM as usize) {
@@ -112,7 +112,7 @@
             for (at, id) in living.into_iter().enumerate() {
                 let (harness, due, asks) = &mut self.harnesses[id];
                 harness.now = harness.now.after(ms(STEP));
-                if self.told {
+                if self.follows_membership {
                     harness.aggregator.set_fleet_size(self.world.gatherers(id).expect("it lives"));
                 }
                 let now = harness.now;
@@ -176,8 +176,8 @@
 
 /// Half of the gatherers meet this; then most workers start warming-up if that is wanted, and ten seconds
 /// pass.
-fn play(seed: u64, told: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
-    let mut fleet = Fleet::new(seed, told);
+fn play(seed: u64, follows_membership: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
+    let mut fleet = Fleet::new(seed, follows_membership);
     fleet.pass(3000);
     fault(&mut fleet.world);
     fleet.pass(5000);
@@ -194,8 +194,8 @@
 #[test]
 fn when_half_of_the_gatherers_die_a_tenant_inside_its_quota_keeps_it() {
     // Single plays vary; the sum over eight does not hang on one.
-    let served = |told: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
-        let plays = (1..9).map(|seed| play(seed, told, false, fault));
+    let served = |follows_membership: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
+        let plays = (1..9).map(|seed| play(seed, follows_membership, false, fault));
         let (answered, rejected) =
             plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.rejected[0]));
         answered as f64 / (answered + rejected) as f64
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -133,20 +133,20 @@
     let cell = |worker: u32| Endpoint { cell: CellId(worker), ..entry(worker, EndpointStatus::Active, None) };
     let news: Vec<Endpoint> = (0..8).map(cell).collect();
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(news.into()))]);
-    let suspects: Vec<WorkerId> = [0, 2, 4, 6].map(WorkerId).into();
+    let unreachable: Vec<WorkerId> = [0, 2, 4, 6].map(WorkerId).into();
     for round in 0..20 {
         harness.submit(Some(&format!("k{round}")), &[0, 1, 2, 3, 4, 5, 6, 7]);
         let tried = harness
             .sent
             .iter()
-            .filter(|sent| sent.at == harness.now && suspects.contains(&sent.worker))
+            .filter(|sent| sent.at == harness.now && unreachable.contains(&sent.worker))
             .count();
         assert!(round == 0 || tried <= 2, "round {round}: {tried} ejected workers tried in one step");
         // Every attempt is answered, the repeats of those rejected too.
         for _ in 0..3 {
             let out: Vec<Sent> = harness.sent.iter().copied().filter(|sent| sent.at == harness.now).collect();
             harness.advance(100);
-            let bad = |sent: &Sent| suspects.contains(&sent.worker);
+            let bad = |sent: &Sent| unreachable.contains(&sent.worker);
             let outcome = |sent: &Sent| {
                 if bad(sent) { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded }
             };
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_non_idempotent_query_is_rejected_where_its_class_fails_at_every_replica() {
-    // Eight of twelve workers lost the class that runs once: while its other replica was suspect, parts that
+    // Eight of twelve workers lost the class that runs once: while its other replica was ejected, parts that
     // run once went to one that had lost six before them.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings =
@@ -139,7 +139,7 @@
     assert!(harness.actions.iter().any(rejected), "and rejected at once, while nothing of it has run");
     harness.submit(None, &[0]);
     assert_eq!(harness.last_sent().worker, WorkerId(1), "what may be repeated is served");
-    // Another replica that is suspect for broken connections is better than one that loses the class.
+    // Another replica that is ejected for broken connections is better than one that loses the class.
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2])))]);
     let to_two = loop {
         harness.submit(None, &[0]);
@@ -159,7 +159,7 @@
 
 #[test]
 fn one_connection_reset_does_not_eject_a_worker() {
-    // Where connections break now and then, most workers were suspect at any time, and the worst were left to
+    // Where connections break now and then, most workers were ejected at any time, and the worst were left to
     // choose.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     harness.submit(Some("k"), &[0]);
@@ -185,9 +185,9 @@
 
 #[test]
 fn errors_alone_eject_no_worker() {
-    // zone+vast: two errors barred a replica that fails at once while the other was full. Suspects alone are
+    // zone+vast: two errors barred a replica that fails at once while the other was full. Ejected workers alone are
     // probed.
-    for (outcome, suspect) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
+    for (outcome, ejected) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
         let mut harness = AggregatorHarness::new(settings(), &[1]);
         harness.submit(Some("k"), &[0]);
         for _ in 0..2 {
@@ -195,7 +195,7 @@
         }
         assert_eq!(
             harness.actions.contains(&Action::SendHealthCheck { worker: WorkerId(1) }),
-            suspect,
+            ejected,
             "{outcome:?}"
         );
     }
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -5,7 +5,7 @@
 use common::*;
 use gatherer::policy::*;
 
-/// Two workers of which the second has turned parts away twice, so that it is suspect but speaks.
+/// Two workers of which the second has rejected parts twice, so that it is ejected but responds.
 fn one_trusted_one_suspect() -> AggregatorHarness {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     let mut turned_away = 0;
