--- a/examples/report_scale.rs
+++ b/examples/report_scale.rs
@@ -59,6 +59,6 @@
     let report = Report::read(std::slice::from_ref(&folder), 0..u64::MAX, Duration::from_secs(60));
     let report = report.expect("it can be read");
     let seconds = began_at.elapsed().as_secs_f64();
-    println!("read: {seconds:.1} s, peak {} kB; {}", peak_memory_kb(), report.line());
+    println!("read: {seconds:.1} s, peak {} kB; {}", peak_memory_kb(), report.summary_line());
     std::fs::remove_dir_all(folder).expect("removed");
 }
