--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -278,7 +278,10 @@
     for loss in [0, 5, 10, 20, 40] {
         row(&format!("{loss} % lost"), &format!("[net]\nloss = {:.2}\n", f64::from(loss) / 100.0));
     }
-    row("20 % lost, a tenth duplicated, a tenth up to 2 s late", "[net]\nloss = 0.2\ntwice = 0.1\nlate = 0.1\n");
+    row(
+        "20 % lost, a tenth duplicated, a tenth up to 2 s late",
+        "[net]\nloss = 0.2\ntwice = 0.1\nlate = 0.1\n",
+    );
     for pause in [0.9, 2.5, 4.9, 8.0, 30.0] {
         let every: f64 = if pause > 10.0 { 120.0 } else { 30.0 };
         let step = format!(
--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -28,7 +28,7 @@
     Failed,
     /// The process is gone for certain: its machine refuses connections to it.
     Dead,
-    /// The member announced that it leaves.
+    /// The member announced its end.
     Left,
 }
 
