--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -43,6 +43,7 @@
 impl Backoff {
     /// Returns the delays of one of `callers`; each caller needs a seed of its own. A caller that has not polled for
     /// `poll_within`, or for four times as long after a failed call, is assumed to know what it would have received.
+    #[must_use]
     pub fn new(seed: u64, callers: u32, poll_within: Duration) -> Backoff {
         let random = fastrand::Rng::with_seed(seed);
         Backoff { random, callers: callers.max(1), poll_within, failures: 0, unlimited_delay: None }
@@ -51,6 +52,7 @@
     /// Returns the delays of a caller whose calls cost the service nothing, because an agent on the same machine
     /// responds. What the agent has counts as received at once, and after `reaction_time` nothing may be sent to a
     /// draining worker: delays leave most of that time.
+    #[must_use]
     pub fn for_local_agent(seed: u64, reaction_time: Duration) -> Backoff {
         let delay = (reaction_time / REACTION_TIME_FRACTION).min(BASE_DELAY);
         Backoff { unlimited_delay: Some(delay), ..Backoff::new(seed, 1, Duration::ZERO) }
--- a/src/limits/buffer_budget.rs
+++ b/src/limits/buffer_budget.rs
@@ -14,6 +14,7 @@
 
 impl BufferBudget {
     /// Creates a budget of `total` bytes for at most `holders`. Each holder can always have half of an even share.
+    #[must_use]
     pub fn new(total: usize, holders: usize) -> BufferBudget {
         BufferBudget { total, min_per_holder: half_share(total, holders), used: 0 }
     }
@@ -24,14 +25,17 @@
     }
 
     /// Bytes that each holder can always have.
+    #[must_use]
     pub fn min_per_holder(&self) -> usize {
         self.min_per_holder
     }
     /// Bytes that are held.
+    #[must_use]
     pub fn used(&self) -> usize {
         self.used
     }
     /// Bytes that may be held.
+    #[must_use]
     pub fn total(&self) -> usize {
         self.total
     }
--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -70,28 +70,34 @@
 
 impl ClientConnections {
     /// Number of connections, including busy and closing ones.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.connections.len()
     }
     /// Whether there is none.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
     /// Whether any connection may be evicted.
+    #[must_use]
     pub fn has_evictable(&self) -> bool {
         !self.eviction_order.is_empty()
     }
     /// Whether a query is open on this connection.
+    #[must_use]
     pub fn is_busy(&self, id: u64) -> bool {
         self.connections.get(&id).is_some_and(|connection| connection.state == ConnectionState::Busy)
     }
     /// Whether no query is open on it and it is not about to be closed.
+    #[must_use]
     pub fn is_evictable(&self, id: u64) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| matches!(connection.state, ConnectionState::Evictable(_)))
     }
     /// Number of connections of a source.
+    #[must_use]
     pub fn open_from(&self, source: Source) -> usize {
         self.open_by_source.get(&source).copied().unwrap_or(0)
     }
@@ -261,6 +267,7 @@
     }
 
     /// Returns the earliest deadline under this pressure.
+    #[must_use]
     pub fn next_deadline(&self, pressure: ResourcePressure) -> Option<Time> {
         self.eviction_order.iter().filter_map(|rank| self.connections.get(&rank.id)?.deadline(pressure)).min()
     }
--- a/src/limits/connection_counters.rs
+++ b/src/limits/connection_counters.rs
@@ -69,6 +69,7 @@
     }
 
     /// All evictions, whatever their reason.
+    #[must_use]
     pub fn total_evicted(&self) -> u64 {
         self.evicted.iter().sum()
     }
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -101,6 +101,7 @@
 
 impl ConnectQueue {
     /// Creates a queue of at most `max_waiting` calls that lets `max_connecting` connections connect at once.
+    #[must_use]
     pub fn new(max_waiting: usize, max_connecting: usize) -> ConnectQueue {
         let per_worker = max_connecting / CONNECTING_FRACTION_PER_WORKER;
         ConnectQueue {
@@ -115,10 +116,12 @@
     }
 
     /// Calls that wait.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
     /// Connections that are connecting.
+    #[must_use]
     pub fn connecting(&self) -> usize {
         self.connecting_by_worker.values().sum()
     }
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -118,6 +118,7 @@
 
 impl DescriptorAllocator {
     /// Creates an allocator whose descriptors are all free.
+    #[must_use]
     pub fn new(budget: DescriptorBudget) -> DescriptorAllocator {
         DescriptorAllocator {
             budget,
@@ -134,28 +135,34 @@
 
     /// Returns the class that has to close a descriptor where more are held than the budget has: the one that is furthest
     /// over its floor, of those with an evictable one.
+    #[must_use]
     pub fn class_to_reclaim_from(&self) -> Option<DescriptorClass> {
         let can_close = |class: &DescriptorClass| self.over_floor(*class) > 0 && self.evictable(*class) > 0;
         DESCRIPTOR_CLASSES.into_iter().filter(can_close).max_by_key(|class| self.over_floor(*class))
     }
 
     /// Descriptors held beyond the budget.
+    #[must_use]
     pub fn excess(&self) -> usize {
         self.held.iter().sum::<usize>().saturating_sub(self.budget.usable)
     }
     /// The budget.
+    #[must_use]
     pub fn budget(&self) -> &DescriptorBudget {
         &self.budget
     }
     /// Descriptors that a class holds.
+    #[must_use]
     pub fn held(&self, class: DescriptorClass) -> usize {
         self.held[class as usize]
     }
     /// Descriptors of a class that are busy.
+    #[must_use]
     pub fn busy(&self, class: DescriptorClass) -> usize {
         self.busy[class as usize]
     }
     /// Descriptors that no class holds.
+    #[must_use]
     pub fn free(&self) -> usize {
         self.budget.usable.saturating_sub(self.held.iter().sum())
     }
@@ -181,6 +188,7 @@
 
     /// Returns the class that has to close an evictable descriptor for this class: the one that is furthest over its
     /// floor. This class itself comes before any other, unless it is below its own floor.
+    #[must_use]
     pub fn lender(&self, class: DescriptorClass) -> Option<DescriptorClass> {
         let below_floor = self.held(class) < self.budget.floors[class as usize];
         if !below_floor && self.evictable(class) > 0 {
--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -20,6 +20,7 @@
 
 impl FleetSizeEstimate {
     /// An estimate for a fleet of this configured size.
+    #[must_use]
     pub fn new(configured: u32) -> FleetSizeEstimate {
         FleetSizeEstimate { configured: configured.max(1) }
     }
@@ -27,6 +28,7 @@
     /// The estimate now. A member that joins counts at once, and one that is known to be gone no longer counts: both are
     /// certain. A failed member may be behind a partition, where the others continue with this gatherer's share as well.
     /// Only a majority stops counting it, and only after [`FAILED_MEMBER_HOLD`]: there is one majority at most.
+    #[must_use]
     pub fn gatherers(&self, now: Time, table: &MemberTable) -> u32 {
         // Without any known member, the configured size is all there is.
         if table.iter().next().is_none() {
--- a/src/membership/gossip_queue.rs
+++ b/src/membership/gossip_queue.rs
@@ -39,6 +39,7 @@
 
 impl GossipQueue {
     /// Whether there is nothing to pass on.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -65,6 +65,7 @@
 impl Node {
     /// A member that starts now and knows the addresses of some seeds only. `configured_gatherers` is the fleet size in the
     /// settings, `max_members` the most others that it remembers.
+    #[must_use]
     pub fn new(
         now: Time,
         own: MemberUpdate,
@@ -98,21 +99,25 @@
     }
 
     /// What the member reports about itself.
+    #[must_use]
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
     /// What the member knows of the others.
+    #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
     /// The estimated number of gatherers that share the fleet; see [`FleetSizeEstimate::gatherers`].
+    #[must_use]
     pub fn gatherers(&self, now: Time) -> u32 {
         self.fleet_size.gatherers(now, &self.table)
     }
 
     /// Whether no message has come for so long that this member takes itself for the one that is cut off.
+    #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
         now.since(self.last_message_at) >= self.timing.isolation_timeout
             && self.table.present().next().is_some()
@@ -125,6 +130,7 @@
     }
 
     /// When [`Node::tick`] is next to be called.
+    #[must_use]
     pub fn next_due(&self) -> Time {
         let gossip = (!self.gossip_queue.is_empty()).then_some(self.next_gossip_at);
         let probes = self.probes.values().map(|probe| probe.due(self.timing.probe_interval));
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -45,6 +45,7 @@
     }
 
     /// The whole table, for an exchange.
+    #[must_use]
     pub fn table_message(&self) -> Message {
         let updates = self.table.iter().map(|member| member.update.clone()).collect();
         Message { from: self.own.clone(), kind: MessageKind::Table, updates }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -66,6 +66,7 @@
 
 impl ObservedState {
     /// Whether a member in this state takes its share of the traffic, as far as is known.
+    #[must_use]
     pub fn is_present(self) -> bool {
         !matches!(self, ObservedState::Failed | ObservedState::Dead | ObservedState::Left)
     }
@@ -89,6 +90,7 @@
 
 impl KnownMember {
     /// The member's state as it is observed here.
+    #[must_use]
     pub fn state(&self) -> ObservedState {
         match self.update.state {
             MemberState::Alive if self.reachability != Reachability::Direct => ObservedState::Partitioned,
@@ -124,11 +126,13 @@
 
 impl MemberTable {
     /// An empty table for so many members, one at least.
+    #[must_use]
     pub fn new(max_members: usize) -> MemberTable {
         MemberTable { members: BTreeMap::new(), max_members: max_members.max(1) }
     }
 
     /// The member of this name.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&KnownMember> {
         self.members.get(name)
     }
--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -34,6 +34,7 @@
 
 impl MemberState {
     /// Whether a member in this state takes its share of the traffic, as far as is known.
+    #[must_use]
     pub fn is_present(self) -> bool {
         self < MemberState::Failed
     }
@@ -76,11 +77,13 @@
     }
 
     /// A copy of the update with another state.
+    #[must_use]
     pub fn with_state(&self, state: MemberState) -> MemberUpdate {
         MemberUpdate { state, ..self.clone() }
     }
 
     /// An upper bound of the update's encoded size, in bytes.
+    #[must_use]
     pub fn max_encoded_bytes(&self) -> usize {
         self.name.len() + self.zone.len() + FIXED_UPDATE_BYTES
     }
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -72,6 +72,7 @@
 
 impl AttemptOutcome {
     /// Whether this proves that the attempt never ran.
+    #[must_use]
     pub fn proves_unrun(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
--- a/src/program/command_error.rs
+++ b/src/program/command_error.rs
@@ -24,6 +24,7 @@
 
 impl CommandError {
     /// The exit status of the process: 2 for a configuration that cannot be used, else 1.
+    #[must_use]
     pub fn exit_status(&self) -> u8 {
         match self {
             CommandError::Configuration(_) => CONFIGURATION_EXIT_STATUS,
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -46,6 +46,7 @@
 
 impl ConfigError {
     /// Whether reading the file again in a moment may succeed.
+    #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -38,6 +38,7 @@
 }
 
 /// The JSON schema of a record.
+#[must_use]
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Record)).unwrap_or_default()
 }
@@ -127,11 +128,13 @@
     }
 
     /// The report as one HTML page.
+    #[must_use]
     pub fn html(&self) -> String {
         html_report::render(&self.summary, &self.findings, &self.faults, self.damaged)
     }
 
     /// The findings in one line.
+    #[must_use]
     pub fn summary_line(&self) -> String {
         let found: Vec<String> =
             self.findings.iter().map(|finding| html_report::finding_title(&finding.kind)).collect();
@@ -140,6 +143,7 @@
     }
 
     /// The report as JSON.
+    #[must_use]
     pub fn json(&self) -> String {
         let summary = &self.summary;
         let mut steps = Vec::new();
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -40,6 +40,7 @@
 
 /// This gatherer's membership, if the operator's file asks for it, the settings allow it, and the platform carries no
 /// datagrams of its own between gatherers.
+#[must_use]
 pub fn start(
     settings: Option<&MembershipSettings>,
     peer_datagrams: bool,
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -66,6 +66,7 @@
 
 impl MembershipSettings {
     /// The protocol's times.
+    #[must_use]
     pub fn timing(&self) -> Timing {
         let (period, declare_dead_after) =
             (Duration::from_millis(self.period_ms), Duration::from_millis(self.declare_dead_after_ms));
@@ -136,6 +137,7 @@
 
 impl RecordSettings {
     /// The limits of segments.
+    #[must_use]
     pub fn bounds(&self) -> SegmentLimits {
         let (segment, all) = (self.segment_kb << 10, self.all_kb << 10);
         SegmentLimits {
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -57,6 +57,7 @@
     }
 
     /// Flattens nested JSON: the paths are `a.b` for fields, `a.0` and `a.count` for lists.
+    #[must_use]
     pub fn from_json(value: &Value) -> FlatSettings {
         let mut settings = FlatSettings::default();
         settings.add("", value);
--- a/src/records/diagnosis.rs
+++ b/src/records/diagnosis.rs
@@ -85,6 +85,7 @@
 }
 
 /// Returns all findings, the earliest first.
+#[must_use]
 pub fn diagnose(summary: &Summary) -> Vec<Finding> {
     let mut findings = gatherers::find_deaths(summary);
     findings.extend(gatherers::find_missing_records(summary));
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -30,6 +30,7 @@
 
 impl Folder {
     /// The folder at this path; it is created with the first segment.
+    #[must_use]
     pub fn new(path: &Path) -> Folder {
         Folder { path: path.to_owned(), file: None }
     }
@@ -127,6 +128,7 @@
     }
 
     /// Records lost so far, for whatever reason.
+    #[must_use]
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Relaxed)
     }
--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -79,6 +79,7 @@
 }
 
 /// The title of a finding, in words.
+#[must_use]
 pub fn finding_title(kind: &FindingKind) -> String {
     match kind {
         FindingKind::Death { gatherer, incarnation } => format!("{gatherer} died (start {incarnation})"),
@@ -101,6 +102,7 @@
 
 /// Renders the page of these records. `damaged` is the number of damaged records, and `first_damaged` has the first of
 /// them, in words.
+#[must_use]
 pub fn render(summary: &Summary, findings: &[Finding], first_damaged: &[String], damaged: u64) -> String {
     let classes = summary.totals_by_class();
     let first_ms = summary.incarnations.values().map(|incarnation| incarnation.first_ms).min().unwrap_or(0);
--- a/src/records/metrics.rs
+++ b/src/records/metrics.rs
@@ -110,10 +110,12 @@
 
 impl AttemptMetrics {
     /// Attempts that returned a value.
+    #[must_use]
     pub fn successful(&self) -> u64 {
         self.ends.get(ATTEMPT_DONE).copied().unwrap_or(0)
     }
     /// All attempts that ended.
+    #[must_use]
     pub fn total(&self) -> u64 {
         self.ends.values().sum()
     }
@@ -152,10 +154,12 @@
 }
 
 /// Creates an empty histogram of latencies in microseconds.
+///
+/// # Panics
+/// Never: the library accepts these constant bounds.
+#[must_use]
 pub fn new_histogram() -> Histogram<u64> {
-    // The library accepts these constant bounds; a histogram that resizes itself would do as well.
-    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-        .unwrap_or_else(|_| Histogram::new(SIGNIFICANT_DIGITS).expect("two digits"))
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("the constant bounds are valid")
 }
 
 /// Adds up what happens until a record is made of it.
@@ -232,6 +236,7 @@
 
 /// Decodes a histogram. Returns `None` for noise, and for one with wider bounds than [`new_histogram`]'s, which would
 /// take memory without end.
+#[must_use]
 pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
     let bytes = BASE64.decode(text).ok()?;
     let histogram: Histogram<u64> = Deserializer::new().deserialize(&mut &bytes[..]).ok()?;
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -143,6 +143,7 @@
 
 impl RecordedWorkerState {
     /// The word for this state in the events of a report. Readers of the report's JSON match it, so it stays.
+    #[must_use]
     pub fn timeline_word(self) -> &'static str {
         match self {
             RecordedWorkerState::Active => "active",
@@ -197,6 +198,7 @@
 
 impl Record {
     /// Encodes the record as one line, with the checksum and the line feed.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         // Structs and maps with text keys always serialise. If they did not, the line would be damaged and reported,
         // but never misread.
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -32,6 +32,7 @@
 
 impl SegmentName {
     /// Names a segment. Whatever is not a letter, a digit, a dash or a dot becomes a dash.
+    #[must_use]
     pub fn new(gatherer: &str, incarnation: &str, number: u32) -> SegmentName {
         let safe = |letter: char| if letter.is_ascii_alphanumeric() || letter == '.' { letter } else { '-' };
         let sanitise = |text: &str| text.chars().map(safe).collect::<String>();
@@ -39,11 +40,13 @@
     }
 
     /// The name of the segment's file.
+    #[must_use]
     pub fn file_name(&self) -> String {
         format!("{}_{}_{:08}{SEGMENT_SUFFIX}", self.gatherer, self.incarnation, self.number)
     }
 
     /// Parses the name of a file. Returns `None` for a file that is not a segment.
+    #[must_use]
     pub fn parse(file_name: &str) -> Option<SegmentName> {
         let mut parts = file_name.strip_suffix(SEGMENT_SUFFIX)?.split('_');
         let (gatherer, incarnation, number) = (parts.next()?, parts.next()?, parts.next()?);
@@ -65,6 +68,7 @@
 
 impl OpenSegment {
     /// Begins a segment.
+    #[must_use]
     pub fn new(limits: SegmentLimits, now: Time) -> OpenSegment {
         OpenSegment { limits, began_at: now, bytes: 0 }
     }
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -64,6 +64,7 @@
     }
 
     /// Queries whose end is on record.
+    #[must_use]
     pub fn ended(&self) -> u64 {
         self.complete_in_time
             + self.complete_late
@@ -179,6 +180,7 @@
 
 impl Summary {
     /// Creates an empty summary of the time from `from_ms` up to but not including `to_ms`, in Unix milliseconds.
+    #[must_use]
     pub fn new(step_ms: u64, from_ms: u64, to_ms: u64) -> Summary {
         Summary {
             step_ms: step_ms.max(MIN_STEP_MS),
@@ -193,6 +195,7 @@
     }
 
     /// Length of a time step in milliseconds. It grows when steps are merged.
+    #[must_use]
     pub fn step_ms(&self) -> u64 {
         self.step_ms
     }
@@ -314,6 +317,7 @@
     }
 
     /// Counts by class, over all time steps and tenants.
+    #[must_use]
     pub fn totals_by_class(&self) -> BTreeMap<String, QueryCounts> {
         let mut totals: BTreeMap<String, QueryCounts> = BTreeMap::new();
         for ((class, _), counts) in self.steps.values().flat_map(|step| &step.queries) {
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -61,6 +61,7 @@
 
 impl AttemptCompletion {
     /// A completion with neither a value nor a load report.
+    #[must_use]
     pub fn without_value(outcome: AttemptOutcome) -> AttemptCompletion {
         AttemptCompletion { outcome, value: Bytes::new(), load_report: None }
     }
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -67,6 +67,7 @@
 
 impl Broker {
     /// A broker on this clock.
+    #[must_use]
     pub fn new(core: Core, clock: Clock) -> Broker {
         Broker(Rc::new(Inner {
             core: RefCell::new(core),
@@ -77,6 +78,7 @@
     }
 
     /// The time on the clock by which all deadlines of this broker are set.
+    #[must_use]
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
@@ -121,6 +123,7 @@
 
     /// An operator disables a worker or enables it again. Returns whether any list ever named it; where none did, nothing
     /// changes.
+    #[must_use]
     pub fn set_worker_disabled(&self, worker: &str, disabled: bool) -> bool {
         let now = self.0.clock.now();
         let is_known = self.with_core(|core| {
@@ -133,7 +136,8 @@
     /// Applies the same change where an operator made it at the gatherer's other process, which knew the worker.
     pub fn set_worker_disabled_by_peer(&self, worker: &str, disabled: bool) {
         self.with_core(|core| core.register_worker(worker));
-        self.set_worker_disabled(worker, disabled);
+        // Whether any list named it does not matter here: the other process knew it.
+        let _ = self.set_worker_disabled(worker, disabled);
     }
 
     /// Steps the core for as long as the process lives. Whatever tasks report while a step is due goes into that step.
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -44,6 +44,7 @@
 
 impl Contracts {
     /// The class of this name, with its contract.
+    #[must_use]
     pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
         let index = index_of(&self.classes, name)?;
         Some((ClassId(index), self.settings.classes.get(index)?))
@@ -53,6 +54,7 @@
         index_of(&self.tenants, name).map(TenantId)
     }
     /// The zone of this name. All names that are not configured share one id, which is no configured zone's.
+    #[must_use]
     pub fn zone(&self, name: &str) -> ZoneId {
         ZoneId(index_of(&self.zones, name).and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX))
     }
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -62,6 +62,7 @@
 
 impl Core {
     /// A core that knows no workers yet.
+    #[must_use]
     pub fn new(contracts: Contracts) -> Core {
         Core {
             policy: Aggregator::new(contracts.settings.clone()),
@@ -85,26 +86,31 @@
     }
 
     /// The contracts that it serves.
+    #[must_use]
     pub fn contracts(&self) -> &Contracts {
         &self.contracts
     }
 
     /// The number of queries that wait for their outcome.
+    #[must_use]
     pub fn open_queries(&self) -> usize {
         self.open_queries.len()
     }
 
     /// Whether a query of this label is open.
+    #[must_use]
     pub fn has_open_query(&self, label: &str) -> bool {
         self.open_queries.has_label(label)
     }
 
     /// How the queries of each class ended, in the order of the contracts.
+    #[must_use]
     pub fn class_counts(&self) -> &[QueryCounts] {
         self.class_counts.all()
     }
 
     /// How often each invariant was broken, or would have been without its check.
+    #[must_use]
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
--- a/src/routing/core/step.rs
+++ b/src/routing/core/step.rs
@@ -10,6 +10,7 @@
 
 impl Core {
     /// When [`Core::step`] is due if nothing is reported before.
+    #[must_use]
     pub fn next_step_at(&self, now: Time) -> Option<Time> {
         if !self.pending_events.is_empty() || !self.pending_commands.is_empty() {
             return Some(now);
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -15,37 +15,44 @@
 
 impl Core {
     /// Whether any worker is listed.
+    #[must_use]
     pub fn has_workers(&self) -> bool {
         self.workers.len() > 0
     }
 
     /// The number of listed workers.
+    #[must_use]
     pub fn listed_workers(&self) -> usize {
         self.workers.len()
     }
 
     /// The number of listed workers that are disabled or ejected.
+    #[must_use]
     pub fn avoided_workers(&self) -> usize {
         let ejected = self.policy.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_disabled() + ejected.count()
     }
 
     /// The name of a worker that was listed before.
+    #[must_use]
     pub fn worker_name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.registry.name(worker)
     }
 
     /// The list as discovery last sent it.
+    #[must_use]
     pub fn endpoint_list(&self) -> WorkerListUpdate {
         self.workers.to_update()
     }
 
     /// Whether discovery itself has sent a list, as opposed to a cached one.
+    #[must_use]
     pub fn has_discovery_list(&self) -> bool {
         self.has_discovery_list
     }
 
     /// The workers that operators have disabled.
+    #[must_use]
     pub fn disabled_workers(&self) -> &DisabledWorkers {
         &self.workers.disabled
     }
@@ -125,11 +132,13 @@
     }
 
     /// How many gatherers share the fleet.
+    #[must_use]
     pub fn fleet_size(&self) -> u32 {
         self.contracts.settings.fleet_size
     }
 
     /// What the decision module knows of workers, for the process that takes over.
+    #[must_use]
     pub fn policy_snapshot(&self) -> PolicySnapshot {
         self.policy.snapshot(|worker| self.workers.registry.name(worker))
     }
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -90,6 +90,7 @@
 
 impl QueryCounts {
     /// Queries that have not ended.
+    #[must_use]
     pub fn open(&self) -> u64 {
         self.received - self.succeeded - self.rejected - self.failed - self.client_left
     }
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -65,11 +65,13 @@
 
 impl<T: Clone> IdempotencyStore<T> {
     /// A store without keys. `incarnation` names this incarnation of the gatherer and never any other.
+    #[must_use]
     pub fn new(incarnation: String, random: fastrand::Rng, limits: IdempotencyLimits) -> IdempotencyStore<T> {
         IdempotencyStore { incarnation, random, limits, entries: HashMap::new(), cached_bytes: 0 }
     }
 
     /// The incarnation that its keys name.
+    #[must_use]
     pub fn incarnation(&self) -> &str {
         &self.incarnation
     }
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -60,6 +60,7 @@
 
 impl Invariant {
     /// Its name in the metrics and the log. These are outer names, which stay where a variant is renamed.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SentToActiveWorker => "sent_to_serving",
@@ -78,6 +79,7 @@
     }
 
     /// The line of the log for a violation; `subject` names what broke it.
+    #[must_use]
     pub fn violation_message(self, subject: &str) -> String {
         format!("invariant {} is broken: {subject}", self.name())
     }
@@ -94,11 +96,13 @@
     }
 
     /// How often this invariant was broken.
+    #[must_use]
     pub fn count_of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize]
     }
 
     /// How often any invariant was broken.
+    #[must_use]
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -146,11 +150,13 @@
 
 impl SendPermit {
     /// The attempt counts as timed out from then on, which is never later than its client's deadline.
+    #[must_use]
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
     /// Time from the permit within which the last byte of the frame has to be written, where the class bounds it.
+    #[must_use]
     pub fn write_window(&self) -> Option<Duration> {
         self.window
     }
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -29,6 +29,7 @@
 
 impl<T> ScrollContexts<T> {
     /// No contexts, and the limits of their number and their bytes.
+    #[must_use]
     pub fn new(random: fastrand::Rng, max_contexts: usize, max_bytes: usize) -> ScrollContexts<T> {
         ScrollContexts { random, max_contexts, max_bytes, bytes: 0, entries: HashMap::new() }
     }
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -63,6 +63,7 @@
     }
 
     /// The id of a worker that was listed before.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
--- a/src/service/disabled_workers.rs
+++ b/src/service/disabled_workers.rs
@@ -31,6 +31,7 @@
         was_disabled
     }
     /// Whether a worker is disabled.
+    #[must_use]
     pub fn is_disabled(&self, name: &str) -> bool {
         self.disabled.contains(name)
     }
@@ -39,6 +40,7 @@
         self.disabled.iter().map(String::as_str)
     }
     /// The status that counts for a worker that discovery lists with `listed`: a disabled one counts as draining.
+    #[must_use]
     pub fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
             EndpointStatus::Active if self.is_disabled(name) => EndpointStatus::Draining,
@@ -48,6 +50,7 @@
     /// The start time that counts for a worker that discovery lists with `listed`: not before it was last enabled. It may
     /// have been restarted while it was disabled; discovery lists that seconds late, and until then the worker would count
     /// as warm.
+    #[must_use]
     pub fn effective_start(&self, name: &str, listed: Option<Time>) -> Option<Time> {
         listed.max(self.enabled_at.get(name).copied())
     }
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -33,30 +33,37 @@
 
 impl LifecycleState {
     /// Clients are to be sent here.
+    #[must_use]
     pub fn healthy(self) -> bool {
         matches!(self, LifecycleState::Serving | LifecycleState::HandedOver { drained: false })
     }
     /// New connections are accepted.
+    #[must_use]
     pub fn accepts_connections(self) -> bool {
         !matches!(self, LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
     /// Each connection is closed after its next response.
+    #[must_use]
     pub fn closes_after_response(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
     /// Connections without a pending response are closed.
+    #[must_use]
     pub fn closes_idle_connections(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::Closing)
     }
     /// SIGTERM was received.
+    #[must_use]
     pub fn is_stopping(self) -> bool {
         matches!(self, LifecycleState::Stopping | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
     /// New queries are accepted.
+    #[must_use]
     pub fn accepts_queries(self) -> bool {
         self != LifecycleState::Closing
     }
     /// Its name in responses to operators. These are outer names, of which several states share one.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             LifecycleState::Serving => "serving",
@@ -99,10 +106,12 @@
 
 impl Lifecycle {
     /// The lifecycle of a process that serves.
+    #[must_use]
     pub fn new(now: Time) -> Lifecycle {
         Lifecycle { state: LifecycleState::Serving, entered_at: now }
     }
     /// The current state.
+    #[must_use]
     pub fn stage(&self) -> LifecycleState {
         self.state
     }
@@ -136,6 +145,7 @@
     }
 
     /// When the grace period of the current state ends, where it has one.
+    #[must_use]
     pub fn next_deadline(&self) -> Option<Time> {
         match self.state {
             LifecycleState::Draining | LifecycleState::Stopping | LifecycleState::HandedOver { .. } => {
--- a/src/service/takeover.rs
+++ b/src/service/takeover.rs
@@ -45,10 +45,12 @@
         self.is_serving = true;
     }
     /// Whether this process accepts clients.
+    #[must_use]
     pub fn is_serving(&self) -> bool {
         self.is_serving
     }
     /// Whether another process still hands over to this one.
+    #[must_use]
     pub fn has_predecessor(&self) -> bool {
         self.predecessor != PeerState::None
     }
@@ -83,10 +85,12 @@
         self.successor = PeerState::None;
     }
     /// The number of processes that share the gatherer's limits.
+    #[must_use]
     pub fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor != PeerState::None) + u32::from(self.successor != PeerState::None)
     }
     /// What SIGTERM means now: the end of the gatherer, or that it continues in the other process.
+    #[must_use]
     pub fn on_stop_signal(&self) -> LifecycleRequest {
         let continues_in_peer = [self.predecessor, self.successor].contains(&PeerState::Serving);
         if continues_in_peer { LifecycleRequest::HandOver } else { LifecycleRequest::Stop }
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -41,6 +41,7 @@
 ];
 
 /// A table of the outcomes in Markdown, a row for each.
+#[must_use]
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut out = String::from(
         "| experiment | members | seed | killed | known to all, median s | 99 % s | false positives | converged after s | datagrams/s | bytes/s | us/s |\n\
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -105,6 +105,7 @@
 
 impl Simulation<Node> {
     /// Members of the program's own protocol, which know the first two and have had 20 s to find each other.
+    #[must_use]
     pub fn of_nodes(count: usize, seed: u64, timing: Timing) -> Simulation<Node> {
         let start_peer = move |start: PeerStart<'_>| {
             let own = MemberUpdate {
@@ -372,11 +373,13 @@
     }
 
     /// A member's process, if it runs.
+    #[must_use]
     pub fn node(&self, id: usize) -> Option<&P> {
         self.processes.get(id)?.node.as_ref()
     }
 
     /// The number of members, whether they run or not.
+    #[must_use]
     pub fn member_count(&self) -> usize {
         self.processes.len()
     }
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -95,6 +95,7 @@
 
 impl MemberSet {
     /// The members' numbers.
+    #[must_use]
     pub fn ids(&self) -> Vec<usize> {
         match self {
             MemberSet::List(ids) => ids.clone(),
@@ -213,6 +214,7 @@
     }
 
     /// The protocol's time constants.
+    #[must_use]
     pub fn timing(&self) -> Timing {
         let probe_interval = Duration::from_millis(self.probe_interval_ms);
         Timing {
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -28,6 +28,7 @@
 
 impl NetworkFaults {
     /// Whether every share lies between 0 and 1.
+    #[must_use]
     pub fn is_valid(&self) -> bool {
         [self.loss, self.duplicated, self.delayed].iter().all(|share| (0.0..=1.0).contains(share))
     }
@@ -60,11 +61,13 @@
 }
 
 /// The address of a member.
+#[must_use]
 pub fn address(id: usize) -> SocketAddr {
     ([127, 1, (id >> 8) as u8, id as u8], MEMBER_PORT).into()
 }
 
 /// The name of a member.
+#[must_use]
 pub fn name(id: usize) -> String {
     format!("gatherer-{id}")
 }
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -13,11 +13,13 @@
     }
 
     /// The state in which one member observes another.
+    #[must_use]
     pub fn observed_state(&self, id: usize, other: usize) -> Option<ObservedState> {
         self.node(id)?.observed_state(&name(other))
     }
 
     /// A member's estimate of the number of gatherers; none if its process does not run.
+    #[must_use]
     pub fn gatherers(&self, id: usize) -> Option<u32> {
         Some(self.node(id)?.gatherers(self.now))
     }
@@ -37,11 +39,13 @@
     }
 
     /// Whether all living members have converged.
+    #[must_use]
     pub fn has_converged(&self) -> bool {
         self.converged_members() == self.living().count()
     }
 
     /// Reported deaths of processes that were running.
+    #[must_use]
     pub fn false_positives(&self) -> Vec<&Report> {
         let is_death =
             |report: &&Report| matches!(report.change.state, ObservedState::Failed | ObservedState::Dead);
--- a/src/simulation/outcome.rs
+++ b/src/simulation/outcome.rs
@@ -65,6 +65,7 @@
 
 impl Outcome {
     /// A quantile of the detection times, in seconds; none where no death was detected.
+    #[must_use]
     pub fn detection_quantile(&self, quantile: f64) -> Option<f64> {
         let mut times = Histogram::<u64>::new(3).ok()?;
         for seconds in &self.detection_s {
@@ -75,11 +76,13 @@
     }
 
     /// Killed members whose death not all knew of at the end.
+    #[must_use]
     pub fn undetected(&self) -> usize {
         self.killed - self.detection_s.len()
     }
 
     /// All reported deaths of running processes.
+    #[must_use]
     pub fn false_positive_count(&self) -> usize {
         self.false_positives.values().sum()
     }
--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -47,6 +47,7 @@
 
 impl DescriptorPool {
     /// Creates a pool in which all descriptors are free and `max_buffered_bytes` may be buffered.
+    #[must_use]
     pub fn new(budget: DescriptorBudget, max_buffered_bytes: usize) -> Rc<DescriptorPool> {
         let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         Rc::new(DescriptorPool {
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -17,11 +17,13 @@
 }
 
 /// The number of calls that failed and were retried by [`retry`], since the start of this thread.
+#[must_use]
 pub fn retried_calls() -> u64 {
     RETRIED_CALLS.get()
 }
 
 /// Whether a call failed for want of a local resource (descriptors, buffers, memory, ports), or was interrupted.
+#[must_use]
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -38,11 +40,13 @@
 }
 
 /// Whether a call that creates a descriptor failed because none is to be had.
+#[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
 /// Whether a call may succeed in a moment: local errors, a network that is not up yet, a disk that fails or is full.
+#[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     let other = matches!(
         Errno::from_io_error(error),
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -74,6 +74,7 @@
 
 impl MembershipTransport {
     /// Creates the transport of a member that remembers `max_members` others at most.
+    #[must_use]
     pub fn new(
         node: Node,
         cluster_key: ClusterKey,
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -20,6 +20,7 @@
 }
 
 /// The number of calls that were interrupted and made again, since the start of this thread.
+#[must_use]
 pub fn interrupted_calls() -> u64 {
     INTERRUPTED_CALLS.get()
 }
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -48,6 +48,7 @@
 
 impl TakeoverSocket {
     /// The socket of the gatherer whose clients connect to `listen`.
+    #[must_use]
     pub fn new(folder: &Path, listen: &str) -> TakeoverSocket {
         // Other versions of the program look for this name.
         let name =
