--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -2,11 +2,11 @@
 //! `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
 
 use gatherer::limits::DescriptorBudget;
-use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::protocol::http::{MalformedMessage, Request, Response};
 use gatherer::routing::Invariant;
 use gatherer::transport::connection_manager::ConnectionManager;
 use gatherer::transport::descriptor_pool::DescriptorPool;
-use gatherer::transport::listener::{Front, accept};
+use gatherer::transport::listener::{Front, accept_connections};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     async fn respond(&self, request: Request) -> Response {
         Response::text(200, request.path)
     }
-    fn malformed(&self, error: Malformed) -> Response {
+    fn malformed(&self, error: MalformedMessage) -> Response {
         Response::text(error.status(), error.to_string())
     }
     fn overloaded(&self, _: Option<&Request>) -> Response {
@@ -38,7 +38,7 @@
     fn label<'a>(&self, _request: &'a Request) -> Option<&'a str> {
         None
     }
-    fn violated(&self, invariant: Invariant, concerns: &str) {
+    fn on_invariant_violated(&self, invariant: Invariant, concerns: &str) {
         eprintln!("{}: {concerns}", invariant.name());
     }
 }
@@ -114,7 +114,7 @@
         let manager = ConnectionManager::new(DescriptorPool::new(budget, 12 << 20));
         let evicting = manager.clone();
         tokio::task::spawn_local(async move { evicting.run_evictions().await });
-        tokio::task::spawn_local(accept(listener, Rc::new(Echo), manager.clone()));
+        tokio::task::spawn_local(accept_connections(listener, Rc::new(Echo), manager.clone()));
         let until = Instant::now() + Duration::from_secs(seconds);
         let flooders: Vec<_> = (0..FLOODERS)
             .map(|thread| thread::spawn(move || flood(to, rate / FLOODERS, until, thread)))
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -3,7 +3,7 @@
 
 use super::counters_text;
 use crate::policy::*;
-use crate::protocol::http::{Malformed, Request, Response};
+use crate::protocol::http::{MalformedMessage, Request, Response};
 use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
 use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore, KeyClaim};
 use crate::routing::scroll_contexts::ScrollContexts;
@@ -357,8 +357,8 @@
     }
 
     fn health(&self) -> Response {
-        let stage = self.connections.lifecycle_state();
-        Response::text(if stage.healthy() { 200 } else { 503 }, stage.name())
+        let state = self.connections.lifecycle_state();
+        Response::text(if state.is_healthy() { 200 } else { 503 }, state.name())
     }
 }
 
@@ -374,7 +374,7 @@
         })
     }
 
-    fn malformed(&self, error: Malformed) -> Response {
+    fn malformed(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
@@ -392,7 +392,7 @@
         request.headers.get("Idempotency-Key")
     }
 
-    fn violated(&self, invariant: Invariant, concerns: &str) {
+    fn on_invariant_violated(&self, invariant: Invariant, concerns: &str) {
         self.broker.report_violation(invariant, concerns);
     }
 }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's front: parses each request, submits it to the broker, and encodes its one response.
 
 use super::counters_text;
-use crate::protocol::http::{Malformed, Request, Response};
+use crate::protocol::http::{MalformedMessage, Request, Response};
 use crate::protocol::platform;
 use crate::routing::{Broker, Invariant};
 use crate::service::LifecycleState;
@@ -51,7 +51,7 @@
             LifecycleState::Serving if !self.broker.with_core(|core| core.has_workers()) => {
                 Response::text(503, "no worker is known yet")
             }
-            stage => Response::text(if stage.healthy() { 200 } else { 503 }, stage.name()),
+            state => Response::text(if state.is_healthy() { 200 } else { 503 }, state.name()),
         }
     }
 }
@@ -68,7 +68,7 @@
         }
     }
 
-    fn malformed(&self, error: Malformed) -> Response {
+    fn malformed(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         Response::text(error.status(), error.to_string())
     }
@@ -93,7 +93,7 @@
         request.headers.get("X-Call-Id")
     }
 
-    fn violated(&self, invariant: Invariant, concerns: &str) {
+    fn on_invariant_violated(&self, invariant: Invariant, concerns: &str) {
         self.broker.report_violation(invariant, concerns);
     }
 }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -272,7 +272,7 @@
             upgrade.announce_serving();
         }
         log::info!("{serving_line}");
-        listener::accept(listener, Rc::new(front), accepting_connections).await;
+        listener::accept_connections(listener, Rc::new(front), accepting_connections).await;
     });
     stop.received().await;
     let lifecycle_request =
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -131,7 +131,7 @@
 
     /// What SIGTERM means now; notifies the other process.
     pub fn announce_stop(&self) -> LifecycleRequest {
-        let stop = self.takeover.borrow().on_stop_signal();
+        let stop = self.takeover.borrow().stop_signal_request();
         if let Some(peer) = &*self.peer.borrow() {
             // If this is lost, the other process serves a moment later.
             let _ = peer.try_send(Message::Stopping);
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -111,7 +111,7 @@
                 self.connections.lifecycle_state(),
                 LifecycleState::Draining | LifecycleState::Drained
             ),
-            learned: core.policy_snapshot(),
+            policy_snapshot: core.policy_snapshot(),
         });
         let message = Message::TakeoverState(Box::new(state));
         let listener = self.listener.borrow().clone();
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -163,7 +163,9 @@
 
     fn apply_state(&self, state: TakeoverState) {
         let now = self.clock.now();
-        self.broker.with_core(|core| core.take_over(now, &state.list, state.disabled_workers, state.learned));
+        self.broker.with_core(|core| {
+            core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot)
+        });
         if state.drained {
             // Cannot fail: this process is not stopping.
             let _ = self.connections.apply_lifecycle(LifecycleRequest::Drain);
--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -21,7 +21,7 @@
 
 /// Why bytes are no frame of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
+pub enum MalformedFrame {
     /// A length of zero, or over the limit.
     #[error("a frame of {0} bytes")]
     Length(usize),
@@ -95,18 +95,18 @@
 pub fn take_message(
     buffer: &mut BytesMut,
     fields: &[ReportField],
-) -> Result<Option<WorkerMessage>, Malformed> {
+) -> Result<Option<WorkerMessage>, MalformedFrame> {
     let prefix = buffer.first_chunk::<LENGTH_BYTES>();
     let Some(length) = prefix.map(|bytes| u32::from_le_bytes(*bytes) as usize) else {
         return Ok(None);
     };
     if length == 0 || length > MAX_FRAME_BYTES {
-        return Err(Malformed::Length(length));
+        return Err(MalformedFrame::Length(length));
     }
     // Checked before the rest has come: guards against waiting for the end of bytes that are no frame.
     let kind = buffer.get(LENGTH_BYTES);
     if let Some(kind) = kind.filter(|kind| !matches!(**kind, PART_FINISHED | CALL_REJECTED)) {
-        return Err(Malformed::Kind(char::from(*kind)));
+        return Err(MalformedFrame::Kind(char::from(*kind)));
     }
     if buffer.len() < LENGTH_BYTES + length {
         return Ok(None);
@@ -119,28 +119,28 @@
         CALL_REJECTED => {
             Ok(Some(WorkerMessage::CallRejected(String::from_utf8_lossy(&payload).into_owned())))
         }
-        other => Err(Malformed::Kind(char::from(other))),
+        other => Err(MalformedFrame::Kind(char::from(other))),
     }
 }
 
-fn decode_part_finished(payload: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, Malformed> {
-    let end = payload.iter().position(|byte| *byte == b'\n').ok_or(Malformed::Line("no end of line"))?;
-    let line = std::str::from_utf8(&payload[..end]).map_err(|_| Malformed::Line("not UTF-8"))?;
+fn decode_part_finished(payload: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, MalformedFrame> {
+    let end = payload.iter().position(|byte| *byte == b'\n').ok_or(MalformedFrame::Line("no end of line"))?;
+    let line = std::str::from_utf8(&payload[..end]).map_err(|_| MalformedFrame::Line("not UTF-8"))?;
     let mut words = line.split(' ');
     let (Some(id), Some(result), Some(_score), Some(load), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(Malformed::Line("not four words"));
+        return Err(MalformedFrame::Line("not four words"));
     };
     let outcome = match result {
         "good" => AttemptOutcome::Succeeded,
         "bad" => AttemptOutcome::Failed,
         "later" => AttemptOutcome::Rejected,
-        _ => return Err(Malformed::Line("unknown end")),
+        _ => return Err(MalformedFrame::Line("unknown end")),
     };
     let value = &payload[end + 1..];
     if outcome == AttemptOutcome::Succeeded && std::str::from_utf8(value).is_err() {
-        return Err(Malformed::Line("a value that is no text"));
+        return Err(MalformedFrame::Line("a value that is no text"));
     }
     // A load report that cannot be decoded does not lose the value that it came with.
     let report = decode_load_report(load, fields);
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -29,8 +29,9 @@
     pub disabled_workers: DisabledWorkers,
     /// An operator has it drained.
     pub drained: bool,
-    /// The decision module's snapshot.
-    pub learned: PolicySnapshot,
+    /// The decision module's snapshot. The message's name of it is read by other versions.
+    #[serde(rename = "learned")]
+    pub policy_snapshot: PolicySnapshot,
 }
 
 /// A message. Its names in JSON are read by other versions of the program, hence `serde(rename)`.
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -16,7 +16,7 @@
 
 /// Why bytes are no message that is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
+pub enum MalformedMessage {
     /// The first line or a header field.
     #[error("malformed header: {0}")]
     Header(httparse::Error),
@@ -37,15 +37,15 @@
     BodyTooLong,
 }
 
-impl Malformed {
+impl MalformedMessage {
     /// The status of the response to such a request.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
-            Malformed::HeaderTooLong => 431,
-            Malformed::BodyTooLong => 413,
-            Malformed::Coding => 501,
-            Malformed::Header(_) | Malformed::Length | Malformed::Chunk => 400,
+            MalformedMessage::HeaderTooLong => 431,
+            MalformedMessage::BodyTooLong => 413,
+            MalformedMessage::Coding => 501,
+            MalformedMessage::Header(_) | MalformedMessage::Length | MalformedMessage::Chunk => 400,
         }
     }
 }
@@ -213,12 +213,12 @@
     parsed: httparse::Result<usize>,
     buffer: &[u8],
     read: impl FnOnce(usize) -> T,
-) -> Result<Option<T>, Malformed> {
+) -> Result<Option<T>, MalformedMessage> {
     match parsed {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEADER_BYTES => Ok(Some(read(length))),
         Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEADER_BYTES => Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Malformed::HeaderTooLong),
-        Err(error) => Err(Malformed::Header(error)),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(MalformedMessage::HeaderTooLong),
+        Err(error) => Err(MalformedMessage::Header(error)),
     }
 }
 
@@ -227,7 +227,7 @@
 /// # Errors
 ///
 /// If the bytes are no request, or one over the limits. The connection cannot be used further.
-pub fn take_request(buffer: &mut BytesMut) -> Result<Option<Request>, Malformed> {
+pub fn take_request(buffer: &mut BytesMut) -> Result<Option<Request>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let status = parsed.parse(buffer);
@@ -279,7 +279,10 @@
 /// # Errors
 ///
 /// If the bytes are no response, or one over the limits. The connection cannot be used further.
-pub fn take_response(buffer: &mut BytesMut, max_body: usize) -> Result<Option<ReceivedResponse>, Malformed> {
+pub fn take_response(
+    buffer: &mut BytesMut,
+    max_body: usize,
+) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     decode_response(buffer, max_body, false)
 }
 
@@ -292,7 +295,7 @@
 pub fn take_response_at_eof(
     buffer: &mut BytesMut,
     max_body: usize,
-) -> Result<Option<ReceivedResponse>, Malformed> {
+) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     decode_response(buffer, max_body, true)
 }
 
@@ -300,7 +303,7 @@
     buffer: &mut BytesMut,
     max_body: usize,
     at_eof: bool,
-) -> Result<Option<ReceivedResponse>, Malformed> {
+) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
     let status = parsed.parse(buffer);
@@ -313,7 +316,7 @@
     let has_length = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
     let rest = &buffer[length..];
     let body = match bodiless {
-        None if !has_length && rest.len() > max_body => return Err(Malformed::BodyTooLong),
+        None if !has_length && rest.len() > max_body => return Err(MalformedMessage::BodyTooLong),
         None if !has_length => at_eof.then(|| (Bytes::copy_from_slice(rest), rest.len())),
         _ => decode_body(&headers, rest, max_body, bodiless)?,
     };
@@ -331,44 +334,44 @@
     rest: &[u8],
     max_body: usize,
     default_length: Option<usize>,
-) -> Result<Option<(Bytes, usize)>, Malformed> {
+) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
     let mut lengths = headers.all("Content-Length");
     let length = lengths.next();
     let mut codings = headers.all("Transfer-Encoding");
     if let Some(coding) = codings.next() {
         // Guards against request smuggling: a proxy in front could take another of the two lengths.
         if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
-            return Err(Malformed::Coding);
+            return Err(MalformedMessage::Coding);
         }
         return decode_chunks(rest, max_body);
     }
     if lengths.any(|other| Some(other) != length) {
-        return Err(Malformed::Length);
+        return Err(MalformedMessage::Length);
     }
     let length = match length {
         Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => {
-            text.parse().map_err(|_| Malformed::BodyTooLong)?
+            text.parse().map_err(|_| MalformedMessage::BodyTooLong)?
         }
-        Some(_) => return Err(Malformed::Length),
-        None => default_length.ok_or(Malformed::Length)?,
+        Some(_) => return Err(MalformedMessage::Length),
+        None => default_length.ok_or(MalformedMessage::Length)?,
     };
     if length > max_body {
-        return Err(Malformed::BodyTooLong);
+        return Err(MalformedMessage::BodyTooLong);
     }
     Ok((rest.len() >= length).then(|| (Bytes::copy_from_slice(&rest[..length]), length)))
 }
 
-fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<(Bytes, usize)>, Malformed> {
+fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
     let mut body = BytesMut::new();
     let mut at = 0;
     loop {
         if at > 2 * max_body + MAX_HEADER_BYTES {
-            return Err(Malformed::BodyTooLong);
+            return Err(MalformedMessage::BodyTooLong);
         }
         let (start, size) = match httparse::parse_chunk_size(&rest[at..]) {
             Ok(httparse::Status::Complete(chunk)) => chunk,
             Ok(httparse::Status::Partial) if rest.len() - at <= MAX_HEADER_BYTES => return Ok(None),
-            Ok(httparse::Status::Partial) | Err(_) => return Err(Malformed::Chunk),
+            Ok(httparse::Status::Partial) | Err(_) => return Err(MalformedMessage::Chunk),
         };
         at += start;
         if size == 0 {
@@ -376,16 +379,16 @@
             return match rest[at..].windows(4).position(|window| window == b"\r\n\r\n") {
                 _ if rest[at..].starts_with(b"\r\n") => Ok(Some((body.freeze(), at + 2))),
                 Some(end) => Ok(Some((body.freeze(), at + end + 4))),
-                None if rest.len() - at > MAX_HEADER_BYTES => Err(Malformed::Chunk),
+                None if rest.len() - at > MAX_HEADER_BYTES => Err(MalformedMessage::Chunk),
                 None => Ok(None),
             };
         }
         let size = usize::try_from(size).ok().filter(|size| body.len() + size <= max_body);
-        let size = size.ok_or(Malformed::BodyTooLong)?;
+        let size = size.ok_or(MalformedMessage::BodyTooLong)?;
         match rest.get(at..at + size + 2) {
             None => return Ok(None),
             Some(chunk) if chunk.ends_with(b"\r\n") => body.extend_from_slice(&chunk[..size]),
-            Some(_) => return Err(Malformed::Chunk),
+            Some(_) => return Err(MalformedMessage::Chunk),
         }
         at += size + 2;
     }
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -59,7 +59,7 @@
     fn drop(&mut self) {
         let inner = &self.broker.0;
         if inner.outcome_senders.borrow_mut().remove(&self.query).is_some() {
-            inner.core.borrow_mut().client_left(inner.clock.now(), self.query);
+            inner.core.borrow_mut().disconnect_client(inner.clock.now(), self.query);
             inner.wake_up.notify_one();
         }
     }
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -187,7 +187,7 @@
     }
 
     /// The client of a query has disconnected.
-    pub fn client_left(&mut self, now: Time, id: RequestId) {
+    pub fn disconnect_client(&mut self, now: Time, id: RequestId) {
         if let Some((query, _)) = self.close(id) {
             self.counters.left += 1;
             self.record_end(query.labels, QueryEnd::ClientDisconnected, now.since(query.accepted_at));
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -85,14 +85,14 @@
     /// Queries that failed.
     pub failed: u64,
     /// Queries whose client disconnected before the outcome.
-    pub client_left: u64,
+    pub client_disconnected: u64,
 }
 
 impl QueryCounts {
     /// Queries that have not ended.
     #[must_use]
     pub fn open(&self) -> u64 {
-        self.received - self.succeeded - self.rejected - self.failed - self.client_left
+        self.received - self.succeeded - self.rejected - self.failed - self.client_disconnected
     }
 }
 
@@ -127,7 +127,7 @@
                 &mut ends.rejected
             }
             QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.failed,
-            QueryEnd::ClientDisconnected => &mut ends.client_left,
+            QueryEnd::ClientDisconnected => &mut ends.client_disconnected,
         } += 1;
     }
 }
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -34,7 +34,7 @@
 impl LifecycleState {
     /// Clients are to be sent here.
     #[must_use]
-    pub fn healthy(self) -> bool {
+    pub fn is_healthy(self) -> bool {
         matches!(self, LifecycleState::Serving | LifecycleState::HandedOver { drained: false })
     }
     /// New connections are accepted.
@@ -112,7 +112,7 @@
     }
     /// The current state.
     #[must_use]
-    pub fn stage(&self) -> LifecycleState {
+    pub fn state(&self) -> LifecycleState {
         self.state
     }
 
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -12,13 +12,13 @@
     // A second request does not restart the grace period: it counts from the first.
     assert_eq!(lifecycle.apply(Time(500 * MS), LifecycleRequest::Drain), Ok(()));
     assert_eq!(
-        (lifecycle.stage(), lifecycle.next_deadline()),
+        (lifecycle.state(), lifecycle.next_deadline()),
         (LifecycleState::Draining, Some(Time(600 * MS)))
     );
     assert!(!lifecycle.advance(Time(599 * MS)) && lifecycle.advance(Time(600 * MS)));
-    assert!(lifecycle.stage().closes_after_response() && lifecycle.stage().accepts_queries());
+    assert!(lifecycle.state().closes_after_response() && lifecycle.state().accepts_queries());
     assert_eq!(lifecycle.apply(Time(5000 * MS), LifecycleRequest::Resume), Ok(()));
-    assert_eq!((lifecycle.stage(), lifecycle.next_deadline()), (LifecycleState::Serving, None));
+    assert_eq!((lifecycle.state(), lifecycle.next_deadline()), (LifecycleState::Serving, None));
 }
 
 #[test]
@@ -28,30 +28,30 @@
     assert_eq!(lifecycle.apply(Time(1000 * MS), LifecycleRequest::Stop), Ok(()));
     // What arrives 0.7 s after SIGTERM or later may be unanswered at SIGKILL, and would be lost.
     assert_eq!(lifecycle.next_deadline(), Some(Time(1600 * MS)));
-    assert!(lifecycle.advance(Time(1600 * MS)) && lifecycle.stage() == LifecycleState::Closing);
+    assert!(lifecycle.advance(Time(1600 * MS)) && lifecycle.state() == LifecycleState::Closing);
 }
 
 #[test]
 fn a_gatherer_that_is_handed_over_stays_healthy_and_accepts_no_connections() {
     let mut lifecycle = Lifecycle::new(Time(0));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Stop), Ok(()));
-    assert!(!lifecycle.stage().healthy() && lifecycle.stage().accepts_connections());
+    assert!(!lifecycle.state().is_healthy() && lifecycle.state().accepts_connections());
     assert_eq!(lifecycle.apply(Time(400 * MS), LifecycleRequest::HandOver), Ok(()));
-    let state = lifecycle.stage();
+    let state = lifecycle.state();
     assert!(
-        state.healthy()
+        state.is_healthy()
             && !state.accepts_connections()
             && state.closes_after_response()
             && !state.closes_idle_connections()
             && state.accepts_queries()
     );
     assert_eq!(lifecycle.next_deadline(), Some(Time(600 * MS)));
-    assert!(lifecycle.advance(Time(600 * MS)) && !lifecycle.stage().accepts_queries());
+    assert!(lifecycle.advance(Time(600 * MS)) && !lifecycle.state().accepts_queries());
     // One that is drained does not become healthy by a hand-over.
     let mut lifecycle = Lifecycle::new(Time(0));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::HandOver), Ok(()));
-    assert!(!lifecycle.stage().healthy() && !lifecycle.stage().accepts_connections());
+    assert!(!lifecycle.state().is_healthy() && !lifecycle.state().accepts_connections());
 }
 
 proptest! {
@@ -65,8 +65,8 @@
             let is_stop = matches!(request, LifecycleRequest::Stop | LifecycleRequest::HandOver);
             prop_assert_eq!(result.is_err(), stopped && !is_stop);
             stopped |= is_stop;
-            prop_assert_eq!(stopped, lifecycle.stage().is_stopping());
-            prop_assert_eq!(lifecycle.stage() == LifecycleState::Serving, !stopped && request == LifecycleRequest::Resume);
+            prop_assert_eq!(stopped, lifecycle.state().is_stopping());
+            prop_assert_eq!(lifecycle.state() == LifecycleState::Serving, !stopped && request == LifecycleRequest::Resume);
         }
     }
 }
--- a/src/service/takeover.rs
+++ b/src/service/takeover.rs
@@ -91,7 +91,7 @@
     }
     /// What SIGTERM means now: the end of the gatherer, or that it continues in the other process.
     #[must_use]
-    pub fn on_stop_signal(&self) -> LifecycleRequest {
+    pub fn stop_signal_request(&self) -> LifecycleRequest {
         let continues_in_peer = [self.predecessor, self.successor].contains(&PeerState::Serving);
         if continues_in_peer { LifecycleRequest::HandOver } else { LifecycleRequest::Stop }
     }
--- a/src/service/takeover/tests.rs
+++ b/src/service/takeover/tests.rs
@@ -13,25 +13,25 @@
     assert_eq!((first.process_count(), second.process_count()), (2, 2));
     assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "a third start while two run");
     // SIGTERM before the successor serves ends the gatherer; a successor that exits changes nothing.
-    assert_eq!(first.on_stop_signal(), LifecycleRequest::Stop);
+    assert_eq!(first.stop_signal_request(), LifecycleRequest::Stop);
     first.on_successor_exited();
     assert_eq!(
-        (first.process_count(), first.on_stop_signal(), first.admit_successor()),
+        (first.process_count(), first.stop_signal_request(), first.admit_successor()),
         (1, LifecycleRequest::Stop, Ok(()))
     );
     // SIGTERM may go to the second instead: the gatherer continues in the first.
-    assert_eq!(second.on_stop_signal(), LifecycleRequest::HandOver);
+    assert_eq!(second.stop_signal_request(), LifecycleRequest::HandOver);
     second.start_serving();
     first.on_successor_serving();
     let (mut both, mut other) = (first.clone(), second.clone());
     both.on_peer_stopping();
     other.on_peer_stopping();
     assert_eq!(
-        (both.on_stop_signal(), other.on_stop_signal()),
+        (both.stop_signal_request(), other.stop_signal_request()),
         (LifecycleRequest::Stop, LifecycleRequest::Stop),
         "neither continues"
     );
-    assert_eq!(first.on_stop_signal(), LifecycleRequest::HandOver);
+    assert_eq!(first.stop_signal_request(), LifecycleRequest::HandOver);
     assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first has not exited");
     second.on_predecessor_exited();
     assert_eq!((second.process_count(), second.admit_successor()), (1, Ok(())));
@@ -54,7 +54,7 @@
                 _ => {}
             }
             prop_assert!((1..=2).contains(&takeover.process_count()));
-            prop_assert!(takeover.on_stop_signal() == LifecycleRequest::Stop || takeover.process_count() == 2);
+            prop_assert!(takeover.stop_signal_request() == LifecycleRequest::Stop || takeover.process_count() == 2);
         }
     }
 }
--- a/src/transport/clients/connection.rs
+++ b/src/transport/clients/connection.rs
@@ -24,7 +24,12 @@
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Serves one connection until it is closed.
-pub async fn serve<F: Front>(stream: impl Stream, peer: SocketAddr, front: &F, permit: ConnectionPermit) {
+pub async fn serve_connection<F: Front>(
+    stream: impl Stream,
+    peer: SocketAddr,
+    front: &F,
+    permit: ConnectionPermit,
+) {
     let (read, write) = tokio::io::split(stream);
     let mut connection =
         ClientConnection { read, write, buffer: BytesMut::new(), responses: 0, peer, front, permit };
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -46,7 +46,7 @@
             connections: RefCell::default(),
             evictions: RefCell::default(),
             evictable: Notify::new(),
-            lifecycle_state: watch::Sender::new(lifecycle.stage()),
+            lifecycle_state: watch::Sender::new(lifecycle.state()),
             lifecycle: RefCell::new(lifecycle),
         })
     }
@@ -70,7 +70,7 @@
         applied
     }
     fn publish_lifecycle_state(&self) {
-        let state = self.lifecycle.borrow().stage();
+        let state = self.lifecycle.borrow().state();
         self.lifecycle_state.send_if_modified(|published| {
             let before = std::mem::replace(published, state);
             if before != state {
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -6,7 +6,7 @@
 use super::connection_manager::ConnectionManager;
 use super::source::source;
 // Fronts and tests import these beside `accept`.
-pub use super::connection::serve;
+pub use super::connection::serve_connection;
 pub use super::front::Front;
 use crate::limits::{AcceptPacer, DescriptorClass};
 use crate::policy::Time;
@@ -63,7 +63,11 @@
 /// Accepts connections until the lifecycle ends accepting; whoever has connected by then still gets a response. The loop
 /// never waits for a descriptor that nobody is about to release, and keeps to its share of processor time while many
 /// connections arrive at once.
-pub async fn accept<F: Front + 'static>(listener: impl Accept, front: Rc<F>, manager: Rc<ConnectionManager>) {
+pub async fn accept_connections<F: Front + 'static>(
+    listener: impl Accept,
+    front: Rc<F>,
+    manager: Rc<ConnectionManager>,
+) {
     let (mut pacer, mut delays) = (AcceptPacer::default(), RetryDelays::default());
     // When accepts began to fail: a connection accepted afterwards has waited at most since then, until the backlog has
     // been seen empty.
@@ -131,7 +135,7 @@
     let now = manager.descriptor_pool().now();
     permit.set_queue_time(failing_since.map_or(Duration::ZERO, |since| now.since(since)));
     let front = front.clone();
-    tokio::task::spawn_local(async move { serve(stream, peer, &*front, permit).await });
+    tokio::task::spawn_local(async move { serve_connection(stream, peer, &*front, permit).await });
 }
 
 /// Waits until another accept may succeed. Connections in the backlog wait for as long as this does.
--- a/src/transport/clients/response_guard.rs
+++ b/src/transport/clients/response_guard.rs
@@ -36,7 +36,7 @@
     fn drop(&mut self) {
         if !self.released {
             let concerns = format!("request {} is closed without its response", self.label);
-            self.front.violated(Invariant::ClosedAfterResponse, &concerns);
+            self.front.on_invariant_violated(Invariant::ClosedAfterResponse, &concerns);
         }
     }
 }
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -2,7 +2,7 @@
 //! nor retries.
 
 use super::connector::Stream;
-use crate::protocol::http::{self, Malformed, ReceivedResponse};
+use crate::protocol::http::{self, MalformedMessage, ReceivedResponse};
 use bytes::BytesMut;
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,7 +18,7 @@
     NoResponse(io::Error),
     /// The response is malformed.
     #[error("unreadable response: {0}")]
-    Malformed(#[from] Malformed),
+    Malformed(#[from] MalformedMessage),
 }
 
 /// Writes a request and reads its response, whose body may have `max_body_bytes` at most. Interim responses (1xx) are
--- a/tests/common/simulated_fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -19,7 +19,7 @@
     /// Answers every attempt.
     Answers,
     /// Cannot be connected to: a connect fails after 250 ms.
-    Lost,
+    Unreachable,
     /// Answers eight of ten attempts with an error, at once.
     Failing,
 }
@@ -38,14 +38,14 @@
 }
 
 /// The aggregators and the workers.
-pub struct Fleet {
+pub struct SimulatedFleet {
     aggregators: Vec<SimulatedAggregator>,
     workers: Vec<WorkerBehavior>,
     random: fastrand::Rng,
 }
 
-impl Fleet {
-    pub fn new(seed: u64, idempotency: Idempotency) -> Fleet {
+impl SimulatedFleet {
+    pub fn new(seed: u64, idempotency: Idempotency) -> SimulatedFleet {
         let endpoint = |id| Endpoint {
             zone: ZoneId(id % ZONES),
             cell: CellId(id),
@@ -68,7 +68,7 @@
             harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.clone().into()))]);
             SimulatedAggregator { harness, in_flight: Vec::new() }
         };
-        Fleet {
+        SimulatedFleet {
             aggregators: (0..AGGREGATORS).map(aggregator).collect(),
             workers: vec![WorkerBehavior::Answers; WORKERS as usize],
             random: fastrand::Rng::with_seed(seed),
@@ -103,7 +103,7 @@
                 for sent in &harness.sent[before..] {
                     (to_chosen, total) = (to_chosen + usize::from(which(sent.worker.0)), total + 1);
                     let (outcome, took) = match self.workers[sent.worker.0 as usize] {
-                        WorkerBehavior::Lost => (AttemptOutcome::ConnectFailed, 250),
+                        WorkerBehavior::Unreachable => (AttemptOutcome::ConnectFailed, 250),
                         WorkerBehavior::Failing if self.random.u32(..10) < 8 => {
                             (AttemptOutcome::Failed, STEP_MS)
                         }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::ms;
-use common::simulated_fleet::{AGGREGATORS, Fleet, WorkerBehavior, ZONES, simulate_discovery_polls};
+use common::simulated_fleet::{AGGREGATORS, SimulatedFleet, WorkerBehavior, ZONES, simulate_discovery_polls};
 use gatherer::limits::Backoff;
 use gatherer::policy::*;
 
@@ -11,9 +11,9 @@
 fn a_lost_zone_is_ejected_after_few_of_its_workers_and_reinstated_at_one_response() {
     let zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Idempotency::Idempotent);
+        let mut fleet = SimulatedFleet::new(seed, Idempotency::Idempotent);
         fleet.advance(3000, zone);
-        fleet.set_behavior(zone, WorkerBehavior::Lost);
+        fleet.set_behavior(zone, WorkerBehavior::Unreachable);
         let (first, later) = (fleet.advance(1000, zone).0, fleet.advance(2000, zone).0);
         // Each on its own: 900 sends in the first second, and 800 in the next two.
         assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
@@ -30,7 +30,7 @@
 fn non_idempotent_parts_are_kept_from_workers_that_return_errors() {
     let bad = |id| id % 10 == 0;
     for seed in [1, 2] {
-        let mut fleet = Fleet::new(seed, Idempotency::NonIdempotent);
+        let mut fleet = SimulatedFleet::new(seed, Idempotency::NonIdempotent);
         fleet.advance(2000, bad);
         fleet.set_behavior(bad, WorkerBehavior::Failing);
         fleet.advance(4000, bad);
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -77,10 +77,14 @@
 
 /// The state that the first process hands over, as the second reads it.
 fn handed_over(core: &Core) -> TakeoverState {
-    let (list, disabled_workers, learned) =
+    let (list, disabled_workers, policy_snapshot) =
         (core.endpoint_list(), core.disabled_workers().clone(), core.policy_snapshot());
-    let message =
-        Message::TakeoverState(Box::new(TakeoverState { list, disabled_workers, drained: false, learned }));
+    let message = Message::TakeoverState(Box::new(TakeoverState {
+        list,
+        disabled_workers,
+        drained: false,
+        policy_snapshot,
+    }));
     let mut bytes = BytesMut::from(&handover::encode(&message).expect("encoded")[..]);
     match handover::take_message(&mut bytes) {
         Ok(Some(Message::TakeoverState(state))) => *state,
@@ -91,7 +95,7 @@
 fn successor(state: TakeoverState, now: Time) -> Core {
     let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
-    core.take_over(now, &state.list, state.disabled_workers, state.learned);
+    core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot);
     core.step(now);
     core
 }
--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -51,5 +51,8 @@
     const MANY_BYTES: &str =
         "1234567890123456789012345678901234567890123456789012345678901234567890123456789012345678901";
     let too_long = exchange_with(&[HEAD, MANY_BYTES, MANY_BYTES], false);
-    assert!(matches!(too_long, Err(ExchangeError::Malformed(http::Malformed::BodyTooLong))), "{too_long:?}");
+    assert!(
+        matches!(too_long, Err(ExchangeError::Malformed(http::MalformedMessage::BodyTooLong))),
+        "{too_long:?}"
+    );
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -5,12 +5,12 @@
 use common::{class, ms};
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::{Class, Idempotency, Time};
-use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::protocol::http::{MalformedMessage, Request, Response};
 use gatherer::routing::invariants::{INVARIANTS, SendCheck, check_answer, check_rejection};
 use gatherer::routing::{Invariant, Violations};
 use gatherer::transport::connection_manager::ConnectionManager;
 use gatherer::transport::descriptor_pool::DescriptorPool;
-use gatherer::transport::listener::{Front, serve};
+use gatherer::transport::listener::{Front, serve_connection};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     async fn respond(&self, _: Request) -> Response {
         std::future::pending().await
     }
-    fn malformed(&self, error: Malformed) -> Response {
+    fn malformed(&self, error: MalformedMessage) -> Response {
         Response::text(error.status(), error.to_string())
     }
     fn overloaded(&self, _: Option<&Request>) -> Response {
@@ -106,7 +106,7 @@
     fn label<'a>(&self, _: &'a Request) -> Option<&'a str> {
         None
     }
-    fn violated(&self, invariant: Invariant, _: &str) {
+    fn on_invariant_violated(&self, invariant: Invariant, _: &str) {
         self.0.borrow_mut().push(invariant);
     }
 }
@@ -122,7 +122,7 @@
     let front = Rc::new(SilentFront::default());
     far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("written");
     let from = "127.0.0.1:1".parse().expect("an address");
-    let serving = serve(near, from, &*front, permit);
+    let serving = serve_connection(near, from, &*front, permit);
     let closing = async move {
         tokio::time::sleep(ms(10)).await;
         if client_disconnects {
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -1,12 +1,12 @@
 //! The listener on loopback sockets, under many times more connections than descriptors: well-behaved clients lose nothing.
 
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
-use gatherer::protocol::http::{Malformed, Request, Response};
+use gatherer::protocol::http::{MalformedMessage, Request, Response};
 use gatherer::routing::Invariant;
 use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::connection_manager::ConnectionManager;
 use gatherer::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
-use gatherer::transport::listener::{Accept, AcceptFuture, Front, accept};
+use gatherer::transport::listener::{Accept, AcceptFuture, Front, accept_connections};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
         }
         Response::text(200, request.path)
     }
-    fn malformed(&self, error: Malformed) -> Response {
+    fn malformed(&self, error: MalformedMessage) -> Response {
         Response::text(error.status(), error.to_string())
     }
     fn overloaded(&self, _: Option<&Request>) -> Response {
@@ -43,7 +43,7 @@
     fn label<'a>(&self, _: &'a Request) -> Option<&'a str> {
         None
     }
-    fn violated(&self, invariant: Invariant, concerns: &str) {
+    fn on_invariant_violated(&self, invariant: Invariant, concerns: &str) {
         eprintln!("{}: {concerns}", invariant.name());
     }
 }
@@ -104,13 +104,13 @@
         let (manager, held) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
         let front = Rc::new(Echo { held: held.clone() });
         let accepting = if failures > 0 {
-            spawn_local(accept(
+            spawn_local(accept_connections(
                 FailingListener { listener, failures_left: Cell::new(failures), errno },
                 front,
                 manager.clone(),
             ))
         } else {
-            spawn_local(accept(listener, front, manager.clone()))
+            spawn_local(accept_connections(listener, front, manager.clone()))
         };
         let evicting = manager.clone();
         spawn_local(async move { evicting.run_evictions().await });
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -85,7 +85,7 @@
                 }
                 TestEvent::ClientDisconnected { query } if !open.is_empty() => {
                     let query = open.remove(query % open.len());
-                    core.client_left(now, query);
+                    core.disconnect_client(now, query);
                 }
                 TestEvent::AttemptFinished { attempt, outcome } if !in_flight.is_empty() => {
                     let attempt = in_flight.remove(attempt % in_flight.len());
