--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -21,7 +21,7 @@
 
 pub use eviction::{EVICTION_REASONS, EvictionReason};
 
-use self::eviction::{Connection, ConnectionState, EvictionRank, TIME_LIMITS};
+use self::eviction::{Connection, ConnectionState, EvictionRank};
 use super::resource_pressure::ResourcePressure;
 use crate::policy::Time;
 use std::collections::{BTreeSet, HashMap};
@@ -275,12 +275,20 @@
     /// Evicts the first connection of the eviction order, because another needs its descriptor.
     #[must_use]
     pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
-        let (id, reason) = self.first_to_evict(now)?;
-        self.set_state(id, ConnectionState::Closing, now, now);
-        Some((id, reason))
+        let (rank, reason) = self.first_to_evict(now)?;
+        self.set_state(rank.id, ConnectionState::Closing, now, now);
+        Some((rank.id, reason))
+    }
+
+    /// Evicts like [`ClientConnections::evict`], but only a connection that is past its minimum residence: where nobody
+    /// waits for this very descriptor, a new connection is not closed while its first request may be on its way.
+    #[must_use]
+    pub fn evict_past_min_residence(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
+        let (first, _) = self.first_to_evict(now)?;
+        if first.is_past_min_residence(now) { self.evict(now) } else { None }
     }
 
-    fn first_to_evict(&self, now: Time) -> Option<(u64, EvictionReason)> {
+    fn first_to_evict(&self, now: Time) -> Option<(EvictionRank, EvictionReason)> {
         for reason in [
             EvictionReason::Silent,
             EvictionReason::Slow,
@@ -290,9 +298,9 @@
             let from = EvictionRank { reason, counted_from: Time(0), id: 0 };
             let first = self.eviction_order.range(from..).next().filter(|first| first.reason == reason);
             if let Some(rank) = first
-                && now.since(rank.counted_from) >= TIME_LIMITS[reason as usize].min_residence
+                && rank.is_past_min_residence(now)
             {
-                return Some((rank.id, reason));
+                return Some((*rank, reason));
             }
         }
         // All others behave well. Protects sources with few connections from one that opens more and more.
@@ -300,11 +308,11 @@
             && most * self.open_by_source.len() > self.connections.len()
             && let Some(rank) = self.eviction_order_by_source.get(source).and_then(BTreeSet::first)
         {
-            return Some((rank.id, EvictionReason::OverQuota));
+            return Some((*rank, EvictionReason::OverQuota));
         }
         // Protects clients with several requests from a flood so fast that all of it is new: new connections go first,
         // because a client with a request to send has sent it by the time that its connection is considered. Connections
         // that stay idle too long are evicted by their deadline anyway.
-        self.eviction_order.first().map(|rank| (rank.id, rank.reason))
+        self.eviction_order.first().map(|rank| (*rank, rank.reason))
     }
 }
--- a/src/limits/client_connections/eviction.rs
+++ b/src/limits/client_connections/eviction.rs
@@ -96,6 +96,13 @@
     pub id: u64,
 }
 
+impl EvictionRank {
+    /// Whether the connection has had the time for which it is passed over.
+    pub fn is_past_min_residence(&self, now: Time) -> bool {
+        now.since(self.counted_from) >= TIME_LIMITS[self.reason as usize].min_residence
+    }
+}
+
 #[derive(Debug)]
 pub(super) struct Connection {
     pub source: Source,
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -7,7 +7,7 @@
 use crate::limits::{ClientConnections, DescriptorClass, DescriptorDenied, ResourcePressure};
 use crate::service::lifecycle::{LifecycleError, LifecycleRequest};
 use crate::service::{Lifecycle, LifecycleState};
-use crate::transport::descriptor_pool::DescriptorPool;
+use crate::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,6 +16,9 @@
 
 /// How often time limits are checked while any connection could be evicted: they move with pressure.
 const EVICTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often other tasks get a turn, after the wait for a descriptor has taken its whole time, before a new connection is
+/// rejected: an evicted connection needs a turn to notice it, one to see what has arrived, and some to write and close.
+const TURNS_AFTER_PAUSE: usize = 8;
 /// The least time between two log lines about early evictions.
 const EVICTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -134,17 +137,7 @@
     /// Admits a connection, waiting at most `timeout` for each release of a descriptor. `None` where none is to be had:
     /// a query is in flight on every connection, or no release came in time.
     pub async fn admit(self: &Rc<Self>, source: Source, timeout: Duration) -> Option<ConnectionPermit> {
-        let descriptor = loop {
-            let released = self.descriptor_pool.wait_for_release();
-            match self.descriptor_pool.try_acquire(DescriptorClass::Clients) {
-                Ok(descriptor) => break descriptor,
-                Err(DescriptorDenied::Exhausted) if !self.eviction_in_progress() => return None,
-                Err(_) => {}
-            }
-            if tokio::time::timeout(timeout, released).await.is_err() {
-                return None;
-            }
-        };
+        let descriptor = self.acquire_descriptor(timeout).await?;
         let now = self.descriptor_pool.now();
         let id = self.connections.borrow_mut().accept(now, source);
         let eviction = Rc::new(Eviction::default());
@@ -166,6 +159,26 @@
         Some(permit)
     }
 
+    /// Acquires a client's descriptor, waiting at most `timeout` for each release.
+    async fn acquire_descriptor(self: &Rc<Self>, timeout: Duration) -> Option<DescriptorPermit> {
+        loop {
+            let released = self.descriptor_pool.wait_for_release();
+            match self.descriptor_pool.try_acquire(DescriptorClass::Clients) {
+                Ok(descriptor) => return Some(descriptor),
+                Err(DescriptorDenied::Exhausted) if !self.eviction_in_progress() => return None,
+                Err(_) => {}
+            }
+            if tokio::time::timeout(timeout, released).await.is_err() {
+                // After a pause of the whole process the limit passes before the evicted connections have had a turn to
+                // close: the yields let them.
+                for _ in 0..TURNS_AFTER_PAUSE {
+                    tokio::task::yield_now().await;
+                }
+                return self.descriptor_pool.try_acquire(DescriptorClass::Clients).ok();
+            }
+        }
+    }
+
     /// Whether any connection has been evicted and is not closed yet.
     fn eviction_in_progress(&self) -> bool {
         let connections = self.connections.borrow();
@@ -174,6 +187,17 @@
 
     fn evict_one(&self) {
         let chosen = self.connections.borrow_mut().evict(self.descriptor_pool.now());
+        self.carry_out_early_eviction(chosen);
+    }
+
+    /// Evicts a connection because accepts fail for want of descriptors outside the budget. New connections are spared:
+    /// another accept is tried soon in any case.
+    pub(super) fn evict_after_accept_error(&self) {
+        let chosen = self.connections.borrow_mut().evict_past_min_residence(self.descriptor_pool.now());
+        self.carry_out_early_eviction(chosen);
+    }
+
+    fn carry_out_early_eviction(&self, chosen: Option<(u64, EvictionReason)>) {
         if let Some((id, reason)) = chosen {
             self.descriptor_pool.counters.borrow_mut().evicted_early += 1;
             self.notify_evicted(id, reason);
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -8,7 +8,7 @@
 // Fronts and tests import these beside `accept`.
 pub use super::connection::serve_connection;
 pub use super::front::Front;
-use crate::limits::{AcceptPacer, DescriptorClass};
+use crate::limits::AcceptPacer;
 use crate::policy::Time;
 use crate::protocol::http::Response;
 use crate::service::LifecycleState;
@@ -149,7 +149,7 @@
     log::warn!("accept: {error}");
     // Descriptors are exhausted outside the budget: closing an evictable client connection frees one.
     let released = manager.descriptor_pool().wait_for_release();
-    manager.descriptor_pool().reclaim(DescriptorClass::Clients);
+    manager.evict_after_accept_error();
     // The next accept is tried after the delay whether one was released or not.
     let _ = tokio::time::timeout(delays.next_delay().min(MAX_ACCEPT_RETRY_DELAY), released).await;
 }
--- a/tests/listener.rs
+++ b/tests/listener.rs
@@ -53,6 +53,9 @@
 /// The connection was reset before it was accepted.
 const ECONNABORTED: i32 = 103;
 
+/// How long one attempt to connect blocks the thread while the backlog is full. With room in it, none blocks at all.
+const CONNECT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1);
+
 /// A connection manager and a listener that admits connections to it.
 struct Server {
     manager: Rc<ConnectionManager>,
@@ -133,7 +136,8 @@
 async fn read_response(stream: &mut TcpStream, path: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(format!("{path}\n").as_bytes()) {
-        assert!(stream.read_buf(&mut text).await.expect("readable") > 0, "the connection ended");
+        let count = stream.read_buf(&mut text).await.expect("readable");
+        assert!(count > 0, "the connection ended after {:?}", String::from_utf8_lossy(&text));
     }
     String::from_utf8(text).expect("text")
 }
@@ -155,8 +159,27 @@
             return String::from_utf8(text).expect("text");
         }
     }
-    let stream = idle.insert(TcpStream::connect(address).await.expect("connected"));
-    exchange(stream, "/well-behaved").await
+    let stream = idle.insert(connect_and_send(address, b"GET /well-behaved HTTP/1.1\r\n\r\n").await);
+    read_response(stream, "/well-behaved").await
+}
+
+/// Connects and sends a request at once, before the server has a turn: clients and server share a thread, and a client that
+/// waited for its turn between the two would send its request as late as the thread is busy. While the backlog is full, it
+/// tries again.
+async fn connect_and_send(address: SocketAddr, request: &[u8]) -> TcpStream {
+    loop {
+        let mut stream = match std::net::TcpStream::connect_timeout(&address, CONNECT_ATTEMPT_TIMEOUT) {
+            Ok(stream) => stream,
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                tokio::time::sleep(CONNECT_ATTEMPT_TIMEOUT).await;
+                continue;
+            }
+            Err(error) => panic!("no connection: {error}"),
+        };
+        std::io::Write::write_all(&mut stream, request).expect("written");
+        stream.set_nonblocking(true).expect("set");
+        return TcpStream::from_std(stream).expect("a stream");
+    }
 }
 
 /// A client that misbehaves in one of several ways, and reconnects at once whenever it is closed.
@@ -488,6 +511,28 @@
     });
 }
 
+#[test]
+fn a_failing_accept_evicts_no_connection_whose_first_request_may_be_on_its_way() {
+    // The descriptors that ran out are not the budget's, and each accept that succeeds is followed by one that fails.
+    run(async {
+        let server = Server::start(64, 1).await;
+        let failed = || server.manager.descriptor_pool().counters.borrow().accept_failed;
+        let mut client = server.client().await;
+        wait_until("it is accepted and the next accept has failed", || failed() == 2).await;
+        // The request follows the connection late, as on a loaded machine.
+        tokio::time::sleep(Duration::from_millis(10)).await;
+        assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
+        // Once it is idle, it is closed where another accept fails.
+        tokio::time::sleep(Duration::from_millis(110)).await;
+        let mut next = server.client().await;
+        assert!(exchange(&mut next, "/b").await.starts_with("HTTP/1.1 200 OK\r\n"));
+        let mut rest = String::new();
+        client.read_to_string(&mut rest).await.expect("an orderly end");
+        assert_eq!(rest, "");
+        assert_eq!(server.manager.descriptor_pool().counters.borrow().evicted_early, 1);
+    });
+}
+
 #[test]
 fn a_new_connection_that_is_evicted_gets_a_rejection_for_its_first_request() {
     // Its first request may be on its way: after a close without a response it would be lost.
