--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,6 +1,7 @@
 //! Batches and instances: sorts a batch's events by instance, runs a step of each, and writes the reply.
 
-use crate::codec::{self, Fields};
+use crate::codec;
+use crate::fields::Fields;
 use gatherer::Aggregator;
 use gatherer::policy::{Endpoint, Event, Time};
 use std::collections::BTreeMap;
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,6 +1,7 @@
 //! Hosts instances of the decision module on the simulator's wire: batches in, replies out.
 
 mod codec;
+mod fields;
 mod host;
 
 use std::io::{self, BufRead, BufWriter, Write};
