--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,6 +1,7 @@
 //! The messages of the simulator's wire: it reads settings, events and endpoints, and writes actions. The words of the
 //! wire are the simulator's and stay as they are, whatever the Rust names say.
 
+use crate::error::{FieldProblem, LineError};
 use crate::fields::Fields;
 use gatherer::policy::{
     Action, AttemptNo, AttemptResult, CellId, ClassId, Endpoint, EndpointStatus, EndpointUpdate, Event,
@@ -11,10 +12,10 @@
 use std::sync::Arc;
 
 /// Reads an endpoint (an `m` line).
-pub fn endpoint(line: &str) -> Result<Endpoint, String> {
+pub fn endpoint(line: &str) -> Result<Endpoint, LineError> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
-        return Err(format!("{}: expected a list entry", fields.message()));
+        return Err(LineError::NotAnEndpoint(fields.message().to_owned()));
     }
     let worker = WorkerId(fields.required("leaf")?);
     let zone = ZoneId(fields.optional("area")?.unwrap_or(0));
@@ -24,7 +25,10 @@
         "active" => EndpointStatus::Active,
         "leaving" => EndpointStatus::Draining,
         "left" => EndpointStatus::Gone,
-        other => return Err(fields.error("status", &format!("unknown status {other:?}"))),
+        other => {
+            let problem = FieldProblem::UnknownStatus(other.to_owned());
+            return Err(fields.error("status", problem).into());
+        }
     };
     let units = fields.number("units")?.unwrap_or(1.0);
     let started_at = fields.time("online-since")?.filter(|at| at.0 > 0);
@@ -37,21 +41,24 @@
 pub fn event(
     fields: &mut Fields<'_>,
     list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
-) -> Result<Option<Event>, String> {
+) -> Result<Option<Event>, LineError> {
     let event = match fields.message() {
         "registry" => {
             let how = fields.raw("how")?;
             let _version: Option<i64> = fields.optional("gen")?;
             let number: Option<usize> = fields.optional("roster-id")?;
             let endpoints = |fields: &Fields<'_>| {
-                number.and_then(&list).ok_or_else(|| fields.error("roster-id", "no such list"))
+                number.and_then(&list).ok_or_else(|| fields.error("roster-id", FieldProblem::UnknownList))
             };
             Some(Event::EndpointUpdate(match how {
                 "D" => EndpointUpdate::Delta(endpoints(fields)?),
                 "F" => EndpointUpdate::Full(endpoints(fields)?),
                 "C" => EndpointUpdate::Cached(endpoints(fields)?),
                 "X" => EndpointUpdate::Failed,
-                other => return Err(fields.error("how", &format!("unknown kind {other:?}"))),
+                other => {
+                    let problem = FieldProblem::UnknownUpdateKind(other.to_owned());
+                    return Err(fields.error("how", problem).into());
+                }
             }))
         }
         "submit" => Some(submit(fields)?),
@@ -84,18 +91,19 @@
             let _content = fields.raw("content")?;
             None
         }
-        other => return Err(format!("unknown message {other:?}")),
+        other => return Err(LineError::UnknownMessage(other.to_owned())),
     };
     fields.end()?;
     Ok(event)
 }
 
-fn submit(fields: &mut Fields<'_>) -> Result<Event, String> {
+fn submit(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let id = fields.request("corr")?;
     let class = ClassId(fields.required("lane")?);
     let tenant = fields.optional("realm")?.map(TenantId);
     let key: Option<String> = fields.optional("name-key")?;
-    let valid_until = fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", "absent"))?;
+    let valid_until =
+        fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", FieldProblem::Absent))?;
     let cost_hint = fields.span("size-hint")?;
     let job = JobId(fields.required("job-no")?);
     let shard: f64 = fields.number("range-no")?.unwrap_or(-1.0);
@@ -111,10 +119,10 @@
 }
 
 /// Reads the `start` message, after its name.
-pub fn start(fields: &mut Fields<'_>) -> Result<Settings, String> {
+pub fn start(fields: &mut Fields<'_>) -> Result<Settings, LineError> {
     let seed: i128 = fields.required("entropy")?;
     let contracts = FlatSettings::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
-    contracts.map(|contracts| contracts.settings).map_err(|fault| format!("start: env: {fault}"))
+    Ok(contracts?.settings)
 }
 
 /// Writes one action as a line.
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,6 +1,7 @@
 //! Batches and instances: sorts a batch's events by instance, runs a step of each, and writes the reply.
 
 use crate::codec;
+use crate::error::LineError;
 use crate::fields::Fields;
 use gatherer::Aggregator;
 use gatherer::policy::{Endpoint, Event, Time};
@@ -38,7 +39,7 @@
 
 impl Host {
     /// Reads one line; true when a batch is complete and `reply` holds its reply.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
+    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, LineError> {
         if let Some(mut list) = self.partial_list.take() {
             list.endpoints.push(codec::endpoint(line)?);
             self.add_list(list);
@@ -47,7 +48,7 @@
         let mut fields = Fields::new(line);
         let Some(now) = self.batch_time else {
             if fields.message() != "turn" {
-                return Err(format!("expected \"turn\", got {:?}", fields.message()));
+                return Err(LineError::OutsideBatch(fields.message().to_owned()));
             }
             self.batch_time = Some(Time(fields.required("now")?));
             self.addressee = None;
@@ -72,22 +73,22 @@
                 self.add_list(PartialList { number, length, endpoints: Vec::new() });
             }
             "start" => {
-                let who = self.addressee.ok_or("start: no instance named")?;
+                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
                 let aggregator = Aggregator::new(codec::start(&mut fields)?);
                 self.instances.insert(who, Instance { aggregator, events: Vec::new(), touched: true });
             }
             "power_off" => {
                 fields.end()?;
-                let who = self.addressee.ok_or("power_off: no instance named")?;
+                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
                 if self.instances.remove(&who).is_none() {
-                    return Err(format!("power_off: who: instance {who} was never started"));
+                    return Err(unknown_instance(&fields, who));
                 }
             }
             _ => {
                 let event = codec::event(&mut fields, |number| self.lists.get(&number).cloned())?;
-                let who = self.addressee.ok_or_else(|| format!("{}: no instance named", fields.message()))?;
+                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
                 let Some(instance) = self.instances.get_mut(&who) else {
-                    return Err(fields.error("who", &format!("instance {who} was never started")));
+                    return Err(unknown_instance(&fields, who));
                 };
                 instance.touched = true;
                 instance.events.extend(event);
@@ -97,10 +98,10 @@
     }
 
     /// At the end of input: an error if a batch is cut off.
-    pub fn finish(&self) -> Result<(), String> {
+    pub fn finish(&self) -> Result<(), LineError> {
         match self.batch_time {
             None => Ok(()),
-            Some(_) => Err("input ends inside a batch".to_owned()),
+            Some(_) => Err(LineError::UnfinishedBatch),
         }
     }
 
@@ -132,3 +133,11 @@
         reply.push_str("done\n");
     }
 }
+
+fn no_instance_named(fields: &Fields<'_>) -> LineError {
+    LineError::NoInstanceNamed { message: fields.message().to_owned() }
+}
+
+fn unknown_instance(fields: &Fields<'_>, instance: u32) -> LineError {
+    LineError::UnknownInstance { message: fields.message().to_owned(), instance }
+}
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,44 +1,44 @@
 //! Hosts instances of the decision module on the simulator's wire: batches in, replies out.
 
 mod codec;
+mod error;
 mod fields;
 mod host;
 
+use crate::error::AdapterError;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     match serve(&mut io::stdin().lock(), &mut BufWriter::with_capacity(1 << 16, io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), String> {
+fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
     let mut number = 0u64;
     let mut reply = String::new();
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|error| format!("reading: {error}"))?;
+        let read = input.read_until(b'\n', &mut line).map_err(AdapterError::Read)?;
         if read == 0 {
-            return host.finish().map_err(|error| format!("line {number}: {error}"));
+            return host.finish().map_err(|source| AdapterError::Line { number, source });
         }
         number += 1;
         if line.last() == Some(&b'\n') {
             line.pop();
         }
-        let text = std::str::from_utf8(&line).map_err(|_| format!("line {number}: not UTF-8"))?;
+        let text = std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { number, source })?;
         reply.clear();
-        if host.line(text, &mut reply).map_err(|error| format!("line {number}: {error}"))? {
-            output
-                .write_all(reply.as_bytes())
-                .and_then(|()| output.flush())
-                .map_err(|error| format!("writing: {error}"))?;
+        if host.line(text, &mut reply).map_err(|source| AdapterError::Line { number, source })? {
+            let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+            written.map_err(AdapterError::Write)?;
         }
     }
 }
