--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -36,59 +36,22 @@
     Ok(Endpoint { worker, zone, cell, status, units, started_at })
 }
 
-/// Reads an event of one instance, after its message name; the caller resolves numbers of endpoint lists.
-/// `None` for a message that the module does not use.
+/// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their numbers. `None` for
+/// a message that the decision module does not use.
 pub fn event(
     fields: &mut Fields<'_>,
-    list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
+    find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
 ) -> Result<Option<Event>, LineError> {
     let event = match fields.message() {
-        "registry" => {
-            let how = fields.raw("how")?;
-            let _version: Option<i64> = fields.optional("gen")?;
-            let number: Option<usize> = fields.optional("roster-id")?;
-            let endpoints = |fields: &Fields<'_>| {
-                number.and_then(&list).ok_or_else(|| fields.error("roster-id", FieldProblem::UnknownList))
-            };
-            Some(Event::EndpointUpdate(match how {
-                "D" => EndpointUpdate::Delta(endpoints(fields)?),
-                "F" => EndpointUpdate::Full(endpoints(fields)?),
-                "C" => EndpointUpdate::Cached(endpoints(fields)?),
-                "X" => EndpointUpdate::Failed,
-                other => {
-                    let problem = FieldProblem::UnknownUpdateKind(other.to_owned());
-                    return Err(fields.error("how", problem).into());
-                }
-            }))
-        }
-        "submit" => Some(submit(fields)?),
-        "established" => {
-            let id = fields.request("corr")?;
-            let attempt = AttemptNo(fields.required("shot")?);
-            let _worker: u32 = fields.required("leaf")?;
-            let _elapsed = fields.span("cost-time")?;
-            Some(Event::StreamingStarted { id, attempt })
-        }
-        "completed" => Some(Event::AttemptFinished(AttemptResult {
-            id: fields.request("corr")?,
-            attempt: AttemptNo(fields.required("shot")?),
-            worker: WorkerId(fields.required("leaf")?),
-            outcome: fields.outcome("disposition")?,
-            elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            part_finished: fields.flag("ended")?,
-            load_report: fields.report("report")?,
-        })),
+        "registry" => Some(Event::EndpointUpdate(endpoint_update(fields, find_list)?)),
+        "submit" => Some(query_or_part(fields)?),
+        "established" => Some(streaming_started(fields)?),
+        "completed" => Some(Event::AttemptFinished(attempt_result(fields)?)),
         "client_left" => Some(Event::ClientDisconnected { id: fields.request("corr")? }),
         "due" => Some(Event::TimerFired { timer: TimerId(fields.required("handle")?) }),
-        "ping_result" => Some(Event::HealthCheckFinished {
-            worker: WorkerId(fields.required("leaf")?),
-            outcome: fields.outcome("disposition")?,
-            elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            load_report: fields.report("report")?,
-        }),
+        "ping_result" => Some(health_check_finished(fields)?),
         "message" => {
-            let _author: u32 = fields.required("author")?;
-            let _content = fields.raw("content")?;
+            skip_instance_message(fields)?;
             None
         }
         other => return Err(LineError::UnknownMessage(other.to_owned())),
@@ -97,7 +60,71 @@
     Ok(event)
 }
 
-fn submit(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+/// Reads the rest of a `registry` message: the result of a poll of the endpoint list.
+fn endpoint_update(
+    fields: &mut Fields<'_>,
+    find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
+) -> Result<EndpointUpdate, LineError> {
+    let kind = fields.raw("how")?;
+    let _version: Option<i64> = fields.optional("gen")?;
+    let number: Option<usize> = fields.optional("roster-id")?;
+    let find_endpoints = || {
+        let endpoints = number.and_then(find_list);
+        endpoints.ok_or_else(|| fields.error("roster-id", FieldProblem::UnknownList))
+    };
+    Ok(match kind {
+        "D" => EndpointUpdate::Delta(find_endpoints()?),
+        "F" => EndpointUpdate::Full(find_endpoints()?),
+        "C" => EndpointUpdate::Cached(find_endpoints()?),
+        "X" => EndpointUpdate::Failed,
+        other => {
+            let problem = FieldProblem::UnknownUpdateKind(other.to_owned());
+            return Err(fields.error("how", problem).into());
+        }
+    })
+}
+
+/// Reads the rest of an `established` message: the worker has begun to send its response.
+fn streaming_started(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    let id = fields.request("corr")?;
+    let attempt = AttemptNo(fields.required("shot")?);
+    let _worker: u32 = fields.required("leaf")?;
+    let _elapsed = fields.span("cost-time")?;
+    Ok(Event::StreamingStarted { id, attempt })
+}
+
+/// Reads the rest of a `completed` message: an attempt has finished.
+fn attempt_result(fields: &mut Fields<'_>) -> Result<AttemptResult, LineError> {
+    Ok(AttemptResult {
+        id: fields.request("corr")?,
+        attempt: AttemptNo(fields.required("shot")?),
+        worker: WorkerId(fields.required("leaf")?),
+        outcome: fields.outcome("disposition")?,
+        elapsed: fields.span("cost-time")?.unwrap_or_default(),
+        part_finished: fields.flag("ended")?,
+        load_report: fields.report("report")?,
+    })
+}
+
+/// Reads the rest of a `ping_result` message: a health check has finished.
+fn health_check_finished(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    Ok(Event::HealthCheckFinished {
+        worker: WorkerId(fields.required("leaf")?),
+        outcome: fields.outcome("disposition")?,
+        elapsed: fields.span("cost-time")?.unwrap_or_default(),
+        load_report: fields.report("report")?,
+    })
+}
+
+/// Reads past the rest of a `message` message: the text of another instance, which the decision module does not use.
+fn skip_instance_message(fields: &mut Fields<'_>) -> Result<(), LineError> {
+    let _author: u32 = fields.required("author")?;
+    let _content = fields.raw("content")?;
+    Ok(())
+}
+
+/// Reads the rest of a `submit` message: a part of a query where it names a shard, else a whole query.
+fn query_or_part(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let id = fields.request("corr")?;
     let class = ClassId(fields.required("lane")?);
     let tenant = fields.optional("realm")?.map(TenantId);
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -47,12 +47,7 @@
         }
         let mut fields = Fields::new(line);
         let Some(now) = self.batch_time else {
-            if fields.message() != "turn" {
-                return Err(LineError::OutsideBatch(fields.message().to_owned()));
-            }
-            self.batch_time = Some(Time(fields.required("now")?));
-            self.addressee = None;
-            fields.end()?;
+            self.begin_batch(&mut fields)?;
             return Ok(false);
         };
         match fields.message() {
@@ -66,37 +61,69 @@
                 self.addressee = Some(fields.required("who")?);
                 fields.end()?;
             }
-            "list" => {
-                let number = fields.required("roster-id")?;
-                let length: usize = fields.required("elements")?;
-                fields.end()?;
-                self.add_list(PartialList { number, length, endpoints: Vec::new() });
-            }
-            "start" => {
-                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
-                let aggregator = Aggregator::new(codec::start(&mut fields)?);
-                self.instances.insert(who, Instance { aggregator, events: Vec::new(), touched: true });
-            }
-            "power_off" => {
-                fields.end()?;
-                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
-                if self.instances.remove(&who).is_none() {
-                    return Err(unknown_instance(&fields, who));
-                }
-            }
-            _ => {
-                let event = codec::event(&mut fields, |number| self.lists.get(&number).cloned())?;
-                let who = self.addressee.ok_or_else(|| no_instance_named(&fields))?;
-                let Some(instance) = self.instances.get_mut(&who) else {
-                    return Err(unknown_instance(&fields, who));
-                };
-                instance.touched = true;
-                instance.events.extend(event);
-            }
+            "list" => self.begin_list(&mut fields)?,
+            "start" => self.start_instance(&mut fields)?,
+            "power_off" => self.stop_instance(&mut fields)?,
+            _ => self.add_event(&mut fields)?,
         }
         Ok(false)
     }
 
+    /// Reads the line outside of batches, which has to begin one.
+    fn begin_batch(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        if fields.message() != "turn" {
+            return Err(LineError::OutsideBatch(fields.message().to_owned()));
+        }
+        self.batch_time = Some(Time(fields.required("now")?));
+        self.addressee = None;
+        fields.end()?;
+        Ok(())
+    }
+
+    /// Reads the head of an endpoint list; its entries are the next lines.
+    fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let number = fields.required("roster-id")?;
+        let length: usize = fields.required("elements")?;
+        fields.end()?;
+        self.add_list(PartialList { number, length, endpoints: Vec::new() });
+        Ok(())
+    }
+
+    /// Starts the addressed instance, or starts it anew.
+    fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let instance = self.addressee(fields)?;
+        let aggregator = Aggregator::new(codec::start(fields)?);
+        self.instances.insert(instance, Instance { aggregator, events: Vec::new(), touched: true });
+        Ok(())
+    }
+
+    /// Ends the addressed instance; it takes no step in this batch.
+    fn stop_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        fields.end()?;
+        let instance = self.addressee(fields)?;
+        match self.instances.remove(&instance) {
+            Some(_) => Ok(()),
+            None => Err(unknown_instance(fields, instance)),
+        }
+    }
+
+    /// Reads an event, which the addressed instance gets at the end of the batch.
+    fn add_event(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let event = codec::event(fields, |number| self.lists.get(&number).cloned())?;
+        let addressee = self.addressee(fields)?;
+        let Some(instance) = self.instances.get_mut(&addressee) else {
+            return Err(unknown_instance(fields, addressee));
+        };
+        instance.touched = true;
+        instance.events.extend(event);
+        Ok(())
+    }
+
+    /// The instance that the batch has named last.
+    fn addressee(&self, fields: &Fields<'_>) -> Result<u32, LineError> {
+        self.addressee.ok_or_else(|| LineError::NoInstanceNamed { message: fields.message().to_owned() })
+    }
+
     /// At the end of input: an error if a batch is cut off.
     pub fn finish(&self) -> Result<(), LineError> {
         match self.batch_time {
@@ -134,10 +161,6 @@
     }
 }
 
-fn no_instance_named(fields: &Fields<'_>) -> LineError {
-    LineError::NoInstanceNamed { message: fields.message().to_owned() }
-}
-
 fn unknown_instance(fields: &Fields<'_>, instance: u32) -> LineError {
     LineError::UnknownInstance { message: fields.message().to_owned(), instance }
 }
