--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 /// Reads an endpoint (an `m` line).
-pub fn endpoint(line: &str) -> Result<Endpoint, LineError> {
+pub fn read_endpoint(line: &str) -> Result<Endpoint, LineError> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
         return Err(LineError::NotAnEndpoint(fields.message().to_owned()));
@@ -38,18 +38,18 @@
 
 /// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their numbers. `None` for
 /// a message that the decision module does not use.
-pub fn event(
+pub fn read_event(
     fields: &mut Fields<'_>,
     find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
 ) -> Result<Option<Event>, LineError> {
     let event = match fields.message() {
-        "registry" => Some(Event::EndpointUpdate(endpoint_update(fields, find_list)?)),
-        "submit" => Some(query_or_part(fields)?),
-        "established" => Some(streaming_started(fields)?),
-        "completed" => Some(Event::AttemptFinished(attempt_result(fields)?)),
-        "client_left" => Some(Event::ClientDisconnected { id: fields.request("corr")? }),
+        "registry" => Some(Event::EndpointUpdate(read_endpoint_update(fields, find_list)?)),
+        "submit" => Some(read_query_or_part(fields)?),
+        "established" => Some(read_streaming_started(fields)?),
+        "completed" => Some(Event::AttemptFinished(read_attempt_result(fields)?)),
+        "client_left" => Some(Event::ClientDisconnected { id: fields.request_id("corr")? }),
         "due" => Some(Event::TimerFired { timer: TimerId(fields.required("handle")?) }),
-        "ping_result" => Some(health_check_finished(fields)?),
+        "ping_result" => Some(read_health_check_finished(fields)?),
         "message" => {
             skip_instance_message(fields)?;
             None
@@ -61,7 +61,7 @@
 }
 
 /// Reads the rest of a `registry` message: the result of a poll of the endpoint list.
-fn endpoint_update(
+fn read_endpoint_update(
     fields: &mut Fields<'_>,
     find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
 ) -> Result<EndpointUpdate, LineError> {
@@ -85,34 +85,34 @@
 }
 
 /// Reads the rest of an `established` message: the worker has begun to send its response.
-fn streaming_started(fields: &mut Fields<'_>) -> Result<Event, LineError> {
-    let id = fields.request("corr")?;
+fn read_streaming_started(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    let id = fields.request_id("corr")?;
     let attempt = AttemptNo(fields.required("shot")?);
     let _worker: u32 = fields.required("leaf")?;
-    let _elapsed = fields.span("cost-time")?;
+    let _elapsed = fields.duration("cost-time")?;
     Ok(Event::StreamingStarted { id, attempt })
 }
 
 /// Reads the rest of a `completed` message: an attempt has finished.
-fn attempt_result(fields: &mut Fields<'_>) -> Result<AttemptResult, LineError> {
+fn read_attempt_result(fields: &mut Fields<'_>) -> Result<AttemptResult, LineError> {
     Ok(AttemptResult {
-        id: fields.request("corr")?,
+        id: fields.request_id("corr")?,
         attempt: AttemptNo(fields.required("shot")?),
         worker: WorkerId(fields.required("leaf")?),
         outcome: fields.outcome("disposition")?,
-        elapsed: fields.span("cost-time")?.unwrap_or_default(),
+        elapsed: fields.duration("cost-time")?.unwrap_or_default(),
         part_finished: fields.flag("ended")?,
-        load_report: fields.report("report")?,
+        load_report: fields.load_report("report")?,
     })
 }
 
 /// Reads the rest of a `ping_result` message: a health check has finished.
-fn health_check_finished(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+fn read_health_check_finished(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     Ok(Event::HealthCheckFinished {
         worker: WorkerId(fields.required("leaf")?),
         outcome: fields.outcome("disposition")?,
-        elapsed: fields.span("cost-time")?.unwrap_or_default(),
-        load_report: fields.report("report")?,
+        elapsed: fields.duration("cost-time")?.unwrap_or_default(),
+        load_report: fields.load_report("report")?,
     })
 }
 
@@ -124,14 +124,14 @@
 }
 
 /// Reads the rest of a `submit` message: a part of a query where it names a shard, else a whole query.
-fn query_or_part(fields: &mut Fields<'_>) -> Result<Event, LineError> {
-    let id = fields.request("corr")?;
+fn read_query_or_part(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    let id = fields.request_id("corr")?;
     let class = ClassId(fields.required("lane")?);
     let tenant = fields.optional("realm")?.map(TenantId);
     let key: Option<String> = fields.optional("name-key")?;
     let valid_until =
         fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", FieldProblem::Absent))?;
-    let cost_hint = fields.span("size-hint")?;
+    let cost_hint = fields.duration("size-hint")?;
     let job = JobId(fields.required("job-no")?);
     let shard: f64 = fields.number("range-no")?.unwrap_or(-1.0);
     let weight = fields.number("measure")?.unwrap_or(0.0);
@@ -146,14 +146,15 @@
 }
 
 /// Reads the `start` message, after its name.
-pub fn start(fields: &mut Fields<'_>) -> Result<Settings, LineError> {
+pub fn read_settings(fields: &mut Fields<'_>) -> Result<Settings, LineError> {
     let seed: i128 = fields.required("entropy")?;
-    let contracts = FlatSettings::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
+    let contracts =
+        FlatSettings::from_text(fields.remaining_text()).and_then(|pairs| pairs.contracts(seed as u64));
     Ok(contracts?.settings)
 }
 
 /// Writes one action as a line.
-pub fn action(action: &Action, out: &mut String) {
+pub fn write_action(action: &Action, out: &mut String) {
     let written = match action {
         Action::Send { id, worker, timeout } => {
             writeln!(out, "issue {:016x} {} {}", id.0, worker.0, timeout.as_nanos())
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -39,9 +39,9 @@
 
 impl Host {
     /// Reads one line; true when a batch is complete and `reply` holds its reply.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, LineError> {
+    pub fn read_line(&mut self, line: &str, reply: &mut String) -> Result<bool, LineError> {
         if let Some(mut list) = self.partial_list.take() {
-            list.endpoints.push(codec::endpoint(line)?);
+            list.endpoints.push(codec::read_endpoint(line)?);
             self.add_list(list);
             return Ok(false);
         }
@@ -54,7 +54,7 @@
             "end" => {
                 fields.end()?;
                 self.batch_time = None;
-                self.reply(now, reply);
+                self.write_reply(now, reply);
                 return Ok(true);
             }
             "to" => {
@@ -92,7 +92,7 @@
     /// Starts the addressed instance, or starts it anew.
     fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         let instance = self.addressee(fields)?;
-        let aggregator = Aggregator::new(codec::start(fields)?);
+        let aggregator = Aggregator::new(codec::read_settings(fields)?);
         self.instances.insert(instance, Instance { aggregator, events: Vec::new(), touched: true });
         Ok(())
     }
@@ -109,7 +109,7 @@
 
     /// Reads an event, which the addressed instance gets at the end of the batch.
     fn add_event(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
-        let event = codec::event(fields, |number| self.lists.get(&number).cloned())?;
+        let event = codec::read_event(fields, |number| self.lists.get(&number).cloned())?;
         let addressee = self.addressee(fields)?;
         let Some(instance) = self.instances.get_mut(&addressee) else {
             return Err(unknown_instance(fields, addressee));
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Keeps a list that is complete; waits for the next entry of one that is not.
     fn add_list(&mut self, list: PartialList) {
         if list.endpoints.len() == list.length {
             self.lists.insert(list.number, list.endpoints.into());
@@ -140,9 +141,10 @@
         }
     }
 
-    fn reply(&mut self, now: Time, reply: &mut String) {
+    /// Runs a step of each instance that the batch has named, and writes their actions.
+    fn write_reply(&mut self, now: Time, reply: &mut String) {
         let mut actions = Vec::new();
-        for (who, instance) in &mut self.instances {
+        for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.touched) {
                 continue;
             }
@@ -151,10 +153,10 @@
             if actions.is_empty() {
                 continue;
             }
-            let written = writeln!(reply, "from {who}");
+            let written = writeln!(reply, "from {number}");
             debug_assert!(written.is_ok(), "writing to a string cannot fail");
             for action in &actions {
-                codec::action(action, reply);
+                codec::write_action(action, reply);
             }
         }
         reply.push_str("done\n");
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,8 +9,12 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
+/// The size of the buffer in front of standard output.
+const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
+
 fn main() -> ExitCode {
-    match serve(&mut io::stdin().lock(), &mut BufWriter::with_capacity(1 << 16, io::stdout().lock())) {
+    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
+    match serve(&mut io::stdin().lock(), &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
@@ -19,6 +23,7 @@
     }
 }
 
+/// Reads batches until the input ends, and writes the reply of each.
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
@@ -36,7 +41,7 @@
         }
         let text = std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { number, source })?;
         reply.clear();
-        if host.line(text, &mut reply).map_err(|source| AdapterError::Line { number, source })? {
+        if host.read_line(text, &mut reply).map_err(|source| AdapterError::Line { number, source })? {
             let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
             written.map_err(AdapterError::Write)?;
         }
