--- a/src/soak/checker/parts.rs
+++ b/src/soak/checker/parts.rs
@@ -12,12 +12,24 @@
 const WORKER_RESUME_US: u64 = 50_000;
 
 impl WorkerPause {
+    /// Whether a part came when its worker could not read it at once.
     fn covers(&self, part: &Part) -> bool {
         let unreliable = self.paused_at..self.resumed_at + WORKER_RESUME_US;
         self.worker == part.worker && unreliable.contains(&part.received_at)
     }
 }
 
+/// A part that came to a worker, with what its checks need.
+struct ReceivedPart<'a> {
+    part: &'a Part,
+    request: &'a Request,
+    /// The gatherer that sent it, if its process is known.
+    gatherer: Option<usize>,
+    /// How much later than its gatherer sent it it may have been measured.
+    slack_us: u64,
+}
+
+/// Whether parts came while they were still to be sent, with a deadline that their clients allow.
 pub fn check_parts(
     observations: &Observations,
     requests: &HashMap<&str, &Request>,
@@ -31,35 +43,65 @@
         }
         let process = observations.processes.get(request.process);
         let paused_us = process.map_or(0, |process| process.longest_pause_us);
-        let slack_us = observations.observer_lag_us + paused_us;
-        let about = format!("part {}.{} at {}", part.request, part.shard, part.worker);
-        let left_us = (request.sent_at + request.budget_us).saturating_sub(part.received_at);
-        if part.time_left_us > left_us + DEADLINE_SLACK_US + slack_us {
-            let details = format!("{about}: given {} ms, left {} ms", ms(part.time_left_us), ms(left_us));
+        let received = ReceivedPart {
+            part,
+            request,
+            gatherer: process.map(|process| process.gatherer),
+            slack_us: observations.observer_lag_us + paused_us,
+        };
+        received.check_deadline(violations);
+        received.check_disconnect(violations);
+        received.check_drain(observations, violations);
+    }
+}
+
+impl ReceivedPart<'_> {
+    fn describe(&self) -> String {
+        format!("part {}.{} at {}", self.part.request, self.part.shard, self.part.worker)
+    }
+
+    /// Whether the worker was given no more time than the client had left.
+    fn check_deadline(&self, violations: &mut Vec<Violation>) {
+        let deadline = self.request.sent_at + self.request.budget_us;
+        let left_us = deadline.saturating_sub(self.part.received_at);
+        let given_us = self.part.time_left_us;
+        if given_us > left_us + DEADLINE_SLACK_US + self.slack_us {
+            let details = format!("{}: given {} ms, left {} ms", self.describe(), ms(given_us), ms(left_us));
             report(violations, ViolationKind::DeadlineExtended, details);
         }
-        if request.outcome == RequestOutcome::ClientDisconnected
-            && part.received_at > request.ended_at + DISCONNECT_SLACK_US + slack_us
+    }
+
+    /// Whether the client was still connected.
+    fn check_disconnect(&self, violations: &mut Vec<Violation>) {
+        let (received_at, ended_at) = (self.part.received_at, self.request.ended_at);
+        if self.request.outcome == RequestOutcome::ClientDisconnected
+            && received_at > ended_at + DISCONNECT_SLACK_US + self.slack_us
         {
-            let after = ms(part.received_at - request.ended_at);
-            let details = format!("{about}: {after} ms after its client disconnected");
+            let after = ms(received_at - ended_at);
+            let details = format!("{}: {after} ms after its client disconnected", self.describe());
             report(violations, ViolationKind::SentAfterDisconnect, details);
         }
-        let gatherer = process.map(|process| process.gatherer);
+    }
+
+    /// Whether the worker was still listed, or its drain had been announced only just.
+    fn check_drain(&self, observations: &Observations, violations: &mut Vec<Violation>) {
+        let received_at = self.part.received_at;
+        let grace_us = observations.drain_grace_us + self.slack_us;
         let removal = observations.removals.iter().find(|removal| {
-            Some(removal.gatherer) == gatherer
-                && removal.worker == part.worker
-                && part.received_at > removal.effective_at + observations.drain_grace_us + slack_us
-                && part.received_at < removal.relisted_at
+            Some(removal.gatherer) == self.gatherer
+                && removal.worker == self.part.worker
+                && received_at > removal.effective_at + grace_us
+                && received_at < removal.relisted_at
         });
         if let Some(removal) = removal {
-            let after = ms(part.received_at - removal.effective_at);
-            let details = format!("{about}: {after} ms after its drain was announced");
+            let after = ms(received_at - removal.effective_at);
+            let details = format!("{}: {after} ms after its drain was announced", self.describe());
             report(violations, ViolationKind::SentToDrainedWorker, details);
         }
     }
 }
 
+/// Whether parts of non-idempotent requests were executed once.
 pub fn check_duplicates(
     observations: &Observations,
     requests: &HashMap<&str, &Request>,
--- a/src/soak/checker/processes.rs
+++ b/src/soak/checker/processes.rs
@@ -10,25 +10,16 @@
 /// The gatherer's own invariant counter that a pause of its process violates through no fault of its own.
 const ENDED_IN_TIME: &str = "ended_in_time";
 
+/// Whether each process started and ended in time, did not crash, and counted no violated invariant itself.
 pub fn check_processes(observations: &Observations, violations: &mut Vec<Violation>) {
     for (number, process) in observations.processes.iter().enumerate() {
         let about = format!("process {number} of gatherer {}", process.gatherer);
-        check_exit(process, &about, violations);
         let lag_us = observations.observer_lag_us + process.longest_pause_us;
+        let exit_limit_us = observations.longest_deadline_us + EXIT_SLACK_US + lag_us;
+        check_exit(process, &about, violations);
         check_readiness(process, lag_us, &about, violations);
-        if let (Some(terminated_at), None) = (process.terminated_at, process.killed_at) {
-            let limit_us = observations.longest_deadline_us + EXIT_SLACK_US + lag_us;
-            if process.exit.is_none_or(|exit| exit.at > terminated_at + limit_us) {
-                let details = format!("{about}: it did not end within {} ms", ms(limit_us));
-                report(violations, ViolationKind::LateExit, details);
-            }
-        }
-        for (name, count) in process.invariant_counters.iter().filter(|(_, count)| **count > 0) {
-            // A paused process responds late through no fault of its own.
-            if name != ENDED_IN_TIME || process.longest_pause_us == 0 {
-                report(violations, ViolationKind::CountedByGatherer, format!("{about}: {name}={count}"));
-            }
-        }
+        check_exit_time(process, exit_limit_us, &about, violations);
+        check_invariant_counters(process, &about, violations);
     }
 }
 
@@ -63,3 +54,22 @@
         report(violations, ViolationKind::FailedStart, details);
     }
 }
+
+/// Whether a process ended in time after SIGTERM.
+fn check_exit_time(process: &Process, limit_us: u64, about: &str, violations: &mut Vec<Violation>) {
+    let (Some(terminated_at), None) = (process.terminated_at, process.killed_at) else { return };
+    if process.exit.is_none_or(|exit| exit.at > terminated_at + limit_us) {
+        let details = format!("{about}: it did not end within {} ms", ms(limit_us));
+        report(violations, ViolationKind::LateExit, details);
+    }
+}
+
+/// Whether a process counted a violated invariant itself.
+fn check_invariant_counters(process: &Process, about: &str, violations: &mut Vec<Violation>) {
+    for (name, count) in process.invariant_counters.iter().filter(|(_, count)| **count > 0) {
+        // A paused process responds late through no fault of its own.
+        if name != ENDED_IN_TIME || process.longest_pause_us == 0 {
+            report(violations, ViolationKind::CountedByGatherer, format!("{about}: {name}={count}"));
+        }
+    }
+}
--- a/src/soak/checker/requests.rs
+++ b/src/soak/checker/requests.rs
@@ -7,26 +7,22 @@
 /// A response may come so long after its client's deadline.
 const RESPONSE_SLACK_US: u64 = 500_000;
 
+/// Whether each request had its final response in time, and a correct one.
 pub fn check_requests(observations: &Observations, violations: &mut Vec<Violation>) {
     let forwarded: HashSet<&str> = observations.parts.iter().map(|part| part.request.as_str()).collect();
     for request in &observations.requests {
         let process = observations.processes.get(request.process);
         let was_killed = process.is_some_and(|process| process.killed_at.is_some());
-        let paused_us = process.map_or(0, |process| process.longest_pause_us);
-        let about = describe_request(request, process);
-        let elapsed_us = request.ended_at - request.sent_at;
         match request.outcome {
             RequestOutcome::Response { status, correct } => {
-                let late_us = elapsed_us.saturating_sub(request.budget_us);
-                if late_us > RESPONSE_SLACK_US + observations.observer_lag_us + paused_us {
-                    let details = format!("{about}: {status} came {} ms late", ms(late_us));
-                    report(violations, ViolationKind::LostRequest, details);
-                }
+                check_lateness(observations, request, status, violations);
                 if !correct {
-                    report(violations, ViolationKind::IncorrectResponse, format!("{about}: {status}"));
+                    let details = format!("{}: {status}", describe_request(request, process));
+                    report(violations, ViolationKind::IncorrectResponse, details);
                 }
             }
             RequestOutcome::NoResponse if !was_killed => {
+                let about = describe_request(request, process);
                 let details = format!("{about}: no response and no end of the connection");
                 report(violations, ViolationKind::LostRequest, details);
             }
@@ -34,12 +30,7 @@
             RequestOutcome::ConnectionClosed
                 if !was_killed && (request.first_on_connection || forwarded.contains(&*request.id)) =>
             {
-                let kind = if request.first_on_connection { "new" } else { "reused" };
-                let details = format!(
-                    "{about}: its {kind} connection ended without a response after {} ms",
-                    ms(elapsed_us)
-                );
-                report(violations, ViolationKind::LostRequest, details);
+                report(violations, ViolationKind::LostRequest, describe_close(request, process));
             }
             RequestOutcome::NoResponse
             | RequestOutcome::ConnectionClosed
@@ -48,6 +39,31 @@
     }
 }
 
+/// Whether a response came in time.
+fn check_lateness(
+    observations: &Observations,
+    request: &Request,
+    status: u16,
+    violations: &mut Vec<Violation>,
+) {
+    let process = observations.processes.get(request.process);
+    let paused_us = process.map_or(0, |process| process.longest_pause_us);
+    let late_us = (request.ended_at - request.sent_at).saturating_sub(request.budget_us);
+    if late_us > RESPONSE_SLACK_US + observations.observer_lag_us + paused_us {
+        let about = describe_request(request, process);
+        let details = format!("{about}: {status} came {} ms late", ms(late_us));
+        report(violations, ViolationKind::LostRequest, details);
+    }
+}
+
+/// The end of a request's connection without a response.
+fn describe_close(request: &Request, process: Option<&Process>) -> String {
+    let about = describe_request(request, process);
+    let kind = if request.first_on_connection { "new" } else { "reused" };
+    let elapsed_ms = ms(request.ended_at - request.sent_at);
+    format!("{about}: its {kind} connection ended without a response after {elapsed_ms} ms")
+}
+
 /// The request, the process that it went to, and when it was sent, measured against SIGTERM to that process.
 fn describe_request(request: &Request, process: Option<&Process>) -> String {
     let terminated_at = process.and_then(|process| process.terminated_at);
--- a/src/soak/checker/stalled_clients.rs
+++ b/src/soak/checker/stalled_clients.rs
@@ -8,6 +8,7 @@
 /// The tolerance of that limit.
 const STALLED_CLIENT_SLACK_US: u64 = 200_000;
 
+/// Whether clients that stalled were closed in time.
 pub fn check_stalled_clients(observations: &Observations, violations: &mut Vec<Violation>) {
     let limit_us = STALLED_CLIENT_LIMIT_US + observations.observer_lag_us + STALLED_CLIENT_SLACK_US;
     for client in &observations.stalled_clients {
