--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -2,8 +2,9 @@
 //! the outcomes.
 
 use clap::{Parser, Subcommand};
+use gatherer::simulation::chart::{self, ChartError};
 use gatherer::simulation::experiment::{Error, Experiment};
-use gatherer::simulation::{self, Outcome, Simulation, chart};
+use gatherer::simulation::{self, Outcome, Simulation};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -51,12 +52,12 @@
 enum RunError {
     #[error(transparent)]
     Experiment(#[from] Error),
-    #[error("{path}: {error}")]
-    File { path: String, error: std::io::Error },
-    #[error("{path}: {error}")]
-    Json { path: String, error: serde_json::Error },
+    #[error("{path}: {source}")]
+    File { path: String, source: std::io::Error },
+    #[error("{path}: {source}")]
+    Json { path: String, source: serde_json::Error },
     #[error("the chart cannot be drawn: {0}")]
-    Chart(String),
+    Chart(#[from] ChartError),
     #[error("{0} runs broke a rule")]
     BrokenRules(usize),
 }
@@ -79,12 +80,12 @@
     }
 }
 
-fn file_error(path: &Path, error: std::io::Error) -> RunError {
-    RunError::File { path: path.display().to_string(), error }
+fn file_error(path: &Path, source: std::io::Error) -> RunError {
+    RunError::File { path: path.display().to_string(), source }
 }
 
-fn json_error(path: &Path, error: serde_json::Error) -> RunError {
-    RunError::Json { path: path.display().to_string(), error }
+fn json_error(path: &Path, source: serde_json::Error) -> RunError {
+    RunError::Json { path: path.display().to_string(), source }
 }
 
 fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), RunError> {
@@ -92,7 +93,7 @@
     for file in files {
         let mut experiment = Experiment::read(file)?;
         experiment.members = members.unwrap_or(experiment.members);
-        experiment.check().map_err(|error| Error::Form { path: file.display().to_string(), error })?;
+        experiment.check().map_err(|source| Error::Form { path: file.display().to_string(), source })?;
         let seeds = if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() };
         for seed in seeds {
             experiment.seed = seed;
@@ -139,7 +140,7 @@
     let stem = file.file_stem().unwrap_or_default().to_string_lossy();
     let base = folder.join(format!("{stem}-{}-{}", outcome.members, outcome.seed));
     let json = serde_json::to_string_pretty(outcome).map_err(|error| json_error(&base, error))?;
-    let svg = chart::svg(outcome).map_err(RunError::Chart)?;
+    let svg = chart::svg(outcome)?;
     for (extension, text) in [("json", json), ("svg", svg)] {
         let path = base.with_extension(extension);
         std::fs::write(&path, text).map_err(|error| file_error(&path, error))?;
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -1,6 +1,7 @@
 //! The outcomes of experiments for people: a table, and a chart of what the members knew beside the truth.
 
 use super::outcome::{Moment, Outcome};
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
 };
@@ -13,6 +14,11 @@
 const MIN_ESTIMATE_COLOUR: RGBColor = RGBColor(213, 94, 0);
 const MAX_ESTIMATE_COLOUR: RGBColor = RGBColor(240, 190, 110);
 
+/// Why a chart cannot be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct ChartError(#[from] DrawingAreaErrorKind<std::io::Error>);
+
 /// A line of the chart.
 struct Curve {
     label: &'static str,
@@ -75,14 +81,14 @@
 /// A chart of the outcome over time, as SVG.
 ///
 /// # Errors
-/// The reason why it cannot be drawn, for people.
-pub fn svg(outcome: &Outcome) -> Result<String, String> {
+/// The reason why it cannot be drawn.
+pub fn svg(outcome: &Outcome) -> Result<String, ChartError> {
     let mut text = String::new();
-    draw(outcome, &mut text).map_err(|error| error.to_string())?;
+    draw(outcome, &mut text)?;
     Ok(text)
 }
 
-fn draw(outcome: &Outcome, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(outcome: &Outcome, text: &mut String) -> Result<(), ChartError> {
     let area = SVGBackend::with_string(text, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let end = outcome.moments.last().map_or(1.0, |moment| moment.at);
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -21,23 +21,79 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
-    #[error("{path}: {error}")]
+    #[error("{path}: {source}")]
     File {
         /// The file.
         path: String,
         /// The reason.
-        error: std::io::Error,
+        source: std::io::Error,
     },
-    /// The file's form is wrong.
-    #[error("{path}: {error}")]
+    /// The file's text is not an experiment.
+    #[error("{path}: {source}")]
     Form {
         /// The file.
         path: String,
-        /// The fault, with line and key.
-        error: String,
+        /// The fault.
+        source: InvalidExperiment,
     },
 }
 
+/// Why a text is not an experiment, or an experiment cannot be run.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum InvalidExperiment {
+    /// The text is not in the form; the error names the line and the key.
+    #[error("\n{0}")]
+    Syntax(#[from] toml::de::Error),
+    /// So many members cannot be simulated.
+    #[error(
+        "members: {0}, {least} to {most} can be played",
+        least = MEMBER_COUNTS.start(),
+        most = MEMBER_COUNTS.end()
+    )]
+    MemberCount(usize),
+    /// It cannot last for so many seconds.
+    #[error("seconds: {0}, a week at most")]
+    Duration(f64),
+    /// The network's faults at the start are no shares.
+    #[error("net: shares lie between 0 and 1")]
+    NetworkFaults,
+    /// A step cannot be taken.
+    #[error("step {number} ({action} at {at}): {source}")]
+    Step {
+        /// The step's number in the file, from 1.
+        number: usize,
+        /// What it does.
+        action: Action,
+        /// Its time, in seconds from the start.
+        at: f64,
+        /// What is wrong with it.
+        source: InvalidStep,
+    },
+}
+
+/// Why a step of an experiment cannot be taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidStep {
+    /// It comes before the start or after the end.
+    #[error("it lies outside of what is played")]
+    OutsideExperiment,
+    /// It lacks the members that its action needs, or names members that its action does not need.
+    #[error("`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere")]
+    Members,
+    /// A pause has no length, or another action has one.
+    #[error("`seconds` is the length of a pause")]
+    PauseLength,
+    /// A change of the network has no valid faults, or another action has some.
+    #[error("`net` is the network of a `net` step, in shares between 0 and 1")]
+    NetworkFaults,
+    /// It repeats too fast.
+    #[error("`every`: {MIN_REPEAT_SECONDS} s at least")]
+    RepeatInterval,
+    /// A member that it names does not exist.
+    #[error("there is no such member")]
+    UnknownMember,
+}
+
 /// An experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -199,16 +255,16 @@
     pub fn read(path: &Path) -> Result<Experiment, Error> {
         let name = path.display().to_string();
         let text =
-            std::fs::read_to_string(path).map_err(|error| Error::File { path: name.clone(), error })?;
-        Experiment::parse(&text).map_err(|error| Error::Form { path: name, error })
+            std::fs::read_to_string(path).map_err(|source| Error::File { path: name.clone(), source })?;
+        Experiment::parse(&text).map_err(|source| Error::Form { path: name, source })
     }
 
     /// Reads an experiment's text, and checks it.
     ///
     /// # Errors
-    /// A message for people: the text's fault with line and key, or what [`Experiment::check`] finds.
-    pub fn parse(text: &str) -> Result<Experiment, String> {
-        let experiment: Experiment = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
+    /// The text's fault with line and key, or what [`Experiment::check`] finds.
+    pub fn parse(text: &str) -> Result<Experiment, InvalidExperiment> {
+        let experiment: Experiment = toml::from_str(text)?;
         experiment.check()?;
         Ok(experiment)
     }
@@ -228,48 +284,52 @@
     /// Checks whether the experiment can be run.
     ///
     /// # Errors
-    /// A message for people that names the key or step at fault.
-    pub fn check(&self) -> Result<(), String> {
+    /// The key or step at fault.
+    pub fn check(&self) -> Result<(), InvalidExperiment> {
         if !MEMBER_COUNTS.contains(&self.members) {
-            return Err(format!("members: {}, 2 to 2000 can be played", self.members));
+            return Err(InvalidExperiment::MemberCount(self.members));
         }
         if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
-            return Err(format!("seconds: {}, a week at most", self.seconds));
+            return Err(InvalidExperiment::Duration(self.seconds));
         }
         if !self.network.is_valid() {
-            return Err("net: shares lie between 0 and 1".to_owned());
+            return Err(InvalidExperiment::NetworkFaults);
         }
         for (index, step) in self.steps.iter().enumerate() {
-            if let Some(fault) = self.step_fault(step) {
-                return Err(format!("step {} ({} at {}): {fault}", index + 1, step.action, step.at));
-            }
+            self.check_step(step).map_err(|source| InvalidExperiment::Step {
+                number: index + 1,
+                action: step.action,
+                at: step.at,
+                source,
+            })?;
         }
         Ok(())
     }
 
-    fn step_fault(&self, step: &Step) -> Option<&'static str> {
+    fn check_step(&self, step: &Step) -> Result<(), InvalidStep> {
         let needs_members = !matches!(step.action, Action::Heal | Action::SetNetwork);
         let is_partition = matches!(step.action, Action::Partition | Action::PartitionOneWay);
         if !(0.0..=self.seconds).contains(&step.at) {
-            return Some("it lies outside of what is played");
+            return Err(InvalidStep::OutsideExperiment);
         }
         if needs_members != step.members.is_some() || is_partition != step.to.is_some() {
-            return Some(
-                "`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere",
-            );
+            return Err(InvalidStep::Members);
         }
         if (step.action == Action::Pause) != step.seconds.is_some() {
-            return Some("`seconds` is the length of a pause");
+            return Err(InvalidStep::PauseLength);
         }
         let has_network = step.network.is_some_and(|network| network.is_valid());
         if (step.action == Action::SetNetwork) != has_network {
-            return Some("`net` is the network of a `net` step, in shares between 0 and 1");
+            return Err(InvalidStep::NetworkFaults);
         }
         if step.every.is_some_and(|every| every.is_nan() || every < MIN_REPEAT_SECONDS) {
-            return Some("`every`: 0.05 s at least");
+            return Err(InvalidStep::RepeatInterval);
         }
         let mut ids = [&step.members, &step.to].into_iter().flatten().flat_map(MemberSet::ids);
-        ids.any(|id| id >= self.members).then_some("there is no such member")
+        if ids.any(|id| id >= self.members) {
+            return Err(InvalidStep::UnknownMember);
+        }
+        Ok(())
     }
 }
 
--- a/src/simulation/experiment/tests.rs
+++ b/src/simulation/experiment/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_fault_is_named_by_line_key_or_step() {
-    let parse = |text: &str| Experiment::parse(text).expect_err("faulty");
+    let parse = |text: &str| Experiment::parse(text).expect_err("faulty").to_string();
     let head = "title = \"t\"\nmembers = 5\nseconds = 10.0\n";
     assert!(parse("title = \"t\"\nmember = 5\n").contains("line 2"));
     assert!(parse("title = \"t\"\nmembers = 1\nseconds = 1.0").starts_with("members: 1"));
