--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -2,10 +2,13 @@
 //!
 //! The files' keys are an outer form and stay; fields with other names keep them by `serde(rename)`.
 
+mod step;
+
+pub use step::{Action, InvalidStep, MemberSet, Step};
+
 use super::network::NetworkFaults;
 use crate::membership::Timing;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::time::Duration;
@@ -14,8 +17,6 @@
 const MEMBER_COUNTS: RangeInclusive<usize> = 2..=2000;
 /// The longest experiment, in seconds: a week.
 const MAX_SECONDS: f64 = 604_800.0;
-/// The shortest interval of a repeated step, in seconds.
-const MIN_REPEAT_SECONDS: f64 = 0.05;
 
 /// Why a file is not an experiment.
 #[derive(Debug, thiserror::Error)]
@@ -71,29 +72,6 @@
     },
 }
 
-/// Why a step of an experiment cannot be taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum InvalidStep {
-    /// It comes before the start or after the end.
-    #[error("it lies outside of what is played")]
-    OutsideExperiment,
-    /// It lacks the members that its action needs, or names members that its action does not need.
-    #[error("`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere")]
-    Members,
-    /// A pause has no length, or another action has one.
-    #[error("`seconds` is the length of a pause")]
-    PauseLength,
-    /// A change of the network has no valid faults, or another action has some.
-    #[error("`net` is the network of a `net` step, in shares between 0 and 1")]
-    NetworkFaults,
-    /// It repeats too fast.
-    #[error("`every`: {MIN_REPEAT_SECONDS} s at least")]
-    RepeatInterval,
-    /// A member that it names does not exist.
-    #[error("there is no such member")]
-    UnknownMember,
-}
-
 /// An experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -134,100 +112,6 @@
     500
 }
 
-/// Members, by number: `[3, 4]`, or `{ from = 0, to = 9 }` (the last one included).
-#[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(untagged)]
-pub enum MemberSet {
-    /// These members.
-    List(Vec<usize>),
-    /// A range of members.
-    Range {
-        /// The first.
-        from: usize,
-        /// The last.
-        to: usize,
-    },
-}
-
-impl MemberSet {
-    /// The members' numbers.
-    #[must_use]
-    pub fn ids(&self) -> Vec<usize> {
-        match self {
-            MemberSet::List(ids) => ids.clone(),
-            MemberSet::Range { from, to } => (*from..=*to).collect(),
-        }
-    }
-}
-
-/// A step: an action at a time.
-#[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Step {
-    /// The time, in seconds from the start.
-    pub at: f64,
-    /// The interval in seconds at which the step repeats, if it does.
-    pub every: Option<f64>,
-    /// The action.
-    #[serde(rename = "do")]
-    pub action: Action,
-    /// The members that the action is applied to; of a partition, the senders.
-    #[serde(rename = "who")]
-    pub members: Option<MemberSet>,
-    /// Of a partition, the receivers.
-    pub to: Option<MemberSet>,
-    /// Of a pause, the duration in seconds.
-    pub seconds: Option<f64>,
-    /// The network's faults from then on.
-    #[serde(rename = "net")]
-    pub network: Option<NetworkFaults>,
-}
-
-/// What a step does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Action {
-    /// Kills processes.
-    Kill,
-    /// Starts processes where none runs.
-    Start,
-    /// Pauses processes.
-    Pause,
-    /// Ends processes in an orderly way.
-    Leave,
-    /// Ends processes that another process of the same name takes over from.
-    #[serde(rename = "move")]
-    HandOver,
-    /// Lets nothing pass in one direction.
-    #[serde(rename = "cut_one_way")]
-    PartitionOneWay,
-    /// Lets nothing pass in either direction.
-    #[serde(rename = "cut")]
-    Partition,
-    /// Ends all partitions.
-    Heal,
-    /// Changes the network's faults.
-    #[serde(rename = "net")]
-    SetNetwork,
-}
-
-impl fmt::Display for Action {
-    /// Writes the name that the action has in an experiment's file.
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Action::Kill => "kill",
-            Action::Start => "start",
-            Action::Pause => "pause",
-            Action::Leave => "leave",
-            Action::HandOver => "move",
-            Action::PartitionOneWay => "cut_one_way",
-            Action::Partition => "cut",
-            Action::Heal => "heal",
-            Action::SetNetwork => "net",
-        })
-    }
-}
-
 /// What has to hold.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
@@ -296,7 +180,7 @@
             return Err(InvalidExperiment::NetworkFaults);
         }
         for (index, step) in self.steps.iter().enumerate() {
-            self.check_step(step).map_err(|source| InvalidExperiment::Step {
+            step.check(self.members, self.seconds).map_err(|source| InvalidExperiment::Step {
                 number: index + 1,
                 action: step.action,
                 at: step.at,
@@ -305,32 +189,6 @@
         }
         Ok(())
     }
-
-    fn check_step(&self, step: &Step) -> Result<(), InvalidStep> {
-        let needs_members = !matches!(step.action, Action::Heal | Action::SetNetwork);
-        let is_partition = matches!(step.action, Action::Partition | Action::PartitionOneWay);
-        if !(0.0..=self.seconds).contains(&step.at) {
-            return Err(InvalidStep::OutsideExperiment);
-        }
-        if needs_members != step.members.is_some() || is_partition != step.to.is_some() {
-            return Err(InvalidStep::Members);
-        }
-        if (step.action == Action::Pause) != step.seconds.is_some() {
-            return Err(InvalidStep::PauseLength);
-        }
-        let has_network = step.network.is_some_and(|network| network.is_valid());
-        if (step.action == Action::SetNetwork) != has_network {
-            return Err(InvalidStep::NetworkFaults);
-        }
-        if step.every.is_some_and(|every| every.is_nan() || every < MIN_REPEAT_SECONDS) {
-            return Err(InvalidStep::RepeatInterval);
-        }
-        let mut ids = [&step.members, &step.to].into_iter().flatten().flat_map(MemberSet::ids);
-        if ids.any(|id| id >= self.members) {
-            return Err(InvalidStep::UnknownMember);
-        }
-        Ok(())
-    }
 }
 
 #[cfg(test)]
