--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -7,6 +7,7 @@
 use crate::gatherer_settings::{self, DEADLINE_MS, DRAIN_GRACE_MS};
 use crate::monotonic::now_us;
 use crate::process::free_address;
+use crate::runtime;
 use crate::worker_process::WorkerProcess;
 use fastrand::Rng;
 use gatherer::soak::checker::{Observations, Violation, check};
@@ -15,7 +16,7 @@
 use std::process::{Command, ExitCode};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{JoinHandle, LocalSet, spawn_local};
+use tokio::task::{JoinHandle, spawn_local};
 
 /// How often the state of processes is polled.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -50,9 +51,7 @@
 
 /// Runs a soak test and prints which invariants were violated.
 pub fn run(options: &RunOptions) -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let (violations, summary) =
-        LocalSet::new().block_on(&runtime, async { SoakTest::start(options).await.run().await });
+    let (violations, summary) = runtime::block_on(async { SoakTest::start(options).await.run().await });
     println!("{summary}");
     if violations.is_empty() {
         println!("no invariant was violated");
--- a/src/bin/soak-test/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -10,6 +10,7 @@
 mod harness;
 mod monotonic;
 mod process;
+mod runtime;
 mod stand_in_worker;
 mod worker_process;
 
--- a/src/bin/soak-test/stand_in_worker.rs
+++ b/src/bin/soak-test/stand_in_worker.rs
@@ -2,6 +2,7 @@
 //! output, as a line `part RECEIVED_US ID SHARD TIME_LEFT_MS EXECUTED`, which `worker_process` reads.
 
 use crate::monotonic::now_us;
+use crate::runtime;
 use fastrand::Rng;
 use std::io::Write;
 use std::process::ExitCode;
@@ -10,7 +11,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 
 /// The longest frame that it accepts.
 const MAX_FRAME_BYTES: usize = 1 << 20;
@@ -39,8 +40,7 @@
 
 /// Serves until it is killed.
 pub fn serve(seed: u64, listen: &str) -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async {
+    runtime::block_on(async {
         let listener = TcpListener::bind(listen).await.expect("its address is free");
         let mut random = Rng::with_seed(seed);
         loop {
