--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -52,6 +52,22 @@
     }
 }
 
+/// When an event in flight is due. Events that are due at the same time happen in the order of their serial numbers.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedEvent {
+    due: Time,
+    serial: u64,
+}
+
+/// The direction from one member to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Link {
+    /// The sender.
+    pub from: usize,
+    /// The receiver.
+    pub to: usize,
+}
+
 struct Process<P: Peer> {
     /// The running process; none if it is dead.
     node: Option<P>,
@@ -82,8 +98,8 @@
     pub now: Time,
     /// What happens to datagrams.
     pub faults: NetworkFaults,
-    /// Ordered pairs of members, sender first, between which nothing passes.
-    pub partitions: BTreeSet<(usize, usize)>,
+    /// Directions in which nothing passes.
+    pub partitions: BTreeSet<Link>,
     /// Whether a partition refuses connections, as a firewall may, in place of dropping them.
     pub partitions_refuse: bool,
     /// Whether each of the next datagrams is lost; those after them are lost at random.
@@ -93,8 +109,9 @@
     /// What all members sent.
     pub traffic: Traffic,
     processes: Vec<Process<P>>,
-    /// Due times and serial numbers of the events in flight.
-    queue: BinaryHeap<Reverse<(Time, u64)>>,
+    /// The events in flight, the next one first.
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
+    /// The events in flight, by their serial numbers.
     events: HashMap<u64, Event<P::Message>>,
     last_serial: u64,
     start_peer: StartPeer<P>,
@@ -196,8 +213,8 @@
     /// Lets nothing pass from the first members to the second.
     pub fn partition(&mut self, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
         let count = self.processes.len();
-        let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-        self.partitions.extend(pairs.filter(|(a, b)| a != b && from(*a) && to(*b)));
+        let links = (0..count).flat_map(|from| (0..count).map(move |to| Link { from, to }));
+        self.partitions.extend(links.filter(|link| link.from != link.to && from(link.from) && to(link.to)));
     }
 
     /// Lets time pass in steps of 50 ms until `condition` holds; returns how long that took, or none after `timeout`.
@@ -219,22 +236,22 @@
     /// Lets this much time pass.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now.after(duration);
-        while let Some(Reverse((at, serial))) = self.queue.peek().copied()
-            && at <= end
+        while let Some(Reverse(next)) = self.queue.peek().copied()
+            && next.due <= end
         {
             self.queue.pop();
-            self.now = at;
-            if let Some(event) = self.events.remove(&serial) {
+            self.now = next.due;
+            if let Some(event) = self.events.remove(&next.serial) {
                 self.apply(event);
             }
         }
         self.now = end;
     }
 
-    fn schedule(&mut self, at: Time, event: Event<P::Message>) {
+    fn schedule(&mut self, due: Time, event: Event<P::Message>) {
         self.last_serial += 1;
         self.events.insert(self.last_serial, event);
-        self.queue.push(Reverse((at, self.last_serial)));
+        self.queue.push(Reverse(QueuedEvent { due, serial: self.last_serial }));
     }
 
     /// Has an event happen.
@@ -266,7 +283,7 @@
             Event::Table { message, is_reply, from, .. } => {
                 let own = node.table_message();
                 node.receive_table(now, message);
-                if !is_reply && !self.partitions.contains(&(id, from)) {
+                if !is_reply && !self.is_link_partitioned(id, from) {
                     let reply = Event::Table { to: from, from: id, message: own, is_reply: true };
                     self.schedule(now.after(CONNECTION_DELAY), reply);
                 }
@@ -336,7 +353,12 @@
 
     /// Whether a connection between two members cannot come up, as nothing passes one way at least.
     fn is_partitioned(&self, a: usize, b: usize) -> bool {
-        self.partitions.contains(&(a, b)) || self.partitions.contains(&(b, a))
+        self.is_link_partitioned(a, b) || self.is_link_partitioned(b, a)
+    }
+
+    /// Whether nothing passes from a member to another.
+    fn is_link_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitions.contains(&Link { from, to })
     }
 
     fn probe_connection(&mut self, by: usize, to: usize, name: String, start: u64) {
@@ -364,7 +386,7 @@
         self.traffic.bytes += size.bytes as u64;
         self.traffic.updates += size.updates as u64;
         let is_lost = self.scripted_losses.pop_front().unwrap_or(false);
-        if is_lost || self.partitions.contains(&(from, to)) {
+        if is_lost || self.is_link_partitioned(from, to) {
             return;
         }
         for at in self.faults.arrivals(self.now, &mut self.random) {
