--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -2,7 +2,7 @@
 //! connections.
 
 use bytes::BytesMut;
-use gatherer::protocol::http::{self, Response};
+use gatherer::protocol::http::{self, Request, Response};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -62,15 +62,16 @@
 impl DiscoveryAgent {
     /// Starts an agent that has this list.
     pub async fn start(list: &EndpointList) -> Rc<DiscoveryAgent> {
-        let (first, second) = (listen().await, listen().await);
+        let listeners = [listen().await, listen().await];
+        let address = |listener: &TcpListener| listener.local_addr().expect("an address").to_string();
         let agent = Rc::new(DiscoveryAgent {
-            addresses: [first.1, second.1],
+            addresses: listeners.each_ref().map(address),
             current: watch::Sender::new(Revision { number: 1, list: list.clone() }),
             pending: RefCell::default(),
             unresponsive: watch::Sender::new(false),
             resets: watch::Sender::new(0),
         });
-        for listener in [first.0, second.0] {
+        for listener in listeners {
             spawn_local(agent.clone().accept(listener));
         }
         agent
@@ -129,24 +130,8 @@
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut buffer = BytesMut::new();
         loop {
-            let request = loop {
-                match http::take_request(&mut buffer) {
-                    Ok(Some(request)) => break request,
-                    Ok(None) => {}
-                    Err(error) => return Err(std::io::Error::other(error)),
-                }
-                if stream.read_buf(&mut buffer).await? == 0 {
-                    return Ok(());
-                }
-            };
-            let after = request.parameter("index").and_then(|index| index.parse::<u64>().ok());
-            let wait_ms = request.parameter("wait").and_then(|wait| wait.parse().ok()).unwrap_or(0);
-            let mut current = self.current.subscribe();
-            if let Some(after) = after {
-                let newer = current.wait_for(|revision| revision.number > after);
-                // Past its wait it responds with the revision that it has.
-                let _ = tokio::time::timeout(Duration::from_millis(wait_ms), newer).await;
-            }
+            let Some(request) = read_request(&mut stream, &mut buffer).await? else { return Ok(()) };
+            self.wait_for_newer_revision(&request).await;
             let mut unresponsive = self.unresponsive.subscribe();
             // The sender lives as long as the agent.
             let _ = unresponsive.wait_for(|unresponsive| !*unresponsive).await;
@@ -154,10 +139,32 @@
             stream.write_all(&Response::json(200, text).encode(false)).await?;
         }
     }
+
+    /// Waits for a revision after the one that a request names, for as long as the request says.
+    async fn wait_for_newer_revision(&self, request: &Request) {
+        let after = request.parameter("index").and_then(|index| index.parse::<u64>().ok());
+        let wait_ms = request.parameter("wait").and_then(|wait| wait.parse().ok()).unwrap_or(0);
+        let mut current = self.current.subscribe();
+        if let Some(after) = after {
+            let newer = current.wait_for(|revision| revision.number > after);
+            // Past its wait it responds with the revision that it has.
+            let _ = tokio::time::timeout(Duration::from_millis(wait_ms), newer).await;
+        }
+    }
+}
+
+/// Reads a request; none at the end of the connection.
+async fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<Option<Request>> {
+    loop {
+        if let Some(request) = http::take_request(buffer).map_err(std::io::Error::other)? {
+            return Ok(Some(request));
+        }
+        if stream.read_buf(buffer).await? == 0 {
+            return Ok(None);
+        }
+    }
 }
 
-async fn listen() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
-    (listener, address)
+async fn listen() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.expect("a port")
 }
--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -49,9 +49,17 @@
     pub injected: Cell<usize>,
 }
 
+/// What a soak test found.
+struct SoakReport {
+    violations: Vec<Violation>,
+    /// How much was done, for people.
+    summary: String,
+}
+
 /// Runs a soak test and prints which invariants were violated.
 pub fn run(options: &RunOptions) -> ExitCode {
-    let (violations, summary) = runtime::block_on(async { SoakTest::start(options).await.run().await });
+    let SoakReport { violations, summary } =
+        runtime::block_on(async { SoakTest::start(options).await.run().await });
     println!("{summary}");
     if violations.is_empty() {
         println!("no invariant was violated");
@@ -150,7 +158,7 @@
         })
     }
 
-    async fn run(self: Rc<Self>) -> (Vec<Violation>, String) {
+    async fn run(self: Rc<Self>) -> SoakReport {
         let lag = spawn_local(measure_observer_lag(self.observations.clone()));
         for gatherer in &self.gatherers {
             gatherer.in_transition.set(true);
@@ -170,7 +178,7 @@
         restarts.abort();
         self.stop().await;
         lag.abort();
-        (check(&self.observations.borrow()), self.summary())
+        SoakReport { violations: check(&self.observations.borrow()), summary: self.summary() }
     }
 
     fn summary(&self) -> String {
