--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -9,6 +9,7 @@
 use gatherer::soak::checker::{Observations, Request, RequestOutcome, StalledClient};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
+use std::ops::Range;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -23,6 +24,27 @@
 /// The pause of a client that could not connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
+/// The share of turns in which a client stalls in the middle of its request.
+const STALLED_SHARE: f64 = 0.02;
+/// Turns drawn above this end in a long pause.
+const IDLE_ABOVE: f64 = 0.98;
+/// The pause of a client that stays idle, in milliseconds: the gatherer closes some of these connections.
+const IDLE_PAUSE_MS: Range<u64> = 1000..4000;
+/// The pause of any other client, in milliseconds.
+const PAUSE_MS: Range<u64> = 0..60;
+/// The share of turns after which a client closes its connection.
+const CLOSED_SHARE: f64 = 0.2;
+/// The share of requests that are non-idempotent.
+const NON_IDEMPOTENT_SHARE: f64 = 0.3;
+/// The share of requests whose client disconnects before its response.
+const EARLY_DISCONNECT_SHARE: f64 = 0.06;
+/// When such a client disconnects, in milliseconds after its request.
+const EARLY_DISCONNECT_MS: Range<u64> = 2..60;
+/// The share of requests that are written in two pieces.
+const SPLIT_SHARE: f64 = 0.05;
+/// The time between these pieces, in milliseconds.
+const SPLIT_PAUSE_MS: Range<u64> = 1..300;
+
 /// A gatherer as the front layer sees it.
 pub struct GathererEndpoint {
     /// Where clients connect.
@@ -56,10 +78,14 @@
     pub responses: ResponseCounts,
 }
 
+/// A client's connection to a gatherer.
 struct Connection {
     stream: TcpStream,
+    /// Received bytes of responses that are not complete yet.
     buffer: BytesMut,
+    /// The number of the process that accepted it, as far as is known.
     process: usize,
+    /// Requests that were sent on it.
     requests: u64,
 }
 
@@ -70,7 +96,9 @@
     budget_ms: u64,
 }
 
+/// The idempotent class.
 const SEARCH: ClientClass = ClientClass { name: "search", non_idempotent: false, budget_ms: 2500 };
+/// The non-idempotent class.
 const SEAL: ClientClass = ClientClass { name: "seal", non_idempotent: true, budget_ms: 2500 };
 
 /// A request's bytes, and the shards whose parts it consists of.
@@ -94,15 +122,14 @@
             },
         };
         let behaviour = random.f64();
-        if behaviour < 0.02 {
+        if behaviour < STALLED_SHARE {
             stall_mid_request(&context, open, &mut random).await;
             continue;
         }
         connection = send_request(&context, open, &mut random).await;
-        // Some stay idle until the gatherer closes their connection.
-        let pause = if behaviour > 0.98 { random.u64(1000..4000) } else { random.u64(0..60) };
-        tokio::time::sleep(Duration::from_millis(pause)).await;
-        if random.f64() < 0.2 {
+        let pause_ms = random.u64(if behaviour > IDLE_ABOVE { IDLE_PAUSE_MS } else { PAUSE_MS });
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        if random.f64() < CLOSED_SHARE {
             connection = None;
         }
     }
@@ -136,7 +163,7 @@
 
 /// Sends a request and waits for its end; returns the connection if it can be used again.
 async fn send_request(context: &ClientContext, mut open: Connection, random: &mut Rng) -> Option<Connection> {
-    let class = if random.f64() < 0.3 { SEAL } else { SEARCH };
+    let class = if random.f64() < NON_IDEMPOTENT_SHARE { SEAL } else { SEARCH };
     let id = format!("{:016x}", random.u64(..));
     let request = encode_request(&id, &class, random);
     if !write_request(&mut open, &request.bytes, random).await {
@@ -144,9 +171,9 @@
         return None;
     }
     let sent_at = now_us();
-    let disconnects_early = random.f64() < 0.06;
+    let disconnects_early = random.f64() < EARLY_DISCONNECT_SHARE;
     let wait = if disconnects_early {
-        Duration::from_millis(random.u64(2..60))
+        Duration::from_millis(random.u64(EARLY_DISCONNECT_MS))
     } else {
         Duration::from_millis(class.budget_ms) + EXTRA_WAIT
     };
@@ -176,14 +203,14 @@
 
 /// Writes a request, sometimes slowly; whether its last byte was written.
 async fn write_request(open: &mut Connection, bytes: &[u8], random: &mut Rng) -> bool {
-    let cut = if random.f64() < 0.05 { random.usize(1..bytes.len()) } else { 0 };
-    if cut > 0 {
-        if open.stream.write_all(&bytes[..cut]).await.is_err() {
+    let split_at = if random.f64() < SPLIT_SHARE { random.usize(1..bytes.len()) } else { 0 };
+    if split_at > 0 {
+        if open.stream.write_all(&bytes[..split_at]).await.is_err() {
             return false;
         }
-        tokio::time::sleep(Duration::from_millis(random.u64(1..300))).await;
+        tokio::time::sleep(Duration::from_millis(random.u64(SPLIT_PAUSE_MS))).await;
     }
-    open.stream.write_all(&bytes[cut..]).await.is_ok()
+    open.stream.write_all(&bytes[split_at..]).await.is_ok()
 }
 
 async fn read_response(open: &mut Connection) -> std::io::Result<ReceivedResponse> {
@@ -231,8 +258,8 @@
 /// Sends the beginning of a request, and keeps the connection open.
 async fn stall_mid_request(context: &ClientContext, mut open: Connection, random: &mut Rng) {
     let request = encode_request("stopped", &SEARCH, random);
-    let cut = random.usize(1..request.bytes.len() - 1);
-    if open.stream.write_all(&request.bytes[..cut]).await.is_err() {
+    let split_at = random.usize(1..request.bytes.len() - 1);
+    if open.stream.write_all(&request.bytes[..split_at]).await.is_err() {
         return;
     }
     let stalled_at = now_us();
--- a/src/bin/soak-test/stand_in_worker.rs
+++ b/src/bin/soak-test/stand_in_worker.rs
@@ -5,6 +5,7 @@
 use crate::runtime;
 use fastrand::Rng;
 use std::io::Write;
+use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,12 +20,18 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The share of parts that it rejects.
 const REJECTED_SHARE: f64 = 0.02;
-/// The share of parts that it rejects or fails.
-const UNSERVED_SHARE: f64 = 0.04;
+/// The share of parts that it fails.
+const FAILED_SHARE: f64 = 0.02;
 /// Parts drawn above this reset the connection.
 const RESET_ABOVE: f64 = 0.995;
+/// How long it takes to serve a part, in microseconds.
+const SERVICE_US: Range<u64> = 1000..12_000;
+/// The first byte of a frame that holds a call.
+const CALL_FRAME: u8 = b'm';
 /// The share of responses that it writes in two pieces.
 const SPLIT_SHARE: f64 = 0.02;
+/// The time between these pieces.
+const SPLIT_PAUSE: Duration = Duration::from_millis(2);
 
 /// The value that a worker makes of a part. Clients check it.
 pub fn value(id: &str) -> String {
@@ -38,6 +45,30 @@
     time_left_ms: u64,
 }
 
+/// What a worker does with a part.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Behaviour {
+    /// It does not execute the part.
+    Reject,
+    /// It executes the part, and reports a failure.
+    Fail,
+    /// It executes the part, and responds with its value.
+    Serve,
+    /// It executes the part, and ends the connection while calls are in flight.
+    Reset,
+}
+
+impl Behaviour {
+    fn draw(random: &mut Rng) -> Behaviour {
+        match random.f64() {
+            drawn if drawn < REJECTED_SHARE => Behaviour::Reject,
+            drawn if drawn < REJECTED_SHARE + FAILED_SHARE => Behaviour::Fail,
+            drawn if drawn > RESET_ABOVE => Behaviour::Reset,
+            _ => Behaviour::Serve,
+        }
+    }
+}
+
 /// Serves until it is killed.
 pub fn serve(seed: u64, listen: &str) -> ExitCode {
     runtime::block_on(async {
@@ -65,34 +96,37 @@
         let Ok(frame) = tokio::time::timeout(idle, read_frame(&mut read)).await else { return Ok(()) };
         let frame = frame?;
         let received_at = now_us();
-        if frame.first() != Some(&b'm') {
+        if frame.first() != Some(&CALL_FRAME) {
             continue;
         }
         for part in parse_parts(&frame[1..]) {
-            let fate = random.f64();
-            report_part(received_at, &part, fate >= REJECTED_SHARE);
-            if fate > RESET_ABOVE {
-                // The connection is reset while the request is in flight.
+            let behaviour = Behaviour::draw(&mut random);
+            report_part(received_at, &part, behaviour != Behaviour::Reject);
+            if behaviour == Behaviour::Reset {
                 return Ok(());
             }
-            let service = Duration::from_micros(random.u64(1000..12_000));
-            let result = match fate {
-                fate if fate < REJECTED_SHARE => "later",
-                fate if fate < UNSERVED_SHARE => "bad",
-                _ => "good",
-            };
+            let service = Duration::from_micros(random.u64(SERVICE_US));
+            let response = encode_response(&part.id, behaviour, service);
             let responses = responses.clone();
             spawn_local(async move {
                 tokio::time::sleep(service).await;
-                let value = if result == "good" { value(&part.id) } else { String::new() };
-                let text = format!("q{} {result} {} util=0.1,queue=0\n{value}", part.id, service.as_micros());
                 // The connection may have ended.
-                let _ = responses.send(text);
+                let _ = responses.send(response);
             });
         }
     }
 }
 
+/// The response to a part, in the words of the wire between gatherers and workers.
+fn encode_response(id: &str, behaviour: Behaviour, service: Duration) -> String {
+    let (result, value) = match behaviour {
+        Behaviour::Reject => ("later", String::new()),
+        Behaviour::Fail => ("bad", String::new()),
+        Behaviour::Serve | Behaviour::Reset => ("good", value(id)),
+    };
+    format!("q{id} {result} {} util=0.1,queue=0\n{value}", service.as_micros())
+}
+
 async fn read_frame(read: &mut OwnedReadHalf) -> std::io::Result<Vec<u8>> {
     let length = read.read_u32_le().await? as usize;
     if length > MAX_FRAME_BYTES {
@@ -142,11 +176,10 @@
         let mut bytes = (text.len() as u32).to_le_bytes().to_vec();
         bytes.extend_from_slice(text.as_bytes());
         if random.f64() < SPLIT_SHARE {
-            // In two pieces, cut anywhere.
-            let cut = random.usize(1..bytes.len());
-            write.write_all(&bytes[..cut]).await?;
-            tokio::time::sleep(Duration::from_millis(2)).await;
-            write.write_all(&bytes[cut..]).await?;
+            let split_at = random.usize(1..bytes.len());
+            write.write_all(&bytes[..split_at]).await?;
+            tokio::time::sleep(SPLIT_PAUSE).await;
+            write.write_all(&bytes[split_at..]).await?;
         } else {
             write.write_all(&bytes).await?;
         }
