--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,123 +1,21 @@
-//! The text of the simulator's wire: it reads fields, settings, events and endpoints, and writes actions. The
-//! words of the wire are the simulator's and stay as they are, whatever the Rust names say.
+//! The messages of the simulator's wire: it reads settings, events and endpoints, and writes actions. The words of the
+//! wire are the simulator's and stay as they are, whatever the Rust names say.
 
+use crate::error::{FieldProblem, LineError};
+use crate::fields::Fields;
 use gatherer::policy::{
-    Action, AttemptNo, AttemptOutcome, AttemptResult, CellId, ClassId, Endpoint, EndpointStatus,
-    EndpointUpdate, Event, JobId, LoadReport, NewPart, NewQuery, RequestId, Settings, ShardId, TenantId,
-    Time, TimerId, WorkerId, ZoneId,
+    Action, AttemptNo, AttemptResult, CellId, ClassId, Endpoint, EndpointStatus, EndpointUpdate, Event,
+    JobId, NewPart, NewQuery, Settings, ShardId, TenantId, TimerId, WorkerId, ZoneId,
 };
 use gatherer::program::settings::FlatSettings;
 use std::fmt::Write;
-use std::str::FromStr;
 use std::sync::Arc;
-use std::time::Duration;
-
-/// The values of one line, read in order. Errors name the message and the field.
-pub struct Fields<'a> {
-    message: &'a str,
-    rest: Option<&'a str>,
-}
-
-impl<'a> Fields<'a> {
-    pub fn new(line: &'a str) -> Self {
-        match line.split_once(' ') {
-            Some((message, rest)) => Fields { message, rest: Some(rest) },
-            None => Fields { message: line, rest: None },
-        }
-    }
-    pub fn message(&self) -> &'a str {
-        self.message
-    }
-    pub fn error(&self, field: &str, problem: &str) -> String {
-        format!("{}: {field}: {problem}", self.message)
-    }
-    pub fn text(&mut self) -> &'a str {
-        self.rest.take().unwrap_or("")
-    }
-    fn raw(&mut self, field: &str) -> Result<&'a str, String> {
-        let rest = self.rest.take().ok_or_else(|| self.error(field, "missing"))?;
-        let (value, rest) = match rest.split_once(' ') {
-            Some((value, rest)) => (value, Some(rest)),
-            None => (rest, None),
-        };
-        self.rest = rest;
-        if value.is_empty() { Err(self.error(field, "empty")) } else { Ok(value) }
-    }
-    pub fn optional<T: FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
-        match self.raw(field)? {
-            "-" => Ok(None),
-            value => value.parse().map(Some).map_err(|_| self.error(field, &format!("bad value {value:?}"))),
-        }
-    }
-    pub fn required<T: FromStr>(&mut self, field: &str) -> Result<T, String> {
-        self.optional(field)?.ok_or_else(|| self.error(field, "absent"))
-    }
-    fn number(&mut self, field: &str) -> Result<Option<f64>, String> {
-        match self.optional::<f64>(field)? {
-            Some(value) if !value.is_finite() => Err(self.error(field, "not a finite number")),
-            value => Ok(value),
-        }
-    }
-    fn flag(&mut self, field: &str) -> Result<bool, String> {
-        match self.raw(field)? {
-            "1" => Ok(true),
-            "0" | "-" => Ok(false),
-            value => Err(self.error(field, &format!("bad value {value:?}"))),
-        }
-    }
-    fn time(&mut self, field: &str) -> Result<Option<Time>, String> {
-        Ok(self.optional::<i64>(field)?.map(|time| Time(u64::try_from(time).unwrap_or(0))))
-    }
-    fn span(&mut self, field: &str) -> Result<Option<Duration>, String> {
-        Ok(self.optional::<i64>(field)?.map(|span| Duration::from_nanos(u64::try_from(span).unwrap_or(0))))
-    }
-    fn request(&mut self, field: &str) -> Result<RequestId, String> {
-        let value = self.raw(field)?;
-        let hex = value.len() == 16 && value.bytes().all(|byte| byte.is_ascii_hexdigit());
-        u64::from_str_radix(value, 16)
-            .ok()
-            .filter(|_| hex)
-            .map(RequestId)
-            .ok_or_else(|| self.error(field, &format!("bad id {value:?}")))
-    }
-    fn outcome(&mut self, field: &str) -> Result<AttemptOutcome, String> {
-        Ok(match self.raw(field)? {
-            "done" => AttemptOutcome::Succeeded,
-            "err" => AttemptOutcome::Failed,
-            "busy" => AttemptOutcome::Rejected,
-            "etimedout" => AttemptOutcome::TimedOut,
-            "econnrefused" => AttemptOutcome::ConnectFailed,
-            "econnreset" => AttemptOutcome::ConnectionReset,
-            "ecanceled" => AttemptOutcome::Cancelled,
-            "skipped" => AttemptOutcome::NotSent,
-            other => return Err(self.error(field, &format!("unknown outcome {other:?}"))),
-        })
-    }
-    fn report(&mut self, field: &str) -> Result<Option<LoadReport>, String> {
-        let value = self.raw(field)?;
-        if value == "-" {
-            return Ok(None);
-        }
-        let parse = |item: &str| match item {
-            "-" | "" => Ok(None),
-            item => item.parse::<f64>().map(Some),
-        };
-        let row: Result<LoadReport, _> = value.split(',').map(parse).collect();
-        row.map(Some).map_err(|_| self.error(field, &format!("bad report {value:?}")))
-    }
-    pub fn end(&mut self) -> Result<(), String> {
-        match self.rest {
-            None => Ok(()),
-            Some(rest) => Err(self.error("end of line", &format!("unexpected {rest:?}"))),
-        }
-    }
-}
 
 /// Reads an endpoint (an `m` line).
-pub fn endpoint(line: &str) -> Result<Endpoint, String> {
+pub fn read_endpoint(line: &str) -> Result<Endpoint, LineError> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
-        return Err(format!("{}: expected a list entry", fields.message()));
+        return Err(LineError::NotAnEndpoint(fields.message().to_owned()));
     }
     let worker = WorkerId(fields.required("leaf")?);
     let zone = ZoneId(fields.optional("area")?.unwrap_or(0));
@@ -127,7 +25,10 @@
         "active" => EndpointStatus::Active,
         "leaving" => EndpointStatus::Draining,
         "left" => EndpointStatus::Gone,
-        other => return Err(fields.error("status", &format!("unknown status {other:?}"))),
+        other => {
+            let problem = FieldProblem::UnknownStatus(other.to_owned());
+            return Err(fields.error("status", problem).into());
+        }
     };
     let units = fields.number("units")?.unwrap_or(1.0);
     let started_at = fields.time("online-since")?.filter(|at| at.0 > 0);
@@ -135,71 +36,102 @@
     Ok(Endpoint { worker, zone, cell, status, units, started_at })
 }
 
-/// Reads an event of one instance, after its message name; the caller resolves numbers of endpoint lists.
-/// `None` for a message that the module does not use.
-pub fn event(
+/// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their numbers. `None` for
+/// a message that the decision module does not use.
+pub fn read_event(
     fields: &mut Fields<'_>,
-    list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
-) -> Result<Option<Event>, String> {
+    find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
+) -> Result<Option<Event>, LineError> {
     let event = match fields.message() {
-        "registry" => {
-            let how = fields.raw("how")?;
-            let _version: Option<i64> = fields.optional("gen")?;
-            let number: Option<usize> = fields.optional("roster-id")?;
-            let endpoints = |fields: &Fields<'_>| {
-                number.and_then(&list).ok_or_else(|| fields.error("roster-id", "no such list"))
-            };
-            Some(Event::EndpointUpdate(match how {
-                "D" => EndpointUpdate::Delta(endpoints(fields)?),
-                "F" => EndpointUpdate::Full(endpoints(fields)?),
-                "C" => EndpointUpdate::Cached(endpoints(fields)?),
-                "X" => EndpointUpdate::Failed,
-                other => return Err(fields.error("how", &format!("unknown kind {other:?}"))),
-            }))
-        }
-        "submit" => Some(submit(fields)?),
-        "established" => {
-            let id = fields.request("corr")?;
-            let attempt = AttemptNo(fields.required("shot")?);
-            let _worker: u32 = fields.required("leaf")?;
-            let _elapsed = fields.span("cost-time")?;
-            Some(Event::StreamingStarted { id, attempt })
-        }
-        "completed" => Some(Event::AttemptFinished(AttemptResult {
-            id: fields.request("corr")?,
-            attempt: AttemptNo(fields.required("shot")?),
-            worker: WorkerId(fields.required("leaf")?),
-            outcome: fields.outcome("disposition")?,
-            elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            part_finished: fields.flag("ended")?,
-            load_report: fields.report("report")?,
-        })),
-        "client_left" => Some(Event::ClientDisconnected { id: fields.request("corr")? }),
+        "registry" => Some(Event::EndpointUpdate(read_endpoint_update(fields, find_list)?)),
+        "submit" => Some(read_query_or_part(fields)?),
+        "established" => Some(read_streaming_started(fields)?),
+        "completed" => Some(Event::AttemptFinished(read_attempt_result(fields)?)),
+        "client_left" => Some(Event::ClientDisconnected { id: fields.request_id("corr")? }),
         "due" => Some(Event::TimerFired { timer: TimerId(fields.required("handle")?) }),
-        "ping_result" => Some(Event::HealthCheckFinished {
-            worker: WorkerId(fields.required("leaf")?),
-            outcome: fields.outcome("disposition")?,
-            elapsed: fields.span("cost-time")?.unwrap_or_default(),
-            load_report: fields.report("report")?,
-        }),
+        "ping_result" => Some(read_health_check_finished(fields)?),
         "message" => {
-            let _author: u32 = fields.required("author")?;
-            let _content = fields.raw("content")?;
+            skip_instance_message(fields)?;
             None
         }
-        other => return Err(format!("unknown message {other:?}")),
+        other => return Err(LineError::UnknownMessage(other.to_owned())),
     };
     fields.end()?;
     Ok(event)
 }
 
-fn submit(fields: &mut Fields<'_>) -> Result<Event, String> {
-    let id = fields.request("corr")?;
+/// Reads the rest of a `registry` message: the result of a poll of the endpoint list.
+fn read_endpoint_update(
+    fields: &mut Fields<'_>,
+    find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
+) -> Result<EndpointUpdate, LineError> {
+    let kind = fields.raw("how")?;
+    let _version: Option<i64> = fields.optional("gen")?;
+    let number: Option<usize> = fields.optional("roster-id")?;
+    let find_endpoints = || {
+        let endpoints = number.and_then(find_list);
+        endpoints.ok_or_else(|| fields.error("roster-id", FieldProblem::UnknownList))
+    };
+    Ok(match kind {
+        "D" => EndpointUpdate::Delta(find_endpoints()?),
+        "F" => EndpointUpdate::Full(find_endpoints()?),
+        "C" => EndpointUpdate::Cached(find_endpoints()?),
+        "X" => EndpointUpdate::Failed,
+        other => {
+            let problem = FieldProblem::UnknownUpdateKind(other.to_owned());
+            return Err(fields.error("how", problem).into());
+        }
+    })
+}
+
+/// Reads the rest of an `established` message: the worker has begun to send its response.
+fn read_streaming_started(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    let id = fields.request_id("corr")?;
+    let attempt = AttemptNo(fields.required("shot")?);
+    let _worker: u32 = fields.required("leaf")?;
+    let _elapsed = fields.duration("cost-time")?;
+    Ok(Event::StreamingStarted { id, attempt })
+}
+
+/// Reads the rest of a `completed` message: an attempt has finished.
+fn read_attempt_result(fields: &mut Fields<'_>) -> Result<AttemptResult, LineError> {
+    Ok(AttemptResult {
+        id: fields.request_id("corr")?,
+        attempt: AttemptNo(fields.required("shot")?),
+        worker: WorkerId(fields.required("leaf")?),
+        outcome: fields.outcome("disposition")?,
+        elapsed: fields.duration("cost-time")?.unwrap_or_default(),
+        part_finished: fields.flag("ended")?,
+        load_report: fields.load_report("report")?,
+    })
+}
+
+/// Reads the rest of a `ping_result` message: a health check has finished.
+fn read_health_check_finished(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    Ok(Event::HealthCheckFinished {
+        worker: WorkerId(fields.required("leaf")?),
+        outcome: fields.outcome("disposition")?,
+        elapsed: fields.duration("cost-time")?.unwrap_or_default(),
+        load_report: fields.load_report("report")?,
+    })
+}
+
+/// Reads past the rest of a `message` message: the text of another instance, which the decision module does not use.
+fn skip_instance_message(fields: &mut Fields<'_>) -> Result<(), LineError> {
+    let _author: u32 = fields.required("author")?;
+    let _content = fields.raw("content")?;
+    Ok(())
+}
+
+/// Reads the rest of a `submit` message: a part of a query where it names a shard, else a whole query.
+fn read_query_or_part(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+    let id = fields.request_id("corr")?;
     let class = ClassId(fields.required("lane")?);
     let tenant = fields.optional("realm")?.map(TenantId);
     let key: Option<String> = fields.optional("name-key")?;
-    let valid_until = fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", "absent"))?;
-    let cost_hint = fields.span("size-hint")?;
+    let valid_until =
+        fields.time("valid-until")?.ok_or_else(|| fields.error("valid-until", FieldProblem::Absent))?;
+    let cost_hint = fields.duration("size-hint")?;
     let job = JobId(fields.required("job-no")?);
     let shard: f64 = fields.number("range-no")?.unwrap_or(-1.0);
     let weight = fields.number("measure")?.unwrap_or(0.0);
@@ -214,14 +146,15 @@
 }
 
 /// Reads the `start` message, after its name.
-pub fn start(fields: &mut Fields<'_>) -> Result<Settings, String> {
+pub fn read_settings(fields: &mut Fields<'_>) -> Result<Settings, LineError> {
     let seed: i128 = fields.required("entropy")?;
-    let contracts = FlatSettings::from_text(fields.text()).and_then(|pairs| pairs.contracts(seed as u64));
-    contracts.map(|contracts| contracts.settings).map_err(|fault| format!("start: env: {fault}"))
+    let contracts =
+        FlatSettings::from_text(fields.remaining_text()).and_then(|pairs| pairs.contracts(seed as u64));
+    Ok(contracts?.settings)
 }
 
 /// Writes one action as a line.
-pub fn action(action: &Action, out: &mut String) {
+pub fn write_action(action: &Action, out: &mut String) {
     let written = match action {
         Action::Send { id, worker, timeout } => {
             writeln!(out, "issue {:016x} {} {}", id.0, worker.0, timeout.as_nanos())
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,6 +1,8 @@
 //! Batches and instances: sorts a batch's events by instance, runs a step of each, and writes the reply.
 
-use crate::codec::{self, Fields};
+use crate::codec;
+use crate::error::LineError;
+use crate::fields::Fields;
 use gatherer::Aggregator;
 use gatherer::policy::{Endpoint, Event, Time};
 use std::collections::BTreeMap;
@@ -37,72 +39,100 @@
 
 impl Host {
     /// Reads one line; true when a batch is complete and `reply` holds its reply.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
+    pub fn read_line(&mut self, line: &str, reply: &mut String) -> Result<bool, LineError> {
         if let Some(mut list) = self.partial_list.take() {
-            list.endpoints.push(codec::endpoint(line)?);
+            list.endpoints.push(codec::read_endpoint(line)?);
             self.add_list(list);
             return Ok(false);
         }
         let mut fields = Fields::new(line);
         let Some(now) = self.batch_time else {
-            if fields.message() != "turn" {
-                return Err(format!("expected \"turn\", got {:?}", fields.message()));
-            }
-            self.batch_time = Some(Time(fields.required("now")?));
-            self.addressee = None;
-            fields.end()?;
+            self.begin_batch(&mut fields)?;
             return Ok(false);
         };
         match fields.message() {
             "end" => {
                 fields.end()?;
                 self.batch_time = None;
-                self.reply(now, reply);
+                self.write_reply(now, reply);
                 return Ok(true);
             }
             "to" => {
                 self.addressee = Some(fields.required("who")?);
                 fields.end()?;
             }
-            "list" => {
-                let number = fields.required("roster-id")?;
-                let length: usize = fields.required("elements")?;
-                fields.end()?;
-                self.add_list(PartialList { number, length, endpoints: Vec::new() });
-            }
-            "start" => {
-                let who = self.addressee.ok_or("start: no instance named")?;
-                let aggregator = Aggregator::new(codec::start(&mut fields)?);
-                self.instances.insert(who, Instance { aggregator, events: Vec::new(), touched: true });
-            }
-            "power_off" => {
-                fields.end()?;
-                let who = self.addressee.ok_or("power_off: no instance named")?;
-                if self.instances.remove(&who).is_none() {
-                    return Err(format!("power_off: who: instance {who} was never started"));
-                }
-            }
-            _ => {
-                let event = codec::event(&mut fields, |number| self.lists.get(&number).cloned())?;
-                let who = self.addressee.ok_or_else(|| format!("{}: no instance named", fields.message()))?;
-                let Some(instance) = self.instances.get_mut(&who) else {
-                    return Err(fields.error("who", &format!("instance {who} was never started")));
-                };
-                instance.touched = true;
-                instance.events.extend(event);
-            }
+            "list" => self.begin_list(&mut fields)?,
+            "start" => self.start_instance(&mut fields)?,
+            "power_off" => self.stop_instance(&mut fields)?,
+            _ => self.add_event(&mut fields)?,
         }
         Ok(false)
     }
 
+    /// Reads the line outside of batches, which has to begin one.
+    fn begin_batch(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        if fields.message() != "turn" {
+            return Err(LineError::OutsideBatch(fields.message().to_owned()));
+        }
+        self.batch_time = Some(Time(fields.required("now")?));
+        self.addressee = None;
+        fields.end()?;
+        Ok(())
+    }
+
+    /// Reads the head of an endpoint list; its entries are the next lines.
+    fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let number = fields.required("roster-id")?;
+        let length: usize = fields.required("elements")?;
+        fields.end()?;
+        self.add_list(PartialList { number, length, endpoints: Vec::new() });
+        Ok(())
+    }
+
+    /// Starts the addressed instance, or starts it anew.
+    fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let instance = self.addressee(fields)?;
+        let aggregator = Aggregator::new(codec::read_settings(fields)?);
+        self.instances.insert(instance, Instance { aggregator, events: Vec::new(), touched: true });
+        Ok(())
+    }
+
+    /// Ends the addressed instance; it takes no step in this batch.
+    fn stop_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        fields.end()?;
+        let instance = self.addressee(fields)?;
+        match self.instances.remove(&instance) {
+            Some(_) => Ok(()),
+            None => Err(unknown_instance(fields, instance)),
+        }
+    }
+
+    /// Reads an event, which the addressed instance gets at the end of the batch.
+    fn add_event(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
+        let event = codec::read_event(fields, |number| self.lists.get(&number).cloned())?;
+        let addressee = self.addressee(fields)?;
+        let Some(instance) = self.instances.get_mut(&addressee) else {
+            return Err(unknown_instance(fields, addressee));
+        };
+        instance.touched = true;
+        instance.events.extend(event);
+        Ok(())
+    }
+
+    /// The instance that the batch has named last.
+    fn addressee(&self, fields: &Fields<'_>) -> Result<u32, LineError> {
+        self.addressee.ok_or_else(|| LineError::NoInstanceNamed { message: fields.message().to_owned() })
+    }
+
     /// At the end of input: an error if a batch is cut off.
-    pub fn finish(&self) -> Result<(), String> {
+    pub fn finish(&self) -> Result<(), LineError> {
         match self.batch_time {
             None => Ok(()),
-            Some(_) => Err("input ends inside a batch".to_owned()),
+            Some(_) => Err(LineError::UnfinishedBatch),
         }
     }
 
+    /// Keeps a list that is complete; waits for the next entry of one that is not.
     fn add_list(&mut self, list: PartialList) {
         if list.endpoints.len() == list.length {
             self.lists.insert(list.number, list.endpoints.into());
@@ -111,9 +141,10 @@
         }
     }
 
-    fn reply(&mut self, now: Time, reply: &mut String) {
+    /// Runs a step of each instance that the batch has named, and writes their actions.
+    fn write_reply(&mut self, now: Time, reply: &mut String) {
         let mut actions = Vec::new();
-        for (who, instance) in &mut self.instances {
+        for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.touched) {
                 continue;
             }
@@ -122,12 +153,16 @@
             if actions.is_empty() {
                 continue;
             }
-            let written = writeln!(reply, "from {who}");
+            let written = writeln!(reply, "from {number}");
             debug_assert!(written.is_ok(), "writing to a string cannot fail");
             for action in &actions {
-                codec::action(action, reply);
+                codec::write_action(action, reply);
             }
         }
         reply.push_str("done\n");
     }
 }
+
+fn unknown_instance(fields: &Fields<'_>, instance: u32) -> LineError {
+    LineError::UnknownInstance { message: fields.message().to_owned(), instance }
+}
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -2,10 +2,13 @@
 //!
 //! The files' keys are an outer form and stay; fields with other names keep them by `serde(rename)`.
 
+mod step;
+
+pub use step::{Action, InvalidStep, MemberSet, Step};
+
 use super::network::NetworkFaults;
 use crate::membership::Timing;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::time::Duration;
@@ -14,27 +17,58 @@
 const MEMBER_COUNTS: RangeInclusive<usize> = 2..=2000;
 /// The longest experiment, in seconds: a week.
 const MAX_SECONDS: f64 = 604_800.0;
-/// The shortest interval of a repeated step, in seconds.
-const MIN_REPEAT_SECONDS: f64 = 0.05;
 
 /// Why a file is not an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
-    #[error("{path}: {error}")]
+    #[error("{path}: {source}")]
     File {
         /// The file.
         path: String,
         /// The reason.
-        error: std::io::Error,
+        source: std::io::Error,
     },
-    /// The file's form is wrong.
-    #[error("{path}: {error}")]
+    /// The file's text is not an experiment.
+    #[error("{path}: {source}")]
     Form {
         /// The file.
         path: String,
-        /// The fault, with line and key.
-        error: String,
+        /// The fault.
+        source: InvalidExperiment,
+    },
+}
+
+/// Why a text is not an experiment, or an experiment cannot be run.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum InvalidExperiment {
+    /// The text is not in the form; the error names the line and the key.
+    #[error("\n{0}")]
+    Syntax(#[from] toml::de::Error),
+    /// So many members cannot be simulated.
+    #[error(
+        "members: {0}, {least} to {most} can be played",
+        least = MEMBER_COUNTS.start(),
+        most = MEMBER_COUNTS.end()
+    )]
+    MemberCount(usize),
+    /// It cannot last for so many seconds.
+    #[error("seconds: {0}, a week at most")]
+    Duration(f64),
+    /// The network's faults at the start are no shares.
+    #[error("net: shares lie between 0 and 1")]
+    NetworkFaults,
+    /// A step cannot be taken.
+    #[error("step {number} ({action} at {at}): {source}")]
+    Step {
+        /// The step's number in the file, from 1.
+        number: usize,
+        /// What it does.
+        action: Action,
+        /// Its time, in seconds from the start.
+        at: f64,
+        /// What is wrong with it.
+        source: InvalidStep,
     },
 }
 
@@ -78,100 +112,6 @@
     500
 }
 
-/// Members, by number: `[3, 4]`, or `{ from = 0, to = 9 }` (the last one included).
-#[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(untagged)]
-pub enum MemberSet {
-    /// These members.
-    List(Vec<usize>),
-    /// A range of members.
-    Range {
-        /// The first.
-        from: usize,
-        /// The last.
-        to: usize,
-    },
-}
-
-impl MemberSet {
-    /// The members' numbers.
-    #[must_use]
-    pub fn ids(&self) -> Vec<usize> {
-        match self {
-            MemberSet::List(ids) => ids.clone(),
-            MemberSet::Range { from, to } => (*from..=*to).collect(),
-        }
-    }
-}
-
-/// A step: an action at a time.
-#[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct Step {
-    /// The time, in seconds from the start.
-    pub at: f64,
-    /// The interval in seconds at which the step repeats, if it does.
-    pub every: Option<f64>,
-    /// The action.
-    #[serde(rename = "do")]
-    pub action: Action,
-    /// The members that the action is applied to; of a partition, the senders.
-    #[serde(rename = "who")]
-    pub members: Option<MemberSet>,
-    /// Of a partition, the receivers.
-    pub to: Option<MemberSet>,
-    /// Of a pause, the duration in seconds.
-    pub seconds: Option<f64>,
-    /// The network's faults from then on.
-    #[serde(rename = "net")]
-    pub network: Option<NetworkFaults>,
-}
-
-/// What a step does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Action {
-    /// Kills processes.
-    Kill,
-    /// Starts processes where none runs.
-    Start,
-    /// Pauses processes.
-    Pause,
-    /// Ends processes in an orderly way.
-    Leave,
-    /// Ends processes that another process of the same name takes over from.
-    #[serde(rename = "move")]
-    HandOver,
-    /// Lets nothing pass in one direction.
-    #[serde(rename = "cut_one_way")]
-    PartitionOneWay,
-    /// Lets nothing pass in either direction.
-    #[serde(rename = "cut")]
-    Partition,
-    /// Ends all partitions.
-    Heal,
-    /// Changes the network's faults.
-    #[serde(rename = "net")]
-    SetNetwork,
-}
-
-impl fmt::Display for Action {
-    /// Writes the name that the action has in an experiment's file.
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Action::Kill => "kill",
-            Action::Start => "start",
-            Action::Pause => "pause",
-            Action::Leave => "leave",
-            Action::HandOver => "move",
-            Action::PartitionOneWay => "cut_one_way",
-            Action::Partition => "cut",
-            Action::Heal => "heal",
-            Action::SetNetwork => "net",
-        })
-    }
-}
-
 /// What has to hold.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
@@ -199,16 +139,16 @@
     pub fn read(path: &Path) -> Result<Experiment, Error> {
         let name = path.display().to_string();
         let text =
-            std::fs::read_to_string(path).map_err(|error| Error::File { path: name.clone(), error })?;
-        Experiment::parse(&text).map_err(|error| Error::Form { path: name, error })
+            std::fs::read_to_string(path).map_err(|source| Error::File { path: name.clone(), source })?;
+        Experiment::parse(&text).map_err(|source| Error::Form { path: name, source })
     }
 
     /// Reads an experiment's text, and checks it.
     ///
     /// # Errors
-    /// A message for people: the text's fault with line and key, or what [`Experiment::check`] finds.
-    pub fn parse(text: &str) -> Result<Experiment, String> {
-        let experiment: Experiment = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
+    /// The text's fault with line and key, or what [`Experiment::check`] finds.
+    pub fn parse(text: &str) -> Result<Experiment, InvalidExperiment> {
+        let experiment: Experiment = toml::from_str(text)?;
         experiment.check()?;
         Ok(experiment)
     }
@@ -228,49 +168,27 @@
     /// Checks whether the experiment can be run.
     ///
     /// # Errors
-    /// A message for people that names the key or step at fault.
-    pub fn check(&self) -> Result<(), String> {
+    /// The key or step at fault.
+    pub fn check(&self) -> Result<(), InvalidExperiment> {
         if !MEMBER_COUNTS.contains(&self.members) {
-            return Err(format!("members: {}, 2 to 2000 can be played", self.members));
+            return Err(InvalidExperiment::MemberCount(self.members));
         }
         if !(self.seconds > 0.0 && self.seconds <= MAX_SECONDS) {
-            return Err(format!("seconds: {}, a week at most", self.seconds));
+            return Err(InvalidExperiment::Duration(self.seconds));
         }
         if !self.network.is_valid() {
-            return Err("net: shares lie between 0 and 1".to_owned());
+            return Err(InvalidExperiment::NetworkFaults);
         }
         for (index, step) in self.steps.iter().enumerate() {
-            if let Some(fault) = self.step_fault(step) {
-                return Err(format!("step {} ({} at {}): {fault}", index + 1, step.action, step.at));
-            }
+            step.check(self.members, self.seconds).map_err(|source| InvalidExperiment::Step {
+                number: index + 1,
+                action: step.action,
+                at: step.at,
+                source,
+            })?;
         }
         Ok(())
     }
-
-    fn step_fault(&self, step: &Step) -> Option<&'static str> {
-        let needs_members = !matches!(step.action, Action::Heal | Action::SetNetwork);
-        let is_partition = matches!(step.action, Action::Partition | Action::PartitionOneWay);
-        if !(0.0..=self.seconds).contains(&step.at) {
-            return Some("it lies outside of what is played");
-        }
-        if needs_members != step.members.is_some() || is_partition != step.to.is_some() {
-            return Some(
-                "`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere",
-            );
-        }
-        if (step.action == Action::Pause) != step.seconds.is_some() {
-            return Some("`seconds` is the length of a pause");
-        }
-        let has_network = step.network.is_some_and(|network| network.is_valid());
-        if (step.action == Action::SetNetwork) != has_network {
-            return Some("`net` is the network of a `net` step, in shares between 0 and 1");
-        }
-        if step.every.is_some_and(|every| every.is_nan() || every < MIN_REPEAT_SECONDS) {
-            return Some("`every`: 0.05 s at least");
-        }
-        let mut ids = [&step.members, &step.to].into_iter().flatten().flat_map(MemberSet::ids);
-        ids.any(|id| id >= self.members).then_some("there is no such member")
-    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/soak/checker/requests.rs
@@ -0,0 +1,75 @@
+//! The invariants of requests, as their clients see them.
+
+use super::observations::{Observations, Process, Request, RequestOutcome};
+use super::violation::{Violation, ViolationKind, ms, report};
+use std::collections::HashSet;
+
+/// A response may come so long after its client's deadline.
+const RESPONSE_SLACK_US: u64 = 500_000;
+
+/// Whether each request had its final response in time, and a correct one.
+pub fn check_requests(observations: &Observations, violations: &mut Vec<Violation>) {
+    let forwarded: HashSet<&str> = observations.parts.iter().map(|part| part.request.as_str()).collect();
+    for request in &observations.requests {
+        let process = observations.processes.get(request.process);
+        let was_killed = process.is_some_and(|process| process.killed_at.is_some());
+        match request.outcome {
+            RequestOutcome::Response { status, correct } => {
+                check_lateness(observations, request, status, violations);
+                if !correct {
+                    let details = format!("{}: {status}", describe_request(request, process));
+                    report(violations, ViolationKind::IncorrectResponse, details);
+                }
+            }
+            RequestOutcome::NoResponse if !was_killed => {
+                let about = describe_request(request, process);
+                let details = format!("{about}: no response and no end of the connection");
+                report(violations, ViolationKind::LostRequest, details);
+            }
+            // The gatherer may close an idle connection while a request is on its way, if it has not read the request.
+            RequestOutcome::ConnectionClosed
+                if !was_killed && (request.first_on_connection || forwarded.contains(&*request.id)) =>
+            {
+                report(violations, ViolationKind::LostRequest, describe_close(request, process));
+            }
+            RequestOutcome::NoResponse
+            | RequestOutcome::ConnectionClosed
+            | RequestOutcome::ClientDisconnected => {}
+        }
+    }
+}
+
+/// Whether a response came in time.
+fn check_lateness(
+    observations: &Observations,
+    request: &Request,
+    status: u16,
+    violations: &mut Vec<Violation>,
+) {
+    let process = observations.processes.get(request.process);
+    let paused_us = process.map_or(0, |process| process.longest_pause_us);
+    let late_us = (request.ended_at - request.sent_at).saturating_sub(request.budget_us);
+    if late_us > RESPONSE_SLACK_US + observations.observer_lag_us + paused_us {
+        let about = describe_request(request, process);
+        let details = format!("{about}: {status} came {} ms late", ms(late_us));
+        report(violations, ViolationKind::LostRequest, details);
+    }
+}
+
+/// The end of a request's connection without a response.
+fn describe_close(request: &Request, process: Option<&Process>) -> String {
+    let about = describe_request(request, process);
+    let kind = if request.first_on_connection { "new" } else { "reused" };
+    let elapsed_ms = ms(request.ended_at - request.sent_at);
+    format!("{about}: its {kind} connection ended without a response after {elapsed_ms} ms")
+}
+
+/// The request, the process that it went to, and when it was sent, measured against SIGTERM to that process.
+fn describe_request(request: &Request, process: Option<&Process>) -> String {
+    let terminated_at = process.and_then(|process| process.terminated_at);
+    let when = terminated_at.map_or(String::new(), |terminated_at| {
+        let span_us = request.sent_at as i64 - terminated_at as i64;
+        format!(", sent at {span_us} us from SIGTERM")
+    });
+    format!("request {} to process {} at {}{when}", request.id, request.process, request.sent_at)
+}
