--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -1,48 +1,35 @@
-//! The life of a process that serves: reads the configuration, wires the layers together, serves one front, reloads at
-//! SIGHUP and shuts down at SIGTERM.
+//! The life of a process that serves. `platform` and `opensearch` start one with either front; this module has what both
+//! share: retries at the start, the runtime, serving until SIGTERM, and the shutdown.
+
+mod opensearch;
+mod platform;
+
+pub use opensearch::serve_opensearch;
+pub use platform::serve_platform;
 
 use super::command_error::CommandError;
-use super::config::{Config, ConfigError};
-use super::members;
-use super::opensearch_file::FrontFile;
-use super::operator::OperatorFile;
+use super::config::ConfigError;
 use super::recording::Recording;
-use super::reload::reload_on_signal;
 use super::resource_limits::ProcessLimits;
-use super::signals::{self, ShutdownSignal};
+use super::signals::ShutdownSignal;
 use super::upgrade::Upgrade;
 use crate::fronts::counters_text;
-use crate::fronts::opensearch::OpenSearchFront;
-use crate::fronts::operators::OperatorFront;
-use crate::fronts::platform::PlatformFront;
-use crate::limits::Backoff;
 use crate::policy::Settings;
-use crate::routing::{Broker, Clock, Contracts, Core, Invariant, WorkerTransport};
+use crate::routing::{Broker, Contracts, Invariant, WorkerTransport};
 use crate::service::lifecycle::LifecycleRequest;
 use crate::transport::connection_manager::ConnectionManager;
-use crate::transport::connector::{Connector, TcpConnector};
 use crate::transport::descriptor_pool::DescriptorPool;
-use crate::transport::discovery;
 use crate::transport::errors::{self, RetryDelays};
-use crate::transport::index_servers::IndexServers;
 use crate::transport::listener::{self, Front};
-use crate::transport::membership::{MEMBERSHIP_CONNECTIONS, MembershipTransport};
-use crate::transport::operator_api;
-use crate::transport::workers::Workers;
+use crate::transport::membership::MembershipTransport;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
-use tokio::sync::watch::Sender;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// Number of descriptors that a process with an operators' API opens after it has read its limits: the clients' listener,
-/// the takeover socket, and the connection to the other process of an upgrade.
-const UPGRADE_DESCRIPTORS: usize = 3;
-/// Number of descriptors for membership: its two sockets, and connections to and from other members.
-const MEMBERSHIP_DESCRIPTORS: usize = 2 + MEMBERSHIP_CONNECTIONS;
 /// How often a shutdown checks whether every query has its response.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time after the longest deadline in which clients may still read their responses; then the process ends.
@@ -69,161 +56,6 @@
     }
 }
 
-/// Serves the platform's front until SIGTERM, and reloads its configuration at SIGHUP.
-///
-/// # Errors
-/// The configuration cannot be used, or the system refuses what the start needs.
-pub fn serve_platform(
-    operator: OperatorFile,
-    read: impl Fn() -> Result<Config, ConfigError> + 'static,
-) -> Result<(), CommandError> {
-    block_on_runtime(async move {
-        let (hangup, mut stop) = retry_at_startup(async || signals::install()).await?;
-        let config = read_at_startup(&read).await?;
-        let operators = match config.operator_address {
-            Some(address) => Some(retry_at_startup(async || TcpListener::bind(address).await).await?),
-            None => None,
-        };
-        let own_listener = match &operators {
-            Some(_) => None,
-            None => Some(Rc::new(retry_at_startup(async || TcpListener::bind(config.listen).await).await?)),
-        };
-        let for_membership = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
-        let opened_later = for_membership + if own_listener.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
-        let process_limits =
-            ProcessLimits::read(config.max_descriptors, config.memory_mb, opened_later, operators.is_some());
-        let descriptor_pool = new_descriptor_pool(&process_limits)?;
-        let configuration_text = configuration_text(&config.contracts);
-        let clock = Clock::system();
-        let (seed, fleet_size) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
-        let backoff = match config.max_poll_interval {
-            Some(max_interval) => Backoff::new(seed, fleet_size, max_interval),
-            None => Backoff::for_local_agent(seed, config.contracts.limits.drain_grace),
-        };
-        let broker = Broker::new(Core::new(config.contracts), clock);
-        let incarnation = format!("{:x}-{:x}", clock.now().0, std::process::id());
-        let recording = Recording::start(
-            operator.records.as_ref(),
-            &config.name,
-            &incarnation,
-            &configuration_text,
-            &broker,
-        )?;
-        if let Some(known) = &config.initial_workers {
-            broker.apply_endpoint_update(known, true);
-        }
-        let connector: Rc<dyn Connector> = Rc::new(TcpConnector);
-        let workers = Workers::new(broker.clone(), connector.clone(), descriptor_pool.clone());
-        spawn_local(workers.clone().close_idle_on_reclaim());
-        let connections = ConnectionManager::new(descriptor_pool.clone());
-        let members = members::start(
-            operator.membership.as_ref(),
-            config.peer_datagrams,
-            &config.name,
-            &broker,
-            clock,
-            &recording,
-        );
-        let upgrade = own_listener
-            .is_none()
-            .then(|| Upgrade::new(broker.clone(), connections.clone(), clock, process_limits, config.listen));
-        if let (Some(listener), Some(upgrade)) = (operators, &upgrade) {
-            log::info!("operators' API listening, address={}", listener.local_addr()?);
-            let upgrade_peer = upgrade.clone();
-            let operators = OperatorFront {
-                broker: broker.clone(),
-                connections: connections.clone(),
-                upgrade_peer,
-                members: members.clone(),
-            };
-            spawn_local(operator_api::serve(listener, Rc::new(operators), descriptor_pool.clone()));
-        }
-        let listener = match (own_listener, &upgrade) {
-            (Some(listener), _) => listener,
-            (None, Some(upgrade)) => tokio::select! {
-                biased;
-                // No client has been accepted yet: there is nothing to shut down.
-                () = stop.received() => return Ok(()),
-                listener = upgrade.obtain_listener() => listener?,
-            },
-            (None, None) => return Err(io::Error::from(io::ErrorKind::NotFound).into()),
-        };
-        if let Some(members) = members.clone() {
-            spawn_local(members.run());
-        }
-        let front = PlatformFront { broker: broker.clone(), connections: connections.clone() };
-        let watcher = broker.clone();
-        let discovery = Sender::new(config.discovery_address);
-        let address = discovery.subscribe();
-        let discovery_descriptors = descriptor_pool.clone();
-        // Where discovery is polled, the complete list costs it twice as much as the changes since a revision: matters when
-        // the whole fleet starts.
-        let known_revision =
-            config.initial_workers.filter(|_| config.max_poll_interval.is_some()).map(|known| known.revision);
-        spawn_local(async move {
-            discovery::follow(&*connector, address, known_revision, &watcher, &discovery_descriptors, backoff)
-                .await
-        });
-        spawn_local(reload_on_signal(hangup, descriptor_pool, recording.clone(), move || {
-            // Only the address of discovery takes effect now, all else at the next start.
-            let config = read()?;
-            let change = format!("discovery at {}", config.discovery_address);
-            discovery.send_replace(config.discovery_address);
-            Ok(change)
-        }));
-        let context = ServingContext { stop, recording, upgrade, members };
-        Ok(serve(listener, &config.name, broker, workers, front, connections, context).await?)
-    })
-}
-
-/// Serves the OpenSearch-style front until SIGTERM, and reloads its file at SIGHUP.
-///
-/// # Errors
-/// The file cannot be used, or the system refuses what the start needs.
-pub fn serve_opensearch(
-    seed: u64,
-    operator: OperatorFile,
-    read: impl Fn() -> Result<FrontFile, ConfigError> + 'static,
-) -> Result<(), CommandError> {
-    block_on_runtime(async move {
-        let (hangup, stop) = retry_at_startup(async || signals::install()).await?;
-        let file = read_at_startup(&read).await?;
-        let listener = Rc::new(retry_at_startup(async || TcpListener::bind(file.listen).await).await?);
-        if operator.membership.is_some() {
-            log::warn!("membership stays off: the OpenSearch-style front does not support it");
-        }
-        let descriptor_pool =
-            new_descriptor_pool(&ProcessLimits::read(file.sockets, file.memory_mb, 0, false))?;
-        let clock = Clock::system();
-        let configuration_text = configuration_text(&file.contracts);
-        let broker = Broker::new(Core::new(file.contracts), clock);
-        // Unique unless two processes draw the same seed in the same nanosecond.
-        let incarnation = format!("{:x}-{seed:016x}", clock.now().0);
-        let recording = Recording::start(
-            operator.records.as_ref(),
-            "opensearch",
-            &incarnation,
-            &configuration_text,
-            &broker,
-        )?;
-        broker.apply_endpoint_update(&file.servers, true);
-        let endpoint_broker = broker.clone();
-        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), move || {
-            // Only the list of index servers takes effect now, all else at the next start.
-            let servers = read()?.servers;
-            endpoint_broker.apply_endpoint_update(&servers, false);
-            Ok(format!("{} index servers", servers.workers.len()))
-        }));
-        let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
-        spawn_local(servers.clone().close_idle_on_reclaim());
-        let connections = ConnectionManager::new(descriptor_pool);
-        let front =
-            OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.names, incarnation, seed);
-        let context = ServingContext { stop, recording, upgrade: None, members: None };
-        Ok(serve(listener, "opensearch", broker, servers, front, connections, context).await?)
-    })
-}
-
 /// Builds the runtime, and retries after transient errors.
 fn runtime() -> io::Result<Runtime> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
--- /dev/null
+++ b/src/program/run/opensearch.rs
@@ -0,0 +1,70 @@
+//! The start of a process that serves the OpenSearch-style front: what it opens and spawns, in order.
+
+use super::{
+    ServingContext, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
+    retry_at_startup, serve,
+};
+use crate::fronts::opensearch::OpenSearchFront;
+use crate::program::command_error::CommandError;
+use crate::program::config::ConfigError;
+use crate::program::opensearch_file::FrontFile;
+use crate::program::operator::OperatorFile;
+use crate::program::recording::Recording;
+use crate::program::reload::reload_on_signal;
+use crate::program::resource_limits::ProcessLimits;
+use crate::program::signals;
+use crate::routing::{Broker, Clock, Core};
+use crate::transport::connection_manager::ConnectionManager;
+use crate::transport::connector::TcpConnector;
+use crate::transport::index_servers::IndexServers;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+
+/// Serves the OpenSearch-style front until SIGTERM, and reloads its file at SIGHUP.
+///
+/// # Errors
+/// The file cannot be used, or the system refuses what the start needs.
+pub fn serve_opensearch(
+    seed: u64,
+    operator: OperatorFile,
+    read: impl Fn() -> Result<FrontFile, ConfigError> + 'static,
+) -> Result<(), CommandError> {
+    block_on_runtime(async move {
+        let (hangup, stop) = retry_at_startup(async || signals::install()).await?;
+        let file = read_at_startup(&read).await?;
+        let listener = Rc::new(retry_at_startup(async || TcpListener::bind(file.listen).await).await?);
+        if operator.membership.is_some() {
+            log::warn!("membership stays off: the OpenSearch-style front does not support it");
+        }
+        let descriptor_pool =
+            new_descriptor_pool(&ProcessLimits::read(file.sockets, file.memory_mb, 0, false))?;
+        let clock = Clock::system();
+        let configuration_text = configuration_text(&file.contracts);
+        let broker = Broker::new(Core::new(file.contracts), clock);
+        // Unique unless two processes draw the same seed in the same nanosecond.
+        let incarnation = format!("{:x}-{seed:016x}", clock.now().0);
+        let recording = Recording::start(
+            operator.records.as_ref(),
+            "opensearch",
+            &incarnation,
+            &configuration_text,
+            &broker,
+        )?;
+        broker.apply_endpoint_update(&file.servers, true);
+        let endpoint_broker = broker.clone();
+        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), move || {
+            // Only the list of index servers takes effect now, all else at the next start.
+            let servers = read()?.servers;
+            endpoint_broker.apply_endpoint_update(&servers, false);
+            Ok(format!("{} index servers", servers.workers.len()))
+        }));
+        let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
+        spawn_local(servers.clone().close_idle_on_reclaim());
+        let connections = ConnectionManager::new(descriptor_pool);
+        let front =
+            OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.names, incarnation, seed);
+        let context = ServingContext { stop, recording, upgrade: None, members: None };
+        Ok(serve(listener, "opensearch", broker, servers, front, connections, context).await?)
+    })
+}
