--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -23,6 +23,7 @@
 use crate::transport::listener::{self, Front};
 use crate::transport::membership::MembershipTransport;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -68,59 +69,86 @@
     LocalSet::new().block_on(&runtime, main)
 }
 
-/// What a front is served with, beside its own parts.
-struct ServingContext {
-    stop: ShutdownSignal,
+/// What serving needs beside a front and its listener, and what a shutdown ends.
+struct ServingProcess {
+    /// The gatherer's name in the log.
+    name: String,
+    broker: Broker,
+    connections: Rc<ConnectionManager>,
     recording: Recording,
     upgrade: Option<Rc<Upgrade>>,
     members: Option<Rc<MembershipTransport>>,
+    stop: ShutdownSignal,
 }
 
-/// Serves one front, from its first connection to its last response.
-async fn serve(
-    listener: Rc<TcpListener>,
-    name: &str,
-    broker: Broker,
-    carrier: impl WorkerTransport + 'static,
-    front: impl Front + 'static,
-    connections: Rc<ConnectionManager>,
-    ServingContext { mut stop, recording, upgrade, members }: ServingContext,
-) -> io::Result<()> {
-    let longest_deadline = broker.with_core(|core| longest_deadline(core.contracts()));
-    let address = listener.local_addr()?;
-    let driver = broker.clone();
-    spawn_local(async move { driver.drive(&carrier).await });
-    let evicting = connections.clone();
-    spawn_local(async move { evicting.run_evictions().await });
-    let timed = connections.clone();
-    spawn_local(async move { timed.run_lifecycle_timers().await });
-    let recording_task =
-        spawn_local(recording.clone().record_periodically(broker.clone(), connections.clone()));
-    let serving_line = format!("{name} serving on {address}");
-    let (accepting_connections, starting) = (connections.clone(), upgrade.clone());
-    let accepting = spawn_local(async move {
-        if let Some(upgrade) = starting {
-            upgrade.wait_until_ready().await;
-            upgrade.announce_serving();
+impl ServingProcess {
+    /// Serves one front, from its first connection to its last response.
+    async fn run(
+        mut self,
+        listener: Rc<TcpListener>,
+        carrier: impl WorkerTransport + 'static,
+        front: impl Front + 'static,
+    ) -> io::Result<()> {
+        let longest_deadline = self.broker.with_core(|core| longest_deadline(core.contracts()));
+        let address = listener.local_addr()?;
+        self.spawn_drivers(carrier);
+        let recording_task = spawn_local(
+            self.recording.clone().record_periodically(self.broker.clone(), self.connections.clone()),
+        );
+        let accepting = self.spawn_accepting(listener, address, front);
+        self.stop.received().await;
+        let lifecycle_request = self.announce_stop();
+        let all_answered =
+            shut_down(&self.broker, &self.connections, lifecycle_request, longest_deadline, accepting).await;
+        recording_task.abort();
+        self.recording.finish(&self.broker, &self.connections, all_answered);
+        if let Some(upgrade) = self.upgrade {
+            upgrade.remove_socket_file();
         }
-        log::info!("{serving_line}");
-        listener::accept_connections(listener, Rc::new(front), accepting_connections).await;
-    });
-    stop.received().await;
-    let lifecycle_request =
-        upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.announce_stop());
-    if let Some(members) = members {
-        // In an upgrade the other process takes over the address and the name.
-        members.leave(lifecycle_request == LifecycleRequest::HandOver);
+        counters_text(&self.broker, &self.connections).lines().for_each(|line| log::info!("{line}"));
+        Ok(())
     }
-    let all_answered = shut_down(&broker, &connections, lifecycle_request, longest_deadline, accepting).await;
-    recording_task.abort();
-    recording.finish(&broker, &connections, all_answered);
-    if let Some(upgrade) = upgrade {
-        upgrade.remove_socket_file();
+
+    /// Spawns what acts by itself: the broker's steps, evictions of connections, and the timers of the lifecycle.
+    fn spawn_drivers(&self, carrier: impl WorkerTransport + 'static) {
+        let broker = self.broker.clone();
+        spawn_local(async move { broker.drive(&carrier).await });
+        let connections = self.connections.clone();
+        spawn_local(async move { connections.run_evictions().await });
+        let connections = self.connections.clone();
+        spawn_local(async move { connections.run_lifecycle_timers().await });
+    }
+
+    /// Accepts clients once an upgrade, if there is one, lets this process serve. The task owns the listener: it is closed
+    /// when nothing new is accepted.
+    fn spawn_accepting(
+        &self,
+        listener: Rc<TcpListener>,
+        address: SocketAddr,
+        front: impl Front + 'static,
+    ) -> JoinHandle<()> {
+        let serving_line = format!("{} serving on {address}", self.name);
+        let (connections, upgrade) = (self.connections.clone(), self.upgrade.clone());
+        spawn_local(async move {
+            if let Some(upgrade) = upgrade {
+                upgrade.wait_until_ready().await;
+                upgrade.announce_serving();
+            }
+            log::info!("{serving_line}");
+            listener::accept_connections(listener, Rc::new(front), connections).await;
+        })
+    }
+
+    /// Announces the stop to the other process of an upgrade and to the members; returns how this process has to stop.
+    fn announce_stop(&self) -> LifecycleRequest {
+        let lifecycle_request =
+            self.upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.announce_stop());
+        if let Some(members) = &self.members {
+            // In an upgrade the other process takes over the address and the name.
+            members.leave(lifecycle_request == LifecycleRequest::HandOver);
+        }
+        lifecycle_request
     }
-    counters_text(&broker, &connections).lines().for_each(|line| log::info!("{line}"));
-    Ok(())
 }
 
 /// The configuration as text, to identify it by. It omits the seed, which is new with each start.
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -1,8 +1,8 @@
 //! The start of a process that serves the OpenSearch-style front: what it opens and spawns, in order.
 
 use super::{
-    ServingContext, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
-    retry_at_startup, serve,
+    ServingProcess, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
+    retry_at_startup,
 };
 use crate::fronts::opensearch::OpenSearchFront;
 use crate::program::command_error::CommandError;
@@ -21,6 +21,9 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
+/// The gatherer's name in the log and in records, which the file does not give.
+const FRONT_NAME: &str = "opensearch";
+
 /// Serves the OpenSearch-style front until SIGTERM, and reloads its file at SIGHUP.
 ///
 /// # Errors
@@ -46,25 +49,35 @@
         let incarnation = format!("{:x}-{seed:016x}", clock.now().0);
         let recording = Recording::start(
             operator.records.as_ref(),
-            "opensearch",
+            FRONT_NAME,
             &incarnation,
             &configuration_text,
             &broker,
         )?;
         broker.apply_endpoint_update(&file.servers, true);
-        let endpoint_broker = broker.clone();
-        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), move || {
-            // Only the list of index servers takes effect now, all else at the next start.
-            let servers = read()?.servers;
-            endpoint_broker.apply_endpoint_update(&servers, false);
-            Ok(format!("{} index servers", servers.workers.len()))
-        }));
+        let apply = apply_servers(broker.clone(), read);
+        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), apply));
         let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
         spawn_local(servers.clone().close_idle_on_reclaim());
         let connections = ConnectionManager::new(descriptor_pool);
         let front =
             OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.names, incarnation, seed);
-        let context = ServingContext { stop, recording, upgrade: None, members: None };
-        Ok(serve(listener, "opensearch", broker, servers, front, connections, context).await?)
+        let name = FRONT_NAME.to_owned();
+        let serving =
+            ServingProcess { name, broker, connections, recording, upgrade: None, members: None, stop };
+        Ok(serving.run(listener, servers, front).await?)
     })
 }
+
+/// What a reload does: reads the file again, applies its list of index servers, and returns a description of the change.
+fn apply_servers(
+    broker: Broker,
+    read: impl Fn() -> Result<FrontFile, ConfigError>,
+) -> impl FnMut() -> Result<String, ConfigError> {
+    move || {
+        // Only the list of index servers takes effect now, all else at the next start.
+        let servers = read()?.servers;
+        broker.apply_endpoint_update(&servers, false);
+        Ok(format!("{} index servers", servers.workers.len()))
+    }
+}
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -1,8 +1,8 @@
 //! The start of a process that serves the platform's front: what it opens and spawns, in order.
 
 use super::{
-    ServingContext, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
-    retry_at_startup, serve,
+    ServingProcess, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
+    retry_at_startup,
 };
 use crate::fronts::operators::OperatorFront;
 use crate::fronts::platform::PlatformFront;
@@ -14,19 +14,20 @@
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
 use crate::program::resource_limits::ProcessLimits;
-use crate::program::signals;
+use crate::program::signals::{self, ReloadSignal, ShutdownSignal};
 use crate::program::upgrade::Upgrade;
 use crate::routing::{Broker, Clock, Core};
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::connector::{Connector, TcpConnector};
+use crate::transport::descriptor_pool::DescriptorPool;
 use crate::transport::discovery;
-use crate::transport::membership::MEMBERSHIP_CONNECTIONS;
+use crate::transport::membership::{MEMBERSHIP_CONNECTIONS, MembershipTransport};
 use crate::transport::operator_api;
 use crate::transport::workers::Workers;
 use std::io;
 use std::rc::Rc;
 use tokio::net::TcpListener;
-use tokio::sync::watch::Sender;
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 
 /// Number of descriptors that a process with an operators' API opens after it has read its limits: the clients' listener,
@@ -34,6 +35,7 @@
 const UPGRADE_DESCRIPTORS: usize = 3;
 /// Number of descriptors for membership: its two sockets, and connections to and from other members.
 const MEMBERSHIP_DESCRIPTORS: usize = 2 + MEMBERSHIP_CONNECTIONS;
+
 /// Serves the platform's front until SIGTERM, and reloads its configuration at SIGHUP.
 ///
 /// # Errors
@@ -45,35 +47,77 @@
     block_on_runtime(async move {
         let (hangup, mut stop) = retry_at_startup(async || signals::install()).await?;
         let config = read_at_startup(&read).await?;
-        let operators = match config.operator_address {
-            Some(address) => Some(retry_at_startup(async || TcpListener::bind(address).await).await?),
-            None => None,
-        };
-        let own_listener = match &operators {
-            Some(_) => None,
-            None => Some(Rc::new(retry_at_startup(async || TcpListener::bind(config.listen).await).await?)),
-        };
+        let listeners = Listeners::bind(&config).await?;
+        let components = Components::start(&config, &operator, &listeners)?;
+        let Some(listener) = components.obtain_listener(listeners, &mut stop).await? else { return Ok(()) };
+        if let Some(members) = components.members.clone() {
+            spawn_local(members.run());
+        }
+        let discovery_address = components.follow_discovery(&config);
+        components.reload_at_hangup(hangup, read, discovery_address);
+        // The list of workers in it may be long, and is not needed any more.
+        drop(config);
+        components.serve(listener, stop).await
+    })
+}
+
+/// What is bound before the process reads its limits.
+struct Listeners {
+    /// The operators' API, where one is configured.
+    operators: Option<TcpListener>,
+    /// The clients' address, where there is no operators' API: with one, an upgrade may take the listener over.
+    clients: Option<Rc<TcpListener>>,
+}
+
+impl Listeners {
+    async fn bind(config: &Config) -> io::Result<Listeners> {
+        match config.operator_address {
+            Some(address) => {
+                let operators = retry_at_startup(async || TcpListener::bind(address).await).await?;
+                Ok(Listeners { operators: Some(operators), clients: None })
+            }
+            None => {
+                let clients = retry_at_startup(async || TcpListener::bind(config.listen).await).await?;
+                Ok(Listeners { operators: None, clients: Some(Rc::new(clients)) })
+            }
+        }
+    }
+
+    /// Reads the limits of the process, which divide what is open by now from what connections may use.
+    fn read_process_limits(&self, config: &Config, operator: &OperatorFile) -> ProcessLimits {
         let for_membership = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
-        let opened_later = for_membership + if own_listener.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
-        let process_limits =
-            ProcessLimits::read(config.max_descriptors, config.memory_mb, opened_later, operators.is_some());
+        let for_upgrade = if self.clients.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
+        ProcessLimits::read(
+            config.max_descriptors,
+            config.memory_mb,
+            for_membership + for_upgrade,
+            self.operators.is_some(),
+        )
+    }
+}
+
+/// What the tasks of the process share.
+struct Components {
+    /// The gatherer's name.
+    name: String,
+    broker: Broker,
+    descriptor_pool: Rc<DescriptorPool>,
+    connections: Rc<ConnectionManager>,
+    connector: Rc<dyn Connector>,
+    workers: Workers,
+    recording: Recording,
+    members: Option<Rc<MembershipTransport>>,
+    upgrade: Option<Rc<Upgrade>>,
+}
+
+impl Components {
+    /// Makes the components, which serve nobody yet. Opens the records, if there are any.
+    fn start(config: &Config, operator: &OperatorFile, listeners: &Listeners) -> io::Result<Components> {
+        let process_limits = listeners.read_process_limits(config, operator);
         let descriptor_pool = new_descriptor_pool(&process_limits)?;
-        let configuration_text = configuration_text(&config.contracts);
         let clock = Clock::system();
-        let (seed, fleet_size) = (config.contracts.settings.seed, config.contracts.settings.fleet_size);
-        let backoff = match config.max_poll_interval {
-            Some(max_interval) => Backoff::new(seed, fleet_size, max_interval),
-            None => Backoff::for_local_agent(seed, config.contracts.limits.drain_grace),
-        };
-        let broker = Broker::new(Core::new(config.contracts), clock);
-        let incarnation = format!("{:x}-{:x}", clock.now().0, std::process::id());
-        let recording = Recording::start(
-            operator.records.as_ref(),
-            &config.name,
-            &incarnation,
-            &configuration_text,
-            &broker,
-        )?;
+        let broker = Broker::new(Core::new(config.contracts.clone()), clock);
+        let recording = start_recording(config, operator, &broker, clock)?;
         if let Some(known) = &config.initial_workers {
             broker.apply_endpoint_update(known, true);
         }
@@ -89,54 +133,126 @@
             clock,
             &recording,
         );
-        let upgrade = own_listener
+        let upgrade = listeners
+            .clients
             .is_none()
             .then(|| Upgrade::new(broker.clone(), connections.clone(), clock, process_limits, config.listen));
-        if let (Some(listener), Some(upgrade)) = (operators, &upgrade) {
-            log::info!("operators' API listening, address={}", listener.local_addr()?);
-            let upgrade_peer = upgrade.clone();
-            let operators = OperatorFront {
-                broker: broker.clone(),
-                connections: connections.clone(),
-                upgrade_peer,
-                members: members.clone(),
-            };
-            spawn_local(operator_api::serve(listener, Rc::new(operators), descriptor_pool.clone()));
+        let name = config.name.clone();
+        Ok(Components {
+            name,
+            broker,
+            descriptor_pool,
+            connections,
+            connector,
+            workers,
+            recording,
+            members,
+            upgrade,
+        })
+    }
+
+    /// Starts the operators' API, if there is one, and obtains the clients' listener, which an upgrade may take over from
+    /// another process. `None` if the process has to stop before it has one.
+    async fn obtain_listener(
+        &self,
+        listeners: Listeners,
+        stop: &mut ShutdownSignal,
+    ) -> io::Result<Option<Rc<TcpListener>>> {
+        if let (Some(listener), Some(upgrade)) = (listeners.operators, &self.upgrade) {
+            self.serve_operators(listener, upgrade)?;
         }
-        let listener = match (own_listener, &upgrade) {
-            (Some(listener), _) => listener,
+        match (listeners.clients, &self.upgrade) {
+            (Some(listener), _) => Ok(Some(listener)),
             (None, Some(upgrade)) => tokio::select! {
                 biased;
                 // No client has been accepted yet: there is nothing to shut down.
-                () = stop.received() => return Ok(()),
-                listener = upgrade.obtain_listener() => listener?,
+                () = stop.received() => Ok(None),
+                listener = upgrade.obtain_listener() => listener.map(Some),
             },
-            (None, None) => return Err(io::Error::from(io::ErrorKind::NotFound).into()),
-        };
-        if let Some(members) = members.clone() {
-            spawn_local(members.run());
+            (None, None) => Err(io::ErrorKind::NotFound.into()),
         }
-        let front = PlatformFront { broker: broker.clone(), connections: connections.clone() };
-        let watcher = broker.clone();
-        let discovery = Sender::new(config.discovery_address);
-        let address = discovery.subscribe();
-        let discovery_descriptors = descriptor_pool.clone();
+    }
+
+    fn serve_operators(&self, listener: TcpListener, upgrade: &Rc<Upgrade>) -> io::Result<()> {
+        log::info!("operators' API listening, address={}", listener.local_addr()?);
+        let front = OperatorFront {
+            broker: self.broker.clone(),
+            connections: self.connections.clone(),
+            upgrade_peer: upgrade.clone(),
+            members: self.members.clone(),
+        };
+        spawn_local(operator_api::serve(listener, Rc::new(front), self.descriptor_pool.clone()));
+        Ok(())
+    }
+
+    /// Follows discovery; returns the sender of its address, which a reload may change.
+    fn follow_discovery(&self, config: &Config) -> watch::Sender<String> {
+        let discovery_address = watch::Sender::new(config.discovery_address.clone());
+        let address = discovery_address.subscribe();
         // Where discovery is polled, the complete list costs it twice as much as the changes since a revision: matters when
         // the whole fleet starts.
-        let known_revision =
-            config.initial_workers.filter(|_| config.max_poll_interval.is_some()).map(|known| known.revision);
+        let is_polled = config.max_poll_interval.is_some();
+        let known = config.initial_workers.as_ref().filter(|_| is_polled);
+        let known_revision = known.map(|known| known.revision);
+        let backoff = discovery_backoff(config);
+        let (broker, connector) = (self.broker.clone(), self.connector.clone());
+        let descriptor_pool = self.descriptor_pool.clone();
         spawn_local(async move {
-            discovery::follow(&*connector, address, known_revision, &watcher, &discovery_descriptors, backoff)
-                .await
+            discovery::follow(&*connector, address, known_revision, &broker, &descriptor_pool, backoff).await
         });
-        spawn_local(reload_on_signal(hangup, descriptor_pool, recording.clone(), move || {
+        discovery_address
+    }
+
+    fn reload_at_hangup(
+        &self,
+        hangup: ReloadSignal,
+        read: impl Fn() -> Result<Config, ConfigError> + 'static,
+        discovery_address: watch::Sender<String>,
+    ) {
+        let apply = move || {
             // Only the address of discovery takes effect now, all else at the next start.
             let config = read()?;
             let change = format!("discovery at {}", config.discovery_address);
-            discovery.send_replace(config.discovery_address);
+            discovery_address.send_replace(config.discovery_address);
             Ok(change)
-        }));
-        let context = ServingContext { stop, recording, upgrade, members };
-        Ok(serve(listener, &config.name, broker, workers, front, connections, context).await?)
-    })
+        };
+        let (descriptor_pool, recording) = (self.descriptor_pool.clone(), self.recording.clone());
+        spawn_local(reload_on_signal(hangup, descriptor_pool, recording, apply));
+    }
+
+    /// Serves clients until SIGTERM, and shuts down.
+    async fn serve(self, listener: Rc<TcpListener>, stop: ShutdownSignal) -> Result<(), CommandError> {
+        let front = PlatformFront { broker: self.broker.clone(), connections: self.connections.clone() };
+        let serving = ServingProcess {
+            name: self.name,
+            broker: self.broker,
+            connections: self.connections,
+            recording: self.recording,
+            upgrade: self.upgrade,
+            members: self.members,
+            stop,
+        };
+        Ok(serving.run(listener, self.workers, front).await?)
+    }
+}
+
+/// Starts recording, under a name of this start that no other has.
+fn start_recording(
+    config: &Config,
+    operator: &OperatorFile,
+    broker: &Broker,
+    clock: Clock,
+) -> io::Result<Recording> {
+    let incarnation = format!("{:x}-{:x}", clock.now().0, std::process::id());
+    let configuration_text = configuration_text(&config.contracts);
+    Recording::start(operator.records.as_ref(), &config.name, &incarnation, &configuration_text, broker)
+}
+
+/// How long discovery is left alone between two polls.
+fn discovery_backoff(config: &Config) -> Backoff {
+    let settings = &config.contracts.settings;
+    match config.max_poll_interval {
+        Some(max_interval) => Backoff::new(settings.seed, settings.fleet_size, max_interval),
+        None => Backoff::for_local_agent(settings.seed, config.contracts.limits.drain_grace),
+    }
 }
