--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -100,71 +100,103 @@
         json: &Value,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, InvalidSetting> {
-        let text = |key: &str, name: &str| {
-            match json.get(key).filter(|value| !value.is_null()) {
-                Some(value) => value.as_str().map(str::to_owned),
-                None => variable(name),
-            }
-            .ok_or_else(|| InvalidSetting::new(key, "missing, or no text"))
-        };
-        let address = |key: &str, name: &str| {
-            let text = text(key, name)?;
-            text.parse().map_err(|_| InvalidSetting::new(key, format!("no address {text:?}")))
-        };
-        let listen = address("listen", "LB_LISTEN")?;
-        let has_operator_address =
-            json.get("operator").is_some_and(|value| !value.is_null()) || variable("LB_OPERATOR").is_some();
-        let operator = has_operator_address.then(|| address("operator", "LB_OPERATOR")).transpose()?;
-        let seed = match json.get("seed") {
-            None => 0,
-            Some(Value::Number(number)) => number.as_u64().unwrap_or(0),
-            Some(seed) => {
-                let hex = seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-                hex.ok_or_else(|| InvalidSetting::new("seed", format!("no hexadecimal number {seed}")))?
-            }
-        };
-        let limit = |key: &str, default: u64, min: u64| match json.pointer(&format!("/limits/{key}")) {
-            None => Ok(default),
-            Some(count) => count.as_u64().filter(|count| *count >= min).ok_or_else(|| {
-                InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {min} at least are needed"))
-            }),
-        };
-        let sockets = limit("sockets", DEFAULT_DESCRIPTORS, descriptors::MIN_DESCRIPTORS as u64)?;
-        let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
-        let known = match json.get("known") {
-            None | Some(Value::Null) => None,
-            Some(list) => Some(
-                discovery::decode_endpoint_list(list.to_string().as_bytes())
-                    .map_err(|error| InvalidSetting::new("known", error.to_string()))?,
-            ),
-        };
-        let settings = json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "missing"))?;
-        let within_settings =
-            |error: InvalidSetting| InvalidSetting::new(&format!("settings.{}", error.path), error.reason);
-        let mut contracts = FlatSettings::from_json(settings).contracts(seed).map_err(within_settings)?;
-        if contracts.settings.shards == 0 {
-            return Err(InvalidSetting::new("settings.domain.slices", "there must be one at least"));
-        }
-        if contracts.classes.is_empty() {
-            return Err(InvalidSetting::new("settings.categories", "there must be one at least"));
-        }
-        // The platform's protocol carries neither follow-up requests nor health checks.
-        contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
-        contracts.settings.may_health_check = false;
-        let polls = contracts.settings.poll_discovery;
-        let ask_in = polls.then_some(contracts.settings.poll_within);
-        contracts.settings.poll_discovery = false;
+        let source = Source { json, variable };
+        let listen = source.address("listen", "LB_LISTEN")?;
+        let operator_address = source.operator_address()?;
+        let seed = seed(json)?;
+        let descriptors = limit(json, "sockets", DEFAULT_DESCRIPTORS, descriptors::MIN_DESCRIPTORS as u64)?;
+        let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
+        let initial_workers = initial_workers(json)?;
+        let mut contracts = contracts(json, seed)?;
+        // The transport polls discovery by itself, so that the decision module must not request polls too.
+        let is_polled = std::mem::replace(&mut contracts.settings.poll_discovery, false);
         Ok(Config {
-            name: text("name", "LB_NAME")?,
+            name: source.text("name", "LB_NAME")?,
             listen,
-            operator_address: operator,
-            discovery_address: text("discovery", "LB_DISCOVERY")?,
-            max_descriptors: usize::try_from(sockets).unwrap_or(usize::MAX),
+            operator_address,
+            discovery_address: source.text("discovery", "LB_DISCOVERY")?,
+            max_descriptors: usize::try_from(descriptors).unwrap_or(usize::MAX),
             memory_mb,
-            initial_workers: known,
-            max_poll_interval: ask_in,
+            initial_workers,
+            max_poll_interval: is_polled.then_some(contracts.settings.poll_within),
             peer_datagrams: json.get("peer_listen").is_some_and(|address| !address.is_null()),
             contracts,
         })
     }
 }
+
+/// The file's content, and the variables that supply what it lacks.
+struct Source<'a, V> {
+    json: &'a Value,
+    variable: V,
+}
+
+impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
+    /// The text at `key`, or else that of the variable.
+    fn text(&self, key: &str, variable: &str) -> Result<String, InvalidSetting> {
+        let text = match self.json.get(key).filter(|value| !value.is_null()) {
+            Some(value) => value.as_str().map(str::to_owned),
+            None => (self.variable)(variable),
+        };
+        text.ok_or_else(|| InvalidSetting::new(key, "missing, or no text"))
+    }
+
+    /// The address at `key`, or else that of the variable.
+    fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, InvalidSetting> {
+        let text = self.text(key, variable)?;
+        text.parse().map_err(|_| InvalidSetting::new(key, format!("no address {text:?}")))
+    }
+
+    /// The address of the operators' API, if there is one.
+    fn operator_address(&self) -> Result<Option<SocketAddr>, InvalidSetting> {
+        let is_given = self.json.get("operator").is_some_and(|value| !value.is_null())
+            || (self.variable)("LB_OPERATOR").is_some();
+        is_given.then(|| self.address("operator", "LB_OPERATOR")).transpose()
+    }
+}
+
+/// The seed: a hexadecimal text, or a number.
+fn seed(json: &Value) -> Result<u64, InvalidSetting> {
+    match json.get("seed") {
+        None => Ok(0),
+        Some(Value::Number(number)) => Ok(number.as_u64().unwrap_or(0)),
+        Some(seed) => {
+            let hex = seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
+            hex.ok_or_else(|| InvalidSetting::new("seed", format!("no hexadecimal number {seed}")))
+        }
+    }
+}
+
+/// One of the process's limits.
+fn limit(json: &Value, key: &str, default: u64, min: u64) -> Result<u64, InvalidSetting> {
+    let Some(count) = json.pointer(&format!("/limits/{key}")) else { return Ok(default) };
+    count.as_u64().filter(|count| *count >= min).ok_or_else(|| {
+        InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {min} at least are needed"))
+    })
+}
+
+/// The list of workers to start with, in discovery's form.
+fn initial_workers(json: &Value) -> Result<Option<WorkerListUpdate>, InvalidSetting> {
+    let Some(list) = json.get("known").filter(|list| !list.is_null()) else { return Ok(None) };
+    discovery::decode_endpoint_list(list.to_string().as_bytes())
+        .map(Some)
+        .map_err(|error| InvalidSetting::new("known", error.to_string()))
+}
+
+/// The contracts that the section `settings` describes, within what the platform's protocol carries.
+fn contracts(json: &Value, seed: u64) -> Result<Contracts, InvalidSetting> {
+    let settings = json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "missing"))?;
+    let mut contracts = FlatSettings::from_json(settings)
+        .contracts(seed)
+        .map_err(|error| InvalidSetting::new(&format!("settings.{}", error.path), error.reason))?;
+    if contracts.settings.shards == 0 {
+        return Err(InvalidSetting::new("settings.domain.slices", "there must be one at least"));
+    }
+    if contracts.classes.is_empty() {
+        return Err(InvalidSetting::new("settings.categories", "there must be one at least"));
+    }
+    // The protocol carries neither follow-up requests nor health checks.
+    contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
+    contracts.settings.may_health_check = false;
+    Ok(contracts)
+}
