--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -187,25 +187,45 @@
         })
     }
 
-    fn settings(&self, seed: u64) -> Result<Settings, InvalidSetting> {
-        let classes = (0..self.count("categories.count")? as usize).map(|at| self.class(at));
-        let mut tenants = Vec::new();
-        for at in 0..self.count("tenants.count")? {
-            tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
+    fn tenants(&self) -> Result<Vec<Tenant>, InvalidSetting> {
+        let tenant = |at| Ok(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
+        (0..self.count("tenants.count")?).map(tenant).collect()
+    }
+
+    fn retry_budget(&self) -> Result<Option<RetryBudget>, InvalidSetting> {
+        let Some(window) = self.duration("rules.look-back")? else { return Ok(None) };
+        Ok(Some(RetryBudget {
+            free_attempts: self.number("rules.free-resends")?.unwrap_or(0.0),
+            ratio: self.number("rules.further-ratio")?.unwrap_or(0.0),
+            window,
+        }))
+    }
+
+    fn max_retry_after(&self) -> Result<Option<Duration>, InvalidSetting> {
+        if !self.flag("allowed.retry-after")? {
+            return Ok(None);
         }
-        let budget = match self.duration("rules.look-back")? {
-            Some(window) => Some(RetryBudget {
-                free_attempts: self.number("rules.free-resends")?.unwrap_or(0.0),
-                ratio: self.number("rules.further-ratio")?.unwrap_or(0.0),
-                window,
-            }),
-            None => None,
-        };
+        self.duration("allowed.max-retry-after")
+    }
+
+    fn report_source(&self) -> ReportSource {
+        match self.text("report.source") {
+            Some("piggyback") => ReportSource::Responses,
+            Some("pull") => ReportSource::HealthChecks,
+            _ => ReportSource::None,
+        }
+    }
+
+    /// The settings of the decision module. Where several values cannot be used, the first in this order is named.
+    fn settings(&self, seed: u64) -> Result<Settings, InvalidSetting> {
+        let class_count = self.count("categories.count")? as usize;
+        let tenants = self.tenants()?;
+        let retry_budget = self.retry_budget()?;
         Ok(Settings {
             seed,
             fleet_size: self.count("balancers")?.max(1),
             zone: ZoneId(self.count("az")?),
-            classes: classes.collect::<Result<_, _>>()?,
+            classes: (0..class_count).map(|at| self.class(at)).collect::<Result<_, _>>()?,
             tenants,
             over_quota_weight: self.number("over-share-worth")?,
             min_step_interval: self.duration("quantum")?.unwrap_or_default(),
@@ -215,11 +235,8 @@
             may_health_check: self.flag("allowed.probing")?,
             hedging_allowed: self.flag("allowed.second-copies")?,
             max_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
-            max_retry_after: match self.flag("allowed.retry-after")? {
-                true => self.duration("allowed.max-retry-after")?,
-                false => None,
-            },
-            retry_budget: budget,
+            max_retry_after: self.max_retry_after()?,
+            retry_budget,
             cells: self.count("domain.cells")?,
             cells_per_shard: self.count("domain.span")?.max(1),
             shards: self.count("domain.slices")?,
@@ -229,11 +246,7 @@
             cross_zone_price: self.number("deductions.cross-zone")?.unwrap_or(0.0),
             waste_price: self.number("deductions.waste")?.unwrap_or(0.0),
             health_check_price: self.number("deductions.probe")?.unwrap_or(0.0),
-            report_source: match self.text("report.source") {
-                Some("piggyback") => ReportSource::Responses,
-                Some("pull") => ReportSource::HealthChecks,
-                _ => ReportSource::None,
-            },
+            report_source: self.report_source(),
             report_fields: self.names("report.fields").iter().map(|name| frame::report_field(name)).collect(),
             sizes_comparable: self.text("weights").is_some_and(|weights| weights != "silent"),
             cold_capacity_fraction: self.number("rules.cold-share")?.unwrap_or(1.0),
