--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -109,13 +109,7 @@
         checked: ValidSearch,
         key: Option<&str>,
     ) -> Result<Response, SearchError> {
-        let key = key.ok_or_else(|| {
-            SearchError::illegal_argument(format!(
-                "[Idempotency-Key] is missing: this index runs a search once; POST {IDEMPOTENCY_KEYS_PATH} for a key"
-            ))
-        })?;
-        let outcome_lost =
-            || SearchError::new(500, "illegal_state_exception", "the search ended without an outcome");
+        let key = key.ok_or_else(missing_key)?;
         let claim =
             self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
         let mut outcome_receiver = match claim {
@@ -126,37 +120,38 @@
                 return Ok(rejection);
             }
             KeyClaim::Run(receiver) => {
-                // Runs in its own task, so that a client that disconnects and retries still finds the outcome.
-                let (front, key) = (self.clone(), key.to_owned());
-                spawn_local(async move {
-                    let runner = front.clone();
-                    let run = spawn_local(async move { runner.run(checked).await }).await;
-                    let (response, ran) = run.unwrap_or_else(|_| (outcome_lost().response(), true));
-                    let size = response.body.len();
-                    front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
-                });
+                self.spawn_search(checked, key);
                 receiver
             }
             KeyClaim::Join(receiver) => receiver,
             KeyClaim::Recorded(response) => return Ok(response),
-            KeyClaim::Mismatch => {
-                return Err(SearchError::new(
-                    422,
-                    "illegal_argument_exception",
-                    "the key belongs to another search",
-                ));
-            }
-            KeyClaim::Unknown => {
-                let start = self.idempotency.borrow().incarnation().to_owned();
-                let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
-                let reason = format!(
-                    "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
-                );
-                return Err(SearchError::new(409, "unknown_outcome_exception", reason));
-            }
+            KeyClaim::Mismatch => return Err(key_of_another_search()),
+            KeyClaim::Unknown => return Err(self.unknown_key(key)),
         };
-        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| outcome_lost())?;
-        outcome.clone().ok_or_else(outcome_lost)
+        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| lost_outcome())?;
+        outcome.clone().ok_or_else(lost_outcome)
+    }
+
+    /// Runs a search in a task of its own, so that a client that disconnects and retries still finds the outcome.
+    fn spawn_search(self: &Rc<Self>, checked: ValidSearch, key: &str) {
+        let (front, key) = (self.clone(), key.to_owned());
+        spawn_local(async move {
+            let runner = front.clone();
+            let run = spawn_local(async move { runner.run(checked).await }).await;
+            let (response, ran) = run.unwrap_or_else(|_| (lost_outcome().response(), true));
+            let size = response.body.len();
+            front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
+        });
+    }
+
+    /// The error for a key that this start never issued, or no longer holds.
+    fn unknown_key(&self, key: &str) -> SearchError {
+        let start = self.idempotency.borrow().incarnation().to_owned();
+        let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
+        let reason = format!(
+            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
+        );
+        SearchError::new(409, "unknown_outcome_exception", reason)
     }
 
     /// Submits the search and encodes its outcome; returns the response, and whether any part may have run.
@@ -362,6 +357,20 @@
     }
 }
 
+fn missing_key() -> SearchError {
+    SearchError::illegal_argument(format!(
+        "[Idempotency-Key] is missing: this index runs a search once; POST {IDEMPOTENCY_KEYS_PATH} for a key"
+    ))
+}
+
+fn key_of_another_search() -> SearchError {
+    SearchError::new(422, "illegal_argument_exception", "the key belongs to another search")
+}
+
+fn lost_outcome() -> SearchError {
+    SearchError::new(500, "illegal_state_exception", "the search ended without an outcome")
+}
+
 fn json_body(request: &Request) -> Result<Value, SearchError> {
     serde_json::from_slice(&request.body).map_err(|error| SearchError::parsing(error.to_string()))
 }
