--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -4,7 +4,7 @@
 mod at_most_once;
 
 use super::counters_text;
-use crate::policy::*;
+use crate::policy::{ClassId, Idempotency, ShardId, TenantId};
 use crate::protocol::http::{MalformedMessage, Request, Response};
 use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
 use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore};
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -4,7 +4,7 @@
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
-use crate::policy::*;
+use crate::policy::{Class, EndpointStatus, Idempotency, Settings, Tenant, ZoneId};
 use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of one instance, keyed by path: the only place that parses, checks and defaults them, both for the
 //! simulator's `path=value` pairs and for nested JSON. It reads no file.
 
-use crate::policy::*;
+use crate::policy::{Class, Idempotency, ReportSource, RetryBudget, Settings, Tenant, ZoneId};
 use crate::protocol::frame;
 use crate::routing::{BrokerLimits, Contracts};
 use serde_json::Value;
