--- a/src/main.rs
+++ b/src/main.rs
@@ -3,8 +3,8 @@
 //! and sets the exit status; all work is done in the library.
 
 use clap::{Parser, Subcommand};
-use gatherer::program::command_error::CommandError;
-use gatherer::program::config::{Config, ConfigError};
+use gatherer::program::config::Config;
+use gatherer::program::errors::{CommandError, ConfigError};
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::program::operator::OperatorFile;
 use gatherer::program::run::STARTUP_RETRY_LIMIT;
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,11 +1,11 @@
 //! The configuration of the platform's front: reads the environment and the JSON file that `LB_CONFIG` names, and checks
 //! both. It opens nothing but that file.
 
+use super::errors::ConfigError;
 use super::settings::{FlatSettings, InvalidSetting};
 use crate::limits::descriptors;
 use crate::protocol::discovery;
 use crate::routing::{Contracts, WorkerListUpdate};
-use crate::transport::errors::is_transient;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,41 +17,6 @@
 /// The least memory that a process can serve with, in MB.
 const MIN_MEMORY_MB: u64 = 16;
 
-/// Why a configuration cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// A variable of the environment is not set.
-    #[error("{0} is not set")]
-    MissingVariable(&'static str),
-    /// A file cannot be read.
-    #[error("{path}: {error}")]
-    Unreadable {
-        /// The file's path.
-        path: String,
-        /// Why it cannot be used.
-        error: std::io::Error,
-    },
-    /// A file is not well-formed, or one of its values cannot be used.
-    #[error("{path}: {error}")]
-    Malformed {
-        /// The file's path.
-        path: String,
-        /// Why it cannot be used.
-        error: String,
-    },
-    /// The value of one key cannot be used.
-    #[error("configuration: {0}")]
-    InvalidSetting(#[from] InvalidSetting),
-}
-
-impl ConfigError {
-    /// Whether reading the file again in a moment may succeed.
-    #[must_use]
-    pub fn is_transient(&self) -> bool {
-        matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
-    }
-}
-
 /// What one gatherer is started with.
 #[derive(Debug)]
 pub struct Config {
--- /dev/null
+++ b/src/program/errors.rs
@@ -0,0 +1,70 @@
+//! The error of a command of the program, and the exit status that reports it.
+
+use super::settings::InvalidSetting;
+use crate::transport::errors::is_transient;
+use std::io;
+
+/// Exit status of a command whose configuration cannot be used.
+const CONFIGURATION_EXIT_STATUS: u8 = 2;
+/// Exit status of a command that failed in any other way.
+const OTHER_EXIT_STATUS: u8 = 1;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Configuration(#[from] ConfigError),
+    /// A call to the operating system failed.
+    #[error(transparent)]
+    System(#[from] io::Error),
+    /// The number of damaged lines in the records that were read.
+    #[error("{0} lines do not count")]
+    DamagedRecords(u64),
+}
+
+impl CommandError {
+    /// The exit status of the process: 2 for a configuration that cannot be used, else 1.
+    #[must_use]
+    pub fn exit_status(&self) -> u8 {
+        match self {
+            CommandError::Configuration(_) => CONFIGURATION_EXIT_STATUS,
+            CommandError::System(_) | CommandError::DamagedRecords(_) => OTHER_EXIT_STATUS,
+        }
+    }
+}
+
+/// Why a configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// A variable of the environment is not set.
+    #[error("{0} is not set")]
+    MissingVariable(&'static str),
+    /// A file cannot be read.
+    #[error("{path}: {error}")]
+    Unreadable {
+        /// The file's path.
+        path: String,
+        /// Why it cannot be used.
+        error: std::io::Error,
+    },
+    /// A file is not well-formed, or one of its values cannot be used.
+    #[error("{path}: {error}")]
+    Malformed {
+        /// The file's path.
+        path: String,
+        /// Why it cannot be used.
+        error: String,
+    },
+    /// The value of one key cannot be used.
+    #[error("configuration: {0}")]
+    InvalidSetting(#[from] InvalidSetting),
+}
+
+impl ConfigError {
+    /// Whether reading the file again in a moment may succeed.
+    #[must_use]
+    pub fn is_transient(&self) -> bool {
+        matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
+    }
+}
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -1,6 +1,7 @@
 //! The sub-commands that serve nothing: `check`, `report` and `records`. They read files and return what is to be printed.
 
-use super::config::{Config, ConfigError};
+use super::config::Config;
+use super::errors::ConfigError;
 use super::opensearch_file::FrontFile;
 use super::operator::OperatorFile;
 use crate::records::diagnosis::{Finding, diagnose};
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,8 +1,8 @@
 //! The process around the layers: configuration, start, reload, upgrade, shutdown and log. It wires the parts together
 //! and decides nothing about queries.
 
-pub mod command_error;
 pub mod config;
+pub mod errors;
 pub mod inspect;
 pub mod log;
 pub mod members;
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,6 +1,6 @@
 //! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
-use super::config::ConfigError;
+use super::errors::ConfigError;
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: the optional features of an installation (records and membership), beside the platform's
 //! configuration. Everything in it is off where there is no such file.
 
-use super::config::ConfigError;
+use super::errors::ConfigError;
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
--- a/src/program/reload.rs
+++ b/src/program/reload.rs
@@ -1,7 +1,7 @@
 //! Reload at SIGHUP: reads the configuration again, and logs and records the result. What a reload changes is decided by the
 //! caller's `read`.
 
-use super::config::ConfigError;
+use super::errors::ConfigError;
 use super::recording::Recording;
 use super::signals::ReloadSignal;
 use crate::limits::DescriptorClass;
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -7,8 +7,7 @@
 pub use opensearch::serve_opensearch;
 pub use platform::serve_platform;
 
-use super::command_error::CommandError;
-use super::config::ConfigError;
+use super::errors::{CommandError, ConfigError};
 use super::recording::Recording;
 use super::resource_limits::ProcessLimits;
 use super::signals::ShutdownSignal;
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -5,8 +5,7 @@
     retry_at_startup,
 };
 use crate::fronts::opensearch::OpenSearchFront;
-use crate::program::command_error::CommandError;
-use crate::program::config::ConfigError;
+use crate::program::errors::{CommandError, ConfigError};
 use crate::program::opensearch_file::FrontFile;
 use crate::program::operator::OperatorFile;
 use crate::program::recording::Recording;
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -7,8 +7,8 @@
 use crate::fronts::operators::OperatorFront;
 use crate::fronts::platform::PlatformFront;
 use crate::limits::Backoff;
-use crate::program::command_error::CommandError;
-use crate::program::config::{Config, ConfigError};
+use crate::program::config::Config;
+use crate::program::errors::{CommandError, ConfigError};
 use crate::program::members;
 use crate::program::operator::OperatorFile;
 use crate::program::recording::Recording;
