--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -53,7 +53,7 @@
         let bytes =
             std::fs::read(&path).map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
         let json: Value = serde_json::from_slice(&bytes)
-            .map_err(|error| ConfigError::Malformed { path, error: error.to_string() })?;
+            .map_err(|error| ConfigError::Malformed { path, error: error.into() })?;
         Ok(Config::from_json(&json, variable)?)
     }
 
--- a/src/program/errors.rs
+++ b/src/program/errors.rs
@@ -45,16 +45,18 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// Why it cannot be used.
-        error: std::io::Error,
+        /// Why it cannot be read.
+        #[source]
+        error: io::Error,
     },
     /// A file is not well-formed, or one of its values cannot be used.
     #[error("{path}: {error}")]
     Malformed {
         /// The file's path.
         path: String,
-        /// Why it cannot be used.
-        error: String,
+        /// What is wrong with its content.
+        #[source]
+        error: FileContentError,
     },
     /// The value of one key cannot be used.
     #[error("configuration: {0}")]
@@ -68,3 +70,30 @@
         matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
     }
 }
+
+/// What is wrong with the content of a configuration file.
+#[derive(Debug, thiserror::Error)]
+pub enum FileContentError {
+    /// The platform's file is not JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The OpenSearch-style front's file has not the form that its sections ask for.
+    #[error(transparent)]
+    FrontToml(toml::de::Error),
+    /// The operator's file has not the form that its sections ask for. The message shows the line and the key over several
+    /// lines, and begins on a line of its own.
+    #[error("\n{0}")]
+    OperatorToml(#[source] toml::de::Error),
+    /// The value of one key cannot be used.
+    #[error(transparent)]
+    InvalidSetting(#[from] InvalidSetting),
+    /// The value that a line sets cannot be used.
+    #[error("line {line}: {error}")]
+    InvalidLine {
+        /// Number of the line, from 1.
+        line: usize,
+        /// The key, and what is wrong with its value.
+        #[source]
+        error: InvalidSetting,
+    },
+}
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,6 +1,6 @@
 //! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
-use super::errors::ConfigError;
+use super::errors::{ConfigError, FileContentError};
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
@@ -163,9 +163,9 @@
     ///
     /// # Errors
     /// Names the line or the key that cannot be used.
-    pub fn parse(text: &str, seed: u64) -> Result<FrontFile, String> {
-        let file: FileContent = toml::from_str(text).map_err(|error| error.to_string())?;
-        file.check(seed).map_err(|error| error.to_string())
+    pub fn parse(text: &str, seed: u64) -> Result<FrontFile, FileContentError> {
+        let file: FileContent = toml::from_str(text).map_err(FileContentError::FrontToml)?;
+        Ok(file.check(seed)?)
     }
 }
 
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: the optional features of an installation (records and membership), beside the platform's
 //! configuration. Everything in it is off where there is no such file.
 
-use super::errors::ConfigError;
+use super::errors::{ConfigError, FileContentError};
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
@@ -163,17 +163,19 @@
     ///
     /// # Errors
     /// Names the line and the key that cannot be used.
-    pub fn parse(text: &str) -> Result<OperatorFile, String> {
-        // The library's own message shows the line and the key, over several lines.
-        let file: OperatorFile = toml::from_str(text).map_err(|error| format!("\n{error}"))?;
-        let records_valid = file.records.as_ref().map_or(Ok(()), RecordSettings::check);
-        let membership_valid = file.membership.as_ref().map_or(Ok(()), MembershipSettings::check);
-        records_valid.and(membership_valid).map_err(|error| match line_number_of(text, &error.path) {
-            Some(line) => format!("line {line}: {error}"),
-            None => error.to_string(),
+    pub fn parse(text: &str) -> Result<OperatorFile, FileContentError> {
+        let file: OperatorFile = toml::from_str(text).map_err(FileContentError::OperatorToml)?;
+        file.check().map_err(|error| match line_number_of(text, &error.path) {
+            Some(line) => FileContentError::InvalidLine { line, error },
+            None => FileContentError::InvalidSetting(error),
         })?;
         Ok(file)
     }
+
+    fn check(&self) -> Result<(), InvalidSetting> {
+        self.records.as_ref().map_or(Ok(()), RecordSettings::check)?;
+        self.membership.as_ref().map_or(Ok(()), MembershipSettings::check)
+    }
 }
 
 /// Number of the line that sets a key, found by the last name of its path.
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -305,7 +305,7 @@
     ];
     for (from, to, key) in cases {
         let bad = gatherer::program::opensearch_file::FrontFile::parse(&toml.replacen(from, to, 1), 1);
-        let error = bad.expect_err(key);
+        let error = bad.expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
     let operator = include_str!("../deploy/operator.toml");
@@ -320,7 +320,7 @@
         ("segment_mb = 3", "unknown field `segment_mb`".to_owned()),
     ];
     for (line, message) in cases {
-        let error = parse(&format!("{operator}{line}\n")).expect_err(line);
+        let error = parse(&format!("{operator}{line}\n")).expect_err(line).to_string();
         assert!(error.contains(&message), "{line}: {error}");
     }
     let membership = "[membership]\nlisten = \"127.0.0.1:7946\"\ncluster = \"c\"\nseeds = []\n";
@@ -334,7 +334,7 @@
         ("seed = []", "unknown field `seed`"),
     ];
     for (line, message) in cases {
-        let error = parse(&format!("{membership}{line}\n")).expect_err(line);
+        let error = parse(&format!("{membership}{line}\n")).expect_err(line).to_string();
         assert!(error.contains(message), "{line}: {error}");
     }
     let secret = format!("{membership}secret = \"not to be printed\"\n");
