--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 //! and sets the exit status; all work is done in the library.
 
 use clap::{Parser, Subcommand};
-use gatherer::program::config::Config;
+use gatherer::program::config::{self, Config};
 use gatherer::program::errors::{CommandError, ConfigError};
 use gatherer::program::opensearch_file::FrontFile;
 use gatherer::program::operator::OperatorFile;
@@ -121,9 +121,7 @@
             Ok(())
         }
         Some(Command::Members { operator, json }) => {
-            let from_environment = std::env::var("LB_OPERATOR").ok().and_then(|address| address.parse().ok());
-            let operator =
-                operator.or(from_environment).ok_or(ConfigError::MissingVariable("LB_OPERATOR"))?;
+            let operator = operator.map_or_else(|| config::operator_address(environment_variable), Ok)?;
             print!("{}", members::query(operator, json)?);
             Ok(())
         }
@@ -153,6 +151,9 @@
         let read_file = move || FrontFile::read(&path, seed);
         return run::serve_opensearch(seed, operator, read_file);
     }
-    let read_config = || Config::from_platform(|name| std::env::var(name).ok());
-    run::serve_platform(operator, read_config)
+    run::serve_platform(operator, || Config::from_platform(environment_variable))
+}
+
+fn environment_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok()
 }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -10,6 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The variable that names the platform's file.
+pub const CONFIG_VARIABLE: &str = "LB_CONFIG";
+/// The variable with the address of the operators' API, where the file has none.
+const OPERATOR_VARIABLE: &str = "LB_OPERATOR";
 /// Number of descriptors that a process may hold, where the file does not say.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 /// Memory of a process in MB, where the file does not say.
@@ -49,7 +53,7 @@
     /// # Errors
     /// `LB_CONFIG` is not set, or its file cannot be read or used.
     pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let path = variable("LB_CONFIG").ok_or(ConfigError::MissingVariable("LB_CONFIG"))?;
+        let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::MissingVariable(CONFIG_VARIABLE))?;
         let bytes =
             std::fs::read(&path).map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
         let json: Value = serde_json::from_slice(&bytes)
@@ -90,6 +94,15 @@
     }
 }
 
+/// The address of a gatherer's operators' API, for a call to it from the command line.
+///
+/// # Errors
+/// `LB_OPERATOR` is not set, or is no address.
+pub fn operator_address(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
+    let address = variable(OPERATOR_VARIABLE).and_then(|address| address.parse().ok());
+    address.ok_or(ConfigError::MissingVariable(OPERATOR_VARIABLE))
+}
+
 /// The file's content, and the variables that supply what it lacks.
 struct Source<'a, V> {
     json: &'a Value,
@@ -115,8 +128,8 @@
     /// The address of the operators' API, if there is one.
     fn operator_address(&self) -> Result<Option<SocketAddr>, InvalidSetting> {
         let is_given = self.json.get("operator").is_some_and(|value| !value.is_null())
-            || (self.variable)("LB_OPERATOR").is_some();
-        is_given.then(|| self.address("operator", "LB_OPERATOR")).transpose()
+            || (self.variable)(OPERATOR_VARIABLE).is_some();
+        is_given.then(|| self.address("operator", OPERATOR_VARIABLE)).transpose()
     }
 }
 
--- a/src/program/errors.rs
+++ b/src/program/errors.rs
@@ -1,6 +1,10 @@
-//! The error of a command of the program, and the exit status that reports it.
+//! The errors of the program's commands, and the exit status that reports each.
+//!
+//! [`CommandError`] is what a command fails with. It wraps one error of each layer below: [`ConfigError`] where a file or the
+//! environment cannot be used, which wraps [`FileContentError`] where a file was read and its content is wrong.
 
 use super::settings::InvalidSetting;
+use crate::limits::descriptors::DescriptorLimitTooLow;
 use crate::transport::errors::is_transient;
 use std::io;
 
@@ -15,6 +19,9 @@
     /// The configuration cannot be used.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
+    /// The system allows too few descriptors to serve with.
+    #[error(transparent)]
+    TooFewDescriptors(#[from] DescriptorLimitTooLow),
     /// A call to the operating system failed.
     #[error(transparent)]
     System(#[from] io::Error),
@@ -29,7 +36,9 @@
     pub fn exit_status(&self) -> u8 {
         match self {
             CommandError::Configuration(_) => CONFIGURATION_EXIT_STATUS,
-            CommandError::System(_) | CommandError::DamagedRecords(_) => OTHER_EXIT_STATUS,
+            CommandError::TooFewDescriptors(_)
+            | CommandError::System(_)
+            | CommandError::DamagedRecords(_) => OTHER_EXIT_STATUS,
         }
     }
 }
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -1,6 +1,6 @@
 //! The sub-commands that serve nothing: `check`, `report` and `records`. They read files and return what is to be printed.
 
-use super::config::Config;
+use super::config::{CONFIG_VARIABLE, Config};
 use super::errors::ConfigError;
 use super::opensearch_file::FrontFile;
 use super::operator::OperatorFile;
@@ -24,7 +24,7 @@
 pub fn check(path: &str) -> Result<&'static str, ConfigError> {
     if path.ends_with(".json") {
         let variable = |name: &str| match name {
-            "LB_CONFIG" => Some(path.to_owned()),
+            CONFIG_VARIABLE => Some(path.to_owned()),
             other => std::env::var(other).ok(),
         };
         return Config::from_platform(variable).map(|_| "a configuration of the platform's, without a fault");
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -13,6 +13,7 @@
 use super::signals::ShutdownSignal;
 use super::upgrade::Upgrade;
 use crate::fronts::counters_text;
+use crate::limits::descriptors::DescriptorLimitTooLow;
 use crate::policy::Settings;
 use crate::routing::{Broker, Contracts, Invariant, WorkerTransport};
 use crate::service::lifecycle::LifecycleRequest;
@@ -162,8 +163,8 @@
 }
 
 /// A descriptor pool for a process that shares its limits with no other.
-fn new_descriptor_pool(process_limits: &ProcessLimits) -> io::Result<Rc<DescriptorPool>> {
-    let plan = process_limits.descriptor_budget(1).map_err(io::Error::other)?;
+fn new_descriptor_pool(process_limits: &ProcessLimits) -> Result<Rc<DescriptorPool>, DescriptorLimitTooLow> {
+    let plan = process_limits.descriptor_budget(1)?;
     Ok(DescriptorPool::new(plan, process_limits.buffer_bytes(1)))
 }
 
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -112,7 +112,11 @@
 
 impl Components {
     /// Makes the components, which serve nobody yet. Opens the records, if there are any.
-    fn start(config: &Config, operator: &OperatorFile, listeners: &Listeners) -> io::Result<Components> {
+    fn start(
+        config: &Config,
+        operator: &OperatorFile,
+        listeners: &Listeners,
+    ) -> Result<Components, CommandError> {
         let process_limits = listeners.read_process_limits(config, operator);
         let descriptor_pool = new_descriptor_pool(&process_limits)?;
         let clock = Clock::system();
