--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,6 +1,7 @@
 //! The configuration of the platform's front: reads the environment and the JSON file that `LB_CONFIG` names, and checks
 //! both. It opens nothing but that file.
 
+use super::config_file::read_file;
 use super::errors::ConfigError;
 use super::settings::{FlatSettings, InvalidSetting};
 use crate::limits::descriptors;
@@ -54,10 +55,7 @@
     /// `LB_CONFIG` is not set, or its file cannot be read or used.
     pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::MissingVariable(CONFIG_VARIABLE))?;
-        let bytes =
-            std::fs::read(&path).map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
-        let json: Value = serde_json::from_slice(&bytes)
-            .map_err(|error| ConfigError::Malformed { path, error: error.into() })?;
+        let json: Value = read_file(&path, std::fs::read, |bytes| Ok(serde_json::from_slice(&bytes)?))?;
         Ok(Config::from_json(&json, variable)?)
     }
 
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -1,6 +1,7 @@
 //! The sub-commands that serve nothing: `check`, `report` and `records`. They read files and return what is to be printed.
 
 use super::config::{CONFIG_VARIABLE, Config};
+use super::config_file::read_file;
 use super::errors::ConfigError;
 use super::opensearch_file::FrontFile;
 use super::operator::OperatorFile;
@@ -29,10 +30,9 @@
         };
         return Config::from_platform(variable).map(|_| "a configuration of the platform's, without a fault");
     }
-    let text = std::fs::read_to_string(path)
-        .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
-    let is_front = text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("listen"));
-    if is_front {
+    let has_listen =
+        |text: String| text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("listen"));
+    if read_file(path, std::fs::read_to_string, |text| Ok(has_listen(text)))? {
         return FrontFile::read(path, 0).map(|_| "an OpenSearch-style front's file, without a fault");
     }
     OperatorFile::read(path).map(|_| "an operator's file, without a fault")
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -2,6 +2,7 @@
 //! and decides nothing about queries.
 
 pub mod config;
+mod config_file;
 pub mod errors;
 pub mod inspect;
 pub mod log;
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,5 +1,6 @@
 //! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
+use super::config_file::read_file;
 use super::errors::{ConfigError, FileContentError};
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
@@ -154,9 +155,7 @@
     /// # Errors
     /// The file cannot be read, or one of its values cannot be used.
     pub fn read(path: &str, seed: u64) -> Result<FrontFile, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
-        FrontFile::parse(&text, seed).map_err(|error| ConfigError::Malformed { path: path.to_owned(), error })
+        read_file(path, std::fs::read_to_string, |text| FrontFile::parse(&text, seed))
     }
 
     /// Parses and checks the text of a file.
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,6 +1,7 @@
 //! The operator's file: the optional features of an installation (records and membership), beside the platform's
 //! configuration. Everything in it is off where there is no such file.
 
+use super::config_file::read_file;
 use super::errors::{ConfigError, FileContentError};
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
@@ -154,9 +155,7 @@
     /// # Errors
     /// The file cannot be read, or one of its values cannot be used.
     pub fn read(path: &str) -> Result<OperatorFile, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
-        OperatorFile::parse(&text).map_err(|error| ConfigError::Malformed { path: path.to_owned(), error })
+        read_file(path, std::fs::read_to_string, |text| OperatorFile::parse(&text))
     }
 
     /// Parses and checks the text of a file.
