--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,10 +1,11 @@
 //! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
-use super::config::ConfigError;
+use super::config_file::read_file;
+use super::errors::{ConfigError, FileContentError};
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
-use crate::policy::*;
+use crate::policy::{Class, EndpointStatus, Idempotency, Settings, Tenant, ZoneId};
 use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -154,18 +155,16 @@
     /// # Errors
     /// The file cannot be read, or one of its values cannot be used.
     pub fn read(path: &str, seed: u64) -> Result<FrontFile, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| ConfigError::Unreadable { path: path.to_owned(), error })?;
-        FrontFile::parse(&text, seed).map_err(|error| ConfigError::Malformed { path: path.to_owned(), error })
+        read_file(path, std::fs::read_to_string, |text| FrontFile::parse(&text, seed))
     }
 
     /// Parses and checks the text of a file.
     ///
     /// # Errors
     /// Names the line or the key that cannot be used.
-    pub fn parse(text: &str, seed: u64) -> Result<FrontFile, String> {
-        let file: FileContent = toml::from_str(text).map_err(|error| error.to_string())?;
-        file.check(seed).map_err(|error| error.to_string())
+    pub fn parse(text: &str, seed: u64) -> Result<FrontFile, FileContentError> {
+        let file: FileContent = toml::from_str(text).map_err(FileContentError::FrontToml)?;
+        Ok(file.check(seed)?)
     }
 }
 
