--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -116,16 +116,21 @@
                 true
             }
             Err(error) => {
-                // The segment may end in a torn record now: nothing more goes into it.
-                self.segment = None;
-                let length = self.pause.map_or(FIRST_PAUSE, |pause| (pause.length * 2).min(MAX_PAUSE));
-                self.pause = Some(Pause { until: now.after(length), length });
+                self.pause_after_failure(now);
                 self.count_lost(&error.to_string());
                 false
             }
         }
     }
 
+    /// Leaves the disk alone for a while, longer with each failure in a row.
+    fn pause_after_failure(&mut self, now: Time) {
+        // The segment may end in a torn record now: nothing more goes into it.
+        self.segment = None;
+        let length = self.pause.map_or(FIRST_PAUSE, |pause| (pause.length * 2).min(MAX_PAUSE));
+        self.pause = Some(Pause { until: now.after(length), length });
+    }
+
     fn count_lost(&mut self, reason: &str) {
         // The number stays unused, so that a reader notices the loss even if no record ever reports it.
         self.next_seq += 1;
@@ -135,6 +140,7 @@
         }
     }
 
+    /// Writes a record, behind the report of records lost before it.
     fn try_write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
         if self.unreported > 0 {
             let gap = RecordBody::Gap { lost: self.unreported, reason: self.last_loss_reason.clone() };
@@ -145,12 +151,7 @@
     }
 
     fn append(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
-        let (gatherer, incarnation) = (self.gatherer.clone(), self.incarnation.clone());
-        let record = Record { version: VERSION, gatherer, incarnation, seq: self.next_seq, at_ms, body };
-        let bytes = record.encode();
-        if bytes.len() > MAX_RECORD_BYTES {
-            return Err(io::Error::other("the line is too long"));
-        }
+        let bytes = self.encode(at_ms, body)?;
         let record_bytes = bytes.len() as u64;
         if self.segment.is_none_or(|segment| segment.is_full(now, record_bytes)) {
             self.begin_segment(now, record_bytes)?;
@@ -163,24 +164,46 @@
         Ok(())
     }
 
-    /// Begins the next segment, after removing old ones: the folder stays within its limit, and the process never fills
-    /// the disk by itself.
+    /// Encodes the next record in sequence. It fails where the record is too long for a reader.
+    fn encode(&self, at_ms: u64, body: RecordBody) -> io::Result<Vec<u8>> {
+        let record = Record {
+            version: VERSION,
+            gatherer: self.gatherer.clone(),
+            incarnation: self.incarnation.clone(),
+            seq: self.next_seq,
+            at_ms,
+            body,
+        };
+        let bytes = record.encode();
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(io::Error::other("the line is too long"));
+        }
+        Ok(bytes)
+    }
+
+    /// Begins the next segment, for a record of this length. Its number is used up even where it cannot be created.
     fn begin_segment(&mut self, now: Time, record_bytes: u64) -> io::Result<()> {
         self.segment = None;
         self.segment_number += 1;
         let name = SegmentName::new(&self.gatherer, &self.incarnation, self.segment_number);
-        let files = self.disk.list()?.into_iter();
-        let found = files.filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
         let coming = self.limits.segment_bytes.max(record_bytes);
-        for old in segments_to_remove(found.collect(), &name, &self.limits, coming) {
+        self.remove_old_segments(&name, coming)?;
+        self.disk.begin(&name.file_name())?;
+        self.segment = Some(OpenSegment::new(self.limits, now));
+        Ok(())
+    }
+
+    /// Makes room for `coming` bytes: the folder stays within its limit, and the process never fills the disk by itself.
+    fn remove_old_segments(&mut self, current: &SegmentName, coming: u64) -> io::Result<()> {
+        let files = self.disk.list()?.into_iter();
+        let segments = files.filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
+        for old in segments_to_remove(segments.collect(), current, &self.limits, coming) {
             match self.disk.remove(&old.file_name()) {
                 // During a hot restart, the other process writes to this folder too and may have removed it first.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 removed => removed?,
             }
         }
-        self.disk.begin(&name.file_name())?;
-        self.segment = Some(OpenSegment::new(self.limits, now));
         Ok(())
     }
 }
