--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -44,6 +44,28 @@
     errors::retry(limit, errors::is_local, async || TcpStream::connect(address).await).await
 }
 
+/// Sends a datagram without waiting. An interrupted send is retried a few times.
+fn send_datagram(socket: &UdpSocket, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
+    let mut sent = socket.try_send_to(bytes, to);
+    for _ in 0..MAX_SEND_RETRIES {
+        if !matches!(&sent, Err(error) if error.kind() == io::ErrorKind::Interrupted) {
+            break;
+        }
+        sent = socket.try_send_to(bytes, to);
+    }
+    sent
+}
+
+/// Tries to connect to a process, to find out whether it accepts connections.
+async fn probe(address: SocketAddr) -> ConnectionProbeResult {
+    // A local failure says nothing about the peer: it is retried.
+    match timeout(CONNECT_TIMEOUT, connect(address, CONNECT_TIMEOUT)).await {
+        Ok(Ok(_)) => ConnectionProbeResult::Connected,
+        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => ConnectionProbeResult::Refused,
+        Ok(Err(_)) | Err(_) => ConnectionProbeResult::NoResponse,
+    }
+}
+
 /// Is notified of what membership finds.
 pub trait MembershipObserver {
     /// A member's state has changed.
@@ -141,11 +163,9 @@
     /// Broadcasts that this process ends, and whether another of the same name takes over.
     pub fn leave(&self, handing_over: bool) {
         let commands = self.node.borrow_mut().leave(handing_over);
-        if let Some(socket) = &*self.socket.borrow() {
-            for command in commands {
-                if let Command::Send { to, message } = command {
-                    self.send(socket, to, &message);
-                }
+        for command in commands {
+            if let Command::Send { to, message } = command {
+                self.send(to, &message);
             }
         }
         self.stopped.notify_one();
@@ -191,30 +211,32 @@
     /// Executes the node's commands, and notifies the observer of what has changed.
     fn execute_commands(self: &Rc<MembershipTransport>) {
         let commands = self.node.borrow_mut().take_commands();
-        let socket = self.socket.borrow().clone();
         for command in commands {
-            match command {
-                Command::Send { to, message } => {
-                    if let Some(socket) = &socket {
-                        self.send(socket, to, &message);
-                    }
-                }
-                Command::ProbeConnection { name, start, address } => {
-                    let members = self.clone();
-                    spawn_local(async move { members.probe_connection(name, start, address).await });
-                }
-                Command::ExchangeTables { with } => {
-                    let members = self.clone();
-                    spawn_local(async move { members.exchange_tables(with).await });
-                }
-                Command::Notify(change) => self.observer.on_member_change(&change),
-                Command::NameReclaimed => {
-                    log::warn!(
-                        "members: another process uses this one's name; it was taken back by a later start"
-                    );
-                }
+            self.execute(command);
+        }
+        self.notify_of_fleet_size();
+    }
+
+    fn execute(self: &Rc<MembershipTransport>, command: Command) {
+        match command {
+            Command::Send { to, message } => self.send(to, &message),
+            Command::ProbeConnection { name, start, address } => {
+                spawn_local(self.clone().probe_connection(name, start, address));
+            }
+            Command::ExchangeTables { with } => {
+                spawn_local(self.clone().exchange_tables(with));
+            }
+            Command::Notify(change) => self.observer.on_member_change(&change),
+            Command::NameReclaimed => {
+                log::warn!(
+                    "members: another process uses this one's name; it was taken back by a later start"
+                );
             }
         }
+    }
+
+    /// Notifies the observer of the fleet size, where that has changed since it was last notified.
+    fn notify_of_fleet_size(&self) {
         let fleet_size = self.node.borrow().gatherers(self.clock.now());
         if self.notified_fleet_size.replace(fleet_size) != fleet_size {
             self.observer.on_fleet_size(fleet_size);
@@ -227,19 +249,10 @@
         self.deadline_changed.notify_one();
     }
 
-    fn send(&self, socket: &UdpSocket, to: SocketAddr, message: &Message) {
-        let send = |bytes: Vec<u8>| {
-            let mut sent = socket.try_send_to(&bytes, to);
-            for _ in 0..MAX_SEND_RETRIES {
-                if !matches!(&sent, Err(error) if error.kind() == io::ErrorKind::Interrupted) {
-                    break;
-                }
-                sent = socket.try_send_to(&bytes, to);
-            }
-            sent
-        };
-        let sent = self.cluster_key.encode(message).map(send);
-        // A datagram that is not sent counts as lost, which the protocol allows for.
+    /// Sends a datagram, where the socket is bound. One that is not sent counts as lost, which the protocol allows for.
+    fn send(&self, to: SocketAddr, message: &Message) {
+        let Some(socket) = self.socket.borrow().clone() else { return };
+        let sent = self.cluster_key.encode(message).map(|bytes| send_datagram(&socket, &bytes, to));
         if !matches!(sent, Ok(Ok(_))) {
             *self.discarded.borrow_mut().entry("unsent".to_owned()).or_default() += 1;
         }
@@ -249,19 +262,13 @@
     async fn probe_connection(self: Rc<MembershipTransport>, name: String, start: u64, address: SocketAddr) {
         let result = match self.outgoing.try_acquire() {
             Err(_) => ConnectionProbeResult::NoResponse,
-            // A local failure says nothing about the peer: it is retried.
-            Ok(_permit) => match timeout(CONNECT_TIMEOUT, connect(address, CONNECT_TIMEOUT)).await {
-                Ok(Ok(_)) => ConnectionProbeResult::Connected,
-                Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                    ConnectionProbeResult::Refused
-                }
-                Ok(Err(_)) | Err(_) => ConnectionProbeResult::NoResponse,
-            },
+            Ok(_permit) => probe(address).await,
         };
         self.node.borrow_mut().on_probe_result(self.clock.now(), &name, start, result);
         self.on_input();
     }
 
+    /// Exchanges tables with the member at an address. Without a permit for one more connection nothing happens.
     async fn exchange_tables(self: Rc<MembershipTransport>, with: SocketAddr) {
         let Ok(_permit) = self.outgoing.try_acquire() else { return };
         let exchange = async {
@@ -269,10 +276,7 @@
             self.write_table(&mut stream).await?;
             self.read_table(&mut stream).await
         };
-        if let Ok(Some(message)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
-            self.node.borrow_mut().receive_table(self.clock.now(), message);
-            self.on_input();
-        }
+        self.finish_exchange(exchange).await;
     }
 
     async fn accept(self: Rc<MembershipTransport>, listener: TcpListener) {
@@ -283,20 +287,30 @@
                 continue;
             };
             permit.forget();
-            let members = self.clone();
-            spawn_local(async move {
-                let mut stream = Socket::new(stream);
-                let exchange = async {
-                    let message = members.read_table(&mut stream).await?;
-                    members.write_table(&mut stream).await?;
-                    Some(message)
-                };
-                if let Ok(Some(message)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
-                    members.node.borrow_mut().receive_table(members.clock.now(), message);
-                    members.on_input();
-                }
-                members.incoming.add_permits(1);
-            });
+            spawn_local(self.clone().answer_exchange(stream));
+        }
+    }
+
+    /// Serves an incoming connection to its end, and gives back its permit.
+    async fn answer_exchange(self: Rc<MembershipTransport>, stream: TcpStream) {
+        let mut stream = Socket::new(stream);
+        let exchange = async {
+            let message = self.read_table(&mut stream).await?;
+            self.write_table(&mut stream).await?;
+            Some(message)
+        };
+        self.finish_exchange(exchange).await;
+        self.incoming.add_permits(1);
+    }
+
+    /// Waits for an exchange and applies the peer's table, where it brings one in time.
+    async fn finish_exchange(
+        self: &Rc<MembershipTransport>,
+        exchange: impl Future<Output = Option<Message>>,
+    ) {
+        if let Ok(Some(message)) = timeout(EXCHANGE_TIMEOUT, exchange).await {
+            self.node.borrow_mut().receive_table(self.clock.now(), message);
+            self.on_input();
         }
     }
 
