--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -13,7 +13,7 @@
 
 pub use command::{Command, ConnectionProbeResult};
 pub use fleet_size::FleetSizeEstimate;
-pub use node::Node;
+pub use node::{Node, NodeConfig};
 pub use table::{KnownMember, MemberChange, MemberTable, ObservedState, Reachability};
 pub use timing::Timing;
 pub use update::{MemberState, MemberUpdate, Message, MessageKind};
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -32,6 +32,22 @@
 /// Members that the leave broadcast goes to.
 const LEAVE_FANOUT: usize = 8;
 
+/// What a member is started with.
+pub struct NodeConfig {
+    /// What it reports about itself.
+    pub own: MemberUpdate,
+    /// The addresses that it knows at first; its own may be among them.
+    pub seeds: Vec<SocketAddr>,
+    /// Its intervals and time-outs.
+    pub timing: Timing,
+    /// The fleet size in the settings.
+    pub configured_gatherers: u32,
+    /// The most other members that it remembers.
+    pub max_members: usize,
+    /// Seed of its random choices.
+    pub random_seed: u64,
+}
+
 /// The state of one member.
 pub struct Node {
     own: MemberUpdate,
@@ -63,22 +79,15 @@
 }
 
 impl Node {
-    /// A member that starts now and knows the addresses of some seeds only. `configured_gatherers` is the fleet size in the
-    /// settings, `max_members` the most others that it remembers.
+    /// A member that starts now and knows the addresses of some seeds only.
     #[must_use]
-    pub fn new(
-        now: Time,
-        own: MemberUpdate,
-        seeds: Vec<SocketAddr>,
-        timing: Timing,
-        configured_gatherers: u32,
-        max_members: usize,
-        random_seed: u64,
-    ) -> Node {
+    pub fn new(now: Time, config: NodeConfig) -> Node {
+        let NodeConfig { own, mut seeds, timing, configured_gatherers, max_members, random_seed } = config;
+        seeds.retain(|seed| *seed != own.address);
         Node {
-            seeds: seeds.into_iter().filter(|seed| *seed != own.address).collect(),
             own,
             timing,
+            seeds,
             table: MemberTable::new(max_members),
             fleet_size: FleetSizeEstimate::new(configured_gatherers),
             random: fastrand::Rng::with_seed(random_seed),
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -3,7 +3,7 @@
 
 use super::operator::MembershipSettings;
 use super::recording::Recording;
-use crate::membership::{MemberChange, MemberState, MemberUpdate, Node};
+use crate::membership::{MemberChange, MemberState, MemberUpdate, Node, NodeConfig};
 use crate::protocol::gossip::ClusterKey;
 use crate::protocol::http;
 use crate::records::record::RecordBody;
@@ -76,16 +76,16 @@
         zone,
         state: MemberState::Alive,
     };
-    let (seeds, max_members) = (settings.seeds.clone(), settings.max_members);
-    let node = Node::new(
-        clock.now(),
+    let max_members = settings.max_members;
+    let config = NodeConfig {
         own,
-        seeds,
-        settings.timing(),
-        stated_fleet_size,
+        seeds: settings.seeds.clone(),
+        timing: settings.timing(),
+        configured_gatherers: stated_fleet_size,
         max_members,
-        fastrand::u64(..),
-    );
+        random_seed: fastrand::u64(..),
+    };
+    let node = Node::new(clock.now(), config);
     let seal = ClusterKey::new(&settings.cluster, &settings.secret);
     let observer = MemberChanges { broker: broker.clone(), recording: recording.clone() };
     Some(MembershipTransport::new(node, seal, clock, settings.listen, max_members, Box::new(observer)))
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -6,7 +6,8 @@
 use super::network::{NetworkFaults, Traffic, address, id_at, id_of, name};
 use super::peer::{Peer, PeerStart, StartPeer};
 use crate::membership::{
-    Command, ConnectionProbeResult, MemberChange, MemberState, MemberUpdate, Message, Node, Timing,
+    Command, ConnectionProbeResult, MemberChange, MemberState, MemberUpdate, Message, Node, NodeConfig,
+    Timing,
 };
 use crate::policy::Time;
 use std::cmp::Reverse;
@@ -116,9 +117,15 @@
                 zone: format!("zone-{}", start.id % ZONES),
                 state: MemberState::Alive,
             };
-            let (gatherers, random_seed) = (start.configured_gatherers, start.random_seed);
-            let seeds = start.seeds.to_vec();
-            Node::new(start.now, own, seeds, timing, gatherers, MAX_MEMBERS, random_seed)
+            let config = NodeConfig {
+                own,
+                seeds: start.seeds.to_vec(),
+                timing,
+                configured_gatherers: start.configured_gatherers,
+                max_members: MAX_MEMBERS,
+                random_seed: start.random_seed,
+            };
+            Node::new(start.now, config)
         };
         Simulation::new(count, seed, Box::new(start_peer))
     }
