--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -8,7 +8,7 @@
 use crate::records::reader::{DamagedRecord, Reader};
 use crate::records::record::Record;
 use crate::records::segments::SegmentName;
-use crate::records::summary::Summary;
+use crate::records::summary::{QueryGroup, Summary};
 use serde_json::json;
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -149,7 +149,7 @@
         let mut steps = Vec::new();
         for (begin_ms, step) in &summary.steps {
             let mut classes = serde_json::Map::new();
-            for ((class, tenant), counts) in &step.queries {
+            for (QueryGroup { class, tenant }, counts) in &step.queries {
                 let tenants = classes.entry(class.clone()).or_insert_with(|| json!({}));
                 tenants[tenant] = json!(counts);
             }
@@ -166,7 +166,7 @@
         let starts: Vec<_> = summary
             .incarnations
             .iter()
-            .map(|((gatherer, start), seen)| json!({"gatherer": gatherer, "start": start, "seen": seen}))
+            .map(|(id, seen)| json!({"gatherer": id.gatherer, "start": id.incarnation, "seen": seen}))
             .collect();
         let report = json!({
             "classes": summary.totals_by_class(),
--- a/src/records/diagnosis/gatherers.rs
+++ b/src/records/diagnosis/gatherers.rs
@@ -22,8 +22,9 @@
 pub(super) fn find_deaths(summary: &Summary) -> Vec<Finding> {
     let end_ms = summary.incarnations.values().map(|incarnation| incarnation.last_ms).max().unwrap_or(0);
     let mut by_gatherer: BTreeMap<&str, Vec<Incarnation<'_>>> = BTreeMap::new();
-    for ((gatherer, name), summary) in &summary.incarnations {
-        by_gatherer.entry(gatherer).or_default().push(Incarnation { name, summary });
+    for (id, summary) in &summary.incarnations {
+        let incarnation = Incarnation { name: &id.incarnation, summary };
+        by_gatherer.entry(&id.gatherer).or_default().push(incarnation);
     }
     let mut findings = Vec::new();
     for (gatherer, mut incarnations) in by_gatherer {
@@ -94,14 +95,14 @@
 pub(super) fn find_missing_records(summary: &Summary) -> Vec<Finding> {
     let incomplete = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
     incomplete
-        .map(|((gatherer, name), incarnation)| Finding {
-            kind: FindingKind::RecordsMissing { gatherer: gatherer.clone() },
+        .map(|(id, incarnation)| Finding {
+            kind: FindingKind::RecordsMissing { gatherer: id.gatherer.clone() },
             from_ms: incarnation.first_ms,
             to_ms: incarnation.last_ms,
             certainty: Certainty::Certain,
             evidence: format!(
-                "{} records of incarnation {name} are missing; it reports {} as lost",
-                incarnation.missing, incarnation.reported_lost
+                "{} records of incarnation {} are missing; it reports {} as lost",
+                incarnation.missing, id.incarnation, incarnation.reported_lost
             ),
             counter_evidence: None,
         })
--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -8,7 +8,7 @@
 use self::charts::{LatencyStep, QueryStep, latency_chart, query_chart};
 use super::diagnosis::{Certainty, Finding, FindingKind};
 use super::metrics::AttemptMetrics;
-use super::summary::{QueryCounts, Summary, TimeStep};
+use super::summary::{QueryCounts, QueryGroup, Summary, TimeStep};
 use jiff::Timestamp;
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use plotters::style::RGBColor;
@@ -179,7 +179,7 @@
 /// Counts of one class over all tenants in a time step.
 fn sum_of_class(step: &TimeStep, class: &str) -> QueryCounts {
     let mut sum = QueryCounts::default();
-    step.queries.iter().filter(|((name, _), _)| name == class).for_each(|(_, counts)| sum.merge(counts));
+    step.queries.iter().filter(|(group, _)| group.class == class).for_each(|(_, counts)| sum.merge(counts));
     sum
 }
 
@@ -219,21 +219,22 @@
     }
 }
 
+fn group_label(group: &QueryGroup) -> String {
+    let QueryGroup { class, tenant } = group;
+    if tenant.is_empty() { format!("{class}, no tenant given") } else { format!("{class}, {tenant}") }
+}
+
 fn tenant_totals(summary: &Summary) -> Markup {
-    let mut totals: BTreeMap<(String, String), QueryCounts> = BTreeMap::new();
-    for (key, counts) in summary.steps.values().flat_map(|step| &step.queries) {
-        totals.entry(key.clone()).or_default().merge(counts);
+    let mut totals: BTreeMap<&QueryGroup, QueryCounts> = BTreeMap::new();
+    for (group, counts) in summary.steps.values().flat_map(|step| &step.queries) {
+        totals.entry(group).or_default().merge(counts);
     }
-    let label = |(class, tenant): &(String, String)| match tenant.as_str() {
-        "" => format!("{class}, no tenant given"),
-        tenant => format!("{class}, {tenant}"),
-    };
     html! {
         details {
             summary { "By class and tenant" }
             div.wide { table {
                 (count_header("class, tenant"))
-                @for (key, counts) in &totals { (count_row(&label(key), counts)) }
+                @for (group, counts) in &totals { (count_row(&group_label(group), counts)) }
             } }
         }
     }
@@ -307,10 +308,10 @@
             tr {
                 th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "records missing" }
             }
-            @for ((gatherer, name), incarnation) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
+            @for (id, incarnation) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
                 tr {
-                    td { (gatherer) }
-                    td.text { (name) }
+                    td { (id.gatherer) }
+                    td.text { (id.incarnation) }
                     td { (date_time(incarnation.first_ms)) }
                     td { (date_time(incarnation.last_ms)) }
                     td { @if incarnation.stopped { "stop" } @else { "none on record" } }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -17,5 +17,5 @@
 pub use metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
 pub use record::{Record, RecordBody, RecordError};
 pub use segments::{OpenSegment, SegmentLimits};
-pub use summary::{QueryCounts, Summary};
+pub use summary::{IncarnationId, QueryCounts, QueryGroup, Summary};
 pub use writer::{Disk, Writer};
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -87,11 +87,20 @@
     }
 }
 
+/// What queries are summed by.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueryGroup {
+    /// Their class.
+    pub class: String,
+    /// Their tenant; empty where none is given.
+    pub tenant: String,
+}
+
 /// The sums of one time step.
 #[derive(Clone, Debug, Default)]
 pub struct TimeStep {
-    /// Queries by class and tenant; the tenant is empty where none is given.
-    pub queries: BTreeMap<(String, String), QueryCounts>,
+    /// Queries by class and tenant.
+    pub queries: BTreeMap<QueryGroup, QueryCounts>,
     /// Attempts by worker.
     pub attempts: BTreeMap<String, AttemptMetrics>,
     /// Latencies in microseconds by class.
@@ -100,8 +109,8 @@
 
 impl TimeStep {
     fn merge(&mut self, other: TimeStep) {
-        for (key, counts) in other.queries {
-            self.queries.entry(key).or_default().merge(&counts);
+        for (group, counts) in other.queries {
+            self.queries.entry(group).or_default().merge(&counts);
         }
         for (worker, attempts) in other.attempts {
             self.attempts.entry(worker).or_default().merge(attempts);
@@ -118,6 +127,15 @@
     }
 }
 
+/// Identifies an incarnation among those of all gatherers.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IncarnationId {
+    /// Name of the gatherer.
+    pub gatherer: String,
+    /// Name of the incarnation.
+    pub incarnation: String,
+}
+
 /// One incarnation of one gatherer, as its records show it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct IncarnationSummary {
@@ -168,8 +186,8 @@
     to_ms: u64,
     /// Time steps by their begin, in Unix milliseconds.
     pub steps: BTreeMap<u64, TimeStep>,
-    /// Incarnations by the names of gatherer and incarnation.
-    pub incarnations: BTreeMap<(String, String), IncarnationSummary>,
+    /// Incarnations of all gatherers.
+    pub incarnations: BTreeMap<IncarnationId, IncarnationSummary>,
     /// Events, in the order in which they were read.
     pub timeline: Vec<TimelineEvent>,
     /// Events dropped, because the timeline was full.
@@ -203,8 +221,8 @@
     /// Adds a record. Outside the summary's time, only its effect on its incarnation counts.
     pub fn add_record(&mut self, record: Record) {
         let Record { gatherer, incarnation, seq, at_ms, body, .. } = record;
-        let key = (gatherer, incarnation);
-        let summary = self.incarnations.entry(key.clone()).or_insert_with(|| IncarnationSummary {
+        let id = IncarnationId { gatherer, incarnation };
+        let summary = self.incarnations.entry(id.clone()).or_insert_with(|| IncarnationSummary {
             first_ms: at_ms,
             last_ms: at_ms,
             ..IncarnationSummary::default()
@@ -225,13 +243,14 @@
             _ => {}
         }
         if let Some(description) = describe_event(&body) {
-            self.add_event(at_ms, key, description);
+            self.add_event(at_ms, id, description);
         } else if let RecordBody::Metrics(metrics) = body {
-            self.add_metrics(&key, at_ms, metrics);
+            self.add_metrics(&id, at_ms, metrics);
         }
     }
 
-    fn add_event(&mut self, at_ms: u64, (gatherer, incarnation): (String, String), description: String) {
+    fn add_event(&mut self, at_ms: u64, id: IncarnationId, description: String) {
+        let IncarnationId { gatherer, incarnation } = id;
         if self.timeline.len() < MAX_TIMELINE_EVENTS {
             self.timeline.push(TimelineEvent { at_ms, gatherer, incarnation, description });
         } else {
@@ -239,10 +258,10 @@
         }
     }
 
-    fn add_metrics(&mut self, key: &(String, String), at_ms: u64, metrics: MetricsSnapshot) {
+    fn add_metrics(&mut self, id: &IncarnationId, at_ms: u64, metrics: MetricsSnapshot) {
         let begin = at_ms / self.step_ms * self.step_ms;
         let step = self.steps.entry(begin).or_default();
-        let Some(incarnation) = self.incarnations.get_mut(key) else { return };
+        let Some(incarnation) = self.incarnations.get_mut(id) else { return };
         // A number without a name shows as such: the record of the start is missing.
         let name_of = |names: &[String], number: usize| {
             names.get(number).cloned().unwrap_or_else(|| format!("#{number}"))
@@ -251,7 +270,7 @@
             let class = name_of(&incarnation.classes, queries.class);
             let tenant =
                 queries.tenant.map_or_else(String::new, |number| name_of(&incarnation.tenants, number));
-            let counts = step.queries.entry((class.clone(), tenant)).or_default();
+            let counts = step.queries.entry(QueryGroup { class: class.clone(), tenant }).or_default();
             counts.received += queries.accepted;
             let open = incarnation.open.entry(class.clone()).or_default();
             *open += i64::try_from(queries.accepted).unwrap_or(i64::MAX);
@@ -310,7 +329,8 @@
                 };
                 if open > 0 {
                     let step = self.steps.entry(*begin).or_default();
-                    step.queries.entry((class.clone(), String::new())).or_default().unknown += open;
+                    let group = QueryGroup { class: class.clone(), tenant: String::new() };
+                    step.queries.entry(group).or_default().unknown += open;
                 }
             }
         }
@@ -320,8 +340,8 @@
     #[must_use]
     pub fn totals_by_class(&self) -> BTreeMap<String, QueryCounts> {
         let mut totals: BTreeMap<String, QueryCounts> = BTreeMap::new();
-        for ((class, _), counts) in self.steps.values().flat_map(|step| &step.queries) {
-            totals.entry(class.clone()).or_default().merge(counts);
+        for (group, counts) in self.steps.values().flat_map(|step| &step.queries) {
+            totals.entry(group.class.clone()).or_default().merge(counts);
         }
         totals
     }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -7,7 +7,7 @@
     MAX_RECORD_BYTES, Record, RecordBody, RecordError, RecordedWorkerState, VERSION,
 };
 use gatherer::records::segments::{SegmentLimits, SegmentName, segments_to_remove};
-use gatherer::records::{Disk, MetricsAccumulator, QueryEnd, QueryLabels, Summary, Writer};
+use gatherer::records::{Disk, IncarnationId, MetricsAccumulator, QueryEnd, QueryLabels, Summary, Writer};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_assume, proptest};
 use std::collections::BTreeMap;
 use std::io;
@@ -269,7 +269,10 @@
     let unknown =
         |begin: u64| summary.steps[&begin].queries.values().map(|counts| counts.unknown).sum::<u64>();
     assert_eq!((unknown(60_000), unknown(120_000)), (2, 0));
-    let incarnation = |name: &str| &summary.incarnations[&("g0".to_owned(), name.to_owned())];
+    let incarnation = |name: &str| {
+        let id = IncarnationId { gatherer: "g0".to_owned(), incarnation: name.to_owned() };
+        &summary.incarnations[&id]
+    };
     let (killed, stopped) = (incarnation("s1"), incarnation("s2"));
     assert_eq!((killed.stopped, stopped.stopped, stopped.missing), (false, true, 2));
 }
