--- /dev/null
+++ b/src/transport/descriptor_pool/buffer_reservation.rs
@@ -0,0 +1,53 @@
+//! The bytes buffered for one peer.
+//!
+//! How many one peer may hold is decided in [`crate::limits::BufferBudget`].
+
+use super::DescriptorPool;
+use std::cell::Cell;
+use std::rc::Rc;
+
+impl DescriptorPool {
+    fn update_buffered(&self, before: usize, after: usize) {
+        let mut buffers = self.buffers.borrow_mut();
+        buffers.update(before, after);
+        let mut counters = self.counters.borrow_mut();
+        counters.peak_buffered_bytes = counters.peak_buffered_bytes.max(buffers.used());
+        if after < before {
+            self.buffer_space.notify_waiters();
+        }
+    }
+}
+
+/// The bytes buffered for one peer, counted against the budget until they are dropped.
+pub struct BufferReservation {
+    pool: Rc<DescriptorPool>,
+    held: Cell<usize>,
+}
+
+impl BufferReservation {
+    /// Creates a reservation of no bytes.
+    pub fn new(pool: &Rc<DescriptorPool>) -> BufferReservation {
+        BufferReservation { pool: pool.clone(), held: Cell::new(0) }
+    }
+    /// Sets the number of bytes that are held now.
+    pub fn set(&self, held: usize) {
+        let before = self.held.replace(held);
+        if before != held {
+            self.pool.update_buffered(before, held);
+        }
+    }
+    /// The number of bytes that may be held now.
+    pub fn allowance(&self) -> usize {
+        self.pool.buffers.borrow().allowance(self.held.get())
+    }
+    /// Waits until another reservation has become smaller.
+    pub async fn wait_for_space(&self) {
+        self.pool.buffer_space.notified().await;
+    }
+}
+
+impl Drop for BufferReservation {
+    fn drop(&mut self) {
+        self.set(0);
+    }
+}
