--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -7,6 +7,7 @@
 
 mod connection;
 mod session;
+mod worker;
 
 use super::connector::Connector;
 use super::descriptor_pool::DescriptorPool;
@@ -20,6 +21,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
+use worker::Worker;
 
 /// The most connections to one worker.
 const MAX_CONNECTIONS_PER_WORKER: usize = 4;
@@ -41,40 +43,6 @@
     workers: RefCell<HashMap<WorkerId, Worker>>,
 }
 
-/// A worker, for as long as it is listed or has a connection.
-struct Worker {
-    name: String,
-    address: String,
-    /// Discovery lists it.
-    listed: bool,
-    /// It accepts new calls.
-    accepts_calls: bool,
-    connections: Vec<Rc<Connection>>,
-}
-
-impl Worker {
-    fn new(name: &str, address: &str) -> Worker {
-        let (name, address) = (name.to_owned(), address.to_owned());
-        Worker { name, address, listed: true, accepts_calls: true, connections: Vec::new() }
-    }
-
-    /// Sends no new call to this worker, and takes back the calls that wait to be written.
-    fn stop(&mut self) -> Vec<AttemptId> {
-        self.accepts_calls = false;
-        self.connections.iter().flat_map(|connection| connection.take_unsent()).collect()
-    }
-
-    /// Gives its connections no new calls; each ends once nothing is in flight on it.
-    fn retire(&self) {
-        self.connections.iter().for_each(|connection| connection.retire());
-    }
-
-    /// Whether it has to be remembered.
-    fn is_needed(&self) -> bool {
-        self.listed || !self.connections.is_empty()
-    }
-}
-
 impl Workers {
     /// Starts without connections; they are opened as calls need them and descriptors allow.
     pub fn new(broker: Broker, connector: Rc<dyn Connector>, descriptor_pool: Rc<DescriptorPool>) -> Workers {
