--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -69,30 +69,37 @@
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.get_mut(&id).filter(|worker| worker.accepts_calls)?;
+        let pooled = self.pooled_connections(worker, parts);
+        match connection_pool::choose_connection(at_most_once, &pooled, MAX_CONNECTIONS_PER_WORKER) {
+            ConnectionChoice::Reuse(index) => worker.connections.get(index).cloned(),
+            ConnectionChoice::OpenNew => Some(self.open_connection(id, worker, parts)),
+        }
+    }
+
+    /// Describes a worker's connections, in their order, as candidates for a call of these parts.
+    fn pooled_connections(&self, worker: &Worker, parts: &[Dispatch]) -> Vec<PooledConnection> {
         let Shared { descriptor_pool, limits, .. } = &self.0.shared;
         // An idle connection's descriptor is idle too, and has to be made busy again.
         let can_mark_busy = descriptor_pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers));
-        let candidates = worker.connections.iter().map(|connection| PooledConnection {
+        let accepts = |connection: &Connection| {
+            connection.accepts(parts, limits.max_parts_per_connection, self.0.unresponsive_after)
+        };
+        let pooled = worker.connections.iter().map(|connection| PooledConnection {
             in_flight: connection.open_calls(),
-            has_capacity: connection.accepts(
-                parts,
-                limits.max_parts_per_connection,
-                self.0.unresponsive_after,
-            ) && (can_mark_busy || !connection.is_idle()),
+            has_capacity: accepts(connection) && (can_mark_busy || !connection.is_idle()),
             accepts_calls: !connection.is_retired(),
         });
-        let candidates: Vec<_> = candidates.collect();
-        match connection_pool::choose_connection(at_most_once, &candidates, MAX_CONNECTIONS_PER_WORKER) {
-            ConnectionChoice::Reuse(index) => worker.connections.get(index).cloned(),
-            ConnectionChoice::OpenNew => {
-                let connection = Rc::new(Connection::new(&worker.address));
-                worker.connections.push(connection.clone());
-                let now = self.0.shared.broker.now();
-                let time_left = parts.iter().map(|part| part.time_left(now)).min().unwrap_or_default();
-                tokio::task::spawn_local(self.clone().run_connection(id, connection.clone(), time_left));
-                Some(connection)
-            }
-        }
+        pooled.collect()
+    }
+
+    /// Adds a connection to a worker, and begins to open it within the time that is left for these parts.
+    fn open_connection(&self, id: WorkerId, worker: &mut Worker, parts: &[Dispatch]) -> Rc<Connection> {
+        let connection = Rc::new(Connection::new(&worker.address));
+        worker.connections.push(connection.clone());
+        let now = self.0.shared.broker.now();
+        let time_left = parts.iter().map(|part| part.time_left(now)).min().unwrap_or_default();
+        tokio::task::spawn_local(self.clone().run_connection(id, connection.clone(), time_left));
+        connection
     }
 
     /// Opens a connection, serves it to its end, and reports the outcome of what is in flight on it then.
@@ -100,21 +107,10 @@
         let disconnect = session::run(&self.0.shared, id, &connection, time_left).await;
         connection.retire();
         self.count(&disconnect);
-        let (reason, unwritten, written) = match disconnect {
-            Disconnect::Closed(reason) => {
-                (reason, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectionReset)
-            }
-            Disconnect::Untrusted(reason) => (reason, AttemptOutcome::ConnectFailed, AttemptOutcome::Failed),
-            Disconnect::Unopened(reason) => {
-                (reason, AttemptOutcome::NotSent, AttemptOutcome::ConnectionReset)
-            }
-        };
-        self.remove_connection(id, &connection, &reason);
+        self.remove_connection(id, &connection, disconnect.reason());
         connection.descriptor.take();
-        // Once the last byte of a frame is written its parts may have run; before that none can have.
         for call in connection.take_calls() {
-            let outcome = if call.written_at.is_some() { written } else { unwritten };
-            let completion = AttemptCompletion::without_value(outcome);
+            let completion = AttemptCompletion::without_value(disconnect.outcome_of(&call));
             self.0.shared.broker.on_attempt_finished(call.attempt_id, completion);
         }
     }
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -3,8 +3,8 @@
 //!
 //! It reports each response that arrives. What is still in flight at the end is reported by the pool, never here.
 
-use super::connection::Connection;
-use crate::policy::{ReportField, WorkerId};
+use super::connection::{Call, Connection};
+use crate::policy::{AttemptOutcome, ReportField, WorkerId};
 use crate::protocol::frame::{self, WorkerMessage};
 use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
 use crate::transport::connector::{Connector, Stream, connect_with_timeout};
@@ -52,6 +52,27 @@
 }
 
 impl Disconnect {
+    /// Why the connection ended, in words.
+    pub fn reason(&self) -> &str {
+        match self {
+            Disconnect::Closed(reason) | Disconnect::Untrusted(reason) | Disconnect::Unopened(reason) => {
+                reason
+            }
+        }
+    }
+
+    /// The outcome of a part that was still in flight. Once the last byte of its frame is written it may have run; before
+    /// that it cannot have.
+    pub fn outcome_of(&self, call: &Call) -> AttemptOutcome {
+        let is_written = call.written_at.is_some();
+        match (self, is_written) {
+            (Disconnect::Closed(_) | Disconnect::Unopened(_), true) => AttemptOutcome::ConnectionReset,
+            (Disconnect::Untrusted(_), true) => AttemptOutcome::Failed,
+            (Disconnect::Closed(_) | Disconnect::Untrusted(_), false) => AttemptOutcome::ConnectFailed,
+            (Disconnect::Unopened(_), false) => AttemptOutcome::NotSent,
+        }
+    }
+
     fn closed(reason: &str) -> Disconnect {
         Disconnect::Closed(reason.to_owned())
     }
