--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -12,34 +12,28 @@
 pub use connect_permit::ConnectPermit;
 pub use descriptor_permit::DescriptorPermit;
 
-use crate::limits::connection_pool::{ConnectQueue, ConnectTicket};
 use crate::limits::descriptors::DESCRIPTOR_CLASSES;
 use crate::limits::{
     BufferBudget, ConnectionCounters, DescriptorAllocator, DescriptorBudget, DescriptorClass,
     DescriptorDenied, ResourcePressure,
 };
 use crate::policy::Time;
+use connect_permit::ConnectWaits;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{Notify, oneshot};
+use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How many calls may wait for a connection for each usable descriptor: the parts of a query wait one by one.
-const CONNECT_WAITS_PER_DESCRIPTOR: usize = 2;
 /// How long [`DescriptorPool::set_budget`] waits for each descriptor that it reclaims.
 const RECLAIM_TIMEOUT: Duration = Duration::from_millis(20);
-/// One in so many of the descriptors guaranteed to workers may be connecting at once.
-const CONNECTING_DIVISOR: usize = 4;
 
 /// The descriptors and buffered bytes of one process, shared by all classes.
 pub struct DescriptorPool {
     start: Instant,
     descriptors: RefCell<DescriptorAllocator>,
     buffers: RefCell<BufferBudget>,
-    connect_queue: RefCell<ConnectQueue>,
-    connect_waiters: RefCell<BTreeMap<ConnectTicket, oneshot::Sender<ConnectPermit>>>,
+    connect_waits: RefCell<ConnectWaits>,
     reclaims: [ReclaimRequest; DESCRIPTOR_CLASSES.len()],
     /// Notified when a descriptor is released.
     released: Notify,
@@ -60,16 +54,11 @@
     /// Creates a pool in which all descriptors are free and `max_buffered_bytes` may be buffered.
     #[must_use]
     pub fn new(budget: DescriptorBudget, max_buffered_bytes: usize) -> Rc<DescriptorPool> {
-        let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         Rc::new(DescriptorPool {
             start: Instant::now(),
             buffers: RefCell::new(BufferBudget::new(max_buffered_bytes, budget.usable)),
-            connect_queue: RefCell::new(ConnectQueue::new(
-                budget.usable * CONNECT_WAITS_PER_DESCRIPTOR,
-                (guaranteed / CONNECTING_DIVISOR).max(4),
-            )),
+            connect_waits: RefCell::new(ConnectWaits::new(&budget)),
             descriptors: RefCell::new(DescriptorAllocator::new(budget)),
-            connect_waiters: RefCell::default(),
             reclaims: Default::default(),
             released: Notify::new(),
             buffer_space: Notify::new(),
--- a/src/transport/descriptor_pool/connect_permit.rs
+++ b/src/transport/descriptor_pool/connect_permit.rs
@@ -3,13 +3,21 @@
 //! Which call may connect next, and for how long it waits, is decided in [`crate::limits::connection_pool`].
 
 use super::{DescriptorPermit, DescriptorPool};
-use crate::limits::DescriptorClass;
-use crate::limits::connection_pool::{self, ConnectTicket, ConnectWaitError};
-use crate::policy::WorkerId;
+use crate::limits::connection_pool::{self, ConnectQueue, ConnectTicket, ConnectWaitError};
+use crate::limits::{DescriptorBudget, DescriptorClass};
+use crate::policy::{Time, WorkerId};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// How many calls may wait for a connection for each usable descriptor: the parts of a query wait one by one.
+const CONNECT_WAITS_PER_DESCRIPTOR: usize = 2;
+/// One in so many of the descriptors guaranteed to workers may be connecting at once...
+const CONNECTING_DIVISOR: usize = 4;
+/// ...and so many at least.
+const MIN_CONNECTING: usize = 4;
+
 impl DescriptorPool {
     /// Waits for the right to connect to a server, for a call with `time_left` before its deadline. A dropped wait is
     /// removed from the queue.
@@ -21,12 +29,8 @@
         worker: WorkerId,
         time_left: Duration,
     ) -> Result<ConnectPermit, ConnectWaitError> {
-        let (ticket, displaced) = self.connect_queue.borrow_mut().enqueue(self.now(), worker, time_left);
         let (sender, receiver) = oneshot::channel();
-        self.connect_waiters.borrow_mut().insert(ticket, sender);
-        // A displaced call learns of it as its channel closes.
-        let displaced = displaced.and_then(|ticket| self.connect_waiters.borrow_mut().remove(&ticket));
-        drop(displaced);
+        let ticket = self.connect_waits.borrow_mut().enqueue(self.now(), worker, time_left, sender);
         let _queued = QueuedConnect { pool: self, ticket };
         self.start_waiting_connects();
         let limit = connection_pool::connect_wait_limit(time_left);
@@ -41,17 +45,16 @@
 
     /// Gives connect permits to waiting calls, as far as descriptors allow.
     pub(super) fn start_waiting_connects(self: &Rc<Self>) {
-        while self.connect_queue.borrow().can_start_next()
+        while self.connect_waits.borrow().queue.can_start_next()
             && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
         {
             let Ok(descriptor) = self.try_acquire(DescriptorClass::Workers) else { return };
             descriptor.try_mark_busy();
-            let next = self.connect_queue.borrow_mut().start_next();
-            let Some((ticket, worker)) = next else { return };
+            let next = self.connect_waits.borrow_mut().start_next();
+            let Some(StartedConnect { worker, waiter }) = next else { return };
             self.counters.borrow_mut().worker_connects_started += 1;
-            let waiter = self.connect_waiters.borrow_mut().remove(&ticket);
-            let permit =
-                ConnectPermit { descriptor, _connecting: ConnectingSlot { pool: self.clone(), worker } };
+            let connecting = ConnectingSlot { pool: self.clone(), worker };
+            let permit = ConnectPermit { descriptor, _connecting: connecting };
             if let Some(waiter) = waiter {
                 // A failed send means that nobody waits any longer: the permit comes back and is released here.
                 drop(waiter.send(permit));
@@ -60,6 +63,58 @@
     }
 }
 
+/// The end of a waiting call that receives its permit.
+type ConnectWaiter = oneshot::Sender<ConnectPermit>;
+
+/// The calls that wait for a connect permit.
+pub(super) struct ConnectWaits {
+    queue: ConnectQueue,
+    waiters: BTreeMap<ConnectTicket, ConnectWaiter>,
+}
+
+/// A call whose turn to connect has come.
+struct StartedConnect {
+    worker: WorkerId,
+    /// `None` where the call no longer waits.
+    waiter: Option<ConnectWaiter>,
+}
+
+impl ConnectWaits {
+    /// Creates an empty queue, with limits in proportion to this budget.
+    pub fn new(budget: &DescriptorBudget) -> ConnectWaits {
+        let guaranteed = budget.floors[DescriptorClass::Workers as usize];
+        let max_waiting = budget.usable * CONNECT_WAITS_PER_DESCRIPTOR;
+        let max_connecting = (guaranteed / CONNECTING_DIVISOR).max(MIN_CONNECTING);
+        ConnectWaits { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
+    }
+
+    /// Queues a call. Where the queue is full, the call that is displaced learns of it as its channel closes.
+    fn enqueue(
+        &mut self,
+        now: Time,
+        worker: WorkerId,
+        time_left: Duration,
+        waiter: ConnectWaiter,
+    ) -> ConnectTicket {
+        let (ticket, displaced) = self.queue.enqueue(now, worker, time_left);
+        self.waiters.insert(ticket, waiter);
+        if let Some(displaced) = displaced {
+            self.waiters.remove(&displaced);
+        }
+        ticket
+    }
+
+    fn start_next(&mut self) -> Option<StartedConnect> {
+        let (ticket, worker) = self.queue.start_next()?;
+        Some(StartedConnect { worker, waiter: self.waiters.remove(&ticket) })
+    }
+
+    fn cancel(&mut self, ticket: ConnectTicket) {
+        self.queue.cancel(ticket);
+        self.waiters.remove(&ticket);
+    }
+}
+
 /// A call in the connect queue; dropping it removes it from the queue.
 struct QueuedConnect<'a> {
     pool: &'a DescriptorPool,
@@ -68,8 +123,7 @@
 
 impl Drop for QueuedConnect<'_> {
     fn drop(&mut self) {
-        self.pool.connect_queue.borrow_mut().cancel(self.ticket);
-        self.pool.connect_waiters.borrow_mut().remove(&self.ticket);
+        self.pool.connect_waits.borrow_mut().cancel(self.ticket);
     }
 }
 
@@ -95,7 +149,7 @@
 
 impl Drop for ConnectingSlot {
     fn drop(&mut self) {
-        self.pool.connect_queue.borrow_mut().finish_connect(self.worker);
+        self.pool.connect_waits.borrow_mut().queue.finish_connect(self.worker);
         self.pool.start_waiting_connects();
     }
 }
