--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -47,13 +47,21 @@
     1.0
 }
 
-/// The request target of the complete list, or of a watch: the revision that the watcher has, and how long discovery may
-/// wait for a newer one, in milliseconds.
+/// A request for what is newer than a revision, to which discovery responds once there is a newer one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LongPoll {
+    /// The revision that is held already.
+    pub after_revision: u64,
+    /// How long discovery may wait before it responds that there is none, in milliseconds.
+    pub wait_ms: u64,
+}
+
+/// The request target of the complete list, or of a long poll.
 #[must_use]
-pub fn endpoint_list_target(watch: Option<(u64, u64)>) -> String {
-    match watch {
+pub fn endpoint_list_target(long_poll: Option<LongPoll>) -> String {
+    match long_poll {
         None => "/catalog/members".to_owned(),
-        Some((after_revision, wait_ms)) => {
+        Some(LongPoll { after_revision, wait_ms }) => {
             format!("/catalog/members?index={after_revision}&wait={wait_ms}")
         }
     }
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -7,7 +7,7 @@
 use super::descriptor_pool::DescriptorPool;
 use super::http_client;
 use crate::limits::{Backoff, DescriptorClass};
-use crate::protocol::discovery;
+use crate::protocol::discovery::{self, LongPoll};
 use crate::protocol::http::{self, ReceivedResponse};
 use crate::routing::{Broker, WorkerListUpdate};
 use bytes::BytesMut;
@@ -125,7 +125,8 @@
     revision: Option<u64>,
     long_poll_timeout: Duration,
 ) -> Result<ReceivedResponse, PollFailure> {
-    let long_poll = revision.map(|revision| (revision, long_poll_timeout.as_millis() as u64));
+    let wait_ms = long_poll_timeout.as_millis() as u64;
+    let long_poll = revision.map(|after_revision| LongPoll { after_revision, wait_ms });
     let request = http::encode_request("GET", &discovery::endpoint_list_target(long_poll), address, None);
     let exchange = http_client::exchange(stream, buffer, &request, MAX_LIST_BYTES);
     // An agent may stop answering: a change counts as notified up to 2 s after the end of a long poll, and up to 6 s
