--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -15,7 +15,7 @@
 pub mod writer;
 
 pub use metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
-pub use record::{Record, RecordBody, RecordError};
+pub use record::{IncarnationId, Record, RecordBody, RecordError};
 pub use segments::{OpenSegment, SegmentLimits};
-pub use summary::{IncarnationId, QueryCounts, QueryGroup, Summary};
+pub use summary::{QueryCounts, QueryGroup, Summary};
 pub use writer::{Disk, Writer};
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the order of each incarnation's records over all segments. It opens no file: the caller hands it the bytes.
 
-use super::record::{MAX_RECORD_BYTES, Record, RecordError};
+use super::record::{IncarnationId, MAX_RECORD_BYTES, Record, RecordError};
 use std::collections::HashMap;
 use std::fmt;
 use std::io::{self, BufRead};
@@ -24,17 +24,10 @@
     }
 }
 
-/// An incarnation of a gatherer.
-#[derive(Debug, PartialEq, Eq, Hash)]
-struct IncarnationKey {
-    gatherer: String,
-    incarnation: String,
-}
-
 /// Reads segments and keeps track of the order of records over all of them.
 #[derive(Debug, Default)]
 pub struct Reader {
-    last_seq: HashMap<IncarnationKey, u64>,
+    last_seq: HashMap<IncarnationId, u64>,
     /// Valid records read so far.
     pub valid_records: u64,
 }
@@ -82,16 +75,15 @@
     }
 
     fn check_order(&mut self, record: Record) -> Result<Record, RecordError> {
-        let key =
-            IncarnationKey { gatherer: record.gatherer.clone(), incarnation: record.incarnation.clone() };
-        match self.last_seq.get(&key) {
+        let id = IncarnationId { gatherer: record.gatherer.clone(), incarnation: record.incarnation.clone() };
+        match self.last_seq.get(&id) {
             Some(last) if *last == record.seq => return Err(RecordError::Duplicate(record.seq)),
             Some(last) if *last > record.seq => {
                 return Err(RecordError::OutOfOrder { found: record.seq, after: *last });
             }
             _ => {}
         }
-        self.last_seq.insert(key, record.seq);
+        self.last_seq.insert(id, record.seq);
         Ok(record)
     }
 }
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -46,6 +46,15 @@
     pub body: RecordBody,
 }
 
+/// Identifies an incarnation among those of all gatherers.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct IncarnationId {
+    /// Name of the gatherer.
+    pub gatherer: String,
+    /// Name of the incarnation.
+    pub incarnation: String,
+}
+
 /// What is recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -4,7 +4,7 @@
 //! so a field that is named otherwise carries `#[serde(rename)]`. It reads no file and judges nothing.
 
 use super::metrics::{self, AttemptMetrics, MetricsSnapshot, QueryEnd};
-use super::record::{Record, RecordBody};
+use super::record::{IncarnationId, Record, RecordBody};
 use crate::membership::ObservedState;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -127,15 +127,6 @@
     }
 }
 
-/// Identifies an incarnation among those of all gatherers.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct IncarnationId {
-    /// Name of the gatherer.
-    pub gatherer: String,
-    /// Name of the incarnation.
-    pub incarnation: String,
-}
-
 /// One incarnation of one gatherer, as its records show it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct IncarnationSummary {
