--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -5,7 +5,7 @@
 
 use super::record::RecordBody;
 use super::segments::SegmentLimits;
-use super::writer::{Disk, Writer};
+use super::writer::{Disk, StoredFile, Writer};
 use crate::policy::Time;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -50,7 +50,7 @@
             None => Err(io::ErrorKind::NotFound.into()),
         }
     }
-    fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
+    fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         let mut found = Vec::new();
         let entries = match fs::read_dir(&self.path) {
             Ok(entries) => entries,
@@ -60,8 +60,9 @@
         for entry in entries {
             let entry = entry?;
             // A size that cannot be read counts as zero: the file may have been removed since it was listed.
-            let size = entry.metadata().map_or(0, |metadata| metadata.len());
-            found.push((entry.file_name().to_string_lossy().into_owned(), size));
+            let bytes = entry.metadata().map_or(0, |metadata| metadata.len());
+            let name = entry.file_name().to_string_lossy().into_owned();
+            found.push(StoredFile { name, bytes });
         }
         Ok(found)
     }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -16,6 +16,6 @@
 
 pub use metrics::{MetricsAccumulator, QueryEnd, QueryLabels};
 pub use record::{IncarnationId, Record, RecordBody, RecordError};
-pub use segments::{OpenSegment, SegmentLimits};
+pub use segments::{OpenSegment, SegmentLimits, StoredSegment};
 pub use summary::{QueryCounts, QueryGroup, Summary};
-pub use writer::{Disk, Writer};
+pub use writer::{Disk, StoredFile, Writer};
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -27,6 +27,15 @@
     pub number: u32,
 }
 
+/// A segment in the folder. Segments sort as their names do.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StoredSegment {
+    /// Its name.
+    pub name: SegmentName,
+    /// Its size, in bytes.
+    pub bytes: u64,
+}
+
 /// Suffix of the names of segment files.
 pub const SEGMENT_SUFFIX: &str = ".records";
 
@@ -88,19 +97,19 @@
 }
 
 /// Returns the segments to remove so that the rest and `coming` further bytes fit: the oldest of this gatherer first,
-/// of whatever incarnation, and never the one that is being written. `found` has all segments with their sizes.
+/// of whatever incarnation, and never the one that is being written. `found` has all segments.
 #[must_use]
 pub fn segments_to_remove(
-    mut found: Vec<(SegmentName, u64)>,
+    mut found: Vec<StoredSegment>,
     current: &SegmentName,
     limits: &SegmentLimits,
     coming: u64,
 ) -> Vec<SegmentName> {
-    found.retain(|(name, _)| name.gatherer == current.gatherer);
+    found.retain(|segment| segment.name.gatherer == current.gatherer);
     found.sort();
-    let mut kept_bytes: u64 = found.iter().map(|(_, bytes)| bytes).sum();
+    let mut kept_bytes: u64 = found.iter().map(|segment| segment.bytes).sum();
     let mut to_remove = Vec::new();
-    for (name, bytes) in found {
+    for StoredSegment { name, bytes } in found {
         if kept_bytes + coming <= limits.total_bytes {
             break;
         }
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -4,7 +4,7 @@
 //! later one; the writer never waits for a disk and never tries a record twice.
 
 use super::record::{MAX_RECORD_BYTES, Record, RecordBody, VERSION};
-use super::segments::{OpenSegment, SegmentLimits, SegmentName, segments_to_remove};
+use super::segments::{OpenSegment, SegmentLimits, SegmentName, StoredSegment, segments_to_remove};
 use crate::policy::Time;
 use std::io;
 use std::time::Duration;
@@ -16,6 +16,15 @@
 /// Why records are lost during a pause. It does not replace the reason that led to the pause.
 const PAUSED: &str = "the disk failed a moment ago";
 
+/// A file in the folder.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredFile {
+    /// Its name.
+    pub name: String,
+    /// Its size, in bytes.
+    pub bytes: u64,
+}
+
 /// The operations on a folder that the writer needs.
 pub trait Disk {
     /// Creates a file that must not exist yet, and closes the one that was open.
@@ -30,12 +39,12 @@
     ///
     /// Fails where not all bytes could be written; some may have been.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Lists files and their sizes in bytes.
+    /// Lists the files.
     ///
     /// # Errors
     ///
     /// Fails where the folder cannot be read.
-    fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
+    fn list(&mut self) -> io::Result<Vec<StoredFile>>;
     /// Removes a file.
     ///
     /// # Errors
@@ -196,7 +205,10 @@
     /// Makes room for `coming` bytes: the folder stays within its limit, and the process never fills the disk by itself.
     fn remove_old_segments(&mut self, current: &SegmentName, coming: u64) -> io::Result<()> {
         let files = self.disk.list()?.into_iter();
-        let segments = files.filter_map(|(file, bytes)| Some((SegmentName::parse(&file)?, bytes)));
+        let segments = files.filter_map(|file| {
+            let name = SegmentName::parse(&file.name)?;
+            Some(StoredSegment { name, bytes: file.bytes })
+        });
         for old in segments_to_remove(segments.collect(), current, &self.limits, coming) {
             match self.disk.remove(&old.file_name()) {
                 // During a hot restart, the other process writes to this folder too and may have removed it first.
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -7,7 +7,10 @@
     MAX_RECORD_BYTES, Record, RecordBody, RecordError, RecordedWorkerState, VERSION,
 };
 use gatherer::records::segments::{SegmentLimits, SegmentName, segments_to_remove};
-use gatherer::records::{Disk, IncarnationId, MetricsAccumulator, QueryEnd, QueryLabels, Summary, Writer};
+use gatherer::records::{
+    Disk, IncarnationId, MetricsAccumulator, QueryEnd, QueryLabels, StoredFile, StoredSegment, Summary,
+    Writer,
+};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_assume, proptest};
 use std::collections::BTreeMap;
 use std::io;
@@ -63,9 +66,11 @@
         self.files.get_mut(&file).expect("the file exists").extend_from_slice(&bytes[..written]);
         result
     }
-    fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
+    fn list(&mut self) -> io::Result<Vec<StoredFile>> {
         self.call()?;
-        Ok(self.files.iter().map(|(name, bytes)| (name.clone(), bytes.len() as u64)).collect())
+        let stored =
+            |(name, bytes): (&String, &Vec<u8>)| StoredFile { name: name.clone(), bytes: bytes.len() as u64 };
+        Ok(self.files.iter().map(stored).collect())
     }
     fn remove(&mut self, file: &str) -> io::Result<()> {
         self.call()?;
@@ -169,7 +174,8 @@
     assert!(writer.disk().files.len() >= before);
     // A gatherer does not remove another's segments.
     let (own, other) = (SegmentName::new("g0", "s1", 9), SegmentName::new("g1", "s1", 1));
-    let found = vec![(other, 9000), (SegmentName::new("g0", "s0", 7), 3000), (own.clone(), 3000)];
+    let found = [(other, 9000), (SegmentName::new("g0", "s0", 7), 3000), (own.clone(), 3000)];
+    let found = found.map(|(name, bytes)| StoredSegment { name, bytes }).to_vec();
     assert_eq!(segments_to_remove(found, &own, &LIMITS, 600), [SegmentName::new("g0", "s0", 7)]);
     assert_eq!(SegmentName::parse("g0_s1_00000009.records"), Some(own));
     assert_eq!([SegmentName::parse("g0_s1_9.txt"), SegmentName::parse("x.records")], [None, None]);
