--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -3,6 +3,9 @@
 //! It owns the limits of a message's header and the framing of bodies. It never reads a socket, and keeps no state between
 //! messages: the caller owns the buffer.
 
+mod body;
+
+use body::decode_body;
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 use std::time::Duration;
@@ -326,70 +329,3 @@
         (has_length || bodiless.is_some()) && is_http_1_1 && !headers.has_token("Connection", "close");
     Ok(Some(ReceivedResponse { status, headers, body, keep_alive }))
 }
-
-/// The body at the front of `rest` and how many bytes it takes up; `None` while its end has not been received. A message
-/// without a length has a body of `default_length`.
-fn decode_body(
-    headers: &Headers,
-    rest: &[u8],
-    max_body: usize,
-    default_length: Option<usize>,
-) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
-    let mut lengths = headers.all("Content-Length");
-    let length = lengths.next();
-    let mut codings = headers.all("Transfer-Encoding");
-    if let Some(coding) = codings.next() {
-        // Guards against request smuggling: a proxy in front could take another of the two lengths.
-        if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
-            return Err(MalformedMessage::Coding);
-        }
-        return decode_chunks(rest, max_body);
-    }
-    if lengths.any(|other| Some(other) != length) {
-        return Err(MalformedMessage::Length);
-    }
-    let length = match length {
-        Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => {
-            text.parse().map_err(|_| MalformedMessage::BodyTooLong)?
-        }
-        Some(_) => return Err(MalformedMessage::Length),
-        None => default_length.ok_or(MalformedMessage::Length)?,
-    };
-    if length > max_body {
-        return Err(MalformedMessage::BodyTooLong);
-    }
-    Ok((rest.len() >= length).then(|| (Bytes::copy_from_slice(&rest[..length]), length)))
-}
-
-fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
-    let mut body = BytesMut::new();
-    let mut at = 0;
-    loop {
-        if at > 2 * max_body + MAX_HEADER_BYTES {
-            return Err(MalformedMessage::BodyTooLong);
-        }
-        let (start, size) = match httparse::parse_chunk_size(&rest[at..]) {
-            Ok(httparse::Status::Complete(chunk)) => chunk,
-            Ok(httparse::Status::Partial) if rest.len() - at <= MAX_HEADER_BYTES => return Ok(None),
-            Ok(httparse::Status::Partial) | Err(_) => return Err(MalformedMessage::Chunk),
-        };
-        at += start;
-        if size == 0 {
-            // Trailer fields, if any, end with an empty line.
-            return match rest[at..].windows(4).position(|window| window == b"\r\n\r\n") {
-                _ if rest[at..].starts_with(b"\r\n") => Ok(Some((body.freeze(), at + 2))),
-                Some(end) => Ok(Some((body.freeze(), at + end + 4))),
-                None if rest.len() - at > MAX_HEADER_BYTES => Err(MalformedMessage::Chunk),
-                None => Ok(None),
-            };
-        }
-        let size = usize::try_from(size).ok().filter(|size| body.len() + size <= max_body);
-        let size = size.ok_or(MalformedMessage::BodyTooLong)?;
-        match rest.get(at..at + size + 2) {
-            None => return Ok(None),
-            Some(chunk) if chunk.ends_with(b"\r\n") => body.extend_from_slice(&chunk[..size]),
-            Some(_) => return Err(MalformedMessage::Chunk),
-        }
-        at += size + 2;
-    }
-}
