--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -3,6 +3,9 @@
 //! It owns the limits of a message's header and the framing of bodies. It never reads a socket, and keeps no state between
 //! messages: the caller owns the buffer.
 
+mod body;
+
+use body::{DecodedBody, decode_body};
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 use std::time::Duration;
@@ -208,14 +211,10 @@
     bytes.freeze()
 }
 
-/// What `read` makes of a parsed header, given its length; `None` while its end has not been received.
-fn complete_header<T>(
-    parsed: httparse::Result<usize>,
-    buffer: &[u8],
-    read: impl FnOnce(usize) -> T,
-) -> Result<Option<T>, MalformedMessage> {
+/// The length of a parsed header; `None` while its end has not been received.
+fn header_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, MalformedMessage> {
     match parsed {
-        Ok(httparse::Status::Complete(length)) if length <= MAX_HEADER_BYTES => Ok(Some(read(length))),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEADER_BYTES => Ok(Some(length)),
         Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEADER_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(MalformedMessage::HeaderTooLong),
         Err(error) => Err(MalformedMessage::Header(error)),
@@ -231,22 +230,22 @@
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let status = parsed.parse(buffer);
-    let read = complete_header(status, buffer, |length| {
-        let target = parsed.path.unwrap_or_default();
-        let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let headers = Headers::from_parsed(parsed.headers);
-        let keep_alive = parsed.version == Some(1) && !headers.has_token("Connection", "close");
-        let method = parsed.method.unwrap_or_default().to_owned();
-        let (path, query) = (path.to_owned(), query.to_owned());
-        let (body, waited) = (Bytes::new(), Duration::ZERO);
-        (length, Request { method, path, query, headers, body, keep_alive, waited })
-    })?;
-    let Some((length, mut request)) = read else { return Ok(None) };
-    let Some((body, end)) = decode_body(&request.headers, &buffer[length..], MAX_BODY_BYTES, Some(0))? else {
-        return Ok(None);
+    let Some(length) = header_length(status, buffer)? else { return Ok(None) };
+    let target = parsed.path.unwrap_or_default();
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    let headers = Headers::from_parsed(parsed.headers);
+    let decoded = decode_body(&headers, &buffer[length..], MAX_BODY_BYTES, Some(0))?;
+    let Some(DecodedBody { body, encoded_bytes }) = decoded else { return Ok(None) };
+    let request = Request {
+        method: parsed.method.unwrap_or_default().to_owned(),
+        path: path.to_owned(),
+        query: query.to_owned(),
+        body,
+        keep_alive: parsed.version == Some(1) && !headers.has_token("Connection", "close"),
+        headers,
+        waited: Duration::ZERO,
     };
-    request.body = body;
-    buffer.advance(length + end);
+    buffer.advance(length + encoded_bytes);
     Ok(Some(request))
 }
 
@@ -306,90 +305,22 @@
 ) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
-    let status = parsed.parse(buffer);
-    let header = complete_header(status, buffer, |length| {
-        let headers = Headers::from_parsed(parsed.headers);
-        (length, parsed.code.unwrap_or(0), parsed.version == Some(1), headers)
-    })?;
-    let Some((length, status, is_http_1_1, headers)) = header else { return Ok(None) };
+    let parsing = parsed.parse(buffer);
+    let Some(length) = header_length(parsing, buffer)? else { return Ok(None) };
+    let status = parsed.code.unwrap_or(0);
+    let is_http_1_1 = parsed.version == Some(1);
+    let headers = Headers::from_parsed(parsed.headers);
     let bodiless = matches!(status, 100..200 | 204 | 304).then_some(0);
     let has_length = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
     let rest = &buffer[length..];
     let body = match bodiless {
         None if !has_length && rest.len() > max_body => return Err(MalformedMessage::BodyTooLong),
-        None if !has_length => at_eof.then(|| (Bytes::copy_from_slice(rest), rest.len())),
+        None if !has_length => at_eof.then(|| DecodedBody::unframed(rest)),
         _ => decode_body(&headers, rest, max_body, bodiless)?,
     };
-    let Some((body, end)) = body else { return Ok(None) };
-    buffer.advance(length + end);
+    let Some(DecodedBody { body, encoded_bytes }) = body else { return Ok(None) };
+    buffer.advance(length + encoded_bytes);
     let keep_alive =
         (has_length || bodiless.is_some()) && is_http_1_1 && !headers.has_token("Connection", "close");
     Ok(Some(ReceivedResponse { status, headers, body, keep_alive }))
 }
-
-/// The body at the front of `rest` and how many bytes it takes up; `None` while its end has not been received. A message
-/// without a length has a body of `default_length`.
-fn decode_body(
-    headers: &Headers,
-    rest: &[u8],
-    max_body: usize,
-    default_length: Option<usize>,
-) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
-    let mut lengths = headers.all("Content-Length");
-    let length = lengths.next();
-    let mut codings = headers.all("Transfer-Encoding");
-    if let Some(coding) = codings.next() {
-        // Guards against request smuggling: a proxy in front could take another of the two lengths.
-        if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
-            return Err(MalformedMessage::Coding);
-        }
-        return decode_chunks(rest, max_body);
-    }
-    if lengths.any(|other| Some(other) != length) {
-        return Err(MalformedMessage::Length);
-    }
-    let length = match length {
-        Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => {
-            text.parse().map_err(|_| MalformedMessage::BodyTooLong)?
-        }
-        Some(_) => return Err(MalformedMessage::Length),
-        None => default_length.ok_or(MalformedMessage::Length)?,
-    };
-    if length > max_body {
-        return Err(MalformedMessage::BodyTooLong);
-    }
-    Ok((rest.len() >= length).then(|| (Bytes::copy_from_slice(&rest[..length]), length)))
-}
-
-fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<(Bytes, usize)>, MalformedMessage> {
-    let mut body = BytesMut::new();
-    let mut at = 0;
-    loop {
-        if at > 2 * max_body + MAX_HEADER_BYTES {
-            return Err(MalformedMessage::BodyTooLong);
-        }
-        let (start, size) = match httparse::parse_chunk_size(&rest[at..]) {
-            Ok(httparse::Status::Complete(chunk)) => chunk,
-            Ok(httparse::Status::Partial) if rest.len() - at <= MAX_HEADER_BYTES => return Ok(None),
-            Ok(httparse::Status::Partial) | Err(_) => return Err(MalformedMessage::Chunk),
-        };
-        at += start;
-        if size == 0 {
-            // Trailer fields, if any, end with an empty line.
-            return match rest[at..].windows(4).position(|window| window == b"\r\n\r\n") {
-                _ if rest[at..].starts_with(b"\r\n") => Ok(Some((body.freeze(), at + 2))),
-                Some(end) => Ok(Some((body.freeze(), at + end + 4))),
-                None if rest.len() - at > MAX_HEADER_BYTES => Err(MalformedMessage::Chunk),
-                None => Ok(None),
-            };
-        }
-        let size = usize::try_from(size).ok().filter(|size| body.len() + size <= max_body);
-        let size = size.ok_or(MalformedMessage::BodyTooLong)?;
-        match rest.get(at..at + size + 2) {
-            None => return Ok(None),
-            Some(chunk) if chunk.ends_with(b"\r\n") => body.extend_from_slice(&chunk[..size]),
-            Some(_) => return Err(MalformedMessage::Chunk),
-        }
-        at += size + 2;
-    }
-}
