--- a/src/routing/idempotency/tests.rs
+++ b/src/routing/idempotency/tests.rs
@@ -1,6 +1,8 @@
 //! Idempotency keys with times as arguments.
 
-use super::*;
+use super::{IdempotencyLimits, IdempotencyStore, KeyClaim, KeyLimitReached};
+use crate::policy::Time;
+use std::time::Duration;
 
 fn store(incarnation: &str) -> IdempotencyStore<&'static str> {
     let limits = IdempotencyLimits { max_keys: 2, max_bytes: 10, retention: Duration::from_secs(60) };
--- a/src/routing/scroll_contexts/tests.rs
+++ b/src/routing/scroll_contexts/tests.rs
@@ -1,6 +1,8 @@
 //! Scroll contexts with times as arguments.
 
-use super::*;
+use super::{ScrollContexts, ScrollLimitReached};
+use crate::policy::Time;
+use std::time::Duration;
 
 #[test]
 fn scroll_contexts_are_bounded_and_expire() {
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -1,6 +1,7 @@
 //! The lifecycle alone, with times as arguments.
 
-use super::*;
+use super::{Lifecycle, LifecycleRequest, LifecycleState};
+use crate::policy::Time;
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
--- a/src/service/takeover/tests.rs
+++ b/src/service/takeover/tests.rs
@@ -1,6 +1,7 @@
 //! Both processes of a hot restart, without sockets.
 
-use super::*;
+use super::{Takeover, TakeoverInProgress};
+use crate::service::lifecycle::LifecycleRequest;
 use proptest::prelude::*;
 
 #[test]
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, MS, Sent, class, ended, entry, ms, settings};
+use gatherer::policy::{
+    Action, AttemptNo, AttemptOutcome, CellId, Class, Endpoint, EndpointStatus, EndpointUpdate, Event,
+    Idempotency, Settings, Tenant, TenantId, Time,
+};
 
 /// One worker for each of eight shards, and a class that may be answered from half of its parts.
 fn one_worker_a_shard() -> AggregatorHarness {
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, endpoint_list, ms, settings};
+use gatherer::policy::{Action, EndpointUpdate, Event, RequestId};
 
 /// A attempt of a request, which its hint tells apart from others, with the time that its client gives each
 /// attempt.
--- a/tests/event_ordering.rs
+++ b/tests/event_ordering.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, Sent, class, entry, ms, settings};
+use gatherer::policy::{
+    Action, AttemptOutcome, Class, EndpointStatus, EndpointUpdate, Event, Idempotency, RequestId,
+    RetryBudget, Settings, Time, TimerId, WorkerId,
+};
 use std::collections::BTreeMap;
 
 fn play(seed: u64, effect: Idempotency) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use common::ms;
 use common::simulated_fleet::{AGGREGATORS, SimulatedFleet, WorkerBehavior, ZONES, simulate_discovery_polls};
 use gatherer::limits::Backoff;
-use gatherer::policy::*;
+use gatherer::policy::Idempotency;
 
 #[test]
 fn a_lost_zone_is_ejected_after_few_of_its_workers_and_reinstated_at_one_response() {
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -6,7 +6,10 @@
 
 use common::{AggregatorHarness, Sent, class, entry, ms, settings};
 use gatherer::membership::{Node, Timing};
-use gatherer::policy::*;
+use gatherer::policy::{
+    Action, AttemptOutcome, Class, EndpointStatus, EndpointUpdate, Event, Idempotency, RequestId, Settings,
+    Tenant, TenantId, Time, TimerId,
+};
 use gatherer::simulation::engine::Simulation;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, class, ms, settings};
+use gatherer::policy::{AttemptOutcome, Class, Event, Idempotency, Settings};
 
 #[test]
 fn a_late_part_is_hedged_while_a_response_can_still_come_in_time() {
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, MS, Sent, entry, ms, settings};
+use gatherer::policy::{
+    Action, AttemptOutcome, CellId, Endpoint, EndpointStatus, EndpointUpdate, Event, RequestId, RetryBudget,
+    Settings, Time, WorkerId,
+};
 
 fn rejected(harness: &AggregatorHarness, id: RequestId) -> bool {
     harness.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::process::*;
+use common::process::{
+    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, member, metric_value, query,
+    response, wait_until,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, Sent, class, endpoint_list, entry, ms, settings};
+use gatherer::policy::{
+    Action, AttemptOutcome, ClassId, EndpointStatus, EndpointUpdate, Event, Idempotency, Settings, TimerId,
+    WorkerId,
+};
 
 /// Drives worker 1 silent while the others answer after 100 ms; returns the sends of the last second.
 fn with_silent(silent: &[u32], workers: &[u32]) -> Vec<Sent> {
--- a/tests/policy_invariants.rs
+++ b/tests/policy_invariants.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, MS, Sent, answered, class, ended, endpoint_list, entry, ms, settings};
+use gatherer::policy::{
+    Action, AttemptNo, AttemptOutcome, Class, Endpoint, EndpointStatus, EndpointUpdate, Event, Idempotency,
+    JobId, NewPart, RequestId, RetryBudget, Settings, ShardId, Time, TimerId, WorkerId,
+};
 
 #[test]
 fn a_complete_answer_needs_every_part() {
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -2,8 +2,10 @@
 
 mod common;
 
-use common::*;
-use gatherer::policy::*;
+use common::{AggregatorHarness, entry, ms, settings};
+use gatherer::policy::{
+    AttemptNo, AttemptOutcome, Endpoint, EndpointStatus, EndpointUpdate, Event, Settings, WorkerId, ZoneId,
+};
 
 /// Two workers of which the second has rejected parts twice, so that it is ejected but responds.
 fn one_trusted_one_suspect() -> AggregatorHarness {
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::process::*;
+use common::process::{
+    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, member, metric_value, query,
+    response, unused_address, wait_until,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
 use std::os::unix::fs::MetadataExt;
