--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -378,7 +378,8 @@
             spawn_local(async move {
                 let connection_permit =
                     connection_manager.admit(Source(1), EVENT_TIMEOUT).await.expect("a place");
-                listener::serve_connection(near, ([127, 0, 0, 1], 1).into(), &*front, connection_permit).await;
+                listener::serve_connection(near, ([127, 0, 0, 1], 1).into(), &*front, connection_permit)
+                    .await;
             });
         }
         let bytes = match party.form {
