--- /dev/null
+++ b/tests/common/process/worker.rs
@@ -0,0 +1,68 @@
+//! A fake worker: it answers the frames of any number of connections, and counts what it receives.
+
+use std::collections::HashMap;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+
+/// A worker that answers every part, and counts how often each was delivered.
+pub struct Worker {
+    pub address: String,
+    pub received: Arc<Mutex<HashMap<String, usize>>>,
+    /// While this is set, no part is answered.
+    pub paused: Arc<(Mutex<bool>, Condvar)>,
+}
+
+impl Worker {
+    pub fn start() -> Worker {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address").to_string();
+        let worker = Worker { address, received: Arc::default(), paused: Arc::default() };
+        let (came, held) = (worker.received.clone(), worker.paused.clone());
+        thread::spawn(move || {
+            for stream in listener.incoming() {
+                let (came, held) = (came.clone(), held.clone());
+                thread::spawn(move || serve_frames(stream.expect("a connection"), &came, &held));
+            }
+        });
+        worker
+    }
+    pub fn set_paused(&self, held: bool) {
+        *self.paused.0.lock().expect("sound") = held;
+        self.paused.1.notify_all();
+    }
+    /// Number of deliveries of parts.
+    pub fn parts_received(&self) -> usize {
+        self.received.lock().expect("sound").values().sum()
+    }
+    /// The largest number of deliveries of one part.
+    pub fn max_deliveries_of_a_part(&self) -> usize {
+        self.received.lock().expect("sound").values().copied().max().unwrap_or(0)
+    }
+}
+
+fn serve_frames(
+    mut stream: TcpStream,
+    came: &Mutex<HashMap<String, usize>>,
+    held: &(Mutex<bool>, Condvar),
+) -> Option<()> {
+    loop {
+        let mut length = [0; 4];
+        stream.read_exact(&mut length).ok()?;
+        let mut rest = vec![0; u32::from_le_bytes(length) as usize];
+        stream.read_exact(&mut rest).ok()?;
+        let text = String::from_utf8(rest).expect("text");
+        if !text.starts_with('m') {
+            continue;
+        }
+        let id = text[1..].split(' ').next().expect("an id").to_owned();
+        *came.lock().expect("sound").entry(id.clone()).or_default() += 1;
+        let waiting = held.0.lock().expect("sound");
+        drop(held.1.wait_while(waiting, |held| *held).expect("sound"));
+        let answer = format!("q{id} good 5 util=0.1,queue=0\n5be2");
+        let mut bytes = (answer.len() as u32).to_le_bytes().to_vec();
+        bytes.extend_from_slice(answer.as_bytes());
+        stream.write_all(&bytes).ok()?;
+    }
+}
