--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -2,6 +2,8 @@
 //! paused clock that advances only when all tasks are idle. The transcript lists everything that each party received, and
 //! when.
 
+mod network;
+
 use bytes::{BufMut, BytesMut};
 use gatherer::fronts::opensearch::OpenSearchFront;
 use gatherer::fronts::platform::PlatformFront;
@@ -14,156 +16,21 @@
 use gatherer::routing::{Broker, Clock, Contracts, Core, ListedWorker, WorkerListUpdate, WorkerTransport};
 use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::connection_manager::ConnectionManager;
-use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::discovery;
 use gatherer::transport::index_servers::IndexServers;
 use gatherer::transport::listener::{self, Front};
 use gatherer::transport::workers::Workers;
-use std::cell::RefCell;
-use std::collections::{BTreeMap, VecDeque};
+use network::{FakeNetwork, PIPE_BYTES, Party, PortState, WireFormat};
 use std::fmt::Write;
-use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, split};
-use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
 const START_TIME: Time = Time(1_700_000_000_000_000_000);
-const PIPE_BYTES: usize = 1 << 16;
 const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-#[derive(Clone, Copy, PartialEq)]
-enum PortState {
-    Open,
-    Closed,
-    Silent,
-    /// Connections are established after this delay.
-    DelayedOpen(Duration),
-}
-
-#[derive(Clone, Copy)]
-enum WireFormat {
-    Frames,
-    Requests,
-    Responses,
-}
-
-struct Party {
-    form: WireFormat,
-    port: PortState,
-    /// Its connections; a closed one leaves `None`.
-    connections: Vec<Option<Connection>>,
-    /// Indexes of connections on which a request waits for its response, in order.
-    pending: Rc<RefCell<VecDeque<usize>>>,
-    inbox_sender: mpsc::UnboundedSender<String>,
-    inbox: Rc<RefCell<mpsc::UnboundedReceiver<String>>>,
-}
-
-struct Connection {
-    sender: mpsc::UnboundedSender<Vec<u8>>,
-    tasks: [tokio::task::JoinHandle<()>; 2],
-}
-
-impl Party {
-    fn new(form: WireFormat) -> Party {
-        let (inbox_sender, inbox) = mpsc::unbounded_channel();
-        let inbox = Rc::new(RefCell::new(inbox));
-        Party {
-            form,
-            port: PortState::Open,
-            connections: Vec::new(),
-            pending: Rc::default(),
-            inbox_sender,
-            inbox,
-        }
-    }
-    fn connect(&mut self, end: DuplexStream) {
-        let (read, mut write) = split(end);
-        let (sender, mut outgoing) = mpsc::unbounded_channel::<Vec<u8>>();
-        let (inbox_sender, pending, index) =
-            (self.inbox_sender.clone(), self.pending.clone(), self.connections.len());
-        let reader = spawn_local(listen(read, self.form, inbox_sender, pending, index));
-        let writer = spawn_local(async move {
-            while let Some(bytes) = outgoing.recv().await {
-                let _ = write.write_all(&bytes).await;
-            }
-        });
-        self.connections.push(Some(Connection { sender, tasks: [reader, writer] }));
-    }
-    /// The connection to send on next: the one with the oldest pending request, else the newest.
-    fn next_connection(&mut self) -> Option<&mut Option<Connection>> {
-        let index = self.pending.borrow_mut().pop_front().or(self.connections.len().checked_sub(1))?;
-        self.connections.get_mut(index)
-    }
-}
-
-/// Turns what a party receives into lines of the transcript.
-async fn listen(
-    mut read: ReadHalf<DuplexStream>,
-    form: WireFormat,
-    inbox_sender: mpsc::UnboundedSender<String>,
-    pending: Rc<RefCell<VecDeque<usize>>>,
-    index: usize,
-) {
-    let mut buffer = BytesMut::new();
-    loop {
-        while let Some(words) = message(&mut buffer, form) {
-            if matches!(form, WireFormat::Requests) {
-                pending.borrow_mut().push_back(index);
-            }
-            let _ = inbox_sender.send(words);
-        }
-        if !matches!(read.read_buf(&mut buffer).await, Ok(1..)) {
-            pending.borrow_mut().retain(|other| *other != index);
-            let _ = inbox_sender.send("closed".to_owned());
-            return;
-        }
-    }
-}
-
-fn message(buffer: &mut BytesMut, form: WireFormat) -> Option<String> {
-    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().replace('\n', "|");
-    match form {
-        WireFormat::Frames => {
-            let length = u32::from_le_bytes(*buffer.first_chunk::<4>()?) as usize;
-            (buffer.len() >= 4 + length).then(|| text(&buffer.split_to(4 + length)[4..]))
-        }
-        WireFormat::Requests => {
-            let request = http::take_request(buffer).expect("a request")?;
-            Some(format!("{} {}?{} {}", request.method, request.path, request.query, text(&request.body)))
-        }
-        WireFormat::Responses => {
-            let response = http::take_response(buffer, 1 << 20).expect("a response")?;
-            let after = response.headers.get("Retry-After").map(|after| format!(" after={after}"));
-            Some(format!("{}{} {}", response.status, after.unwrap_or_default(), text(&response.body)))
-        }
-    }
-}
-
-/// A fake network of in-memory pipes, by address.
-#[derive(Clone, Default)]
-struct FakeNetwork(Rc<RefCell<BTreeMap<String, Party>>>);
-
-impl Connector for FakeNetwork {
-    fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
-        Box::pin(async move {
-            let port = self.0.borrow().get(address).map_or(PortState::Closed, |party| party.port);
-            match port {
-                PortState::Closed => return Err(io::ErrorKind::ConnectionRefused.into()),
-                PortState::Silent => std::future::pending().await,
-                PortState::DelayedOpen(late) => tokio::time::sleep(late).await,
-                PortState::Open => {}
-            }
-            let (near, far) = tokio::io::duplex(PIPE_BYTES);
-            self.0.borrow_mut().get_mut(address).expect("known").connect(far);
-            Ok(Box::new(near) as Box<dyn Stream>)
-        })
-    }
-}
-
 struct ScenarioRun {
     network: FakeNetwork,
     start: Instant,
