--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{AggregatorHarness, endpoint_list, ms, settings};
-use gatherer::policy::{Action, EndpointUpdate, Event, RequestId};
+use common::{AggregatorHarness, endpoint_list, ms, rejected, settings};
+use gatherer::policy::{EndpointUpdate, Event, RequestId};
 
 /// A attempt of a request, which its hint tells apart from others, with the time that its client gives each
 /// attempt.
@@ -21,10 +21,6 @@
     (id, events)
 }
 
-fn rejected(harness: &AggregatorHarness, id: RequestId) -> bool {
-    harness.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
-}
-
 /// The first attempt is rejected for want of any worker; then the workers are listed.
 fn after_a_refusal(left: u64) -> AggregatorHarness {
     let mut harness = AggregatorHarness::new(settings(), &[]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,8 @@
-//! What tests share: the decision module under test with its actions recorded, real processes, and fleets of both.
+//! What tests share: the decision module under test with its actions recorded, real processes, fleets of both, and
+//! the platform's configuration.
 #![allow(dead_code)] // each test file uses a part of this
 
+pub mod platform;
 pub mod process;
 pub mod proxied_fleet;
 pub mod simulated_fleet;
@@ -196,6 +198,11 @@
     })
 }
 
+/// Whether a query was rejected in the last step.
+pub fn rejected(harness: &AggregatorHarness, id: RequestId) -> bool {
+    harness.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
+}
+
 /// Whether a query ended in the last step.
 pub fn ended(harness: &AggregatorHarness, id: RequestId) -> bool {
     harness.actions.iter().any(|action| match action {
--- /dev/null
+++ b/tests/common/platform.rs
@@ -0,0 +1,34 @@
+//! The scenarios' configuration of the platform, and queries under it.
+
+use gatherer::policy::{ClassId, ShardId};
+use gatherer::program::config::Config;
+use gatherer::routing::{QueryPart, SearchRequest};
+use std::time::Duration;
+
+/// The scenarios' configuration, for a test to change.
+pub fn platform_json() -> serde_json::Value {
+    serde_json::from_str(include_str!("../scenario/platform.json")).expect("JSON")
+}
+
+/// The scenarios' configuration as it is: workers `w1` and `w2`, classes `search`, `seal` and `stamp`.
+pub fn platform_config() -> Config {
+    Config::from_json(&platform_json(), |_| None).expect("a configuration")
+}
+
+/// The only part of a query, of shard 0 and without a key.
+pub fn single_part(cost_hint: Option<Duration>) -> QueryPart {
+    QueryPart { shard: ShardId(0), weight: 1.0, cost_hint, key: None }
+}
+
+/// A query of these parts and of no tenant, whose client waits for 5 s.
+pub fn search_request(class: ClassId, parts: Vec<QueryPart>) -> SearchRequest {
+    SearchRequest {
+        label: "a".into(),
+        class,
+        tenant: None,
+        time_left: Duration::from_secs(5),
+        retry: false,
+        payload: Default::default(),
+        parts,
+    }
+}
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -13,6 +13,7 @@
 pub use gatherer::{Gatherer, faults_library};
 pub use worker::Worker;
 
+use super::platform::platform_json;
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::thread;
@@ -61,8 +62,7 @@
 
 /// The scenarios' configuration with unused addresses and this discovery.
 pub fn config(discovery: &Discovery) -> serde_json::Value {
-    let mut config: serde_json::Value =
-        serde_json::from_str(include_str!("../scenario/platform.json")).expect("JSON");
+    let mut config = platform_json();
     config["discovery"] = discovery.address.clone().into();
     config["known"] = serde_json::from_str(&discovery.list()).expect("JSON");
     (config["listen"], config["operator"]) = (unused_address().into(), unused_address().into());
--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -1,19 +1,18 @@
 //! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled again.
 
-use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, ShardId, Time};
-use gatherer::program::config::Config;
+mod common;
+
+use common::platform::{platform_config, search_request, single_part};
+use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, Time};
 use gatherer::records::record::{RecordBody, RecordedWorkerState};
-use gatherer::routing::{
-    AttemptCompletion, Command, Core, ListedWorker, QueryPart, SearchRequest, WorkerListUpdate,
-};
+use gatherer::routing::{AttemptCompletion, Command, Core, ListedWorker, WorkerListUpdate};
 use proptest::prelude::*;
 use std::time::Duration;
 
 const START: Time = Time(1_700_000_000_000_000_000);
 
 fn core() -> Core {
-    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    let config = Config::from_json(&json, |_| None).expect("a configuration");
+    let config = platform_config();
     let mut core = Core::new(config.contracts);
     core.apply_endpoint_update(START, &config.initial_workers.expect("a list"), true);
     core.step(START);
@@ -33,17 +32,8 @@
 
 /// Submits a query with one part of 0.2 s and completes it at once. Returns the names of the workers that received it.
 fn submit(core: &mut Core, now: Time) -> Vec<String> {
-    let cost_hint = Some(Duration::from_millis(200));
-    let part = QueryPart { shard: ShardId(0), weight: 1.0, cost_hint, key: None };
-    let request = SearchRequest {
-        label: "a".into(),
-        class: ClassId(0),
-        tenant: None,
-        time_left: Duration::from_secs(5),
-        retry: false,
-        payload: Default::default(),
-        parts: vec![part],
-    };
+    let part = single_part(Some(Duration::from_millis(200)));
+    let request = search_request(ClassId(0), vec![part]);
     core.submit(now, request).expect("it is accepted");
     let mut sent = Vec::new();
     for command in core.step(now) {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -5,6 +5,7 @@
 mod common;
 
 use bytes::BytesMut;
+use common::platform::{platform_config, platform_json};
 use common::process::{self, Gatherer, TempFolder, Worker, call_operator_api, member, unused_address};
 use gatherer::limits::{Backoff, DescriptorBudget};
 use gatherer::policy::{EndpointStatus, Time};
@@ -168,8 +169,7 @@
 
 /// Starts one of several gatherers, with the list of revision 1.
 fn gatherer(seed: u64, gatherers: u32, discovery: &Rc<Discovery>) -> Broker {
-    let mut json: serde_json::Value =
-        serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    let mut json = platform_json();
     json["settings"]["balancers"] = gatherers.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
@@ -292,8 +292,7 @@
 
 #[test]
 fn the_configuration_says_how_discovery_is_polled_and_who_carries_datagrams() {
-    let mut json: serde_json::Value =
-        serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    let mut json = platform_json();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     assert_eq!((config.max_poll_interval, config.peer_datagrams), (None, false));
     json["settings"]["discovery"] = "on_request".into();
@@ -352,8 +351,7 @@
 #[test]
 fn a_worker_that_started_in_the_future_by_a_stepped_clock_warms_up_in_time() {
     // The wall clock was stepped back as this process started: every worker would stay in slow start for an hour.
-    let json: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    let config = Config::from_json(&json, |_| None).expect("a configuration");
+    let config = platform_config();
     let (mut core, begun) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
     let mut list = config.initial_workers.expect("a list");
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,14 +1,14 @@
 //! The two processes of a hot restart: together they use no more than one process may, and the successor continues with
 //! the snapshot of its predecessor.
 
+mod common;
+
 use bytes::BytesMut;
+use common::platform::{platform_config, search_request, single_part};
 use gatherer::limits::{DescriptorAllocator, DescriptorBudget, DescriptorClass};
-use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, ShardId, Time};
-use gatherer::program::config::Config;
+use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, Time};
 use gatherer::protocol::handover::{self, Message, TakeoverState};
-use gatherer::routing::{
-    AttemptCompletion, Command, Core, ListedWorker, QueryPart, SearchRequest, WorkerListUpdate,
-};
+use gatherer::routing::{AttemptCompletion, Command, Core, ListedWorker, WorkerListUpdate};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -36,8 +36,7 @@
 }
 
 fn core(processes: u32, started_at: [Option<Time>; 2]) -> Core {
-    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
+    let mut core = Core::new(platform_config().contracts);
     core.set_process_count(processes);
     core.apply_endpoint_update(START, &list(started_at), false);
     core.step(START);
@@ -47,17 +46,8 @@
 /// Submits a query with one part of 0.2 s and completes its attempts at once; at a worker that is down the connection
 /// fails. Returns the names of the workers that received an attempt.
 fn submit(core: &mut Core, now: Time, down: &str) -> Vec<String> {
-    let part =
-        QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: Some(Duration::from_millis(200)), key: None };
-    let request = SearchRequest {
-        label: "a".into(),
-        class: ClassId(0),
-        tenant: None,
-        time_left: Duration::from_secs(5),
-        retry: false,
-        payload: Default::default(),
-        parts: vec![part],
-    };
+    let part = single_part(Some(Duration::from_millis(200)));
+    let request = search_request(ClassId(0), vec![part]);
     core.submit(now, request).expect("it is accepted");
     let mut tried = Vec::new();
     for _ in 0..4 {
@@ -93,8 +83,7 @@
 }
 
 fn successor(state: TakeoverState, now: Time) -> Core {
-    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    let mut core = Core::new(Config::from_json(&json, |_| None).expect("a configuration").contracts);
+    let mut core = Core::new(platform_config().contracts);
     core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot);
     core.step(now);
     core
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,11 +1,13 @@
 //! Connections to index servers: which address is connected to, and what is sent on a connection that was idle.
 
+mod common;
+
 use bytes::BytesMut;
+use common::platform::{platform_config, search_request, single_part};
 use gatherer::limits::DescriptorBudget;
-use gatherer::policy::{ShardId, Time};
-use gatherer::program::config::Config;
+use gatherer::policy::Time;
 use gatherer::protocol::http::{self, Response};
-use gatherer::routing::{Broker, Clock, Core, QueryOutcome, QueryPart, SearchRequest};
+use gatherer::routing::{Broker, Clock, Core, QueryOutcome, SearchRequest};
 use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::index_servers::IndexServers;
@@ -45,27 +47,16 @@
 /// Submits a query with one part, of shard 0.
 async fn submit(broker: &Broker, label: &str, class: &str) -> QueryOutcome {
     let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
-    let hint = Some(Duration::from_millis(1));
-    let parts = vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: hint, key: None }];
-    let (left, text) = (Duration::from_secs(5), "{}".into());
-    broker
-        .submit(SearchRequest {
-            label: label.into(),
-            class,
-            tenant: None,
-            time_left: left,
-            retry: false,
-            payload: text,
-            parts,
-        })
-        .await
+    let part = single_part(Some(Duration::from_millis(1)));
+    let request =
+        SearchRequest { label: label.into(), payload: "{}".into(), ..search_request(class, vec![part]) };
+    broker.submit(request).await
 }
 
 fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<AnsweringServers>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-        let config = Config::from_json(&json, |_| None).expect("a configuration");
+        let config = platform_config();
         let descriptor_pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         let mut list = config.initial_workers.expect("a list");
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -2,16 +2,12 @@
 
 mod common;
 
-use common::{AggregatorHarness, MS, Sent, entry, ms, settings};
+use common::{AggregatorHarness, MS, Sent, entry, ms, rejected, settings};
 use gatherer::policy::{
-    Action, AttemptOutcome, CellId, Endpoint, EndpointStatus, EndpointUpdate, Event, RequestId, RetryBudget,
-    Settings, Time, WorkerId,
+    AttemptOutcome, CellId, Endpoint, EndpointStatus, EndpointUpdate, Event, RetryBudget, Settings, Time,
+    WorkerId,
 };
 
-fn rejected(harness: &AggregatorHarness, id: RequestId) -> bool {
-    harness.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
-}
-
 /// Asks for one part of shard 0 with so much time left; whether it was sent in that step.
 fn admitted(harness: &mut AggregatorHarness, left: u64, retry: bool) -> bool {
     let (query, _, mut events) = harness.new_query(Some("k"), &[0]);
--- a/tests/machine_usage.rs
+++ b/tests/machine_usage.rs
@@ -1,8 +1,9 @@
 //! A machine-usage table drives the core: its rows move a key off its busy preferred replica.
 
-use bytes::Bytes;
-use gatherer::policy::{AttemptOutcome, ClassId, ShardId, Time};
-use gatherer::program::config::Config;
+mod common;
+
+use common::platform::{platform_config, search_request, single_part};
+use gatherer::policy::{AttemptOutcome, ClassId, Time};
 use gatherer::protocol::machine_usage::{self, TableError};
 use gatherer::routing::{AttemptCompletion, Command, Core, QueryPart, SearchRequest};
 use std::fmt::Write;
@@ -24,8 +25,7 @@
 
 /// The worker that a part of this key is sent to once the rows of the table have been reported.
 fn chosen_worker(table: &str, key: &str) -> String {
-    let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    let config = Config::from_json(&json, |_| None).expect("a configuration");
+    let config = platform_config();
     let start = Time(1_700_000_000_000_000_000);
     let mut core = Core::new(config.contracts);
     core.apply_endpoint_update(Time(0), &config.initial_workers.expect("a list"), true);
@@ -38,15 +38,9 @@
         assert!(core.on_load_report(&usage.machine, report), "{} is known", usage.machine);
         commands.extend(core.step(now));
     }
-    let request = SearchRequest {
-        label: Arc::from("a1"),
-        class: ClassId(0),
-        tenant: None,
-        time_left: Duration::from_secs(4),
-        retry: false,
-        payload: Bytes::new(),
-        parts: vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: Some(Arc::from(key)) }],
-    };
+    let part = QueryPart { key: Some(Arc::from(key)), ..single_part(None) };
+    let request =
+        SearchRequest { time_left: Duration::from_secs(4), ..search_request(ClassId(0), vec![part]) };
     core.submit(now, request).expect("there is room");
     commands.extend(core.step(now));
     let mut names = Vec::new();
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,8 +1,10 @@
 //! The metrics that operators read: each query that ends is counted once, in any order of events.
 
-use gatherer::policy::{AttemptOutcome, ClassId, RequestId, ShardId, TenantId, Time};
-use gatherer::program::config::Config;
-use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, QueryPart, SearchRequest};
+mod common;
+
+use common::platform::{platform_config, search_request, single_part};
+use gatherer::policy::{AttemptOutcome, ClassId, RequestId, TenantId, Time};
+use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, SearchRequest};
 use proptest::prelude::{Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::time::Duration;
 
@@ -42,23 +44,14 @@
     ]
 }
 
-fn search_request(class: usize) -> SearchRequest {
-    SearchRequest {
-        label: "a".into(),
-        class: ClassId(class),
-        tenant: Some(TenantId(0)),
-        time_left: Duration::from_secs(5),
-        retry: false,
-        payload: Default::default(),
-        parts: vec![QueryPart { shard: ShardId(0), weight: 1.0, cost_hint: None, key: None }],
-    }
+fn request_of_tenant(class: usize) -> SearchRequest {
+    SearchRequest { tenant: Some(TenantId(0)), ..search_request(ClassId(class), vec![single_part(None)]) }
 }
 
 proptest! {
     #[test]
     fn any_sequence_of_events_keeps_the_sums(events in prop::collection::vec(test_event(), 1..120)) {
-        let json = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-        let config = Config::from_json(&json, |_| None).expect("a configuration");
+        let config = platform_config();
         let mut core = Core::new(config.contracts);
         let mut now = Time(1_700_000_000_000_000_000);
         core.apply_endpoint_update(now, &config.initial_workers.expect("a list"), true);
@@ -70,7 +63,7 @@
             match event {
                 TestEvent::Submitted { class } => {
                     received[class] += 1;
-                    match core.submit(now, search_request(class)) {
+                    match core.submit(now, request_of_tenant(class)) {
                         Ok(query) => open.push(query),
                         Err(_) => ended += 1,
                     }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,6 +1,9 @@
 //! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are reclaimed.
 
+mod common;
+
 use bytes::{Buf, BytesMut};
+use common::platform::{platform_json, search_request};
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::{ShardId, Time};
 use gatherer::program::config::Config;
@@ -78,8 +81,7 @@
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let mut json: serde_json::Value =
-            serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+        let mut json = platform_json();
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
@@ -104,12 +106,8 @@
     };
     SearchRequest {
         label: label.into(),
-        class,
-        tenant: None,
-        time_left: Duration::from_secs(5),
-        retry: false,
         payload: "c41e".into(),
-        parts: (0..shards).map(part).collect(),
+        ..search_request(class, (0..shards).map(part).collect())
     }
 }
 
@@ -219,8 +217,7 @@
 
 #[test]
 fn a_frame_carries_no_more_parts_than_one_call_may() {
-    let mut json: serde_json::Value =
-        serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    let mut json = platform_json();
     json["settings"]["domain"]["per-call"] = 2.into();
     json["settings"]["domain"]["slices"] = 5.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
