--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -5,11 +5,13 @@
 
 mod client;
 mod discovery;
+mod frame;
 mod gatherer;
 mod worker;
 
 pub use client::{call_operator_api, metric_value, query, response};
 pub use discovery::{Discovery, member};
+pub use frame::{read_frame, write_frame};
 pub use gatherer::{Gatherer, faults_library};
 pub use worker::Worker;
 
--- a/tests/common/process/gatherer.rs
+++ b/tests/common/process/gatherer.rs
@@ -26,6 +26,13 @@
     BUILT.get_or_init(build).clone()
 }
 
+/// Writes a configuration to a file of its own.
+fn write_config(folder: &TempFolder, config: &serde_json::Value) -> PathBuf {
+    let file = folder.0.join(format!("config-{}.json", fastrand::u64(..)));
+    std::fs::write(&file, config.to_string()).expect("written");
+    file
+}
+
 /// A process of the program.
 pub struct Gatherer {
     pub child: Child,
@@ -74,8 +81,7 @@
         scratch: &TempFolder,
         operator: Option<&str>,
     ) -> Gatherer {
-        let file = folder.0.join(format!("config-{}.json", fastrand::u64(..)));
-        std::fs::write(&file, config.to_string()).expect("written");
+        let file = write_config(folder, config);
         Gatherer::spawn(&file, config, scratch, operator)
     }
 
@@ -87,8 +93,7 @@
         faults: &str,
         switch: Option<&Path>,
     ) -> Gatherer {
-        let file = folder.0.join(format!("config-{}.json", fastrand::u64(..)));
-        std::fs::write(&file, config.to_string()).expect("written");
+        let file = write_config(folder, config);
         let mut variables = vec![("LD_PRELOAD", faults_library()), ("FAULTS", faults.into())];
         variables.extend(switch.map(|switch| ("FAULTS_SWITCH", switch.to_owned())));
         Gatherer::spawn_in(&file, config, folder, None, &variables)
--- a/tests/common/process/worker.rs
+++ b/tests/common/process/worker.rs
@@ -1,7 +1,7 @@
 //! A fake worker: it answers the frames of any number of connections, and counts what it receives.
 
+use super::frame::{read_frame, write_frame};
 use std::collections::HashMap;
-use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
@@ -48,11 +48,7 @@
     held: &(Mutex<bool>, Condvar),
 ) -> Option<()> {
     loop {
-        let mut length = [0; 4];
-        stream.read_exact(&mut length).ok()?;
-        let mut rest = vec![0; u32::from_le_bytes(length) as usize];
-        stream.read_exact(&mut rest).ok()?;
-        let text = String::from_utf8(rest).expect("text");
+        let text = String::from_utf8(read_frame(&mut stream).ok()?).expect("text");
         if !text.starts_with('m') {
             continue;
         }
@@ -61,8 +57,6 @@
         let waiting = held.0.lock().expect("sound");
         drop(held.1.wait_while(waiting, |held| *held).expect("sound"));
         let answer = format!("q{id} good 5 util=0.1,queue=0\n5be2");
-        let mut bytes = (answer.len() as u32).to_le_bytes().to_vec();
-        bytes.extend_from_slice(answer.as_bytes());
-        stream.write_all(&bytes).ok()?;
+        write_frame(&mut stream, answer.as_bytes()).ok()?;
     }
 }
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -3,13 +3,12 @@
 #![allow(dead_code)] // each test file uses a part of this
 
 use super::process::{
-    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, listen, member, unused_address,
-    wait_until,
+    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, listen, member, read_frame,
+    unused_address, wait_until, write_frame,
 };
 use gatherer::protocol::gossip::ClusterKey;
 use serde_json::Value;
 use std::collections::HashSet;
-use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -240,21 +239,14 @@
 
 /// Passes a table each way between a member that exchanges tables and the one behind the proxy.
 fn pass_tables(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<NetworkFaults>) -> Option<()> {
-    let frame = |stream: &mut TcpStream| {
-        let mut length = [0; 4];
-        stream.read_exact(&mut length).ok()?;
-        let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
-        stream.read_exact(&mut bytes).ok()?;
-        Some([&length[..], &bytes].concat())
-    };
-    let request = frame(&mut near)?;
-    let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&request[4..]).expect("a member's").from.name);
+    let request = read_frame(&mut near).ok()?;
+    let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&request).expect("a member's").from.name);
     let is_cut =
         |partitions: &HashSet<_>| partitions.contains(&(from, id)) || partitions.contains(&(id, from));
     if is_cut(&faults.lock().expect("sound").partitions) {
         return None;
     }
     let mut far = TcpStream::connect(to).ok()?;
-    far.write_all(&request).ok()?;
-    near.write_all(&frame(&mut far)?).ok()
+    write_frame(&mut far, &request).ok()?;
+    write_frame(&mut near, &read_frame(&mut far).ok()?).ok()
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::process::{
-    Discovery, Gatherer, TempFolder, Worker, config, member, query, response, unused_address,
+    Discovery, Gatherer, TempFolder, Worker, config, member, query, read_frame, response, unused_address,
 };
-use std::io::{Read, Write};
+use std::io::Write;
 use std::net::TcpListener;
 use std::sync::mpsc;
 use std::thread;
@@ -121,10 +121,7 @@
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        let mut length = [0; 4];
-        stream.read_exact(&mut length).expect("a length");
-        let mut frame = vec![0; u32::from_le_bytes(length) as usize];
-        stream.read_exact(&mut frame).expect("a frame");
+        let frame = read_frame(&mut stream).expect("a frame");
         let text = String::from_utf8_lossy(&frame).into_owned();
         let deadline = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a deadline");
         sender.send(deadline.parse().expect("milliseconds")).expect("the test waits");
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -2,7 +2,11 @@
 //! gatherer is killed meanwhile. The report has findings for these two faults and no others, and its counts are those of
 //! the clients.
 
+mod common;
+
 use bytes::BytesMut;
+use common::platform::platform_json;
+use common::process::{read_frame, write_frame};
 use gatherer::protocol::http;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -31,19 +35,13 @@
             let (mut stream, delay_ms) = (stream.expect("a connection"), delay_ms.clone());
             stream.set_nodelay(true).expect("set");
             thread::spawn(move || {
-                let mut length = [0; 4];
-                while stream.read_exact(&mut length).is_ok() {
-                    let mut rest = vec![0; u32::from_le_bytes(length) as usize];
-                    if stream.read_exact(&mut rest).is_err() {
-                        return;
-                    }
-                    let text = String::from_utf8(rest).expect("text");
+                while let Ok(frame) = read_frame(&mut stream) {
+                    let text = String::from_utf8(frame).expect("text");
                     let Some(call) = text.strip_prefix('m') else { continue };
                     let id = call.split(' ').next().expect("an id");
                     let response = format!("q{id} good 5 busy=0.2,q=0\n5be2");
                     thread::sleep(Duration::from_millis(delay_ms.load(Ordering::Relaxed)));
-                    let bytes = [&(response.len() as u32).to_le_bytes()[..], response.as_bytes()].concat();
-                    if stream.write_all(&bytes).is_err() {
+                    if write_frame(&mut stream, response.as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -61,7 +59,7 @@
 
 impl Gatherer {
     fn start(folder: &Path, name: &str, workers: &[String]) -> Gatherer {
-        let mut config: Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+        let mut config = platform_json();
         let member = |(at, address): (usize, &String)| json!({"id": format!("w{at}"), "host_port": address, "cell": 0, "phase": "SERVING"});
         let members: Vec<Value> = workers.iter().enumerate().map(member).collect();
         config["name"] = name.into();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::process::{Discovery, Gatherer, TempFolder, Worker, config, member, response, wait_until};
+use common::process::{
+    Discovery, Gatherer, TempFolder, Worker, config, member, read_frame, response, wait_until, write_frame,
+};
 use gatherer::protocol::http;
 use gatherer::service::lifecycle::GRACE_PERIOD;
 use rustix::net::sockopt::set_socket_linger;
@@ -197,11 +199,7 @@
 
 /// Reads the next part on a worker's connection; returns its id.
 fn read_part(stream: &mut TcpStream) -> String {
-    let mut length = [0; 4];
-    stream.read_exact(&mut length).expect("a frame");
-    let mut rest = vec![0; u32::from_le_bytes(length) as usize];
-    stream.read_exact(&mut rest).expect("the rest");
-    let text = String::from_utf8(rest).expect("text");
+    let text = String::from_utf8(read_frame(stream).expect("a frame")).expect("text");
     text[1..].split(' ').next().expect("an id").to_owned()
 }
 
@@ -333,9 +331,7 @@
 /// Answers a part on a worker's connection.
 fn serve(stream: &mut TcpStream, id: &str) {
     let answer = format!("q{id} good 5 -\n5be2");
-    let mut bytes = (answer.len() as u32).to_le_bytes().to_vec();
-    bytes.extend_from_slice(answer.as_bytes());
-    stream.write_all(&bytes).expect("written");
+    write_frame(stream, answer.as_bytes()).expect("written");
 }
 
 #[test]
