--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries are taken while workers are busy, and how many hedges of late parts they may cost.
+//! Which queries are admitted while workers are busy, and how many hedged requests are sent for late parts.
 
 mod common;
 
@@ -9,7 +9,7 @@
 };
 
 /// One worker for each of eight shards, and a class that may be answered from half of its parts.
-fn one_worker_a_shard() -> AggregatorHarness {
+fn one_worker_per_shard() -> AggregatorHarness {
     let partial = Class { min_coverage: 0.5, partial_weight: 0.8, ..class(Idempotency::Idempotent) };
     let mut harness =
         AggregatorHarness::new(Settings { classes: vec![partial], cells: 8, shards: 8, ..settings() }, &[]);
@@ -19,14 +19,14 @@
     harness
 }
 
-/// Parts of so much work are sent to these shards and stay out, so that a further part there waits past the
+/// Sends parts to these shards and leaves them unanswered, so that a further part there would wait past the latency
 /// objective.
-fn fill(harness: &mut AggregatorHarness, shards: &[u32]) {
-    for (shard, work) in shards.iter().flat_map(|shard| [(*shard, 900), (*shard, 140)]) {
+fn saturate(harness: &mut AggregatorHarness, shards: &[u32]) {
+    for (shard, cost_ms) in shards.iter().flat_map(|shard| [(*shard, 900), (*shard, 140)]) {
         let (_, _, mut events) = harness.new_query(None, &[shard]);
         for event in &mut events {
             if let Event::PartReceived(part) = event {
-                part.cost_hint = Some(ms(work));
+                part.cost_hint = Some(ms(cost_ms));
             }
         }
         let before = harness.sent.len();
@@ -37,8 +37,8 @@
 
 #[test]
 fn a_query_of_which_only_half_can_come_in_time_is_rejected() {
-    let mut harness = one_worker_a_shard();
-    fill(&mut harness, &[0, 1, 2, 3]);
+    let mut harness = one_worker_per_shard();
+    saturate(&mut harness, &[0, 1, 2, 3]);
     let before = harness.sent.len();
     let (query, _) = harness.submit(None, &[0, 1, 2, 3, 4, 5, 6, 7]);
     assert!(harness.actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == query)));
@@ -46,22 +46,22 @@
 }
 
 #[test]
-fn one_shard_out_of_reach_does_not_have_a_query_rejected_that_may_be_answered_in_part() {
-    let mut harness = one_worker_a_shard();
-    fill(&mut harness, &[5]);
+fn one_saturated_shard_does_not_reject_a_query_that_may_be_answered_partially() {
+    let mut harness = one_worker_per_shard();
+    saturate(&mut harness, &[5]);
     let before = harness.sent.len();
     harness.submit(None, &[0, 1, 2, 3, 4, 5, 6, 7]);
     assert_eq!(harness.sent.len(), before + 8, "and the late part has its chance");
 }
 
-/// Copies sent while eight parts become late, after a hundred that were answered with this utilization.
-fn hedges(busy: f64) -> usize {
+/// The number of hedges while eight parts become late, after a hundred that were answered with this utilization.
+fn hedges(utilization: f64) -> usize {
     let mut harness = AggregatorHarness::new(settings(), &[1, 2, 3, 4, 5, 6, 7, 8]);
     for number in 0..100 {
         harness.submit(None, &[number % 8]);
         let sent = harness.last_sent();
         harness.advance(if number % 2 == 0 { 20 } else { 120 });
-        harness.step(vec![harness.attempt_finished(sent, AttemptOutcome::Succeeded, Some(busy))]);
+        harness.step(vec![harness.attempt_finished(sent, AttemptOutcome::Succeeded, Some(utilization))]);
     }
     let answered = harness.sent.len();
     for shard in 0..8 {
@@ -83,7 +83,7 @@
 
 #[test]
 fn one_slow_response_does_not_have_deep_queues_rejected() {
-    // Quiet days of the first version: a mean of ratios took one pause for a worker ten times slower.
+    // Quiet days of the first version: a mean of ratios took one slow response for a worker ten times slower.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for round in 0..10 {
         harness.submit(Some("k"), &[0]);
@@ -98,8 +98,8 @@
 
 #[test]
 fn stale_estimates_do_not_reject_queries_for_good() {
-    // Incident i8d1b18: with all queries rejected nothing answers, and frozen guesses refuse the next ones
-    // too.
+    // Incident i8d1b18: with all queries rejected nothing responds, and estimates that stay as they
+    // are reject the next queries too.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..30 {
         harness.submit(Some("k"), &[0]);
@@ -109,8 +109,10 @@
         let outcome = |sent: &Sent| {
             if sent.at == start { AttemptOutcome::Succeeded } else { AttemptOutcome::Cancelled }
         };
-        let out = &harness.sent[before.saturating_sub(1)..];
-        harness.step(out.iter().map(|sent| harness.attempt_finished(*sent, outcome(sent), None)).collect());
+        let unfinished = &harness.sent[before.saturating_sub(1)..];
+        harness.step(
+            unfinished.iter().map(|sent| harness.attempt_finished(*sent, outcome(sent), None)).collect(),
+        );
     }
     harness.advance(8000);
     let (query, _) = harness.submit(Some("k"), &[0]);
@@ -147,12 +149,12 @@
         }
         admitted.push(harness.sent.len() - before);
     }
-    assert!(admitted[1] < admitted[0], "{admitted:?} parts admitted after answers, after refusals");
+    assert!(admitted[1] < admitted[0], "{admitted:?} parts admitted after answers, after rejections");
 }
 
 #[test]
 fn a_query_expected_just_at_its_objective_is_rejected_at_once() {
-    // Incidents i474707 and iff9891: queries admitted at the edge lose all their parts' work.
+    // Incidents i474707 and iff9891: queries admitted at the threshold lose all their parts' work.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     let mut rejected = 0;
     for _ in 0..20 {
@@ -165,34 +167,33 @@
 
 #[test]
 fn under_load_a_query_beyond_its_tenants_quota_is_rejected_first() {
-    // On an overloaded day refusals fell on traffic inside and beyond the shares alike.
+    // On an overloaded day rejections hit traffic within and over the quotas alike.
     let tenants = [Some(1.0), Some(1000.0)].map(|quota_per_s| Tenant { quota_per_s });
-    let over_share_worth = Some(0.1);
     let settings = Settings {
         tenants: tenants.into(),
-        over_quota_weight: over_share_worth,
+        over_quota_weight: Some(0.1),
         may_health_check: false,
         ..settings()
     };
     let mut harness = AggregatorHarness::new(settings, &[1]);
     let mut served = [0, 0];
-    for turn in 0..12 {
-        let tenant = turn % 2;
+    for number in 0..12 {
+        let tenant = number % 2;
         let (query, _, mut events) = harness.new_query(Some("k"), &[0]);
-        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
-            asked.tenant = Some(TenantId(tenant));
+        if let Some(Event::QueryReceived(new_query)) = events.first_mut() {
+            new_query.tenant = Some(TenantId(tenant));
         }
         harness.step(events);
         served[tenant] += u32::from(!ended(&harness, query));
     }
     assert!(
         served[0] < served[1] && served[0] >= 3,
-        "served {served:?}: the first tenant has a share of 3 at once"
+        "served {served:?}: the first tenant has a quota of 3 at once"
     );
 }
 
-/// How many of so many queries at once an aggregator sends to one worker that reports to be so busy.
-fn admitted_at(busy: f64) -> usize {
+/// How many of 30 simultaneous queries an aggregator sends to one worker that reports this utilization.
+fn admitted_at(utilization: f64) -> usize {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for _ in 0..20 {
         harness.submit(Some("k"), &[0]);
@@ -200,7 +201,7 @@
         harness.step(vec![harness.attempt_finished(
             harness.last_sent(),
             AttemptOutcome::Succeeded,
-            Some(busy),
+            Some(utilization),
         )]);
     }
     let before = harness.sent.len();
@@ -210,28 +211,31 @@
 
 #[test]
 fn an_idle_fleet_is_sent_more_than_a_busy_one() {
-    // On a quiet day 3% were rejected for fear of the objective, and random choice of replicas did better.
-    let (calm, busy) = (admitted_at(0.3), admitted_at(1.0));
-    assert!(busy > 0 && calm * 10 > busy * 13, "{calm} at 0.3, {busy} at 1.0");
+    // On a quiet day 3% were rejected because the objective seemed at risk, and random choice of replicas did better.
+    let (idle, busy) = (admitted_at(0.3), admitted_at(1.0));
+    assert!(busy > 0 && idle * 10 > busy * 13, "{idle} at 0.3, {busy} at 1.0");
 }
 
 #[test]
 fn a_fast_deployment_without_hints_is_served_from_its_first_query() {
-    // Guards against a first guess made for slow ones: over the whole aim, it has every query rejected, and
-    // nothing is learned.
-    for aim in [20, 80, 2500, 60_000] {
-        let fast =
-            Class { latency_objective: ms(aim), deadline: ms(2 * aim), ..class(Idempotency::Idempotent) };
+    // A first estimate made for slow deployments exceeds the whole objective: every query is rejected, and nothing
+    // is learned.
+    for objective_ms in [20, 80, 2500, 60_000] {
+        let fast = Class {
+            latency_objective: ms(objective_ms),
+            deadline: ms(2 * objective_ms),
+            ..class(Idempotency::Idempotent)
+        };
         let mut harness = AggregatorHarness::new(Settings { classes: vec![fast], ..settings() }, &[1, 2, 3]);
         let (_, _, mut events) = harness.new_query(None, &[0, 1]);
         for event in &mut events {
             match event {
-                Event::QueryReceived(query) => query.valid_until = harness.now.after(ms(2 * aim)),
+                Event::QueryReceived(query) => query.valid_until = harness.now.after(ms(2 * objective_ms)),
                 Event::PartReceived(part) => part.cost_hint = None,
                 _ => {}
             }
         }
         harness.step(events);
-        assert_eq!(harness.sent.len(), 2, "aim {aim} ms: {:?}", harness.actions);
+        assert_eq!(harness.sent.len(), 2, "objective {objective_ms} ms: {:?}", harness.actions);
     }
 }
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -1,30 +1,35 @@
-//! A client's retry belongs to its first attempt: the time in which its answer is wanted counts from there.
+//! A client's retry belongs to its first attempt: the latency objective counts from there.
 
 mod common;
 
 use common::{AggregatorHarness, endpoint_list, ms, rejected, settings};
 use gatherer::policy::{EndpointUpdate, Event, RequestId};
 
-/// A attempt of a request, which its hint tells apart from others, with the time that its client gives each
-/// attempt.
-fn attempt_of(harness: &mut AggregatorHarness, hint: u64, left: u64, retry: bool) -> (RequestId, Vec<Event>) {
+/// A client's attempt at a request, which its cost hint tells apart from others; the client waits for this attempt as
+/// long as `time_left_ms` says.
+fn client_attempt(
+    harness: &mut AggregatorHarness,
+    cost_hint_ms: u64,
+    time_left_ms: u64,
+    is_retry: bool,
+) -> (RequestId, Vec<Event>) {
     let (id, _, mut events) = harness.new_query(Some("station-17"), &[0, 1]);
     for event in &mut events {
         match event {
             Event::QueryReceived(query) => {
-                (query.is_retry, query.valid_until) = (retry, harness.now.after(ms(left)));
+                (query.is_retry, query.valid_until) = (is_retry, harness.now.after(ms(time_left_ms)));
             }
-            Event::PartReceived(part) => part.cost_hint = Some(ms(hint)),
+            Event::PartReceived(part) => part.cost_hint = Some(ms(cost_hint_ms)),
             _ => {}
         }
     }
     (id, events)
 }
 
-/// The first attempt is rejected for want of any worker; then the workers are listed.
-fn after_a_refusal(left: u64) -> AggregatorHarness {
+/// A harness whose first query was rejected because no worker was listed; now workers are listed.
+fn harness_after_a_rejection(time_left_ms: u64) -> AggregatorHarness {
     let mut harness = AggregatorHarness::new(settings(), &[]);
-    let (first, events) = attempt_of(&mut harness, 100, left, false);
+    let (first, events) = client_attempt(&mut harness, 100, time_left_ms, false);
     harness.step(events);
     assert!(rejected(&harness, first));
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2, 3])))]);
@@ -33,19 +38,19 @@
 
 #[test]
 fn a_retry_with_its_whole_time_left_counts_from_its_first_attempt() {
-    let mut harness = after_a_refusal(3000);
+    let mut harness = harness_after_a_rejection(3000);
     harness.advance(400);
-    let (_, events) = attempt_of(&mut harness, 100, 3000, true);
+    let (_, events) = client_attempt(&mut harness, 100, 3000, true);
     harness.step(events);
-    // The aim is 1.5 s, and 0.4 s of it have passed.
+    // The latency objective is 1.5 s, and 0.4 s of it have passed.
     assert_eq!(harness.last_sent().timeout, ms(1100));
 }
 
 #[test]
 fn a_retry_that_comes_after_the_objective_is_rejected_at_once() {
-    let mut harness = after_a_refusal(3000);
+    let mut harness = harness_after_a_rejection(3000);
     harness.advance(1600);
-    let (retry, events) = attempt_of(&mut harness, 100, 3000, true);
+    let (retry, events) = client_attempt(&mut harness, 100, 3000, true);
     harness.step(events);
     assert!(rejected(&harness, retry));
     assert!(harness.sent.is_empty(), "nobody pays for work that comes too late");
@@ -53,16 +58,16 @@
 
 #[test]
 fn a_retry_whose_first_attempt_went_elsewhere_counts_the_mean_wait() {
-    let mut harness = after_a_refusal(3000);
-    for hint in 0..200 {
-        let (_, events) = attempt_of(&mut harness, 1000 + hint, 3000, false);
+    let mut harness = harness_after_a_rejection(3000);
+    for number in 0..200 {
+        let (_, events) = client_attempt(&mut harness, 1000 + number, 3000, false);
         harness.step(events);
         harness.advance(300);
-        let (_, events) = attempt_of(&mut harness, 1000 + hint, 3000, true);
+        let (_, events) = client_attempt(&mut harness, 1000 + number, 3000, true);
         harness.step(events);
         harness.advance(50);
     }
-    let (_, events) = attempt_of(&mut harness, 50, 3000, true);
+    let (_, events) = client_attempt(&mut harness, 50, 3000, true);
     harness.step(events);
     let timeout = harness.last_sent().timeout;
     assert!(timeout < ms(1220) && timeout > ms(1180), "0.3 s of 1.5 s have passed: {timeout:?}");
@@ -70,19 +75,19 @@
 
 #[test]
 fn another_clients_query_for_the_same_key_is_no_retry() {
-    let mut harness = after_a_refusal(3000);
+    let mut harness = harness_after_a_rejection(3000);
     harness.advance(400);
-    let (_, events) = attempt_of(&mut harness, 100, 3000, false);
+    let (_, events) = client_attempt(&mut harness, 100, 3000, false);
     harness.step(events);
     assert_eq!(harness.last_sent().timeout, ms(1500));
 }
 
 #[test]
 fn the_time_left_of_a_last_attempt_counts_before_the_remembered_first_attempt() {
-    let mut harness = after_a_refusal(5000);
+    let mut harness = harness_after_a_rejection(5000);
     harness.advance(400);
     // The whole time is 5 s: 1 s of it has passed, though the first attempt seen here was 0.4 s ago.
-    let (_, events) = attempt_of(&mut harness, 100, 4000, true);
+    let (_, events) = client_attempt(&mut harness, 100, 4000, true);
     harness.step(events);
     assert_eq!(harness.last_sent().timeout, ms(500));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A hundred aggregators in one process, each with its own share of the traffic: what they do together.
+//! A hundred aggregators in one process, each with a part of the traffic: what they do together.
 
 mod common;
 
@@ -9,34 +9,34 @@
 
 #[test]
 fn a_lost_zone_is_ejected_after_few_of_its_workers_and_reinstated_at_one_response() {
-    let zone = |id| id % ZONES == 0;
+    let in_lost_zone = |id| id % ZONES == 0;
     for seed in [1, 2] {
         let mut fleet = SimulatedFleet::new(seed, Idempotency::Idempotent);
-        fleet.advance(3000, zone);
-        fleet.set_behavior(zone, WorkerBehavior::Unreachable);
-        let (first, later) = (fleet.advance(1000, zone).0, fleet.advance(2000, zone).0);
+        fleet.advance(3000, in_lost_zone);
+        fleet.set_behavior(in_lost_zone, WorkerBehavior::Unreachable);
+        let (first, later) = (fleet.advance(1000, in_lost_zone).0, fleet.advance(2000, in_lost_zone).0);
         // Each on its own: 900 sends in the first second, and 800 in the next two.
         assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
-        // Healed without a restart, so that no list tells of it. Each on its own: 1,190 sends in three
+        // Healed without a restart, so that no endpoint update shows it. Each on its own: 1,190 sends in three
         // seconds.
-        fleet.set_behavior(zone, WorkerBehavior::Answers);
-        fleet.advance(1000, zone);
-        let back = fleet.advance(3000, zone).0;
+        fleet.set_behavior(in_lost_zone, WorkerBehavior::Answers);
+        fleet.advance(1000, in_lost_zone);
+        let back = fleet.advance(3000, in_lost_zone).0;
         assert!(back > 1600, "seed {seed}: {back} sends to the zone when it was back");
     }
 }
 
 #[test]
 fn non_idempotent_parts_are_kept_from_workers_that_return_errors() {
-    let bad = |id| id % 10 == 0;
+    let is_failing = |id| id % 10 == 0;
     for seed in [1, 2] {
         let mut fleet = SimulatedFleet::new(seed, Idempotency::NonIdempotent);
-        fleet.advance(2000, bad);
-        fleet.set_behavior(bad, WorkerBehavior::Failing);
-        fleet.advance(4000, bad);
-        let (errs, all) = fleet.advance(4000, bad);
+        fleet.advance(2000, is_failing);
+        fleet.set_behavior(is_failing, WorkerBehavior::Failing);
+        fleet.advance(4000, is_failing);
+        let (to_failing, total) = fleet.advance(4000, is_failing);
         // A tenth of the workers, and a tenth of the sends where errors are no losses.
-        assert!(errs * 50 < all, "seed {seed}: {errs} of {all} sends to workers that err");
+        assert!(to_failing * 50 < total, "seed {seed}: {to_failing} of {total} sends to failing workers");
     }
 }
 
@@ -45,14 +45,17 @@
     let all = AGGREGATORS as usize;
     assert!(
         simulate_discovery_polls(vec![0; all], |_| 100).0 < all / 4,
-        "a constant pause keeps it overbooked"
+        "a constant backoff keeps it overloaded"
     );
     for seed in [1, 2] {
         let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), AGGREGATORS, ms(10_000));
         let mut callers: Vec<Backoff> = (0..AGGREGATORS).map(caller).collect();
         let starts = callers.iter_mut().map(|caller| caller.initial_delay().as_millis() as u64).collect();
-        let (done, most) =
+        let (served, max_polls) =
             simulate_discovery_polls(starts, |id| callers[id].next_delay(true).as_millis() as u64);
-        assert!(done == all && most < 20, "seed {seed}: {done} served, up to {most} calls in a second");
+        assert!(
+            served == all && max_polls < 20,
+            "seed {seed}: {served} served, up to {max_polls} polls in a second"
+        );
     }
 }
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! When a late part gets a hedged request.
+//! When a hedged request is sent for a late part.
 
 mod common;
 
@@ -30,11 +30,11 @@
         let before = harness.sent.len();
         harness.submit(Some(&format!("k{round}")), &[0]);
         harness.advance(if round % 8 == 0 { 600 } else { 20 });
-        let ends = harness.sent[before..]
+        let finished = harness.sent[before..]
             .iter()
             .map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None))
             .collect();
-        harness.step(ends);
+        harness.step(finished);
     }
     let before = harness.sent.len();
     harness.submit(Some("late"), &[0]);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which workers are ejected, for how long, and what they still get.
+//! Which workers are ejected, for how long, and which attempts they still receive.
 
 mod common;
 
@@ -8,19 +8,20 @@
     WorkerId,
 };
 
-/// Drives worker 1 silent while the others answer after 100 ms; returns the sends of the last second.
-fn with_silent(silent: &[u32], workers: &[u32]) -> Vec<Sent> {
+/// Runs for 4 s with workers that do not respond while the others respond after 100 ms; returns what was sent in the last
+/// second.
+fn sent_beside_unresponsive(unresponsive: &[u32], workers: &[u32]) -> Vec<Sent> {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, workers);
     let start = harness.now;
     for step in 0..400u64 {
         harness.now = start.after(ms(10 * step));
-        let due: Vec<Sent> = harness
+        let finished: Vec<Sent> = harness
             .sent
             .iter()
             .copied()
-            .filter(|sent| !silent.contains(&sent.worker.0) && harness.now.since(sent.at) == ms(100))
+            .filter(|sent| !unresponsive.contains(&sent.worker.0) && harness.now.since(sent.at) == ms(100))
             .collect();
-        let mut events: Vec<Event> = due
+        let mut events: Vec<Event> = finished
             .iter()
             .map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, Some(0.5)))
             .collect();
@@ -34,22 +35,23 @@
 
 #[test]
 fn an_unresponsive_worker_gets_half_open_attempts_only() {
-    let sends = with_silent(&[1], &[1, 2, 3]);
+    let sends = sent_beside_unresponsive(&[1], &[1, 2, 3]);
     let silent = sends.iter().filter(|sent| sent.worker == WorkerId(1)).count();
     assert!(silent <= 2, "{silent} of {} sends to a silent worker", sends.len());
 }
 
 #[test]
 fn with_more_than_half_of_the_workers_unresponsive_the_others_get_the_parts() {
-    // Incident i1d46fa: an aggregator cut off from one zone, with one worker more in doubt.
-    let sends = with_silent(&[1, 2, 3], &[1, 2, 3, 4, 5]);
+    // Incident i1d46fa: an aggregator partitioned from one zone, with one more worker unresponsive.
+    let sends = sent_beside_unresponsive(&[1, 2, 3], &[1, 2, 3, 4, 5]);
     let silent = sends.iter().filter(|sent| sent.worker.0 <= 3).count();
     assert!(silent * 8 <= sends.len(), "{silent} of {} sends to silent workers", sends.len());
 }
 
 #[test]
 fn a_failed_connection_alone_does_not_make_a_worker_warm_up() {
-    // At full size a verdict of warming-up shuts a worker for most of a warm-up, so only the list gives it.
+    // In a large fleet a warming-up worker gets next to nothing for most of its warm-up, so only the endpoint list
+    // may start one.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     harness.submit(Some("k"), &[0]);
     let first = harness.last_sent();
@@ -68,27 +70,30 @@
 
 #[test]
 fn a_worker_gets_no_part_of_a_class_that_fails_there() {
-    // Six of twelve workers answered every class but the one that runs once: a quarter of its queries failed.
+    // Six of twelve workers answered every class but the non-idempotent one: a quarter of its queries failed.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings = Settings { classes, may_health_check: false, ..settings() };
-    // A key whose home is the first worker.
-    let goes = |key: &String| {
+    // A key whose preferred replica is the first worker.
+    let preferred_replica = |key: &String| {
         let mut harness = AggregatorHarness::new(settings.clone(), &[1, 2]);
         harness.submit(Some(key), &[0]);
         harness.last_sent().worker
     };
-    let key = (0..).map(|at| format!("k{at}")).find(|key| goes(key) == WorkerId(1)).expect("a key");
+    let key = (0..)
+        .map(|number| format!("k{number}"))
+        .find(|key| preferred_replica(key) == WorkerId(1))
+        .expect("a key");
     let mut harness = AggregatorHarness::new(settings.clone(), &[1]);
-    let once = |harness: &mut AggregatorHarness| {
+    let send_non_idempotent = |harness: &mut AggregatorHarness| {
         let (_, _, mut events) = harness.new_query(Some(&key), &[0]);
-        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
-            asked.class = ClassId(1);
+        if let Some(Event::QueryReceived(new_query)) = events.first_mut() {
+            new_query.class = ClassId(1);
         }
         harness.step(events);
         harness.last_sent()
     };
-    // Alone, it answers whatever may be repeated and loses what runs once.
-    let lost = once(&mut harness);
+    // Alone, it answers idempotent queries and loses non-idempotent ones.
+    let lost = send_non_idempotent(&mut harness);
     for _ in 0..14 {
         harness.submit(Some(&key), &[0]);
         harness.advance(100);
@@ -102,21 +107,21 @@
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2])))]);
     harness.submit(Some(&key), &[0]);
     assert_eq!(harness.last_sent().worker, WorkerId(1), "what it answers still goes there");
-    assert_eq!(once(&mut harness).worker, WorkerId(2), "what it loses does not");
+    assert_eq!(send_non_idempotent(&mut harness).worker, WorkerId(2), "what it loses does not");
 }
 
 #[test]
 fn a_non_idempotent_query_is_rejected_where_its_class_fails_at_every_replica() {
-    // Eight of twelve workers lost the class that runs once: while its other replica was ejected, parts that
-    // run once went to one that had lost six before them.
+    // Eight of twelve workers lost the non-idempotent class: while its other replica was ejected, its parts went
+    // to one that had lost six before them.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings =
         Settings { classes, may_health_check: false, max_retry_after: Some(ms(500)), ..settings() };
     let mut harness = AggregatorHarness::new(settings, &[1]);
-    let once = |harness: &mut AggregatorHarness| {
+    let submit_non_idempotent = |harness: &mut AggregatorHarness| {
         let (query, _, mut events) = harness.new_query(None, &[0]);
-        if let Some(Event::QueryReceived(asked)) = events.first_mut() {
-            asked.class = ClassId(1);
+        if let Some(Event::QueryReceived(new_query)) = events.first_mut() {
+            new_query.class = ClassId(1);
         }
         let before = harness.sent.len();
         harness.step(events);
@@ -124,7 +129,7 @@
     };
     let mut lost = Vec::new();
     for _ in 0..4 {
-        assert!(once(&mut harness).1);
+        assert!(submit_non_idempotent(&mut harness).1);
         lost.push(harness.last_sent());
     }
     for _ in 0..10 {
@@ -136,15 +141,15 @@
             Some(0.3),
         )]);
     }
-    let (query, sent) = once(&mut harness);
+    let (query, sent) = submit_non_idempotent(&mut harness);
     assert!(!sent, "it would be lost");
     let rejected = |action: &Action| matches!(action, Action::Reject { id, .. } if *id == query);
     assert!(harness.actions.iter().any(rejected), "and rejected at once, while nothing of it has run");
     harness.submit(None, &[0]);
-    assert_eq!(harness.last_sent().worker, WorkerId(1), "what may be repeated is served");
+    assert_eq!(harness.last_sent().worker, WorkerId(1), "idempotent queries are served");
     // Another replica that is ejected for broken connections is better than one that loses the class.
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2])))]);
-    let to_two = loop {
+    let sent_to_second = loop {
         harness.submit(None, &[0]);
         if harness.last_sent().worker == WorkerId(2) {
             break harness.last_sent();
@@ -155,19 +160,18 @@
             Some(0.3),
         )]);
     };
-    harness.step(vec![harness.attempt_finished(to_two, AttemptOutcome::ConnectFailed, None)]);
-    assert!(once(&mut harness).1);
+    harness.step(vec![harness.attempt_finished(sent_to_second, AttemptOutcome::ConnectFailed, None)]);
+    assert!(submit_non_idempotent(&mut harness).1);
     assert_eq!(harness.last_sent().worker, WorkerId(2));
 }
 
 #[test]
 fn one_connection_reset_does_not_eject_a_worker() {
-    // Where connections break now and then, most workers were ejected at any time, and the worst were left to
-    // choose.
+    // Where connections break now and then, most workers were ejected at any time, and only the worst were eligible.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     harness.submit(Some("k"), &[0]);
-    let home = harness.last_sent().worker;
-    for (outcome, at_home) in [
+    let preferred = harness.last_sent().worker;
+    for (outcome, at_preferred) in [
         (AttemptOutcome::Succeeded, true),
         (AttemptOutcome::ConnectionReset, true),
         (AttemptOutcome::ConnectFailed, false),
@@ -182,14 +186,14 @@
             )]);
         }
         harness.submit(Some("k"), &[0]);
-        assert_eq!(harness.last_sent().worker == home, at_home, "after {outcome:?}");
+        assert_eq!(harness.last_sent().worker == preferred, at_preferred, "after {outcome:?}");
     }
 }
 
 #[test]
 fn errors_alone_eject_no_worker() {
-    // zone+vast: two errors barred a replica that fails at once while the other was full. Ejected workers alone are
-    // probed.
+    // zone+vast: two errors ejected a replica that fails at once while the other was full. Only ejected workers get
+    // health checks.
     for (outcome, ejected) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
         let mut harness = AggregatorHarness::new(settings(), &[1]);
         harness.submit(Some("k"), &[0]);
@@ -205,8 +209,8 @@
 }
 
 #[test]
-fn a_worker_that_rejects_is_tried_sooner_than_one_that_cannot_be_reached() {
-    for (outcome, strikes, again) in
+fn a_worker_that_rejects_is_tried_again_sooner_than_an_unreachable_one() {
+    for (outcome, failures, is_retried) in
         [(AttemptOutcome::Rejected, 2, true), (AttemptOutcome::ConnectFailed, 1, false)]
     {
         let mut harness = AggregatorHarness::new(
@@ -214,8 +218,8 @@
             &[1, 2],
         );
         harness.submit(Some("k"), &[0]);
-        let home = harness.last_sent().worker;
-        for _ in 0..strikes {
+        let preferred = harness.last_sent().worker;
+        for _ in 0..failures {
             harness.step(vec![harness.attempt_finished(harness.last_sent(), outcome, None)]);
             harness.step(vec![harness.attempt_finished(
                 harness.last_sent(),
@@ -230,52 +234,54 @@
             Some(0.3),
         )]);
         harness.advance(1200);
-        // A trial goes beside an attempt at the other.
+        // A half-open attempt accompanies an attempt at the other worker.
         harness.submit(Some("k"), &[0]);
-        let tried = harness.sent.iter().any(|sent| sent.worker == home && sent.at == harness.now);
-        assert_eq!(tried, again, "{outcome:?}");
+        let tried = harness.sent.iter().any(|sent| sent.worker == preferred && sent.at == harness.now);
+        assert_eq!(tried, is_retried, "{outcome:?}");
     }
 }
 
 #[test]
 fn an_aggregator_that_was_paused_ejects_no_zone() {
-    for (step, lost) in [(10, true), (3000, false)] {
+    for (step_ms, is_ejected) in [(10, true), (3000, false)] {
         let mut harness =
             AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
         (0..12).for_each(|key| drop(harness.submit(Some(&format!("k{key}")), &[0])));
         let mut reported = false;
-        for _ in 0..3000 / step {
-            harness.now = harness.now.after(ms(step));
+        for _ in 0..3000 / step_ms {
+            harness.now = harness.now.after(ms(step_ms));
             harness.step(vec![Event::TimerFired { timer: TimerId(0) }]);
-            reported |=
-                harness.actions.iter().any(|a| matches!(a, Action::Log { text } if text.contains("zone 0")));
+            reported |= harness
+                .actions
+                .iter()
+                .any(|action| matches!(action, Action::Log { text } if text.contains("zone 0")));
         }
-        assert_eq!(reported, lost, "in steps of {step} ms");
+        assert_eq!(reported, is_ejected, "in steps of {step_ms} ms");
     }
 }
 
 #[test]
 fn a_zone_of_restarted_workers_is_not_ejected_for_what_the_old_processes_missed() {
-    // zone+mass: each aggregator called the whole zone lost again 10 ms after the list that named its
-    // workers' new starts.
+    // zone+mass: each aggregator ejected the whole zone again 10 ms after the list with its workers' new
+    // incarnations.
     let mut harness =
         AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
-    let lost = |harness: &AggregatorHarness| {
+    let zone_is_ejected = |harness: &AggregatorHarness| {
         harness
             .actions
             .iter()
-            .any(|a| matches!(a, Action::Log { text } if text.contains("zone 0: no answer")))
+            .any(|action| matches!(action, Action::Log { text } if text.contains("zone 0: no answer")))
     };
     let mut reported = false;
     (0..12).for_each(|key| drop(harness.submit(Some(&format!("k{key}")), &[0])));
     for _ in 0..300 {
         harness.advance(10);
-        reported |= lost(&harness);
+        reported |= zone_is_ejected(&harness);
     }
     assert!(reported, "nothing in it answers");
     harness.advance(1000);
-    let since = Some(harness.now);
-    let back = (1..=6).map(|worker| entry(worker, EndpointStatus::Active, since)).collect();
-    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(back))]);
-    assert!(!lost(&harness), "it is lost again for what came before the new starts");
+    let started_at = Some(harness.now);
+    let restarted = (1..=6).map(|worker| entry(worker, EndpointStatus::Active, started_at)).collect();
+    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(restarted))]);
+    assert!(!zone_is_ejected(&harness), "it is ejected again for what came before the new incarnations");
 }
--- a/tests/policy_invariants.rs
+++ b/tests/policy_invariants.rs
@@ -1,4 +1,4 @@
-//! The six rules and the defences, driven through the interface alone.
+//! The invariants of the decision module and its limits, driven through the interface alone.
 
 mod common;
 
@@ -34,10 +34,11 @@
             }
         }
         harness.step(events);
-        let (last, others) = harness.sent.split_last().expect("it is taken");
-        let (last, done) = (harness.attempt_finished(*last, AttemptOutcome::Succeeded, None), others.iter());
+        let (last, others) = harness.sent.split_last().expect("it is admitted");
+        let (last, finished) =
+            (harness.attempt_finished(*last, AttemptOutcome::Succeeded, None), others.iter());
         let others =
-            done.map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None)).collect();
+            finished.map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None)).collect();
         harness.step(others);
         assert_eq!(answered(&harness, query), None, "{parts} parts, one of them out");
         harness.step(vec![last]);
@@ -57,35 +58,35 @@
 fn a_query_ends_before_its_deadline_when_no_worker_responds() {
     let mut harness = AggregatorHarness::new(settings(), &[1, 2, 3]);
     let (query, _) = harness.submit(Some("k"), &[0]);
-    let until = harness.now.after(ms(5000));
-    let mut ends = 0;
-    while harness.now < until {
+    let deadline = harness.now.after(ms(5000));
+    let mut times_ended = 0;
+    while harness.now < deadline {
         harness.advance(10);
-        ends += u32::from(ended(&harness, query));
+        times_ended += u32::from(ended(&harness, query));
     }
-    assert_eq!(ends, 1);
+    assert_eq!(times_ended, 1);
 }
 
 #[test]
 fn unknown_ids_are_ignored() {
     let mut harness = AggregatorHarness::new(settings(), &[1]);
-    let stray = Sent {
+    let unknown = Sent {
         id: RequestId(99),
         attempt: AttemptNo(4),
         worker: WorkerId(77),
         at: harness.now,
         timeout: ms(1),
     };
-    let end = harness.attempt_finished(stray, AttemptOutcome::Succeeded, Some(f64::NAN));
-    let probe = Event::HealthCheckFinished {
+    let attempt_finished = harness.attempt_finished(unknown, AttemptOutcome::Succeeded, Some(f64::NAN));
+    let health_check_finished = Event::HealthCheckFinished {
         worker: WorkerId(77),
         outcome: AttemptOutcome::Succeeded,
         elapsed: ms(1),
         load_report: None,
     };
     harness.step(vec![
-        end,
-        probe,
+        attempt_finished,
+        health_check_finished,
         Event::ClientDisconnected { id: RequestId(99) },
         Event::TimerFired { timer: TimerId(9) },
         Event::StreamingStarted { id: RequestId(99), attempt: AttemptNo(0) },
@@ -120,24 +121,24 @@
 
 #[test]
 fn a_keyed_part_is_resent_inside_its_repeat_window_only() {
-    for (after, resent) in [(500, true), (1100, false)] {
+    for (after_ms, resent) in [(500, true), (1100, false)] {
         let mut harness = AggregatorHarness::new(
             Settings { classes: vec![class(Idempotency::Keyed)], hedging_allowed: false, ..settings() },
             &[1, 2, 3],
         );
         harness.submit(Some("k"), &[0]);
         let first = harness.last_sent();
-        harness.now = harness.now.after(ms(after));
+        harness.now = harness.now.after(ms(after_ms));
         harness.step(vec![harness.attempt_finished(first, AttemptOutcome::ConnectionReset, None)]);
-        assert_eq!(harness.sent.len() > 1, resent, "after {after} ms");
+        assert_eq!(harness.sent.len() > 1, resent, "after {after_ms} ms");
     }
 }
 
 #[test]
 fn a_draining_worker_gets_no_new_part() {
     let mut harness = AggregatorHarness::new(settings(), &[1, 2]);
-    let news = vec![entry(1, EndpointStatus::Draining, None)].into();
-    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news))]);
+    let update = vec![entry(1, EndpointStatus::Draining, None)].into();
+    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(update))]);
     for key in 0..20 {
         harness.submit(Some(&format!("k{key}")), &[0]);
     }
@@ -158,16 +159,16 @@
 #[test]
 fn a_warming_up_worker_stays_within_its_slow_start_budget_even_when_all_warm_up() {
     let mut harness = AggregatorHarness::new(Settings { fleet_size: 2, ..settings() }, &[]);
-    let since = Some(harness.now);
-    let news: Vec<Endpoint> =
-        [1, 2].iter().map(|worker| entry(*worker, EndpointStatus::Active, since)).collect();
-    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(news.into()))]);
+    let started_at = Some(harness.now);
+    let list: Vec<Endpoint> =
+        [1, 2].iter().map(|worker| entry(*worker, EndpointStatus::Active, started_at)).collect();
+    harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.into()))]);
     for key in 0..40 {
         harness.submit(Some(&format!("k{key}")), &[0]);
         harness.advance(20);
     }
     for worker in [1, 2] {
-        // The push allowed in a second to one core at 0.2 to 0.3 of its capacity, halved among two
+        // The slow-start budget of a second for one core at 0.2 to 0.3 of its capacity, halved among two
         // aggregators.
         let work = harness.sent.iter().filter(|sent| sent.worker == WorkerId(worker)).count() as f64 * 0.1;
         assert!(work <= 2.0 * 0.3 / 2.0 + 1e-9, "worker {worker} was sent {work} s of work");
@@ -179,17 +180,23 @@
     let budget = RetryBudget { free_attempts: 2.0, ratio: 0.05, window: ms(10_000) };
     let mut harness =
         AggregatorHarness::new(Settings { retry_budget: Some(budget), ..settings() }, &[1, 2, 3, 4]);
-    let mut taken = 0.0;
+    let mut requests = 0.0;
     for key in 0..30 {
         harness.submit(Some(&format!("k{key}")), &[0]);
-        taken += 2.0;
-        let out: Vec<Sent> = harness.sent.iter().copied().filter(|sent| sent.at == harness.now).collect();
+        requests += 2.0;
+        let finished: Vec<Sent> =
+            harness.sent.iter().copied().filter(|sent| sent.at == harness.now).collect();
         harness.now = harness.now.after(ms(5));
-        let events =
-            out.iter().map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Failed, None)).collect();
+        let events = finished
+            .iter()
+            .map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Failed, None))
+            .collect();
         harness.step(events);
-        let further = harness.sent.iter().filter(|sent| sent.attempt.0 > 0).count() as f64;
-        assert!(further <= budget.free_attempts + budget.ratio * taken, "{further} after {taken} requests");
+        let extra_attempts = harness.sent.iter().filter(|sent| sent.attempt.0 > 0).count() as f64;
+        assert!(
+            extra_attempts <= budget.free_attempts + budget.ratio * requests,
+            "{extra_attempts} after {requests} requests"
+        );
     }
     assert!(harness.sent.iter().any(|sent| sent.attempt.0 > 0));
 }
@@ -219,18 +226,18 @@
     let first = harness.sent.iter().copied().find(|sent| sent.id == parts[0]).expect("sent");
     harness.now = harness.now.after(ms(100));
     harness.step(vec![harness.attempt_finished(first, AttemptOutcome::Succeeded, None)]);
-    assert_eq!(answered(&harness, query), None, "waiting still earns more");
-    let mut at = None;
+    assert_eq!(answered(&harness, query), None, "a complete answer may still come");
+    let mut answer = None;
     for _ in 0..150 {
         harness.advance(10);
-        if let Some(whole) = answered(&harness, query) {
-            at = Some((harness.now, whole));
+        if let Some(complete) = answered(&harness, query) {
+            answer = Some((harness.now, complete));
             break;
         }
     }
-    let (at, whole) = at.expect("answered");
-    assert!(!whole);
-    assert!(at < Time(1_000_000 * MS).after(ms(1500)));
+    let (answered_at, complete) = answer.expect("answered");
+    assert!(!complete);
+    assert!(answered_at < Time(1_000_000 * MS).after(ms(1500)));
 }
 
 #[test]
@@ -266,14 +273,14 @@
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
     assert!(
         !harness.actions.contains(&Action::SubscribeToEndpoints),
-        "not at once: the list's server may be swamped"
+        "not at once: discovery may be overloaded"
     );
-    let mut again = 0;
+    let mut polls = 0;
     for _ in 0..200 {
         harness.advance(10);
-        again += harness.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count();
+        polls += harness.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count();
     }
-    assert_eq!(again, 1);
+    assert_eq!(polls, 1);
 }
 
 #[test]
@@ -288,7 +295,7 @@
     let first = harness.sent[0];
     harness.step(vec![harness.attempt_finished(first, AttemptOutcome::ConnectionReset, None)]);
     assert!(harness.actions.contains(&Action::Fail { id: query }), "{:?}", harness.actions);
-    // The other part is called off, and nothing is sent again.
+    // The other part is cancelled, and nothing is sent again.
     assert!(harness.actions.iter().any(|action| matches!(action, Action::Cancel { .. })));
     assert_eq!(harness.sent.len(), 2);
 }
