--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -1,6 +1,6 @@
-//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member,
-//! before twelve workers, when half of the gatherers die or are cut off. One tenant asks for far more than
-//! its share, the other stays inside its own; workers that start warming-up are counted at the workers.
+//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member, in front of
+//! twelve workers, when half of the gatherers die or are partitioned. One tenant submits far more than its quota, the
+//! other stays within its own; what warming-up workers receive is counted at the workers.
 
 mod common;
 
@@ -16,213 +16,260 @@
 
 const GATHERERS: usize = 20;
 const WORKERS: u32 = 12;
-const WARM: u32 = 3;
-const STEP: u64 = 10;
-/// Queries a second of two parts of a tenth of a second each, over all gatherers: of the tenant that stays
-/// inside its share, and of the one that does not. The workers carry 60.
-const QUERIES: [u64; 2] = [16, 100];
-/// What either may ask for a second.
-const QUOTA: f64 = 20.0;
-
-/// A worker of one core: it works off what comes in turn, slower while it is warming-up.
+/// Workers that stay warm where the others restart.
+const WARM_WORKERS: usize = 3;
+/// Milliseconds between two steps.
+const STEP_MS: u64 = 10;
+/// Work of a part, in seconds.
+const PART_S: f64 = 0.1;
+/// Queries a second of two parts each, over all gatherers: of the tenant that stays within its quota, and of the one that
+/// does not. The workers have capacity for 60.
+const QUERIES_PER_S: [u64; 2] = [16, 100];
+/// The quota of either tenant.
+const QUOTA_PER_S: f64 = 20.0;
+/// Attempts that a harness keeps: finished ones need not be searched at each further attempt.
+const MAX_SENT: usize = 400;
+
+/// A worker of one core: it serves parts in turn, slower while it is warming up.
 struct Worker {
-    since: Option<Time>,
+    started_at: Option<Time>,
     free_at: Time,
-    came: VecDeque<Time>,
+    /// When parts were received within the last second of a warm-up.
+    received_at: VecDeque<Time>,
+}
+
+impl Worker {
+    /// The fraction of its full capacity that it has now.
+    fn capacity(&self, now: Time) -> f64 {
+        let warm_up = |started_at| 0.2 + 0.8 * (now.since(started_at).as_secs_f64() / 10.0).min(1.0);
+        self.started_at.map_or(1.0, warm_up)
+    }
+
+    /// Queues a part. Returns the use of the slow-start budget if it is warming up.
+    fn receive_part(&mut self, now: Time) -> Option<f64> {
+        let capacity = self.capacity(now);
+        self.free_at = self.free_at.max(now).after(Duration::from_secs_f64(PART_S / capacity));
+        if capacity >= 1.0 {
+            return None;
+        }
+        self.received_at.push_back(now);
+        self.received_at.retain(|at| now.since(*at) <= ms(1000));
+        // Twice its capacity in a second, with the slack for chance that a worker has.
+        let allowed = 2.0 * capacity / PART_S;
+        Some(self.received_at.len() as f64 / (allowed + 3.0 * allowed.sqrt() + 3.0))
+    }
 }
 
-/// What is due to come back to a gatherer, and whose its queries are.
-type Due = Vec<(Time, Sent)>;
-type Asks = HashMap<RequestId, usize>;
+/// An attempt in flight.
+struct InFlight {
+    finishes_at: Time,
+    sent: Sent,
+}
+
+/// The decision module of one gatherer.
+struct Gatherer {
+    harness: AggregatorHarness,
+    in_flight: Vec<InFlight>,
+    tenant_of: HashMap<RequestId, usize>,
+}
 
-/// What came of a play.
+/// What a run counted.
 #[derive(Debug, PartialEq)]
-struct Played {
+struct Counts {
     /// By tenant.
     answered: [usize; 2],
     rejected: [usize; 2],
-    /// The most that any warming-up worker got in a window, as a share of what makes it fall then.
-    pushed: f64,
+    /// The largest part of its slow-start budget that any warming-up worker received.
+    peak_budget_use: f64,
 }
 
 struct Fleet {
-    world: Simulation<Node>,
-    /// Each with what is due to come back to it, and whose its queries are.
-    harnesses: Vec<(AggregatorHarness, Due, Asks)>,
+    membership: Simulation<Node>,
+    gatherers: Vec<Gatherer>,
     workers: Vec<Worker>,
     random: fastrand::Rng,
-    /// Whether the modules go by what membership tells, or by the settings' number.
+    /// Whether the modules go by the fleet size of membership, or by that of the settings.
     follows_membership: bool,
 }
 
 impl Fleet {
     fn new(seed: u64, follows_membership: bool) -> Fleet {
         let classes = vec![Class { latency_objective: ms(1500), ..class(Idempotency::Idempotent) }];
-        let tenants = vec![Tenant { quota_per_s: Some(QUOTA) }; 2];
-        let (harnesses, over_share_worth) = (GATHERERS as u32, Some(0.1));
-        let rules = Settings {
-            fleet_size: harnesses,
+        let shared = Settings {
+            fleet_size: GATHERERS as u32,
             classes,
-            tenants,
-            over_quota_weight: over_share_worth,
+            tenants: vec![Tenant { quota_per_s: Some(QUOTA_PER_S) }; 2],
+            over_quota_weight: Some(0.1),
             may_health_check: false,
             ..settings()
         };
-        let harness = |id: usize| {
-            let all: Vec<u32> = (0..WORKERS).collect();
-            (
-                AggregatorHarness::new(Settings { seed: seed << 8 | id as u64, ..rules.clone() }, &all),
-                Vec::new(),
-                HashMap::new(),
-            )
+        let all_workers: Vec<u32> = (0..WORKERS).collect();
+        let gatherer = |id: usize| {
+            let own = Settings { seed: seed << 8 | id as u64, ..shared.clone() };
+            Gatherer {
+                harness: AggregatorHarness::new(own, &all_workers),
+                in_flight: Vec::new(),
+                tenant_of: HashMap::new(),
+            }
         };
-        let worker = |_| Worker { since: None, free_at: Time(0), came: VecDeque::new() };
+        let worker = |_| Worker { started_at: None, free_at: Time(0), received_at: VecDeque::new() };
         Fleet {
-            world: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
-            harnesses: (0..GATHERERS).map(harness).collect(),
+            membership: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
+            gatherers: (0..GATHERERS).map(gatherer).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
             follows_membership,
         }
     }
 
-    /// All but a few workers start anew, and all gatherers are notified.
+    /// Restarts all but a few workers, and notifies all gatherers.
     fn restart_workers(&mut self) {
-        let now = self.harnesses[0].0.now;
-        for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM as usize) {
-            worker.since = Some(now);
-            let news = [entry(id as u32, EndpointStatus::Active, Some(now))];
-            for (harness, _, _) in &mut self.harnesses {
-                harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Delta(news.to_vec().into()))]);
+        let now = self.gatherers[0].harness.now;
+        for (id, worker) in self.workers.iter_mut().enumerate().skip(WARM_WORKERS) {
+            worker.started_at = Some(now);
+            let update = [entry(id as u32, EndpointStatus::Active, Some(now))];
+            for gatherer in &mut self.gatherers {
+                let update = EndpointUpdate::Delta(update.to_vec().into());
+                gatherer.harness.step(vec![Event::EndpointUpdate(update)]);
             }
         }
     }
 
-    fn carries(since: Time, now: Time) -> f64 {
-        0.2 + 0.8 * (now.since(since).as_secs_f64() / 10.0).min(1.0)
+    /// Advances time by a span in milliseconds; queries are submitted to running gatherers.
+    fn advance(&mut self, span: u64) -> Counts {
+        let mut counts = Counts { answered: [0; 2], rejected: [0; 2], peak_budget_use: 0.0 };
+        for _ in 0..span / STEP_MS {
+            self.membership.advance(Duration::from_millis(STEP_MS));
+            let running: Vec<usize> = self.membership.living().collect();
+            // More than one a step is not needed: a tenth of a second's queries come in ten steps.
+            let receivers = QUERIES_PER_S.map(|rate| {
+                (self.random.u64(..1000) < rate * STEP_MS)
+                    .then(|| running[self.random.usize(..running.len())])
+            });
+            for id in running {
+                self.step(id, receivers, &mut counts);
+            }
+        }
+        counts
     }
 
-    /// Lets time pass; queries come to those that live.
-    fn pass(&mut self, span: u64) -> Played {
-        let mut played = Played { answered: [0; 2], rejected: [0; 2], pushed: 0.0 };
-        for _ in 0..span / STEP {
-            self.world.advance(Duration::from_millis(STEP));
-            let living: Vec<usize> = self.world.living().collect();
-            let asked = QUERIES.map(|rate| {
-                // More than one a step is not needed: a tenth of a second's queries come in ten steps.
-                (self.random.u64(..1000) < rate * STEP).then(|| self.random.usize(..living.len()))
-            });
-            for (at, id) in living.into_iter().enumerate() {
-                let (harness, due, asks) = &mut self.harnesses[id];
-                harness.now = harness.now.after(ms(STEP));
-                if self.follows_membership {
-                    harness.aggregator.set_fleet_size(self.world.gatherers(id).expect("it lives"));
-                }
-                let now = harness.now;
-                let ready: Vec<_> = due.extract_if(.., |(at, _)| *at <= now).collect();
-                let mut events: Vec<Event> = Vec::new();
-                for (_, sent) in ready {
-                    let queue = self.workers[sent.worker.0 as usize].free_at.since(now).as_secs_f64();
-                    events.push(harness.attempt_finished(
-                        sent,
-                        AttemptOutcome::Succeeded,
-                        Some((queue * 2.0).min(1.0)),
-                    ));
-                }
-                events.push(Event::TimerFired { timer: TimerId(0) });
-                for (tenant, to) in asked.into_iter().enumerate() {
-                    if to != Some(at) {
-                        continue;
-                    }
-                    let shards = [self.random.u32(..8), self.random.u32(..8)];
-                    let key = format!("k{}", self.random.u32(..40));
-                    let (id, _, mut query) = harness.new_query(Some(&key), &shards);
-                    if let Some(Event::QueryReceived(asked)) = query.first_mut() {
-                        asked.tenant = Some(TenantId(tenant));
-                    }
-                    events.extend(query);
-                    asks.insert(id, tenant);
-                }
-                // What is long over is not looked through at each further attempt.
-                if harness.sent.len() > 400 {
-                    harness.sent.drain(..200);
-                }
-                let before = harness.sent.len();
-                harness.step(events);
-                for action in &harness.actions {
-                    match action {
-                        Action::Respond { id, .. } => played.answered[asks[id]] += 1,
-                        Action::Reject { id, .. } | Action::Fail { id } => played.rejected[asks[id]] += 1,
-                        _ => {}
-                    }
-                }
-                for sent in &harness.sent[before..] {
-                    let worker = &mut self.workers[sent.worker.0 as usize];
-                    let carries = worker.since.map_or(1.0, |since| Fleet::carries(since, now));
-                    if carries < 1.0 {
-                        worker.came.push_back(now);
-                        worker.came.retain(|at| now.since(*at) <= ms(1000));
-                        // Parts of a tenth of a second each, against twice what it carries in a second, with
-                        // the slack for chance that a worker has.
-                        let allowed = 2.0 * carries / 0.1;
-                        let share = worker.came.len() as f64 / (allowed + 3.0 * allowed.sqrt() + 3.0);
-                        played.pushed = played.pushed.max(share);
-                    }
-                    worker.free_at = worker.free_at.max(now).after(Duration::from_secs_f64(0.1 / carries));
-                    due.push((worker.free_at, *sent));
-                }
+    /// One step of a gatherer. `receivers` has the gatherer that receives a query of each tenant.
+    fn step(&mut self, id: usize, receivers: [Option<usize>; 2], counts: &mut Counts) {
+        let harness = &mut self.gatherers[id].harness;
+        harness.now = harness.now.after(ms(STEP_MS));
+        if self.follows_membership {
+            harness.aggregator.set_fleet_size(self.membership.gatherers(id).expect("it runs"));
+        }
+        let mut events = self.finished_attempts(id);
+        events.push(Event::TimerFired { timer: TimerId(0) });
+        for (tenant, receiver) in receivers.into_iter().enumerate() {
+            if receiver == Some(id) {
+                events.extend(self.new_query(id, tenant));
+            }
+        }
+        let Gatherer { harness, in_flight, tenant_of } = &mut self.gatherers[id];
+        if harness.sent.len() > MAX_SENT {
+            harness.sent.drain(..MAX_SENT / 2);
+        }
+        let before = harness.sent.len();
+        harness.step(events);
+        for action in &harness.actions {
+            match action {
+                Action::Respond { id, .. } => counts.answered[tenant_of[id]] += 1,
+                Action::Reject { id, .. } | Action::Fail { id } => counts.rejected[tenant_of[id]] += 1,
+                _ => {}
+            }
+        }
+        for sent in &harness.sent[before..] {
+            let worker = &mut self.workers[sent.worker.0 as usize];
+            if let Some(budget_use) = worker.receive_part(harness.now) {
+                counts.peak_budget_use = counts.peak_budget_use.max(budget_use);
             }
+            in_flight.push(InFlight { finishes_at: worker.free_at, sent: *sent });
         }
-        played
+    }
+
+    /// The results of a gatherer's attempts that have finished by now.
+    fn finished_attempts(&mut self, id: usize) -> Vec<Event> {
+        let Gatherer { harness, in_flight, .. } = &mut self.gatherers[id];
+        let now = harness.now;
+        let finished: Vec<InFlight> =
+            in_flight.extract_if(.., |attempt| attempt.finishes_at <= now).collect();
+        let event = |attempt: InFlight| {
+            let queue_s = self.workers[attempt.sent.worker.0 as usize].free_at.since(now).as_secs_f64();
+            let utilization = (queue_s * 2.0).min(1.0);
+            harness.attempt_finished(attempt.sent, AttemptOutcome::Succeeded, Some(utilization))
+        };
+        finished.into_iter().map(event).collect()
+    }
+
+    /// A query of a tenant for two random shards.
+    fn new_query(&mut self, gatherer: usize, tenant: usize) -> Vec<Event> {
+        let Gatherer { harness, tenant_of, .. } = &mut self.gatherers[gatherer];
+        let shards = [self.random.u32(..8), self.random.u32(..8)];
+        let key = format!("k{}", self.random.u32(..40));
+        let (id, _, mut events) = harness.new_query(Some(&key), &shards);
+        if let Some(Event::QueryReceived(query)) = events.first_mut() {
+            query.tenant = Some(TenantId(tenant));
+        }
+        tenant_of.insert(id, tenant);
+        events
     }
 }
 
-/// Half of the gatherers meet this; then most workers start warming-up if that is wanted, and ten seconds
-/// pass.
-fn play(seed: u64, follows_membership: bool, cold: bool, fault: impl Fn(&mut Simulation<Node>)) -> Played {
+/// Runs a fleet of which some gatherers meet a fault; then most workers restart if that is wanted, and what happens in the
+/// next ten seconds is counted.
+fn run(
+    seed: u64,
+    follows_membership: bool,
+    restarts_workers: bool,
+    fault: impl Fn(&mut Simulation<Node>),
+) -> Counts {
     let mut fleet = Fleet::new(seed, follows_membership);
-    fleet.pass(3000);
-    fault(&mut fleet.world);
-    fleet.pass(5000);
-    if cold {
+    fleet.advance(3000);
+    fault(&mut fleet.membership);
+    fleet.advance(5000);
+    if restarts_workers {
         fleet.restart_workers();
     }
-    fleet.pass(10_000)
+    fleet.advance(10_000)
 }
 
-fn half_die(world: &mut Simulation<Node>) {
-    (0..GATHERERS / 2).for_each(|id| world.kill(id));
+fn kill_half(membership: &mut Simulation<Node>) {
+    (0..GATHERERS / 2).for_each(|id| membership.kill(id));
 }
 
 #[test]
 fn when_half_of_the_gatherers_die_a_tenant_inside_its_quota_keeps_it() {
-    // Single plays vary; the sum over eight does not hang on one.
+    // Single runs vary; the sum over eight does not depend on one.
     let served = |follows_membership: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
-        let plays = (1..9).map(|seed| play(seed, follows_membership, false, fault));
-        let (answered, rejected) =
-            plays.fold((0, 0), |(a, r), played| (a + played.answered[0], r + played.rejected[0]));
+        let runs = (1..9).map(|seed| run(seed, follows_membership, false, fault));
+        let (answered, rejected) = runs.fold((0, 0), |(answered, rejected), counts| {
+            (answered + counts.answered[0], rejected + counts.rejected[0])
+        });
         answered as f64 / (answered + rejected) as f64
     };
-    let (before, without, with) = (served(false, &|_| {}), served(false, &half_die), served(true, &half_die));
-    // 0.89, 0.65 and 0.86: by the settings' number each that lives gives out a twentieth of the quota, to
-    // twice as many.
+    let (before, without, with) =
+        (served(false, &|_| {}), served(false, &kill_half), served(true, &kill_half));
+    // 0.90, 0.69 and 0.90: by the settings' fleet size each running gatherer grants a twentieth of the quota,
+    // and receives twice as many queries.
     assert!(with > without + 0.15 && with > before - 0.1, "{before} before, {without} without, {with} with");
 }
 
 #[test]
 fn no_warming_up_worker_is_overloaded_when_gatherers_die_or_are_partitioned() {
     for seed in [1, 2, 3] {
-        let cut = |world: &mut Simulation<Node>| {
-            world.partition(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
-            world.partition(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
-            // Longer than any wait.
-            world.advance(Duration::from_secs(120));
+        let partition = |membership: &mut Simulation<Node>| {
+            membership.partition(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
+            membership.partition(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
+            // Longer than any time-out.
+            membership.advance(Duration::from_secs(120));
         };
-        let (whole, halves) = (play(seed, true, true, |_| {}), play(seed, true, true, cut));
-        assert!(halves.pushed <= 1.0, "seed {seed}: {halves:?}");
-        // Neither half has taken the other's share: all goes on as if there were no cut, tenants' quotas too.
+        let (whole, halves) = (run(seed, true, true, |_| {}), run(seed, true, true, partition));
+        assert!(halves.peak_budget_use <= 1.0, "seed {seed}: {halves:?}");
+        // Neither half has taken the other's share: all continues as without a partition, tenants' quotas too.
         assert_eq!(halves, whole, "seed {seed}");
-        let died = play(seed, true, true, half_die);
-        assert!(died.pushed > 0.0 && died.pushed <= 1.0, "seed {seed}: {died:?}");
+        let died = run(seed, true, true, kill_half);
+        assert!(died.peak_budget_use > 0.0 && died.peak_budget_use <= 1.0, "seed {seed}: {died:?}");
     }
 }
