--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -43,7 +43,7 @@
     pub(super) fn receive_query(&mut self, request: NewQuery) {
         let over_quota = self.exceeds_quota(&request);
         self.attempt_window.record_request(self.now);
-        self.query_arrivals.record(self.now, self.started_at);
+        self.estimates.query_arrivals.record(self.now, self.started_at);
         self.jobs.insert(request.job, request.id);
         // The objective is computed once the parts are in: they show whose retry the query is.
         let query = Query {
@@ -75,7 +75,7 @@
         let Some(query) = query else { return };
         query.parts.push(request.id);
         let class = query.request.class;
-        let usual = self.base_latency.get(class.0).copied().unwrap_or(INITIAL_COST_S);
+        let usual = self.estimates.base_latency.get(class.0).copied().unwrap_or(INITIAL_COST_S);
         let part = Part {
             query: query.request.id,
             class,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -117,7 +117,7 @@
         let age = seconds(self.now.since(attempt.sent_at));
         let is_ejected = self.workers.get(&attempt.worker).is_some_and(|worker| worker.ejection.is_some());
         let is_last_chance =
-            || left < LAST_HEDGE_SERVICE_TIMES * self.latency_model.slopes().own_cost * part.cost;
+            || left < LAST_HEDGE_SERVICE_TIMES * self.estimates.latency_model.slopes().own_cost * part.cost;
         is_ejected
             || age > attempt.expected_latency + self.overdue_margin()
             || age > attempt.expected_latency && is_last_chance()
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -12,6 +12,8 @@
 pub(super) const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
 /// Weight of a new sample in the mean interval of queries.
 const QUERY_INTERVAL_SAMPLE_WEIGHT: f64 = 0.2;
+/// Seconds between queries before any was received.
+const INITIAL_QUERY_INTERVAL_S: f64 = 1.0;
 /// Samples that the first guess at how latency grows with outstanding cost counts for.
 const PRIOR_SAMPLES: f64 = 20.0;
 /// Seconds of a part's cost that a worker and the model start from: only ratios matter until one is observed.
@@ -110,6 +112,31 @@
     }
 }
 
+/// What one aggregator has learned of latency and of its own traffic.
+#[derive(Default)]
+pub(super) struct Estimates {
+    pub(super) latency_model: LatencyModel,
+    pub(super) query_arrivals: QueryArrivals,
+    /// When any worker last succeeded.
+    pub(super) last_success_at: Time,
+    /// Seconds that a part takes without waiting, by class.
+    pub(super) base_latency: Vec<f64>,
+}
+
+impl Estimates {
+    /// The estimates before anything was observed.
+    pub(super) fn new(settings: &Settings) -> Estimates {
+        Estimates {
+            query_arrivals: QueryArrivals {
+                mean_interval_s: INITIAL_QUERY_INTERVAL_S,
+                last_at: Time::default(),
+            },
+            base_latency: vec![initial_cost(settings); settings.classes.len()],
+            ..Estimates::default()
+        }
+    }
+}
+
 /// The shortest latency objective of any class, in seconds; infinite where there is no class.
 fn shortest_objective(settings: &Settings) -> f64 {
     settings.classes.iter().map(|class| seconds(class.latency_objective)).fold(f64::INFINITY, f64::min)
@@ -117,7 +144,7 @@
 
 /// Seconds of a part's cost before any was observed and without a hint. It goes by the objectives: a guess
 /// made for slow deployments would take up a fast one's whole objective, and every query would be rejected.
-pub(super) fn initial_cost(settings: &Settings) -> f64 {
+fn initial_cost(settings: &Settings) -> f64 {
     INITIAL_COST_PER_OBJECTIVE * shortest_objective(settings)
 }
 
@@ -125,10 +152,10 @@
     /// Expected seconds until a worker would respond to a part of this cost.
     pub(super) fn expected_latency(&self, worker: &WorkerState, cost: f64) -> f64 {
         // Without responses what was learned decays: a stale estimate must not reject queries for good.
-        let memory = STALE_ESTIMATE_QUERY_INTERVALS * self.query_arrivals.mean_interval_s.max(1.0);
+        let memory = STALE_ESTIMATE_QUERY_INTERVALS * self.estimates.query_arrivals.mean_interval_s.max(1.0);
         let decay = |since: Time| (-seconds(self.now.since(since)) / memory).exp();
-        let slopes = self.latency_model.slopes();
-        let own_slope = 1.0 + (slopes.own_cost - 1.0) * decay(self.last_success_at);
+        let slopes = self.estimates.latency_model.slopes();
+        let own_slope = 1.0 + (slopes.own_cost - 1.0) * decay(self.estimates.last_success_at);
         let slowdown = (worker.mean_latency / worker.mean_expected_latency.max(1e-6))
             .clamp(SLOWDOWN_RATIO.0, SLOWDOWN_RATIO.1);
         let slowdown = 1.0 + (slowdown - 1.0) * decay(worker.last_success_at);
@@ -140,15 +167,15 @@
     pub(super) fn record_latency(&mut self, result: &AttemptResult, class: ClassId, attempt: &Attempt) {
         let Some(worker) = self.workers.get_mut(&result.worker) else { return };
         let latency = seconds(result.elapsed);
-        let slopes = self.latency_model.slopes();
+        let slopes = self.estimates.latency_model.slopes();
         let expected = slopes.own_cost * attempt.cost + slopes.cost_ahead * attempt.cost_ahead;
         let sparse = seconds(self.now.since(worker.last_success_at)) / SPARSE_SAMPLE_INTERVAL_S;
         let weight = (sparse.powi(4) / (1.0 + sparse.powi(4))).clamp(2.0 * SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
         worker.mean_latency += weight * (latency - worker.mean_latency);
         worker.mean_expected_latency += weight * (expected - worker.mean_expected_latency);
-        self.last_success_at = self.now;
-        self.latency_model.record_sample(attempt, latency);
-        if let Some(base) = self.base_latency.get_mut(class.0) {
+        self.estimates.last_success_at = self.now;
+        self.estimates.latency_model.record_sample(attempt, latency);
+        if let Some(base) = self.estimates.base_latency.get_mut(class.0) {
             let below = f64::from(u8::from(latency < *base));
             *base *= 1.0 + SAMPLE_WEIGHT * (BASE_LATENCY_QUANTILE - below);
         }
@@ -158,7 +185,7 @@
     /// objective: where a few workers are slow, estimates err by more than the objective leaves time for a
     /// hedge.
     pub(super) fn overdue_margin(&self) -> f64 {
-        (OVERDUE_DEVIATIONS * self.latency_model.deviation)
+        (OVERDUE_DEVIATIONS * self.estimates.latency_model.deviation)
             .min(MAX_OVERDUE_MARGIN_OF_OBJECTIVE * shortest_objective(&self.settings))
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -26,7 +26,7 @@
 
 use client_retries::ClientRetries;
 use endpoints::Subscription;
-use estimates::{LatencyModel, QueryArrivals, initial_cost};
+use estimates::Estimates;
 use load_reports::Replica;
 use queries::{Part, Query};
 use retry_budget::AttemptWindow;
@@ -81,16 +81,11 @@
     /// This aggregator's jitter, from 0 to 1, in the slow-start budget.
     slow_start_phase: f64,
 
-    latency_model: LatencyModel,
+    estimates: Estimates,
     /// Running share of attempts that were rejected or timed out.
     recent_failure_rate: f64,
     /// Running mean of the utilization that responses report.
     mean_reported_utilization: f64,
-    query_arrivals: QueryArrivals,
-    /// When any worker last succeeded.
-    last_success_at: Time,
-    /// Seconds that a part takes without waiting, by class.
-    base_latency: Vec<f64>,
 }
 
 impl Aggregator {
@@ -102,8 +97,7 @@
             slow_start_phase: random.f64(),
             random,
             started_at: Time(u64::MAX),
-            query_arrivals: QueryArrivals { mean_interval_s: 1.0, last_at: Time::default() },
-            base_latency: vec![initial_cost(&settings); settings.classes.len()],
+            estimates: Estimates::new(&settings),
             subscription: Subscription::new(&settings),
             client_retries: ClientRetries::new(&settings),
             settings,
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -161,12 +161,12 @@
             replica_sets: self.replica_sets.iter().map(|(shard, set)| (*shard, weights(set))).collect(),
             tenant_quotas: self.tenant_quotas.snapshot(),
             client_retries: self.client_retries.snapshot(),
-            latency_model: self.latency_model.clone(),
+            latency_model: self.estimates.latency_model.clone(),
             recent_failure_rate: self.recent_failure_rate,
-            query_interval: self.query_arrivals.mean_interval_s,
-            last_query_at: self.query_arrivals.last_at,
-            last_success_at: self.last_success_at,
-            base_latency: self.base_latency.clone(),
+            query_interval: self.estimates.query_arrivals.mean_interval_s,
+            last_query_at: self.estimates.query_arrivals.last_at,
+            last_success_at: self.estimates.last_success_at,
+            base_latency: self.estimates.base_latency.clone(),
         }
     }
 
@@ -190,13 +190,13 @@
         }
         self.tenant_quotas.restore(snapshot.tenant_quotas);
         self.client_retries.restore(snapshot.client_retries);
-        if snapshot.base_latency.len() == self.base_latency.len() {
-            self.base_latency = snapshot.base_latency;
+        if snapshot.base_latency.len() == self.estimates.base_latency.len() {
+            self.estimates.base_latency = snapshot.base_latency;
         }
-        self.latency_model = snapshot.latency_model;
+        self.estimates.latency_model = snapshot.latency_model;
         self.recent_failure_rate = snapshot.recent_failure_rate;
-        self.query_arrivals =
+        self.estimates.query_arrivals =
             QueryArrivals { mean_interval_s: snapshot.query_interval, last_at: snapshot.last_query_at };
-        self.last_success_at = snapshot.last_success_at;
+        self.estimates.last_success_at = snapshot.last_success_at;
     }
 }
