--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -12,6 +12,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::spawn_local;
 
+/// At most one in so many workers has a fault at once.
+const WORKERS_PER_FAULT: usize = 4;
 /// How long after its drain was announced a worker ends, at least.
 const DRAIN_LASTS: Duration = Duration::from_millis(1500);
 /// The longest pause of a gatherer: the specification allows for it.
@@ -36,8 +38,7 @@
         let mut running = Vec::new();
         let length = Duration::from_secs(self.options.seconds);
         for scheduled in fault_schedule(self.options.seed, length) {
-            let only = &self.options.only;
-            if !only.is_empty() && !only.iter().any(|name| name == scheduled.fault.name()) {
+            if !self.is_selected(scheduled.fault) {
                 continue;
             }
             tokio::time::sleep_until(since + scheduled.begins_after).await;
@@ -49,6 +50,12 @@
         }
     }
 
+    /// Whether the options let this fault be injected.
+    fn is_selected(&self, fault: Fault) -> bool {
+        let only = &self.options.only;
+        only.is_empty() || only.iter().any(|name| name == fault.name())
+    }
+
     async fn inject(self: Rc<Self>, scheduled: ScheduledFault) {
         match scheduled.fault {
             Fault::WorkerDrain | Fault::WorkerKill | Fault::WorkerPause => {
@@ -60,40 +67,50 @@
 
     async fn inject_into_worker(&self, scheduled: ScheduledFault) {
         let number = scheduled.target % self.workers.len();
-        // At most a quarter of the workers has a fault at once, so that two replicas of each shard stay untouched.
+        // Two replicas of each shard stay untouched.
+        let faulted = self.faulted_workers.borrow().len();
         let is_faulted = self.faulted_workers.borrow().contains(&number);
-        if is_faulted || self.faulted_workers.borrow().len() * 4 >= self.workers.len() {
+        if is_faulted || faulted * WORKERS_PER_FAULT >= self.workers.len() {
             return;
         }
         self.faulted_workers.borrow_mut().push(number);
         self.injected.set(self.injected.get() + 1);
         let worker = &self.workers[number];
         match scheduled.fault {
-            Fault::WorkerPause => {
-                let paused_at = now_us();
-                worker.signal(Signal::STOP);
-                tokio::time::sleep(scheduled.lasts).await;
-                worker.signal(Signal::CONT);
-                let pause = WorkerPause { worker: worker.name.clone(), paused_at, resumed_at: now_us() };
-                self.observations.borrow_mut().worker_pauses.push(pause);
-            }
-            Fault::WorkerDrain => {
-                let announced = self.announce_phase(&worker.name, "DRAINING");
-                tokio::time::sleep(DRAIN_LASTS + scheduled.lasts).await;
-                worker.kill();
-                self.relist(worker, announced);
-            }
-            _ => {
-                worker.kill();
-                tokio::time::sleep(scheduled.lasts / 2).await;
-                let announced = self.announce_phase(&worker.name, "DELETED");
-                tokio::time::sleep(scheduled.lasts).await;
-                self.relist(worker, announced);
-            }
+            Fault::WorkerPause => self.pause_worker(worker, scheduled.lasts).await,
+            Fault::WorkerDrain => self.drain_worker(worker, scheduled.lasts).await,
+            _ => self.kill_worker(worker, scheduled.lasts).await,
         }
         self.faulted_workers.borrow_mut().retain(|other| *other != number);
     }
 
+    /// Pauses a worker for so long.
+    async fn pause_worker(&self, worker: &WorkerProcess, lasts: Duration) {
+        let paused_at = now_us();
+        worker.signal(Signal::STOP);
+        tokio::time::sleep(lasts).await;
+        worker.signal(Signal::CONT);
+        let pause = WorkerPause { worker: worker.name.clone(), paused_at, resumed_at: now_us() };
+        self.observations.borrow_mut().worker_pauses.push(pause);
+    }
+
+    /// Announces a worker's drain, ends the worker, and brings it back.
+    async fn drain_worker(&self, worker: &WorkerProcess, lasts: Duration) {
+        let announced = self.announce_phase(&worker.name, "DRAINING");
+        tokio::time::sleep(DRAIN_LASTS + lasts).await;
+        worker.kill();
+        self.relist(worker, announced);
+    }
+
+    /// Kills a worker, announces its removal a while later, and brings it back.
+    async fn kill_worker(&self, worker: &WorkerProcess, lasts: Duration) {
+        worker.kill();
+        tokio::time::sleep(lasts / 2).await;
+        let announced = self.announce_phase(&worker.name, "DELETED");
+        tokio::time::sleep(lasts).await;
+        self.relist(worker, announced);
+    }
+
     /// Lists a worker in this phase; which agents announced it, and when.
     fn announce_phase(&self, name: &str, phase: &'static str) -> Vec<Announcement> {
         if let Some(endpoint) = self.list.borrow_mut().get_mut(name) {
@@ -131,9 +148,10 @@
 
     async fn inject_into_gatherer(&self, scheduled: ScheduledFault) {
         let gatherer = &self.gatherers[scheduled.target % self.gatherers.len()];
-        let exclusive =
+        // Only one fault at a time may signal or replace a gatherer's process.
+        let is_exclusive =
             matches!(scheduled.fault, Fault::Restart | Fault::Upgrade | Fault::Kill | Fault::Pause);
-        if exclusive && gatherer.in_transition.replace(true) {
+        if is_exclusive && gatherer.in_transition.replace(true) {
             return;
         }
         self.injected.set(self.injected.get() + 1);
@@ -148,7 +166,7 @@
             Fault::WatchReset => gatherer.agent.reset_connections(),
             Fault::WorkerDrain | Fault::WorkerKill | Fault::WorkerPause => {}
         }
-        if exclusive {
+        if is_exclusive {
             gatherer.in_transition.set(false);
         }
     }
--- a/src/bin/soak-test/gatherer_lifecycle.rs
+++ b/src/bin/soak-test/gatherer_lifecycle.rs
@@ -17,12 +17,15 @@
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a start or an end is waited for; the checker's limits are shorter.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a response about readiness is waited for.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after SIGTERM the front layer still opens new connections.
 const FRONT_LAYER_NOTICE: Duration = Duration::from_millis(300);
 /// An upgraded gatherer has to know of drains and removals so long after it took over.
 const EXEMPT_AFTER_UPGRADE_US: u64 = 2_000_000;
 
 impl SoakTest {
+    /// Draws which system calls fail in the next process.
     fn draw_system_call_faults(&self) -> String {
         self.starts.set(self.starts.get() + 1);
         system_call_faults(self.options.seed, self.starts.get())
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Ends a gatherer's process, as the front layer takes the gatherer out, and starts another.
     pub async fn restart(&self, gatherer: &Gatherer) {
         let Some(process) = gatherer.process.take() else { return };
         let endpoint = gatherer.endpoint.clone();
@@ -92,22 +96,24 @@
         self.launch(gatherer).await;
     }
 
+    /// Starts a process beside a gatherer's, which takes over from it, and ends the first.
     pub async fn upgrade(&self, gatherer: &Gatherer) {
         let began_at = now_us();
-        let Some(before) = gatherer.process.take() else { return };
+        let Some(predecessor) = gatherer.process.take() else { return };
         let number = self.start_process(gatherer).await;
         let is_ready = self.observations.borrow().processes[number].ready_at.is_some();
         gatherer.exempt(began_at, now_us() + EXEMPT_AFTER_UPGRADE_US);
         if is_ready {
             gatherer.endpoint.process.set(number);
-            self.terminate(before).await;
+            self.terminate(predecessor).await;
         } else {
             // The first process goes on; the second one ends as it is dropped.
             self.observations.borrow_mut().processes[number].killed_at = Some(now_us());
-            gatherer.process.replace(Some(before));
+            gatherer.process.replace(Some(predecessor));
         }
     }
 
+    /// Kills a gatherer's process and starts another.
     pub async fn kill(&self, gatherer: &Gatherer) {
         let Some(mut process) = gatherer.process.take() else { return };
         gatherer.endpoint.accepts_connections.set(false);
@@ -140,6 +146,7 @@
     }
 }
 
+/// Whether a process reports that it is ready; no response within the time-out is none.
 async fn is_ready(operator_address: &str) -> bool {
     let response = async {
         let mut stream = TcpStream::connect(operator_address).await.ok()?;
@@ -148,5 +155,5 @@
         stream.read_to_end(&mut response).await.ok()?;
         Some(response.starts_with(b"HTTP/1.1 200"))
     };
-    matches!(tokio::time::timeout(Duration::from_secs(1), response).await, Ok(Some(true)))
+    matches!(tokio::time::timeout(READINESS_TIMEOUT, response).await, Ok(Some(true)))
 }
--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -134,12 +134,11 @@
         file
     }
 
-    /// Starts a process beside those that run. `faults` says which of its system calls fail.
-    pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
+    /// The command that starts a process. `faults` says which of its system calls fail.
+    fn command(&self, operator_address: &str, faults: &str) -> Command {
         let environment = &self.environment;
-        let operator_address = free_address();
-        let file = self.configuration_file(&operator_address);
-        std::fs::write(&file, self.configuration(&operator_address).to_string()).expect("written");
+        let file = self.configuration_file(operator_address);
+        std::fs::write(&file, self.configuration(operator_address).to_string()).expect("written");
         let mut command = Command::new(&environment.program);
         command.args(["serve", "--operator"]).arg(self.write_operator_file());
         command.env_clear().env("LB_CONFIG", &file).env("TMPDIR", &environment.folder);
@@ -148,6 +147,13 @@
             command.env("LD_PRELOAD", library).env("FAULTS", faults);
             command.env("FAULTS_SWITCH", self.fault_switch());
         }
+        command
+    }
+
+    /// Starts a process beside those that run. `faults` says which of its system calls fail.
+    pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
+        let operator_address = free_address();
+        let mut command = self.command(&operator_address, faults);
         let number = observations.borrow().processes.len();
         let started_at = now_us();
         let mut child = command.spawn().expect("the program is there");
@@ -156,7 +162,8 @@
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<Mutex<LogFindings>> = Arc::default();
         let findings = log.clone();
-        let file = environment.logs.as_ref().map(|logs| create_log_file(logs, self.number, number));
+        let logs = self.environment.logs.as_ref();
+        let file = logs.map(|logs| create_log_file(logs, self.number, number));
         thread::spawn(move || read_log(lines.map_while(Result::ok), &findings, file));
         GathererProcess { number, operator_address, child, log }
     }
