--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -160,6 +160,7 @@
 
 fn list(folder: &Path) -> Result<(), RunError> {
     let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
+    // An entry that cannot be read is not listed; the others are.
     let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
     files.sort();
     for file in files.iter().filter(|file| file.extension().is_some_and(|extension| extension == "toml")) {
--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -141,6 +141,7 @@
         return None;
     }
     let process = gatherer.process.get();
+    // Why it cannot connect does not matter to a client: it pauses and tries again.
     let stream = TcpStream::connect(&gatherer.address).await.ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Connection { stream, buffer: BytesMut::new(), process, requests: 0 })
--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -114,11 +114,13 @@
 
     async fn accept(self: Rc<DiscoveryAgent>, listener: TcpListener) {
         loop {
+            // A connection that ended before it was accepted concerns no other.
             let Ok((stream, _)) = listener.accept().await else { continue };
             let agent = self.clone();
             spawn_local(async move {
                 let mut resets = agent.resets.subscribe();
                 resets.mark_unchanged();
+                // A connection that fails has ended, as one that is reset; gatherers connect again.
                 tokio::select! {
                     _ = agent.serve(stream) => {}
                     _ = resets.changed() => {}
--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -164,6 +164,7 @@
         let findings = log.clone();
         let logs = self.environment.logs.as_ref();
         let file = logs.map(|logs| create_log_file(logs, self.number, number));
+        // A log that cannot be read is one that ended.
         thread::spawn(move || read_log(lines.map_while(Result::ok), &findings, file));
         GathererProcess { number, operator_address, child, log }
     }
@@ -207,6 +208,7 @@
 
     /// Whether it has ended; its end and its log are noted if so.
     pub fn has_ended(&mut self, observations: &RefCell<Observations>) -> bool {
+        // A status that cannot be read now is read at the next call.
         let Ok(Some(status)) = self.child.try_wait() else { return false };
         let mut observations = observations.borrow_mut();
         let process = &mut observations.processes[self.number];
@@ -229,6 +231,7 @@
 
 fn parse_invariant_counters(line: &str) -> BTreeMap<String, u64> {
     let pairs = line.split(' ').filter_map(|pair| pair.split_once('='));
+    // A count that is no number is not a counter.
     let counts = pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?)));
     counts.filter(|(name, _)| name != "total").collect()
 }
--- a/src/bin/soak-test/process.rs
+++ b/src/bin/soak-test/process.rs
@@ -14,8 +14,9 @@
 
 /// Kills a process and waits for its end.
 pub fn kill_and_wait(child: &mut Child) {
-    // It may have ended by itself, and been waited for.
+    // It may have ended by itself, and been waited for: there is nothing to kill then.
     let _ = child.kill();
+    // Nothing depends on its exit status, and a killed process ends in any case.
     let _ = child.wait();
 }
 
--- a/src/bin/soak-test/stand_in_worker.rs
+++ b/src/bin/soak-test/stand_in_worker.rs
@@ -75,6 +75,7 @@
         let listener = TcpListener::bind(listen).await.expect("its address is free");
         let mut random = Rng::with_seed(seed);
         loop {
+            // A connection that ended before it was accepted concerns no other.
             let Ok((stream, _)) = listener.accept().await else { continue };
             let random = random.fork();
             spawn_local(async move {
@@ -89,6 +90,7 @@
     stream.set_nodelay(true)?;
     let (mut read, write) = stream.into_split();
     let (responses, queue) = mpsc::unbounded_channel();
+    // A write fails only where the connection has ended, which the reading half sees too.
     spawn_local(write_responses(write, queue, random.fork()));
     // Some close idle connections early, so that closes cross frames.
     let idle = IDLE_TIMEOUT.mul_f64(0.1 + 0.9 * random.f64());
--- a/src/bin/soak-test/worker_process.rs
+++ b/src/bin/soak-test/worker_process.rs
@@ -62,6 +62,7 @@
     let lines = BufReader::new(child.stdout.take().expect("piped")).lines();
     let (name, parts) = (name.to_owned(), parts.clone());
     thread::spawn(move || {
+        // An output that cannot be read is one that ended.
         for line in lines.map_while(Result::ok) {
             if let Some(part) = parse_part(&line, &name) {
                 parts.lock().expect("no reader panics").push(part);
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -59,7 +59,7 @@
             0 => String::new(),
             count => format!(" ({count} never)"),
         };
-        let _ = writeln!(
+        let written = writeln!(
             out,
             "| {} | {} | {} | {}{undetected} | {} | {} | {} | {} | {:.1} | {:.0} | {:.0} |",
             outcome.title,
@@ -74,6 +74,7 @@
             outcome.bytes_per_s,
             outcome.cpu_us,
         );
+        debug_assert!(written.is_ok(), "writing to a string cannot fail");
     }
     out
 }
--- a/src/simulation/outcome.rs
+++ b/src/simulation/outcome.rs
@@ -67,9 +67,10 @@
     /// A quantile of the detection times, in seconds; none where no death was detected.
     #[must_use]
     pub fn detection_quantile(&self, quantile: f64) -> Option<f64> {
+        // Neither call fails: three significant digits are allowed, and the histogram grows as it has to.
         let mut times = Histogram::<u64>::new(3).ok()?;
         for seconds in &self.detection_s {
-            // In milliseconds; the histogram grows as it has to.
+            // In milliseconds.
             times.record((seconds * 1000.0) as u64).ok()?;
         }
         (!times.is_empty()).then(|| times.value_at_quantile(quantile) as f64 / 1000.0)
