--- a/src/soak/fault_schedule.rs
+++ b/src/soak/fault_schedule.rs
@@ -4,12 +4,19 @@
 //! It owns no state and never injects anything itself: the `soak-test` program does.
 
 use fastrand::Rng;
+use std::ops::Range;
 use std::time::Duration;
 
 /// The first fault comes so long after the start, when the processes serve requests.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1200);
 /// No fault begins so shortly before the end: the last ones have time to pass.
 const LAST_FAULT_BEFORE_END: Duration = Duration::from_secs(2);
+/// How long a fault lasts, in milliseconds.
+const LASTS_MS: Range<u64> = 100..2000;
+/// The time between the beginnings of two faults, in milliseconds.
+const INTERVAL_MS: Range<u64> = 50..700;
+/// Mixes a process's number into the seed: the golden ratio in 64 bits, whose multiples are spread evenly.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Targets are drawn below this, far more than there are gatherers or workers.
 const TARGETS: usize = 1 << 16;
 
@@ -102,32 +109,47 @@
             begins_after,
             fault: WEIGHTED_FAULTS[random.usize(..WEIGHTED_FAULTS.len())],
             target: random.usize(..TARGETS),
-            lasts: Duration::from_millis(random.u64(100..2000)),
+            lasts: Duration::from_millis(random.u64(LASTS_MS)),
         });
-        begins_after += Duration::from_millis(random.u64(50..700));
+        begins_after += Duration::from_millis(random.u64(INTERVAL_MS));
     }
     schedule
 }
 
+/// Settings of the fault library that are drawn with one chance, and take one value.
+struct SettingRange {
+    /// The chance that they are set.
+    chance: f64,
+    names: &'static [&'static str],
+    least: f64,
+    most: f64,
+}
+
+/// All settings that are drawn, in the order in which they are. Those of calls are the share of calls that fail.
+const SETTING_RANGES: [SettingRange; 8] = [
+    SettingRange { chance: 0.6, names: &["short_read"], least: 0.02, most: 0.3 },
+    SettingRange { chance: 0.6, names: &["short_write"], least: 0.02, most: 0.3 },
+    SettingRange { chance: 0.6, names: &["interrupt"], least: 0.004, most: 0.05 },
+    SettingRange { chance: 0.4, names: &["wait_interrupt"], least: 0.02, most: 0.1 },
+    SettingRange { chance: 0.5, names: &["accept"], least: 0.02, most: 1.0 },
+    SettingRange { chance: 0.5, names: &["connect", "socket", "bind"], least: 0.02, most: 1.0 },
+    SettingRange { chance: 0.3, names: &["open", "file_write"], least: 0.1, most: 0.9 },
+    SettingRange { chance: 0.4, names: &["wall_step_s"], least: 60.0, most: 3600.0 },
+];
+/// How often the wall clock is stepped, where it is, in milliseconds.
+const WALL_STEP_PERIOD_MS: u32 = 1500;
+
 /// Draws which system calls fail in one process of a gatherer, as the value of `FAULTS` (see `tools/faults/faults.c`).
 #[must_use]
 pub fn system_call_faults(seed: u64, process: u64) -> String {
-    let mut random = Rng::with_seed(seed ^ process.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let mut random = Rng::with_seed(seed ^ process.wrapping_mul(SEED_MULTIPLIER));
     let mut settings = vec![format!("seed={}", random.u32(..))];
-    let mut draw = |settings: &mut Vec<String>, chance: f64, names: &[&str], least: f64, most: f64| {
+    for SettingRange { chance, names, least, most } in SETTING_RANGES {
         if random.f64() < chance {
             let value = least + (most - least) * random.f64();
             settings.extend(names.iter().map(|name| format!("{name}={value:.4}")));
         }
-    };
-    draw(&mut settings, 0.6, &["short_read"], 0.02, 0.3);
-    draw(&mut settings, 0.6, &["short_write"], 0.02, 0.3);
-    draw(&mut settings, 0.6, &["interrupt"], 0.004, 0.05);
-    draw(&mut settings, 0.4, &["wait_interrupt"], 0.02, 0.1);
-    draw(&mut settings, 0.5, &["accept"], 0.02, 1.0);
-    draw(&mut settings, 0.5, &["connect", "socket", "bind"], 0.02, 1.0);
-    draw(&mut settings, 0.3, &["open", "file_write"], 0.1, 0.9);
-    draw(&mut settings, 0.4, &["wall_step_s"], 60.0, 3600.0);
-    settings.push("wall_period_ms=1500".to_owned());
+    }
+    settings.push(format!("wall_period_ms={WALL_STEP_PERIOD_MS}"));
     settings.join(",")
 }
