--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -9,6 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Exit status of experiments of which one broke a rule.
+const BROKEN_RULES_EXIT_STATUS: u8 = 1;
+/// Exit status of a command that failed in any other way.
+const OTHER_EXIT_STATUS: u8 = 2;
+
 /// Simulates the membership of a fleet of gatherers under faults, according to experiments that are files.
 #[derive(Parser)]
 #[command(version)]
@@ -48,6 +53,7 @@
     },
 }
 
+/// Why a command failed. A broken rule has an exit status of its own.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
@@ -62,12 +68,23 @@
     BrokenRules(usize),
 }
 
+impl RunError {
+    fn exit_status(&self) -> u8 {
+        match self {
+            RunError::BrokenRules(_) => BROKEN_RULES_EXIT_STATUS,
+            RunError::Experiment(_) | RunError::File { .. } | RunError::Json { .. } | RunError::Chart(_) => {
+                OTHER_EXIT_STATUS
+            }
+        }
+    }
+}
+
 fn main() -> ExitCode {
     match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ERROR {error}");
-            ExitCode::from(if matches!(error, RunError::BrokenRules(_)) { 1 } else { 2 })
+            ExitCode::from(error.exit_status())
         }
     }
 }
@@ -88,6 +105,7 @@
     RunError::Json { path: path.display().to_string(), source }
 }
 
+/// Runs experiments, prints their outcomes and the rules that they broke, and saves them where `out` names a folder.
 fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), RunError> {
     let mut outcomes = Vec::new();
     for file in files {
@@ -105,17 +123,19 @@
         }
     }
     print!("{}", chart::table(&outcomes));
-    for outcome in &outcomes {
-        for rule in &outcome.broken_rules {
-            println!("{} (seed {}): {rule}", outcome.title, outcome.seed);
-        }
-    }
+    outcomes.iter().for_each(print_broken_rules);
     match outcomes.iter().filter(|outcome| !outcome.broken_rules.is_empty()).count() {
         0 => Ok(()),
         count => Err(RunError::BrokenRules(count)),
     }
 }
 
+fn print_broken_rules(outcome: &Outcome) {
+    for rule in &outcome.broken_rules {
+        println!("{} (seed {}): {rule}", outcome.title, outcome.seed);
+    }
+}
+
 /// Runs an experiment, and shows its progress where standard error is a terminal.
 fn run_one(experiment: &Experiment) -> Outcome {
     let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
@@ -148,6 +168,7 @@
     Ok(())
 }
 
+/// Prints saved outcomes side by side.
 fn compare(results: &[PathBuf]) -> Result<(), RunError> {
     let read = |path: &PathBuf| {
         let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
@@ -158,6 +179,7 @@
     Ok(())
 }
 
+/// Lists the experiments of a folder, by the names of their files.
 fn list(folder: &Path) -> Result<(), RunError> {
     let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
     // An entry that cannot be read is not listed; the others are.
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -5,7 +5,6 @@
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
 };
-use std::fmt::Write;
 
 /// Width and height, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 420);
@@ -14,6 +13,11 @@
 const MIN_ESTIMATE_COLOUR: RGBColor = RGBColor(213, 94, 0);
 const MAX_ESTIMATE_COLOUR: RGBColor = RGBColor(240, 190, 110);
 
+/// The head of the table of outcomes.
+const TABLE_HEAD: &str = "| experiment | members | seed | killed | known to all, median s | 99 % s \
+    | false positives | converged after s | datagrams/s | bytes/s | us/s |\n\
+    | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
+
 /// Why a chart cannot be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
@@ -49,36 +53,33 @@
 /// A table of the outcomes in Markdown, a row for each.
 #[must_use]
 pub fn table(outcomes: &[Outcome]) -> String {
-    let mut out = String::from(
-        "| experiment | members | seed | killed | known to all, median s | 99 % s | false positives | converged after s | datagrams/s | bytes/s | us/s |\n\
-         | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-    );
-    let seconds = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
-    for outcome in outcomes {
-        let undetected = match outcome.undetected() {
-            0 => String::new(),
-            count => format!(" ({count} never)"),
-        };
-        let written = writeln!(
-            out,
-            "| {} | {} | {} | {}{undetected} | {} | {} | {} | {} | {:.1} | {:.0} | {:.0} |",
-            outcome.title,
-            outcome.members,
-            outcome.seed,
-            outcome.killed,
-            seconds(outcome.detection_quantile(0.5)),
-            seconds(outcome.detection_quantile(0.99)),
-            outcome.false_positive_count(),
-            seconds(outcome.converged_after_s),
-            outcome.datagrams_per_s,
-            outcome.bytes_per_s,
-            outcome.cpu_us,
-        );
-        debug_assert!(written.is_ok(), "writing to a string cannot fail");
-    }
+    let mut out = String::from(TABLE_HEAD);
+    outcomes.iter().for_each(|outcome| out.push_str(&table_row(outcome)));
     out
 }
 
+fn table_row(outcome: &Outcome) -> String {
+    let seconds = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.2}"));
+    let undetected = match outcome.undetected() {
+        0 => String::new(),
+        count => format!(" ({count} never)"),
+    };
+    format!(
+        "| {} | {} | {} | {}{undetected} | {} | {} | {} | {} | {:.1} | {:.0} | {:.0} |\n",
+        outcome.title,
+        outcome.members,
+        outcome.seed,
+        outcome.killed,
+        seconds(outcome.detection_quantile(0.5)),
+        seconds(outcome.detection_quantile(0.99)),
+        outcome.false_positive_count(),
+        seconds(outcome.converged_after_s),
+        outcome.datagrams_per_s,
+        outcome.bytes_per_s,
+        outcome.cpu_us,
+    )
+}
+
 /// A chart of the outcome over time, as SVG.
 ///
 /// # Errors
