--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -1,5 +1,5 @@
-//! The command line of the membership simulation: runs experiments on members in virtual time, checks their rules and saves
-//! the outcomes.
+//! The command line of the membership simulation: runs experiments on members in virtual time, checks their
+//! rules and saves the outcomes.
 
 use clap::{Parser, Subcommand};
 use gatherer::simulation::chart::{self, ChartError};
@@ -105,7 +105,8 @@
     RunError::Json { path: path.display().to_string(), source }
 }
 
-/// Runs experiments, prints their outcomes and the rules that they broke, and saves them where `out` names a folder.
+/// Runs experiments, prints their outcomes and the rules that they broke, and saves them where `out` names a
+/// folder.
 fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), RunError> {
     let mut outcomes = Vec::new();
     for file in files {
@@ -154,7 +155,8 @@
     outcome
 }
 
-/// Saves an outcome as JSON and as a chart, named after the experiment's file, the number of members and the seed.
+/// Saves an outcome as JSON and as a chart, named after the experiment's file, the number of members and the
+/// seed.
 fn save(folder: &Path, file: &Path, outcome: &Outcome) -> Result<(), RunError> {
     std::fs::create_dir_all(folder).map_err(|error| file_error(folder, error))?;
     let stem = file.file_stem().unwrap_or_default().to_string_lossy();
--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,5 +1,5 @@
-//! The messages of the simulator's wire: it reads settings, events and endpoints, and writes actions. The words of the
-//! wire are the simulator's and stay as they are, whatever the Rust names say.
+//! The messages of the simulator's wire: it reads settings, events and endpoints, and writes actions. The
+//! words of the wire are the simulator's and stay as they are, whatever the Rust names say.
 
 use crate::error::{FieldProblem, LineError};
 use crate::fields::Fields;
@@ -36,8 +36,8 @@
     Ok(Endpoint { worker, zone, cell, status, units, started_at })
 }
 
-/// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their numbers. `None` for
-/// a message that the decision module does not use.
+/// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their
+/// numbers. `None` for a message that the decision module does not use.
 pub fn read_event(
     fields: &mut Fields<'_>,
     find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
@@ -116,7 +116,8 @@
     })
 }
 
-/// Reads past the rest of a `message` message: the text of another instance, which the decision module does not use.
+/// Reads past the rest of a `message` message: the text of another instance, which the decision module does
+/// not use.
 fn skip_instance_message(fields: &mut Fields<'_>) -> Result<(), LineError> {
     let _author: u32 = fields.required("author")?;
     let _content = fields.raw("content")?;
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,5 +1,5 @@
-//! Why the adapter stops: what failed in which line, message and field, down to the error beneath it. The texts are
-//! part of the adapter's outer form.
+//! Why the adapter stops: what failed in which line, message and field, down to the error beneath it. The
+//! texts are part of the adapter's outer form.
 
 use gatherer::program::settings::InvalidSetting;
 use std::error::Error;
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -1,4 +1,5 @@
-//! Reads the values of one line of the simulator's wire, in order. It knows the form of each kind of value, and no message.
+//! Reads the values of one line of the simulator's wire, in order. It knows the form of each kind of value,
+//! and no message.
 
 use crate::error::{FieldError, FieldProblem};
 use gatherer::policy::{AttemptOutcome, LoadReport, RequestId, Time};
--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the gatherers: most send a request and wait; some disconnect early, stay idle, write slowly, or stall in the
-//! middle of a request.
+//! Clients of the gatherers: most send a request and wait; some disconnect early, stay idle, write slowly, or
+//! stall in the middle of a request.
 
 use crate::monotonic::now_us;
 use crate::stand_in_worker;
@@ -156,7 +156,8 @@
     let body = json!({"ranges": ranges, "predicate": "c41e".repeat(random.usize(1..200))}).to_string();
     let ClientClass { name, budget_ms, .. } = class;
     let head = format!(
-        "POST /api HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {id}\r\nX-Call-Class: {name}\r\nX-Caller: bank\r\nX-Budget-Ms: {budget_ms}\r\nContent-Length: {}\r\n\r\n",
+        "POST /api HTTP/1.1\r\nHost: soak\r\nX-Call-Id: {id}\r\nX-Call-Class: {name}\r\nX-Caller: bank\r\n\
+         X-Budget-Ms: {budget_ms}\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     EncodedRequest { bytes: [head.into_bytes(), body.into_bytes()].concat(), shards }
--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one endpoint list for all, and an agent beside each gatherer, which can be unresponsive or reset its
-//! connections.
+//! Discovery: one endpoint list for all, and an agent beside each gatherer, which can be unresponsive or
+//! reset its connections.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, Request, Response};
@@ -40,8 +40,9 @@
     fn to_json(&self) -> Value {
         let member = |(id, endpoint): (&String, &Endpoint)| {
             json!({
-                "id": id, "host_port": endpoint.address, "locality": "a", "flavor": "m", "cell": endpoint.cell,
-                "phase": endpoint.phase, "size": 1.0, "up_since_ms": endpoint.up_since_ms,
+                "id": id, "host_port": endpoint.address, "locality": "a", "flavor": "m",
+                "cell": endpoint.cell, "phase": endpoint.phase, "size": 1.0,
+                "up_since_ms": endpoint.up_since_ms,
             })
         };
         let members: Vec<Value> = self.list.iter().map(member).collect();
--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Injects the faults of a soak test as they are scheduled, and notes what they excuse: pauses, and when drains and
-//! removals of workers were announced. It owns no state; [`SoakTest`] does.
+//! Injects the faults of a soak test as they are scheduled, and notes what they excuse: pauses, and when
+//! drains and removals of workers were announced. It owns no state; [`SoakTest`] does.
 
 use crate::gatherer_process::Gatherer;
 use crate::harness::SoakTest;
--- a/src/bin/soak-test/gatherer_lifecycle.rs
+++ b/src/bin/soak-test/gatherer_lifecycle.rs
@@ -1,5 +1,5 @@
-//! Starts, restarts, upgrades, kills and ends the gatherers' processes, and notes when each was ready and ended. It owns no
-//! state; [`SoakTest`] does.
+//! Starts, restarts, upgrades, kills and ends the gatherers' processes, and notes when each was ready and
+//! ended. It owns no state; [`SoakTest`] does.
 
 use crate::gatherer_process::{Gatherer, GathererProcess};
 use crate::harness::{POLL_INTERVAL, SoakTest};
@@ -31,7 +31,8 @@
         system_call_faults(self.options.seed, self.starts.get())
     }
 
-    /// Starts a process that becomes the gatherer's newer one, and waits until it is ready. Returns its number.
+    /// Starts a process that becomes the gatherer's newer one, and waits until it is ready. Returns its
+    /// number.
     async fn start_process(&self, gatherer: &Gatherer) -> usize {
         let process = gatherer.start(&self.draw_system_call_faults(), &self.observations);
         let (number, operator_address) = (process.number, process.operator_address.clone());
--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -1,5 +1,5 @@
-//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process starts or ends:
-//! `gatherer_lifecycle` does.
+//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process
+//! starts or ends: `gatherer_lifecycle` does.
 
 use crate::clients::GathererEndpoint;
 use crate::discovery::DiscoveryAgent;
@@ -110,7 +110,9 @@
     fn configuration(&self, operator_address: &str) -> Value {
         let environment = &self.environment;
         json!({
-            "name": format!("g{}", self.number), "listen": self.endpoint.address, "operator": operator_address,
+            "name": format!("g{}", self.number),
+            "listen": self.endpoint.address,
+            "operator": operator_address,
             "discovery": self.agent.addresses[self.agent_address.get()],
             "seed": format!("{:x}", self.number + 7),
             "limits": {"sockets": 256, "memory_mb": 64}, "known": self.agent.list(),
@@ -125,7 +127,9 @@
         let seeds: Vec<String> =
             environment.membership_addresses.iter().map(|address| format!("{address:?}")).collect();
         let text = format!(
-            "[records]\nfolder = {folder:?}\nsegment_kb = 64\nall_kb = 256\n[membership]\nlisten = {:?}\ncluster = \"soak\"\nsecret = \"sixteen bytes or more\"\nseeds = [{}]\n",
+            "[records]\nfolder = {folder:?}\nsegment_kb = 64\nall_kb = 256\n\
+             [membership]\nlisten = {:?}\ncluster = \"soak\"\nsecret = \"sixteen bytes or more\"\n\
+             seeds = [{}]\n",
             environment.membership_addresses[self.number],
             seeds.join(", ")
         );
@@ -187,7 +191,8 @@
         }
     }
 
-    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls fail.
+    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls
+    /// fail.
     pub fn exempt(&self, from: u64, until: u64) {
         self.exemptions.borrow_mut().push(Exemption { from, until });
     }
--- a/src/bin/soak-test/gatherer_settings.rs
+++ b/src/bin/soak-test/gatherer_settings.rs
@@ -13,8 +13,8 @@
 /// The settings of a gatherer of such a fleet.
 pub fn settings(gatherers: usize, workers: usize) -> Value {
     let class = |name: &str, semantics: &str| {
-        json!({"name": name, "promise": 1_500_000_000, "deadline": DEADLINE_MS * 1_000_000, "semantics": semantics,
-            "worth": 1.0, "late-worth": 0.5})
+        json!({"name": name, "promise": 1_500_000_000, "deadline": DEADLINE_MS * 1_000_000,
+            "semantics": semantics, "worth": 1.0, "late-worth": 0.5})
     };
     json!({
         "allowed": {"cancel": true, "second-copies": true, "most-tries": 4, "retry-after": true,
--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -1,4 +1,5 @@
-//! Runs a soak test: starts the processes, injects faults as scheduled, and hands what was observed to the checker.
+//! Runs a soak test: starts the processes, injects faults as scheduled, and hands what was observed to the
+//! checker.
 
 use crate::RunOptions;
 use crate::clients::{self, ClientContext, ResponseCounts};
@@ -185,7 +186,8 @@
         let observations = self.observations.borrow();
         let responses = &self.clients.responses;
         format!(
-            "seed {}: {} faults, {} processes, {} requests: {} served, {} rejected, {} failed; {} parts; lag {} ms",
+            "seed {}: {} faults, {} processes, {} requests: {} served, {} rejected, {} failed; \
+             {} parts; lag {} ms",
             self.options.seed,
             self.injected.get(),
             observations.processes.len() + self.workers.len(),
--- a/src/bin/soak-test/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -1,5 +1,6 @@
-//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping faults drawn from
-//! a seed, checked by invariants. It reports which invariant was violated and how to repeat the run.
+//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping
+//! faults drawn from a seed, checked by invariants. It reports which invariant was violated and how to repeat
+//! the run.
 
 mod clients;
 mod discovery;
--- a/src/bin/soak-test/process.rs
+++ b/src/bin/soak-test/process.rs
@@ -1,4 +1,5 @@
-//! What the processes of gatherers and workers have in common: signals, their end, and addresses. It owns no process.
+//! What the processes of gatherers and workers have in common: signals, their end, and addresses. It owns no
+//! process.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::{Ipv4Addr, TcpListener};
--- a/src/bin/soak-test/stand_in_worker.rs
+++ b/src/bin/soak-test/stand_in_worker.rs
@@ -1,5 +1,6 @@
-//! A stand-in for a worker: it receives frames, serves parts, and misbehaves now and then. It reports each part on standard
-//! output, as a line `part RECEIVED_US ID SHARD TIME_LEFT_MS EXECUTED`, which `worker_process` reads.
+//! A stand-in for a worker: it receives frames, serves parts, and misbehaves now and then. It reports each
+//! part on standard output, as a line `part RECEIVED_US ID SHARD TIME_LEFT_MS EXECUTED`, which
+//! `worker_process` reads.
 
 use crate::monotonic::now_us;
 use crate::runtime;
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -1,7 +1,8 @@
-//! The simulation's engine: members in virtual time, a network that loses, duplicates, delays and partitions, and processes
-//! that pause, die and start again. The same seed gives the same run.
+//! The simulation's engine: members in virtual time, a network that loses, duplicates, delays and partitions,
+//! and processes that pause, die and start again. The same seed gives the same run.
 //!
-//! [`Simulation`] owns the virtual clock, all processes and the events in flight. It decides nothing for a member.
+//! [`Simulation`] owns the virtual clock, all processes and the events in flight. It decides nothing for a
+//! member.
 
 use super::network::{NetworkFaults, Traffic, address, id_at, id_of, name};
 use super::peer::{Peer, PeerStart, StartPeer};
@@ -52,7 +53,8 @@
     }
 }
 
-/// When an event in flight is due. Events that are due at the same time happen in the order of their serial numbers.
+/// When an event in flight is due. Events that are due at the same time happen in the order of their serial
+/// numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedEvent {
     due: Time,
@@ -217,7 +219,8 @@
         self.partitions.extend(links.filter(|link| link.from != link.to && from(link.from) && to(link.to)));
     }
 
-    /// Lets time pass in steps of 50 ms until `condition` holds; returns how long that took, or none after `timeout`.
+    /// Lets time pass in steps of 50 ms until `condition` holds; returns how long that took, or none after
+    /// `timeout`.
     pub fn run_until(
         &mut self,
         timeout: Duration,
@@ -292,8 +295,8 @@
         self.after_event(id, ticked);
     }
 
-    /// Ends a process's pause. It may read what the kernel kept before or after its timers run: at random, the first
-    /// datagram goes before them.
+    /// Ends a process's pause. It may read what the kernel kept before or after its timers run: at random,
+    /// the first datagram goes before them.
     fn resume(&mut self, id: usize) {
         let now = self.now;
         let process = &mut self.processes[id];
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: what happens to the members of a simulation, when, and which rules have to hold, as a TOML file.
+//! Experiments: what happens to the members of a simulation, when, and which rules have to hold, as a TOML
+//! file.
 //!
 //! The files' keys are an outer form and stay; fields with other names keep them by `serde(rename)`.
 
@@ -125,8 +126,8 @@
     /// Whether at the end all members have to observe exactly the living ones.
     #[serde(rename = "agree")]
     pub must_converge: bool,
-    /// The most that the living members' shares of the fleet add up to at any time. A member's share is one part in its own
-    /// estimate of the number of gatherers.
+    /// The most that the living members' shares of the fleet add up to at any time. A member's share is one
+    /// part in its own estimate of the number of gatherers.
     #[serde(rename = "shared_out")]
     pub max_total_share: Option<f64>,
 }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,7 +1,9 @@
-//! The membership simulation: members in virtual time, with faults between them, according to experiments that are files.
+//! The membership simulation: members in virtual time, with faults between them, according to experiments
+//! that are files.
 //!
-//! A tool for measurements and tests; the gatherer program uses none of it. The simulation owns the virtual clock, the
-//! network and the processes; the members' decisions are those of [`crate::membership`] or of another [`Peer`].
+//! A tool for measurements and tests; the gatherer program uses none of it. The simulation owns the virtual
+//! clock, the network and the processes; the members' decisions are those of [`crate::membership`] or of
+//! another [`Peer`].
 
 pub mod chart;
 pub mod engine;
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -12,7 +12,8 @@
 /// The delay of a datagram that comes late, in microseconds.
 const LATE_DELAY_US: std::ops::Range<u64> = 10_000..2_000_000;
 
-/// The share of datagrams that each fault befalls, from 0 to 1. The outer names are the keys of experiment files.
+/// The share of datagrams that each fault befalls, from 0 to 1. The outer names are the keys of experiment
+/// files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkFaults {
--- a/src/simulation/outcome.rs
+++ b/src/simulation/outcome.rs
@@ -1,6 +1,7 @@
 //! The outcome of an experiment, and the rules that it broke.
 //!
-//! Outcomes are kept as JSON and compared later: fields with other names keep their outer ones by `serde(rename)`.
+//! Outcomes are kept as JSON and compared later: fields with other names keep their outer ones by
+//! `serde(rename)`.
 
 use super::experiment::Experiment;
 use hdrhistogram::Histogram;
@@ -37,7 +38,8 @@
     pub members: usize,
     /// The seed.
     pub seed: u64,
-    /// Seconds from each kill until all living members knew of it; a death that not all knew of at the end is missing.
+    /// Seconds from each kill until all living members knew of it; a death that not all knew of at the end is
+    /// missing.
     #[serde(rename = "known_in")]
     pub detection_s: Vec<f64>,
     /// The number of members killed.
@@ -54,7 +56,8 @@
     /// Bytes of datagrams that each member sent a second.
     #[serde(rename = "bytes")]
     pub bytes_per_s: f64,
-    /// Processor time for a second of one member, in microseconds: all of the run's, the simulated network's part too.
+    /// Processor time for a second of one member, in microseconds: all of the run's, the simulated network's
+    /// part too.
     pub cpu_us: f64,
     /// One moment for each second.
     pub moments: Vec<Moment>,
--- a/src/simulation/peer.rs
+++ b/src/simulation/peer.rs
@@ -1,4 +1,5 @@
-//! The interface between the simulation and a membership protocol, so that several protocols run under the same faults.
+//! The interface between the simulation and a membership protocol, so that several protocols run under the
+//! same faults.
 
 use crate::membership::{Command, ConnectionProbeResult, Message, Node, ObservedState};
 use crate::policy::Time;
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -146,8 +146,8 @@
         self.simulation.kill(id);
     }
 
-    /// Lets time pass, and notes which deaths all members know of now. A death that is not known when the member starts
-    /// again is no longer waited for.
+    /// Lets time pass, and notes which deaths all members know of now. A death that is not known when the
+    /// member starts again is no longer waited for.
     fn advance(&mut self, duration: Duration) {
         self.simulation.advance(duration);
         self.now = self.now.after(duration);
--- a/src/soak/checker.rs
+++ b/src/soak/checker.rs
@@ -1,7 +1,8 @@
 //! What was observed at both ends of a soak test, and which invariants it violates.
 //!
-//! Each file of checks owns the tolerances of its invariants. None ever observes anything itself: the `soak-test` program
-//! fills [`Observations`]. All times (`..._at`) are microseconds of the machine's monotonic clock, which its processes share.
+//! Each file of checks owns the tolerances of its invariants. None ever observes anything itself: the
+//! `soak-test` program fills [`Observations`]. All times (`..._at`) are microseconds of the machine's
+//! monotonic clock, which its processes share.
 
 mod observations;
 mod parts;
--- a/src/soak/checker/requests.rs
+++ b/src/soak/checker/requests.rs
@@ -26,7 +26,8 @@
                 let details = format!("{about}: no response and no end of the connection");
                 report(violations, ViolationKind::LostRequest, details);
             }
-            // The gatherer may close an idle connection while a request is on its way, if it has not read the request.
+            // The gatherer may close an idle connection while a request is on its way, if it has not read the
+            // request.
             RequestOutcome::ConnectionClosed
                 if !was_killed && (request.first_on_connection || forwarded.contains(&*request.id)) =>
             {
--- a/src/soak/fault_schedule.rs
+++ b/src/soak/fault_schedule.rs
@@ -1,5 +1,5 @@
-//! The faults of a soak test, drawn from its seed alone: which fault is injected when and into what, and which system
-//! calls fail in each process of a gatherer.
+//! The faults of a soak test, drawn from its seed alone: which fault is injected when and into what, and
+//! which system calls fail in each process of a gatherer.
 //!
 //! It owns no state and never injects anything itself: the `soak-test` program does.
 
@@ -98,7 +98,8 @@
     pub lasts: Duration,
 }
 
-/// Draws the faults of a soak test of this length. Two or three overlap: they come closer together than they last.
+/// Draws the faults of a soak test of this length. Two or three overlap: they come closer together than they
+/// last.
 #[must_use]
 pub fn fault_schedule(seed: u64, length: Duration) -> Vec<ScheduledFault> {
     let mut random = Rng::with_seed(seed);
@@ -125,7 +126,8 @@
     most: f64,
 }
 
-/// All settings that are drawn, in the order in which they are. Those of calls are the share of calls that fail.
+/// All settings that are drawn, in the order in which they are. Those of calls are the share of calls that
+/// fail.
 const SETTING_RANGES: [SettingRange; 8] = [
     SettingRange { chance: 0.6, names: &["short_read"], least: 0.02, most: 0.3 },
     SettingRange { chance: 0.6, names: &["short_write"], least: 0.02, most: 0.3 },
@@ -139,7 +141,8 @@
 /// How often the wall clock is stepped, where it is, in milliseconds.
 const WALL_STEP_PERIOD_MS: u32 = 1500;
 
-/// Draws which system calls fail in one process of a gatherer, as the value of `FAULTS` (see `tools/faults/faults.c`).
+/// Draws which system calls fail in one process of a gatherer, as the value of `FAULTS` (see
+/// `tools/faults/faults.c`).
 #[must_use]
 pub fn system_call_faults(seed: u64, process: u64) -> String {
     let mut random = Rng::with_seed(seed ^ process.wrapping_mul(SEED_MULTIPLIER));
