--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -4,6 +4,8 @@
 mod error;
 mod fields;
 mod host;
+#[cfg(test)]
+mod tests;
 
 use crate::error::AdapterError;
 use std::io::{self, BufRead, BufWriter, Write};
--- a/src/simulation/experiment/tests.rs
+++ b/src/simulation/experiment/tests.rs
@@ -1,4 +1,5 @@
-use super::{Experiment, MemberSet};
+use super::{Experiment, InvalidExperiment, InvalidStep, MemberSet};
+use std::error::Error;
 
 #[test]
 fn a_fault_is_named_by_line_key_or_step() {
@@ -20,6 +21,17 @@
     );
 }
 
+#[test]
+fn an_error_keeps_the_error_beneath_it() {
+    let syntax = Experiment::parse("title = ]").expect_err("faulty");
+    assert!(syntax.source().is_some_and(|source| source.is::<toml::de::Error>()));
+    let step = "title = \"t\"\nmembers = 5\nseconds = 10.0\n[[step]]\nat = 1.0\ndo = \"kill\"\nwho = [5]";
+    let step = Experiment::parse(step).expect_err("faulty");
+    assert!(matches!(step, InvalidExperiment::Step { number: 1, source: InvalidStep::UnknownMember, .. }));
+    assert_eq!(step.to_string(), "step 1 (kill at 1): there is no such member");
+    assert!(step.source().is_some_and(|source| source.is::<InvalidStep>()));
+}
+
 #[test]
 fn an_action_prints_by_the_name_that_it_has_in_a_file() {
     use super::Action::{HandOver, Heal, Kill, Leave, Partition, PartitionOneWay, Pause, SetNetwork, Start};
