--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -13,6 +13,28 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
+/// The phase of a worker's life, as discovery lists it.
+#[derive(Clone, Copy, Debug)]
+pub enum Phase {
+    /// It serves calls.
+    Serving,
+    /// It ends soon: it gets no new calls after the grace period.
+    Draining,
+    /// It is gone.
+    Deleted,
+}
+
+impl Phase {
+    /// Its name in the answers of discovery.
+    fn name(self) -> &'static str {
+        match self {
+            Phase::Serving => "SERVING",
+            Phase::Draining => "DRAINING",
+            Phase::Deleted => "DELETED",
+        }
+    }
+}
+
 /// A worker as it is listed.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
@@ -20,8 +42,8 @@
     pub address: String,
     /// Its cell.
     pub cell: u32,
-    /// Its phase, in the words of discovery.
-    pub phase: &'static str,
+    /// Its phase.
+    pub phase: Phase,
     /// Its start, in Unix milliseconds; 0 for long ago.
     pub up_since_ms: u64,
 }
@@ -41,7 +63,7 @@
         let member = |(id, endpoint): (&String, &Endpoint)| {
             json!({
                 "id": id, "host_port": endpoint.address, "locality": "a", "flavor": "m",
-                "cell": endpoint.cell, "phase": endpoint.phase, "size": 1.0,
+                "cell": endpoint.cell, "phase": endpoint.phase.name(), "size": 1.0,
                 "up_since_ms": endpoint.up_since_ms,
             })
         };
--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -1,6 +1,7 @@
 //! Injects the faults of a soak test as they are scheduled, and notes what they excuse: pauses, and when
 //! drains and removals of workers were announced. It owns no state; [`SoakTest`] does.
 
+use crate::discovery::Phase;
 use crate::gatherer_process::Gatherer;
 use crate::harness::SoakTest;
 use crate::monotonic::now_us;
@@ -96,7 +97,7 @@
 
     /// Announces a worker's drain, ends the worker, and brings it back.
     async fn drain_worker(&self, worker: &WorkerProcess, lasts: Duration) {
-        let announced = self.announce_phase(&worker.name, "DRAINING");
+        let announced = self.announce_phase(&worker.name, Phase::Draining);
         tokio::time::sleep(DRAIN_LASTS + lasts).await;
         worker.kill();
         self.relist(worker, announced);
@@ -106,13 +107,13 @@
     async fn kill_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         worker.kill();
         tokio::time::sleep(lasts / 2).await;
-        let announced = self.announce_phase(&worker.name, "DELETED");
+        let announced = self.announce_phase(&worker.name, Phase::Deleted);
         tokio::time::sleep(lasts).await;
         self.relist(worker, announced);
     }
 
     /// Lists a worker in this phase; which agents announced it, and when.
-    fn announce_phase(&self, name: &str, phase: &'static str) -> Vec<Announcement> {
+    fn announce_phase(&self, name: &str, phase: Phase) -> Vec<Announcement> {
         if let Some(endpoint) = self.list.borrow_mut().get_mut(name) {
             endpoint.phase = phase;
         }
@@ -134,7 +135,7 @@
         worker.restart();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         if let Some(endpoint) = self.list.borrow_mut().get_mut(&worker.name) {
-            endpoint.phase = "SERVING";
+            endpoint.phase = Phase::Serving;
             endpoint.up_since_ms = unix.as_millis() as u64;
         }
         let relisted_at = now_us();
--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -3,7 +3,7 @@
 
 use crate::RunOptions;
 use crate::clients::{self, ClientContext, ResponseCounts};
-use crate::discovery::{DiscoveryAgent, Endpoint, EndpointList};
+use crate::discovery::{DiscoveryAgent, Endpoint, EndpointList, Phase};
 use crate::gatherer_process::{Environment, Gatherer, GathererProcess};
 use crate::gatherer_settings::{self, DEADLINE_MS, DRAIN_GRACE_MS};
 use crate::monotonic::now_us;
@@ -25,6 +25,8 @@
 const LAST_LINES_WITHIN: Duration = Duration::from_millis(100);
 /// What is added to the drain's grace period before an attempt counts as late.
 const DRAIN_GRACE_SLACK_MS: u64 = 50;
+/// The seeds of workers of two soak tests with successive seeds lie so far apart.
+const WORKER_SEED_STRIDE: u64 = 1000;
 /// Violations that are printed.
 const PRINTED_VIOLATIONS: usize = 20;
 
@@ -101,34 +103,42 @@
     Some(library)
 }
 
+/// Creates the folder of this soak test, and states where its gatherers find everything.
+fn create_environment(options: &RunOptions) -> Environment {
+    let folder = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let library = fault_library(options, &folder);
+    Environment {
+        folder,
+        program: options.program.clone(),
+        library,
+        logs: options.logs.clone(),
+        membership_addresses: (0..options.gatherers).map(|_| free_address()).collect(),
+        gatherers: options.gatherers,
+        workers: options.workers,
+    }
+}
+
 fn start_workers(options: &RunOptions) -> Vec<Rc<WorkerProcess>> {
-    let start = |at| WorkerProcess::start(&format!("w{at}"), options.seed * 1000 + at as u64);
+    let start = |number| {
+        let seed = options.seed * WORKER_SEED_STRIDE + number as u64;
+        WorkerProcess::start(&format!("w{number}"), seed)
+    };
     (0..options.workers).map(start).collect()
 }
 
 fn endpoint_list(workers: &[Rc<WorkerProcess>]) -> EndpointList {
     let cells = gatherer_settings::cells(workers.len());
-    let endpoint = |(at, worker): (usize, &Rc<WorkerProcess>)| {
-        let (address, cell) = (worker.address.clone(), (at % cells) as u32);
-        (worker.name.clone(), Endpoint { address, cell, phase: "SERVING", up_since_ms: 0 })
+    let endpoint = |(number, worker): (usize, &Rc<WorkerProcess>)| {
+        let (address, cell) = (worker.address.clone(), (number % cells) as u32);
+        (worker.name.clone(), Endpoint { address, cell, phase: Phase::Serving, up_since_ms: 0 })
     };
     workers.iter().enumerate().map(endpoint).collect()
 }
 
 impl SoakTest {
     async fn start(options: &RunOptions) -> Rc<SoakTest> {
-        let folder = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let library = fault_library(options, &folder);
-        let environment = Rc::new(Environment {
-            folder,
-            program: options.program.clone(),
-            library,
-            logs: options.logs.clone(),
-            membership_addresses: (0..options.gatherers).map(|_| free_address()).collect(),
-            gatherers: options.gatherers,
-            workers: options.workers,
-        });
+        let environment = Rc::new(create_environment(options));
         let workers = start_workers(options);
         let list = endpoint_list(&workers);
         let mut gatherers = Vec::new();
