--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -1,5 +1,5 @@
-//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process starts or ends:
-//! `gatherer_lifecycle` does.
+//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process
+//! starts or ends: `gatherer_lifecycle` does.
 
 use crate::clients::GathererEndpoint;
 use crate::discovery::DiscoveryAgent;
@@ -110,7 +110,9 @@
     fn configuration(&self, operator_address: &str) -> Value {
         let environment = &self.environment;
         json!({
-            "name": format!("g{}", self.number), "listen": self.endpoint.address, "operator": operator_address,
+            "name": format!("g{}", self.number),
+            "listen": self.endpoint.address,
+            "operator": operator_address,
             "discovery": self.agent.addresses[self.agent_address.get()],
             "seed": format!("{:x}", self.number + 7),
             "limits": {"sockets": 256, "memory_mb": 64}, "known": self.agent.list(),
@@ -125,7 +127,9 @@
         let seeds: Vec<String> =
             environment.membership_addresses.iter().map(|address| format!("{address:?}")).collect();
         let text = format!(
-            "[records]\nfolder = {folder:?}\nsegment_kb = 64\nall_kb = 256\n[membership]\nlisten = {:?}\ncluster = \"soak\"\nsecret = \"sixteen bytes or more\"\nseeds = [{}]\n",
+            "[records]\nfolder = {folder:?}\nsegment_kb = 64\nall_kb = 256\n\
+             [membership]\nlisten = {:?}\ncluster = \"soak\"\nsecret = \"sixteen bytes or more\"\n\
+             seeds = [{}]\n",
             environment.membership_addresses[self.number],
             seeds.join(", ")
         );
@@ -134,12 +138,11 @@
         file
     }
 
-    /// Starts a process beside those that run. `faults` says which of its system calls fail.
-    pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
+    /// The command that starts a process. `faults` says which of its system calls fail.
+    fn command(&self, operator_address: &str, faults: &str) -> Command {
         let environment = &self.environment;
-        let operator_address = free_address();
-        let file = self.configuration_file(&operator_address);
-        std::fs::write(&file, self.configuration(&operator_address).to_string()).expect("written");
+        let file = self.configuration_file(operator_address);
+        std::fs::write(&file, self.configuration(operator_address).to_string()).expect("written");
         let mut command = Command::new(&environment.program);
         command.args(["serve", "--operator"]).arg(self.write_operator_file());
         command.env_clear().env("LB_CONFIG", &file).env("TMPDIR", &environment.folder);
@@ -148,6 +151,13 @@
             command.env("LD_PRELOAD", library).env("FAULTS", faults);
             command.env("FAULTS_SWITCH", self.fault_switch());
         }
+        command
+    }
+
+    /// Starts a process beside those that run. `faults` says which of its system calls fail.
+    pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
+        let operator_address = free_address();
+        let mut command = self.command(&operator_address, faults);
         let number = observations.borrow().processes.len();
         let started_at = now_us();
         let mut child = command.spawn().expect("the program is there");
@@ -156,7 +166,9 @@
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<Mutex<LogFindings>> = Arc::default();
         let findings = log.clone();
-        let file = environment.logs.as_ref().map(|logs| create_log_file(logs, self.number, number));
+        let logs = self.environment.logs.as_ref();
+        let file = logs.map(|logs| create_log_file(logs, self.number, number));
+        // A log that cannot be read is one that ended.
         thread::spawn(move || read_log(lines.map_while(Result::ok), &findings, file));
         GathererProcess { number, operator_address, child, log }
     }
@@ -179,7 +191,8 @@
         }
     }
 
-    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls fail.
+    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls
+    /// fail.
     pub fn exempt(&self, from: u64, until: u64) {
         self.exemptions.borrow_mut().push(Exemption { from, until });
     }
@@ -200,6 +213,7 @@
 
     /// Whether it has ended; its end and its log are noted if so.
     pub fn has_ended(&mut self, observations: &RefCell<Observations>) -> bool {
+        // A status that cannot be read now is read at the next call.
         let Ok(Some(status)) = self.child.try_wait() else { return false };
         let mut observations = observations.borrow_mut();
         let process = &mut observations.processes[self.number];
@@ -222,6 +236,7 @@
 
 fn parse_invariant_counters(line: &str) -> BTreeMap<String, u64> {
     let pairs = line.split(' ').filter_map(|pair| pair.split_once('='));
+    // A count that is no number is not a counter.
     let counts = pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?)));
     counts.filter(|(name, _)| name != "total").collect()
 }
--- a/src/bin/soak-test/process.rs
+++ b/src/bin/soak-test/process.rs
@@ -1,4 +1,5 @@
-//! What the processes of gatherers and workers have in common: signals, their end, and addresses. It owns no process.
+//! What the processes of gatherers and workers have in common: signals, their end, and addresses. It owns no
+//! process.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::{Ipv4Addr, TcpListener};
@@ -14,8 +15,9 @@
 
 /// Kills a process and waits for its end.
 pub fn kill_and_wait(child: &mut Child) {
-    // It may have ended by itself, and been waited for.
+    // It may have ended by itself, and been waited for: there is nothing to kill then.
     let _ = child.kill();
+    // Nothing depends on its exit status, and a killed process ends in any case.
     let _ = child.wait();
 }
 
