--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -11,7 +11,6 @@
 use crate::transport::membership::{MembershipObserver, MembershipTransport};
 use bytes::BytesMut;
 use serde_json::Value;
-use std::fmt::Write as _;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -124,29 +123,24 @@
 
 /// The members as a table for a person.
 fn member_table(view: &Value) -> String {
-    let text = |value: &Value| value.as_str().unwrap_or("-").to_owned();
-    let age = |value: &Value| value.as_f64().map_or("-".to_owned(), |age| format!("{age:.1} s"));
-    let mut member_table = format!("{} gatherers share the fleet", view["gatherers"]);
+    let mut summary = format!("{} gatherers share the fleet", view["gatherers"]);
     if view["alone"] == true {
-        member_table += "; this one receives nothing from any other and declares none dead";
+        summary += "; this one receives nothing from any other and declares none dead";
     }
-    let _ = writeln!(
-        member_table,
-        "\n{:24} {:12} {:9} {:>10} {:>10}  address",
-        "name", "zone", "state", "since", "last seen"
-    );
-    let others = view["members"].as_array().into_iter().flatten();
-    for row in std::iter::once(&view["own"]).chain(others) {
-        let (name, zone, state) = (text(&row["name"]), text(&row["zone"]), text(&row["state"]));
-        let (since, last_seen) = (age(&row["since_s"]), age(&row["heard_s"]));
-        let _ = writeln!(
-            member_table,
-            "{name:24} {zone:12} {state:9} {since:>10} {last_seen:>10}  {}",
-            text(&row["address"])
-        );
-    }
-    for (reason, count) in view["refused"].as_object().into_iter().flatten() {
-        let _ = writeln!(member_table, "not taken, {reason}: {count}");
-    }
-    member_table
+    let header =
+        format!("{:24} {:12} {:9} {:>10} {:>10}  address", "name", "zone", "state", "since", "last seen");
+    let mut lines = vec![summary, header, member_row(&view["own"])];
+    lines.extend(view["members"].as_array().into_iter().flatten().map(member_row));
+    let refused = view["refused"].as_object().into_iter().flatten();
+    lines.extend(refused.map(|(reason, count)| format!("not taken, {reason}: {count}")));
+    lines.join("\n") + "\n"
+}
+
+/// One member as a row of the table.
+fn member_row(member: &Value) -> String {
+    let text = |key: &str| member[key].as_str().unwrap_or("-").to_owned();
+    let age = |key: &str| member[key].as_f64().map_or("-".to_owned(), |age| format!("{age:.1} s"));
+    let (name, zone, state) = (text("name"), text("zone"), text("state"));
+    let (since, last_seen) = (age("since_s"), age("heard_s"));
+    format!("{name:24} {zone:12} {state:9} {since:>10} {last_seen:>10}  {}", text("address"))
 }
