--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -50,6 +50,7 @@
         spawn_local(async move {
             let runner = front.clone();
             let run = spawn_local(async move { runner.run(checked).await }).await;
+            // The error is a panic, which the process has printed by then.
             let (response, ran) = run.unwrap_or_else(|_| (lost_outcome().response(), true));
             let size = response.body.len();
             front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -41,6 +41,7 @@
 /// The JSON schema of a record.
 #[must_use]
 pub fn schema() -> String {
+    // A schema holds only what JSON can express: writing it to memory does not fail.
     serde_json::to_string_pretty(&schemars::schema_for!(Record)).unwrap_or_default()
 }
 
--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -22,6 +22,7 @@
             let raised = wanted.min(hard);
             match Resource::NOFILE.set(raised, hard) {
                 Ok(()) => raised,
+                // The caller logs how many descriptors the system allows.
                 Err(_) => soft,
             }
         }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -178,8 +178,10 @@
     accepting: JoinHandle<()>,
 ) -> bool {
     log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
-    // Cannot fail: a second stop is the same as the first.
-    let _ = connections.apply_lifecycle(stop);
+    if let Err(error) = connections.apply_lifecycle(stop) {
+        // A second stop is the same as the first, and no error.
+        log::debug!("stopping: {stop:?} is not applied: {error}");
+    }
     connections.wait_for_closing().await;
     log::info!("stopping: nothing new is accepted");
     let all_answered = async {
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -122,9 +122,9 @@
     /// Records that this process accepts clients, notifies the predecessor, and accepts successors from now on.
     pub fn announce_serving(self: &Rc<Self>) {
         self.takeover.borrow_mut().start_serving();
-        if let Some(peer) = &*self.peer.borrow() {
-            // Cannot fail: it is the first message of the queue.
-            let _ = peer.try_send(Message::Serving);
+        if let Err(error) = self.send_to_peer(Message::Serving) {
+            // The queue is full, which hundreds of operators' calls before this one would take.
+            log::debug!("upgrade: the predecessor is not notified that this process serves: {error}");
         }
         self.accept_successors();
     }
@@ -132,9 +132,9 @@
     /// What SIGTERM means now; notifies the other process.
     pub fn announce_stop(&self) -> LifecycleRequest {
         let stop = self.takeover.borrow().stop_signal_request();
-        if let Some(peer) = &*self.peer.borrow() {
-            // If this is lost, the other process serves a moment later.
-            let _ = peer.try_send(Message::Stopping);
+        if let Err(error) = self.send_to_peer(Message::Stopping) {
+            // The other process serves a moment later.
+            log::debug!("upgrade: the other process is not notified of the stop: {error}");
         }
         stop
     }
@@ -165,9 +165,7 @@
             OperatorChange::Drained => Message::Drain,
             OperatorChange::Resumed => Message::Resume,
         };
-        if let Some(peer) = &*self.peer.borrow()
-            && let Err(error) = peer.try_send(change)
-        {
+        if let Err(error) = self.send_to_peer(change) {
             log::error!("upgrade: an operator's change was not sent to the other process: {error}");
         }
     }
--- a/src/program/upgrade/messages.rs
+++ b/src/program/upgrade/messages.rs
@@ -6,7 +6,7 @@
 use crate::service::lifecycle::LifecycleRequest;
 use crate::transport::takeover::{TakeoverChannel, TakeoverChannelError};
 use std::io;
-use tokio::sync::mpsc;
+use tokio::sync::mpsc::{self, error::TrySendError};
 
 /// Number of messages that may wait to be sent to the other process; few, for operators cause them.
 const MAX_PENDING_MESSAGES: usize = 256;
@@ -44,6 +44,19 @@
         }
     }
 
+    /// Queues a message to the other process, if there is one.
+    pub(super) fn send_to_peer(&self, message: Message) -> Result<(), TrySendError<Message>> {
+        self.peer.borrow().as_ref().map_or(Ok(()), |peer| peer.try_send(message))
+    }
+
+    /// Applies what the other process requests. A process that is stopping rejects to drain and to resume: both concern
+    /// the other one, so that this is no error.
+    pub(super) fn apply_peer_request(&self, request: LifecycleRequest) {
+        if let Err(error) = self.connections.apply_lifecycle(request) {
+            log::debug!("upgrade: {request:?} is not applied: {error}");
+        }
+    }
+
     fn on_message(&self, message: Message) {
         match message {
             Message::WorkerDisabled { worker } => self.broker.set_worker_disabled_by_peer(&worker, true),
@@ -52,13 +65,11 @@
                 log::info!("upgrade: the successor serves");
                 self.takeover.borrow_mut().on_successor_serving();
                 if self.connections.lifecycle_state() == LifecycleState::Stopping {
-                    // Cannot fail while stopping.
-                    let _ = self.connections.apply_lifecycle(LifecycleRequest::HandOver);
+                    self.apply_peer_request(LifecycleRequest::HandOver);
                 }
             }
-            // A process that is stopping rejects both; they concern the other one.
-            Message::Drain => drop(self.connections.apply_lifecycle(LifecycleRequest::Drain).ok()),
-            Message::Resume => drop(self.connections.apply_lifecycle(LifecycleRequest::Resume).ok()),
+            Message::Drain => self.apply_peer_request(LifecycleRequest::Drain),
+            Message::Resume => self.apply_peer_request(LifecycleRequest::Resume),
             Message::Stopping => {
                 self.takeover.borrow_mut().on_peer_stopping();
                 self.serve_now.notify_one();
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -94,8 +94,10 @@
         {
             return Some(channel);
         }
-        // If this is lost, the other process retries all the same.
-        let _ = timeout(REPLY_TIMEOUT, channel.send(&Message::TakeoverInProgress)).await;
+        if !matches!(timeout(REPLY_TIMEOUT, channel.send(&Message::TakeoverInProgress)).await, Ok(Ok(()))) {
+            // The other process retries all the same.
+            log::debug!("upgrade: a starting process is not notified that it has to wait");
+        }
         None
     }
 
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -150,7 +150,8 @@
         spawn_local(async move { upgrade.follow_predecessor(channel, messages).await });
     }
 
-    /// The received socket, if it listens at this gatherer's address.
+    /// The received socket, if it listens at this gatherer's address. `None` too where the system refuses to use it: the
+    /// caller requests the takeover again.
     fn checked_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
         if listener.local_addr().ok() != Some(self.listen) {
@@ -167,8 +168,7 @@
             core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot)
         });
         if state.drained {
-            // Cannot fail: this process is not stopping.
-            let _ = self.connections.apply_lifecycle(LifecycleRequest::Drain);
+            self.apply_peer_request(LifecycleRequest::Drain);
         }
     }
 
