--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -62,7 +62,8 @@
         let start = self.idempotency.borrow().incarnation().to_owned();
         let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
         let reason = format!(
-            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
+            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, \
+             and it is not run now"
         );
         SearchError::new(409, "unknown_outcome_exception", reason)
     }
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -18,10 +18,15 @@
 }
 
 thread_local! {
-    static RATE_LIMIT: RefCell<RateLimit> = RefCell::new(RateLimit { permits: BURST_LINES, refilled_at: Instant::now(), dropped: 0 });
+    static RATE_LIMIT: RefCell<RateLimit> = RefCell::new(RateLimit::new(Instant::now()));
 }
 
 impl RateLimit {
+    /// A full bucket.
+    fn new(now: Instant) -> RateLimit {
+        RateLimit { permits: BURST_LINES, refilled_at: now, dropped: 0 }
+    }
+
     /// Number of lines dropped since the last one, if a line may be written now.
     fn try_acquire(&mut self, now: Instant) -> Option<u64> {
         let gained = now.saturating_duration_since(self.refilled_at).max(Duration::ZERO).as_secs_f64()
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -63,7 +63,8 @@
     // Membership needs datagrams of up to 1,200 bytes, and connections; neither is allowed there.
     if peer_datagrams {
         log::warn!(
-            "membership stays off: the platform carries datagrams between gatherers, of at most 256 bytes, key=peer_listen"
+            "membership stays off: the platform carries datagrams between gatherers, of at most 256 bytes, \
+             key=peer_listen"
         );
         return None;
     }
--- a/src/program/reload.rs
+++ b/src/program/reload.rs
@@ -30,7 +30,9 @@
         while let Err(error) = reload_once(&descriptor_pool, &recording, &mut read).await {
             tokio::select! {
                 biased;
-                () = hangups.received() => log::info!("configuration not read again: SIGHUP received once more"),
+                () = hangups.received() => {
+                    log::info!("configuration not read again: SIGHUP received once more");
+                }
                 () = retry_reload(error, &descriptor_pool, &recording, &mut read) => break,
             }
         }
