--- a/src/main.rs
+++ b/src/main.rs
@@ -130,13 +130,12 @@
             Ok(())
         }
         Some(Command::Records { command: RecordsCommand::Verify { folders } }) => {
-            match inspect::verify(&folders)? {
-                (valid, 0) => {
-                    println!("{valid} lines, all of them whole and in order");
-                    Ok(())
-                }
-                (_, damaged) => Err(CommandError::DamagedRecords(damaged)),
+            let verification = inspect::verify(&folders)?;
+            if verification.damaged > 0 {
+                return Err(CommandError::DamagedRecords(verification.damaged));
             }
+            println!("{} lines, all of them whole and in order", verification.valid);
+            Ok(())
         }
     }
 }
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -81,18 +81,27 @@
     Ok(reader)
 }
 
-/// Reads every line and prints each damaged one; returns the numbers of valid and damaged lines.
+/// Number of lines in records that were read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Verification {
+    /// Lines that are whole and in order.
+    pub valid: u64,
+    /// Lines that do not count.
+    pub damaged: u64,
+}
+
+/// Reads every line, prints each damaged one, and returns how many there are.
 ///
 /// # Errors
 /// A folder or a file cannot be read.
-pub fn verify(folders: &[PathBuf]) -> io::Result<(u64, u64)> {
-    let mut faults = 0;
+pub fn verify(folders: &[PathBuf]) -> io::Result<Verification> {
+    let mut damaged = 0;
     let print_damaged = |damaged_record: DamagedRecord| {
-        faults += 1;
+        damaged += 1;
         println!("{damaged_record}");
     };
     let reader = read(folders, |_| {}, print_damaged)?;
-    Ok((reader.valid_records, faults))
+    Ok(Verification { valid: reader.valid_records, damaged })
 }
 
 /// A summary of what happened, made from records.
