--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -50,6 +50,7 @@
         spawn_local(async move {
             let runner = front.clone();
             let run = spawn_local(async move { runner.run(checked).await }).await;
+            // The error is a panic, which the process has printed by then.
             let (response, ran) = run.unwrap_or_else(|_| (lost_outcome().response(), true));
             let size = response.body.len();
             front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
@@ -61,7 +62,8 @@
         let start = self.idempotency.borrow().incarnation().to_owned();
         let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
         let reason = format!(
-            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, and it is not run now"
+            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, \
+             and it is not run now"
         );
         SearchError::new(409, "unknown_outcome_exception", reason)
     }
