--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -51,10 +51,15 @@
     idle: RefCell<Vec<IdleConnection>>,
 }
 
-/// A connection that waits for its next search; its descriptor may be reclaimed.
-struct IdleConnection {
+/// A connection, and the descriptor that it takes up.
+struct Connection {
     stream: Box<dyn Stream>,
     descriptor: DescriptorPermit,
+}
+
+/// A connection that waits for its next search; its descriptor may be reclaimed.
+struct IdleConnection {
+    connection: Connection,
     since: Instant,
 }
 
@@ -78,10 +83,11 @@
     }
 
     /// Keeps a connection for the next search, and closes it before the server would.
-    fn keep_idle(&self, server: &Rc<Server>, stream: Box<dyn Stream>, descriptor: DescriptorPermit) {
-        server.idle.borrow_mut().push(IdleConnection { stream, descriptor, since: Instant::now() });
-        let (server, limit) =
-            (server.clone(), self.0.limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION));
+    fn keep_idle(&self, server: &Rc<Server>, connection: Connection) {
+        connection.descriptor.mark_idle();
+        server.idle.borrow_mut().push(IdleConnection { connection, since: Instant::now() });
+        let server = server.clone();
+        let limit = self.0.limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
         spawn_local(async move {
             tokio::time::sleep(limit).await;
             let expired =
@@ -119,7 +125,7 @@
         if !server.accepts_searches.get() {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         }
-        let (mut stream, descriptor) = match self.connection(worker, server, part).await {
+        let mut connection = match self.connection(worker, server, part).await {
             Ok(connection) => connection,
             Err(outcome) => return AttemptCompletion::without_value(outcome),
         };
@@ -130,15 +136,15 @@
         let mut buffer = BytesMut::new();
         let reservation = BufferReservation::new(&self.0.descriptor_pool);
         reservation.set(request.len());
-        let exchanged = http_client::exchange(&mut *stream, &mut buffer, &request, MAX_RESULT_BYTES).await;
+        let stream = &mut *connection.stream;
+        let exchanged = http_client::exchange(stream, &mut buffer, &request, MAX_RESULT_BYTES).await;
         if !matches!(exchanged, Err(ExchangeError::NotSent(_))) {
             self.0.broker.with_core(|core| core.count_written(1));
         }
         match exchanged {
             Ok(response) => {
                 if response.keep_alive && buffer.is_empty() {
-                    descriptor.mark_idle();
-                    self.keep_idle(server, stream, descriptor);
+                    self.keep_idle(server, connection);
                 }
                 completion(server, response)
             }
@@ -159,7 +165,7 @@
         worker: WorkerId,
         server: &Server,
         part: &Dispatch,
-    ) -> Result<(Box<dyn Stream>, DescriptorPermit), AttemptOutcome> {
+    ) -> Result<Connection, AttemptOutcome> {
         // A non-idempotent search gets a new connection: the server could close an idle one just as the search is
         // written, and whether it ran would then be unknown.
         if !part.at_most_once
@@ -173,7 +179,7 @@
         let permit = permit.map_err(|_| AttemptOutcome::NotSent)?;
         let limit = self.0.limits.connect_timeout;
         match connect_with_timeout(&*self.0.connector, &server.address, limit).await {
-            Ok(stream) => Ok((stream, permit.into_descriptor_permit())),
+            Ok(stream) => Ok(Connection { stream, descriptor: permit.into_descriptor_permit() }),
             Err(error) => {
                 log::warn!("index server at {}: cannot connect: {error}", server.address);
                 Err(if errors::is_local(&error) {
@@ -186,19 +192,19 @@
     }
 
     /// Takes an idle connection that the server has not closed meanwhile, and makes its descriptor busy.
-    async fn take_idle(&self, server: &Server) -> Option<(Box<dyn Stream>, DescriptorPermit)> {
+    async fn take_idle(&self, server: &Server) -> Option<Connection> {
         loop {
             let latest = server.idle.borrow_mut().pop();
-            let IdleConnection { mut stream, descriptor, .. } = latest?;
+            let mut connection = latest?.connection;
             let mut discarded = [0; 1];
             let is_open = tokio::select! {
                 biased;
-                _ = stream.read(&mut discarded) => false,
+                _ = connection.stream.read(&mut discarded) => false,
                 () = std::future::ready(()) => true,
             };
             // Where no busy descriptor may be had the connection is closed, and the search waits for a permit.
-            if is_open && descriptor.try_mark_busy() {
-                return Some((stream, descriptor));
+            if is_open && connection.descriptor.try_mark_busy() {
+                return Some(connection);
             }
         }
     }
