--- a/src/protocol/opensearch/merge.rs
+++ b/src/protocol/opensearch/merge.rs
@@ -51,6 +51,20 @@
     relation: String,
 }
 
+impl ShardHits {
+    /// Whether the shard sent all the hits that it has, and says so.
+    fn is_complete(&self) -> bool {
+        self.total.as_ref().is_some_and(|total| total.is_exact() && total.value == self.hits.len() as u64)
+    }
+}
+
+impl Total {
+    /// Whether the number is exact; otherwise it is a lower bound.
+    fn is_exact(&self) -> bool {
+        self.relation == "eq"
+    }
+}
+
 /// Decodes a shard's response; `None` unless it is complete and sorted.
 fn decode_complete_result(body: &[u8]) -> Option<ShardResult> {
     let result: ShardResult = serde_json::from_slice(body).ok()?;
@@ -84,6 +98,27 @@
     hit: Value,
 }
 
+impl SortedHit {
+    /// Compares by each key in turn, then by shard.
+    fn compare(&self, other: &SortedHit, keys: &[SortKey]) -> Ordering {
+        let by_keys = keys.iter().enumerate().map(|(at, key)| {
+            let own = self.sort_values.get(at).unwrap_or(&Value::Null);
+            compare(own, other.sort_values.get(at).unwrap_or(&Value::Null), key)
+        });
+        by_keys.fold(Ordering::Equal, Ordering::then).then(self.shard.cmp(&other.shard))
+    }
+}
+
+/// Leaves a hit only as many of its sort values as the client asked for.
+fn keep_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
+    let Some(fields) = hit.as_object_mut() else { return };
+    if requested == 0 {
+        fields.remove("sort");
+    } else {
+        fields.insert("sort".to_owned(), sort_values.iter().take(requested).cloned().collect());
+    }
+}
+
 /// Merges the results of shards, each given with the shard's number. Results that are incomplete are left out.
 #[must_use]
 pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
@@ -92,35 +127,18 @@
     for (shard, body) in results {
         let Some(result) = decode_complete_result(body) else { continue };
         let hits = result.hits;
-        let (total, exact) = match hits.total {
-            Some(total) => (total.value, total.relation == "eq"),
-            None => (hits.hits.len() as u64, false),
-        };
-        merged.total += total;
-        merged.total_is_exact &= exact;
-        merged.complete &= exact && total == hits.hits.len() as u64;
+        // A shard without a total has at least the hits that it sent.
+        merged.total += hits.total.as_ref().map_or(hits.hits.len() as u64, |total| total.value);
+        merged.total_is_exact &= hits.total.as_ref().is_some_and(Total::is_exact);
+        merged.complete &= hits.is_complete();
         merged.max_score = [merged.max_score, hits.max_score].into_iter().flatten().reduce(f64::max);
         for mut hit in hits.hits {
             let sort_values = hit.get("sort").and_then(Value::as_array).cloned().unwrap_or_default();
-            if let Some(fields) = hit.as_object_mut() {
-                match search.requested_sort_values {
-                    0 => fields.remove("sort"),
-                    requested => {
-                        let values = sort_values.iter().take(requested).cloned().collect();
-                        fields.insert("sort".to_owned(), values)
-                    }
-                };
-            }
+            keep_sort_values(&mut hit, &sort_values, search.requested_sort_values);
             sorted.push(SortedHit { sort_values, shard, hit });
         }
     }
-    sorted.sort_by(|a, b| {
-        let by_keys = search.sort_keys.iter().enumerate().map(|(at, key)| {
-            let a = a.sort_values.get(at).unwrap_or(&Value::Null);
-            compare(a, b.sort_values.get(at).unwrap_or(&Value::Null), key)
-        });
-        by_keys.fold(Ordering::Equal, Ordering::then).then(a.shard.cmp(&b.shard))
-    });
+    sorted.sort_by(|a, b| a.compare(b, &search.sort_keys));
     merged.hits = sorted.into_iter().map(|sorted| sorted.hit).collect();
     merged
 }
