--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -34,7 +34,10 @@
         if table.iter().next().is_none() {
             return self.configured;
         }
-        let (mut present, mut failed, mut recently_failed) = (1, 0, 0);
+        // This gatherer is not in its own table.
+        let mut present = 1;
+        let mut failed = 0;
+        let mut recently_failed = 0;
         for member in table.iter() {
             match member.update.state {
                 state if state.is_present() => present += 1,
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -34,8 +34,9 @@
     descriptor_pool: &Rc<DescriptorPool>,
     mut backoff: Backoff,
 ) {
-    let (mut agent, mut logged_reason) = (address.borrow_and_update().clone(), String::new());
+    let mut agent = address.borrow_and_update().clone();
     let mut revision = held_revision;
+    let mut logged_reason = String::new();
     // A process with a list serves with it meanwhile, so its first poll may wait.
     let mut delay =
         if broker.with_core(|core| core.has_workers()) { backoff.initial_delay() } else { Duration::ZERO };
@@ -49,7 +50,9 @@
         if configured != agent {
             // Another agent counts its own revisions, and changes between the two could be missed: it is polled for its
             // complete list.
-            (agent, revision, logged_reason) = (configured, None, String::new());
+            agent = configured;
+            revision = None;
+            logged_reason.clear();
             backoff.record_success();
         }
         // The class is guaranteed this descriptor, so the wait is short under any load.
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -74,6 +74,12 @@
     fn on_fleet_size(&self, count: u32);
 }
 
+/// The sockets that are bound to a member's address.
+struct BoundSockets {
+    datagrams: UdpSocket,
+    listener: TcpListener,
+}
+
 /// The sockets of one member.
 pub struct MembershipTransport {
     node: RefCell<Node>,
@@ -124,11 +130,11 @@
 
     /// Takes part in membership until [`MembershipTransport::leave`].
     pub async fn run(self: Rc<MembershipTransport>) {
-        let (socket, listener) = tokio::select! {
+        let BoundSockets { datagrams, listener } = tokio::select! {
             sockets = self.bind() => sockets,
             () = self.stopped.notified() => return,
         };
-        let socket = Rc::new(socket);
+        let socket = Rc::new(datagrams);
         self.socket.replace(Some(socket.clone()));
         log::info!("members: {} takes part at {}", self.node.borrow().own().name, self.listen_address);
         let accepting = spawn_local(self.clone().accept(listener));
@@ -142,14 +148,10 @@
     }
 
     /// Binds the datagram socket and the listener. In an upgrade the process before holds the address until it stops.
-    async fn bind(&self) -> (UdpSocket, TcpListener) {
+    async fn bind(&self) -> BoundSockets {
         let mut logged = false;
         loop {
-            let bound = async {
-                let listener = TcpListener::bind(self.listen_address).await?;
-                Ok::<_, io::Error>((UdpSocket::bind(self.listen_address).await?, listener))
-            };
-            match bound.await {
+            match self.try_bind().await {
                 Ok(sockets) => return sockets,
                 Err(error) if !std::mem::replace(&mut logged, true) => {
                     log::info!("members: {} is not free yet: {error}", self.listen_address);
@@ -160,6 +162,12 @@
         }
     }
 
+    async fn try_bind(&self) -> io::Result<BoundSockets> {
+        let listener = TcpListener::bind(self.listen_address).await?;
+        let datagrams = UdpSocket::bind(self.listen_address).await?;
+        Ok(BoundSockets { datagrams, listener })
+    }
+
     /// Broadcasts that this process ends, and whether another of the same name takes over.
     pub fn leave(&self, handing_over: bool) {
         let commands = self.node.borrow_mut().leave(handing_over);
