--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -8,6 +8,7 @@
 use crate::routing::{Contracts, QueryOutcome, QueryPart, SearchRequest};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
+use std::str::Utf8Error;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -64,6 +65,13 @@
     blob: &'a str,
 }
 
+impl<'a> Hit<'a> {
+    /// The value of a shard, which has to be text.
+    fn new(shard: ShardId, value: &'a [u8]) -> Result<Hit<'a>, Utf8Error> {
+        Ok(Hit { range: shard.0, blob: std::str::from_utf8(value)? })
+    }
+}
+
 /// Parses a client's request.
 ///
 /// # Errors
@@ -82,8 +90,9 @@
     let (class, _) =
         contracts.class(class).ok_or_else(|| invalid_field("X-Call-Class", format!("no class {class:?}")))?;
     let tenant = parse_tenant(request, contracts)?;
-    let budget = required(request, "X-Budget-Ms")?.parse::<u64>().ok();
-    let budget_ms = budget
+    let budget_ms = required(request, "X-Budget-Ms")?
+        .parse::<u64>()
+        .ok()
         .filter(|ms| (1..=MAX_BUDGET_MS).contains(ms))
         .ok_or_else(|| invalid_field("X-Budget-Ms", "not a number of milliseconds"))?;
     let body: QueryBody =
@@ -163,16 +172,10 @@
 pub fn outcome_response(outcome: &QueryOutcome) -> Response {
     match outcome {
         QueryOutcome::Answered { complete, values } => {
-            let text = |(shard, value): &(ShardId, Bytes)| {
-                std::str::from_utf8(value).ok().map(|_| (shard.0, value.clone()))
-            };
-            let texts: Option<Vec<(u32, Bytes)>> = values.iter().map(text).collect();
-            let Some(texts) = texts else { return Response::text(502, "a value is no text") };
-            let hits = texts.iter().map(|(range, value)| Hit {
-                range: *range,
-                blob: std::str::from_utf8(value).unwrap_or_default(),
-            });
-            let body = ResponseBody { total: *complete, answers: hits.collect() };
+            let hits: Result<Vec<Hit<'_>>, Utf8Error> =
+                values.iter().map(|(shard, value)| Hit::new(*shard, value)).collect();
+            let Ok(answers) = hits else { return Response::text(502, "a value is no text") };
+            let body = ResponseBody { total: *complete, answers };
             match serde_json::to_vec(&body) {
                 Ok(body) if body.len() <= MAX_BODY_BYTES => Response::json(200, body),
                 Ok(_) => Response::text(502, "the answer is longer than a body may be"),
