--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -117,6 +117,7 @@
     /// Queues a record, if the queue has capacity; otherwise the record is dropped, and a later one reports that.
     pub fn record(&mut self, body: RecordBody) {
         let now = Time(0).after(self.started_at.elapsed());
+        // A clock that stands before 1970 counts as standing at its begin.
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let at_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
         match self.queue.try_send(QueuedRecord { now, at_ms, body, dropped: self.dropped }) {
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -5,7 +5,6 @@
 
 use super::metrics::{self, AttemptMetrics, MetricsSnapshot, QueryEnd};
 use super::record::{IncarnationId, Record, RecordBody};
-use crate::membership::ObservedState;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -353,17 +352,9 @@
         RecordBody::Worker { worker, state } => {
             format!("worker {worker} {}", state.timeline_word()).to_lowercase()
         }
-        RecordBody::Member { member, state, .. } => {
-            format!("gatherer {member} {}", stored_name(state)).to_lowercase()
-        }
+        RecordBody::Member { member, state, .. } => format!("gatherer {member} {state}").to_lowercase(),
         RecordBody::Overload { begins: true } => "overload begins".to_owned(),
         RecordBody::Overload { begins: false } => "overload ends".to_owned(),
         RecordBody::Gap { lost, reason } => format!("{lost} records lost: {reason}"),
     })
 }
-
-/// The name of a member's state in records, which the timeline shows too.
-fn stored_name(state: &ObservedState) -> String {
-    let stored = serde_json::to_value(state).ok();
-    stored.and_then(|name| name.as_str().map(str::to_owned)).unwrap_or_default()
-}
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -119,6 +119,7 @@
 
     /// Waits for a search permit, then sends the search and reads its result.
     async fn exchange(&self, worker: WorkerId, server: &Rc<Server>, part: &Dispatch) -> AttemptCompletion {
+        // The semaphore is never closed, so there is always a permit in the end.
         let Ok(_search_permit) = server.search_permits.acquire().await else {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         };
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -156,6 +156,7 @@
                 Err(error) if !std::mem::replace(&mut logged, true) => {
                     log::info!("members: {} is not free yet: {error}", self.listen_address);
                 }
+                // Logged once: the address is tried until it is free.
                 Err(_) => {}
             }
             tokio::time::sleep(BIND_RETRY_DELAY).await;
@@ -289,7 +290,9 @@
 
     async fn accept(self: Rc<MembershipTransport>, listener: TcpListener) {
         loop {
+            // The semaphore is never closed, so there is always a permit in the end.
             let Ok(permit) = self.incoming.acquire().await else { return };
+            // The error may persist, for instance where descriptors are short; a peer exchanges tables again later.
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
@@ -311,7 +314,8 @@
         self.incoming.add_permits(1);
     }
 
-    /// Waits for an exchange and applies the peer's table, where it brings one in time.
+    /// Waits for an exchange and applies the peer's table, where it brings one in time. One that fails needs no report:
+    /// tables are exchanged again at the next interval, with a member picked at random.
     async fn finish_exchange(
         self: &Rc<MembershipTransport>,
         exchange: impl Future<Output = Option<Message>>,
@@ -322,7 +326,7 @@
         }
     }
 
-    /// Writes this member's table, behind its length in bytes.
+    /// Writes this member's table, behind its length in bytes; `None` where it cannot be written.
     async fn write_table(&self, stream: &mut Socket<TcpStream>) -> Option<()> {
         let bytes = self.cluster_key.encode(&self.node.borrow().table_message()).ok()?;
         let length = u32::try_from(bytes.len()).ok()?;
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -111,6 +111,7 @@
 
     /// Whether the file at the path is the one that this process created.
     pub fn owns_socket_file(&self) -> bool {
+        // A file that is missing or cannot be examined does not count as this process's own.
         let inode = std::fs::metadata(&self.path).ok().map(|file| file.ino());
         inode.is_some() && inode == self.own_inode.get()
     }
