--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,10 +16,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Nanoseconds of a millisecond.
 pub const MS: u64 = 1_000_000;
 
-pub fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+/// A span in milliseconds.
+pub fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 /// Settings in which every worker holds every shard.
@@ -48,12 +50,13 @@
     }
 }
 
-pub fn class(effect: Idempotency) -> Class {
+/// A class with an objective of 1.5 s and a deadline of 5 s, answered only completely.
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: ms(1500),
         objective_stretch: 0.0,
         deadline: ms(5000),
-        idempotency: effect,
+        idempotency,
         repeat_window: ms(1000),
         priority_weight: 1.0,
         late_weight: 0.0,
@@ -64,17 +67,12 @@
     }
 }
 
-pub fn entry(worker: u32, status: EndpointStatus, since: Option<Time>) -> Endpoint {
-    Endpoint {
-        worker: WorkerId(worker),
-        zone: ZoneId(0),
-        cell: CellId(0),
-        status,
-        units: 1.0,
-        started_at: since,
-    }
+/// An entry of the endpoint list: a worker of one core in zone 0 and cell 0.
+pub fn entry(worker: u32, status: EndpointStatus, started_at: Option<Time>) -> Endpoint {
+    Endpoint { worker: WorkerId(worker), zone: ZoneId(0), cell: CellId(0), status, units: 1.0, started_at }
 }
 
+/// An endpoint list of these workers, all active and warm.
 pub fn endpoint_list(workers: &[u32]) -> Arc<[Endpoint]> {
     workers.iter().map(|worker| entry(*worker, EndpointStatus::Active, None)).collect()
 }
@@ -97,22 +95,24 @@
     pub sent: Vec<Sent>,
     /// The actions of the last step.
     pub actions: Vec<Action>,
-    next: u64,
+    next_id: u64,
 }
 
 impl AggregatorHarness {
+    /// An aggregator that has received a list of these workers.
     pub fn new(settings: Settings, workers: &[u32]) -> AggregatorHarness {
         let mut harness = AggregatorHarness {
             aggregator: Aggregator::new(settings),
             now: Time(1_000_000 * MS),
             sent: Vec::new(),
             actions: Vec::new(),
-            next: 1,
+            next_id: 1,
         };
         harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(workers)))]);
         harness
     }
 
+    /// Runs a step of the module now, and records what it asks for.
     pub fn step(&mut self, events: Vec<Event>) {
         self.actions.clear();
         self.aggregator.step(self.now, events, &mut self.actions);
@@ -139,14 +139,15 @@
         (query, parts)
     }
 
+    /// The events of a query of class 0 with one part for each shard; returns its id, its parts' and the events.
     pub fn new_query(
         &mut self,
         key: Option<&str>,
         shards: &[u32],
     ) -> (RequestId, Vec<RequestId>, Vec<Event>) {
-        let id = RequestId(self.next);
-        let job = JobId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        let job = JobId(self.next_id);
+        self.next_id += 1;
         let valid_until = self.now.after(ms(5000));
         let mut events = vec![Event::QueryReceived(NewQuery {
             id,
@@ -158,8 +159,8 @@
         })];
         let mut parts = Vec::new();
         for shard in shards {
-            let part = RequestId(self.next);
-            self.next += 1;
+            let part = RequestId(self.next_id);
+            self.next_id += 1;
             parts.push(part);
             events.push(Event::PartReceived(NewPart {
                 id: part,
@@ -173,7 +174,8 @@
         (id, parts, events)
     }
 
-    pub fn attempt_finished(&self, sent: Sent, outcome: AttemptOutcome, busy: Option<f64>) -> Event {
+    /// The event that an attempt finishes now, with the utilization that its worker reports.
+    pub fn attempt_finished(&self, sent: Sent, outcome: AttemptOutcome, utilization: Option<f64>) -> Event {
         Event::AttemptFinished(AttemptResult {
             id: sent.id,
             attempt: sent.attempt,
@@ -181,10 +183,11 @@
             outcome,
             elapsed: self.now.since(sent.at),
             part_finished: outcome == AttemptOutcome::Succeeded,
-            load_report: busy.map(|busy| vec![Some(busy)]),
+            load_report: utilization.map(|utilization| vec![Some(utilization)]),
         })
     }
 
+    /// The last dispatch.
     pub fn last_sent(&self) -> Sent {
         *self.sent.last().expect("something was dispatched")
     }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -16,7 +16,7 @@
 pub use worker::Worker;
 
 use super::platform::platform_json;
-use std::net::TcpListener;
+use std::net::{Ipv4Addr, TcpListener};
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -37,6 +37,7 @@
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
+    /// Creates a folder for the test of this name.
     pub fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("clayshore-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
@@ -46,6 +47,7 @@
 
 impl Drop for TempFolder {
     fn drop(&mut self) {
+        // A folder that remains disturbs no other test.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -58,8 +60,8 @@
 
 /// A listener on such an address.
 pub fn listen() -> TcpListener {
-    let [a, b, c, ..] = fastrand::u32(..).to_le_bytes();
-    TcpListener::bind((std::net::Ipv4Addr::new(127, a.max(1), b, c), 0)).expect("a port")
+    let [second, third, fourth, _] = fastrand::u32(..).to_le_bytes();
+    TcpListener::bind((Ipv4Addr::new(127, second.max(1), third, fourth), 0)).expect("a port")
 }
 
 /// The scenarios' configuration with unused addresses and this discovery.
--- a/tests/common/process/discovery.rs
+++ b/tests/common/process/discovery.rs
@@ -8,6 +8,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
+/// The revision of a list and its members as JSON; the condition variable is notified of each change.
 type VersionedList = Arc<(Mutex<(u64, String)>, Condvar)>;
 
 /// A discovery that sends its complete list to each watch, and again whenever it changes.
@@ -17,9 +18,11 @@
 }
 
 impl Discovery {
+    /// Starts a discovery with this list, as JSON, on a port of its own.
     pub fn start(members: &str) -> Discovery {
         Discovery::on(TcpListener::bind("127.0.0.1:0").expect("a port"), members)
     }
+    /// Starts a discovery with this list on a listener.
     pub fn on(listener: TcpListener, members: &str) -> Discovery {
         let address = listener.local_addr().expect("an address").to_string();
         let versioned_list: VersionedList = Arc::new((Mutex::new((1, members.to_owned())), Condvar::new()));
@@ -44,10 +47,12 @@
     }
 }
 
+/// A complete list as discovery sends it.
 fn list((revision, members): &(u64, String)) -> String {
     format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#)
 }
 
+/// Answers the requests of one connection: at once, or, to one that has the current list, when it changes.
 fn serve_watch(mut stream: TcpStream, versioned_list: &(Mutex<(u64, String)>, Condvar)) -> Option<()> {
     let mut buffer = BytesMut::new();
     loop {
@@ -57,11 +62,12 @@
                 None => read_more(&mut stream, &mut buffer).ok()?,
             }
         };
-        let after = request.parameter("index").map(|index| index.parse::<u64>().expect("a number"));
-        let now = versioned_list.0.lock().expect("sound");
-        let now = versioned_list.1.wait_while(now, |now| Some(now.0) == after).expect("sound");
-        let bytes = http::Response::json(200, list(&now)).encode(false);
-        drop(now);
+        let known = request.parameter("index").map(|index| index.parse::<u64>().expect("a number"));
+        let current = versioned_list.0.lock().expect("sound");
+        let current =
+            versioned_list.1.wait_while(current, |(revision, _)| Some(*revision) == known).expect("sound");
+        let bytes = http::Response::json(200, list(&current)).encode(false);
+        drop(current);
         stream.write_all(&bytes).ok()?;
     }
 }
--- a/tests/common/process/gatherer.rs
+++ b/tests/common/process/gatherer.rs
@@ -36,7 +36,9 @@
 /// A process of the program.
 pub struct Gatherer {
     pub child: Child,
+    /// The address at which clients connect.
     pub clients: String,
+    /// The address of the operators' API; empty where there is none.
     pub operators: String,
     /// All lines of its log so far; the condition variable is notified of each further one.
     pub log: Arc<(Mutex<Vec<String>>, Condvar)>,
@@ -59,30 +61,31 @@
     pub fn start_with_operator_file(
         folder: &TempFolder,
         config: &serde_json::Value,
-        operator: &str,
+        operator_file: &str,
     ) -> Gatherer {
-        Gatherer::start_on_config(folder, config, folder, Some(operator))
+        Gatherer::start_on_config(folder, config, folder, Some(operator_file))
     }
 
     /// Starts the platform's front with another folder for temporary files, and waits until it serves.
     pub fn start_with_temp_folder(
         folder: &TempFolder,
         config: &serde_json::Value,
-        scratch: &TempFolder,
+        temp_folder: &TempFolder,
     ) -> Gatherer {
-        let gatherer = Gatherer::start_on_config(folder, config, scratch, None);
+        let gatherer = Gatherer::start_on_config(folder, config, temp_folder, None);
         gatherer.wait_for_log(" serving on ");
         gatherer
     }
 
+    /// Starts it on a new file with this configuration.
     fn start_on_config(
         folder: &TempFolder,
         config: &serde_json::Value,
-        scratch: &TempFolder,
-        operator: Option<&str>,
+        temp_folder: &TempFolder,
+        operator_file: Option<&str>,
     ) -> Gatherer {
         let file = write_config(folder, config);
-        Gatherer::spawn(&file, config, scratch, operator)
+        Gatherer::spawn(&file, config, temp_folder, operator_file)
     }
 
     /// Starts it with the fault injection library preloaded. `faults` lists the faults, which happen while the file `switch`
@@ -103,23 +106,24 @@
     pub fn spawn(
         file: &Path,
         config: &serde_json::Value,
-        scratch: &TempFolder,
-        operator: Option<&str>,
+        temp_folder: &TempFolder,
+        operator_file: Option<&str>,
     ) -> Gatherer {
-        Gatherer::spawn_in(file, config, scratch, operator, &[])
+        Gatherer::spawn_in(file, config, temp_folder, operator_file, &[])
     }
 
+    /// Starts it with further environment variables.
     fn spawn_in(
         file: &Path,
         config: &serde_json::Value,
-        scratch: &TempFolder,
-        operator: Option<&str>,
+        temp_folder: &TempFolder,
+        operator_file: Option<&str>,
         variables: &[(&str, PathBuf)],
     ) -> Gatherer {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
-        command.env_clear().env("LB_CONFIG", file).env("TMPDIR", &scratch.0).stderr(Stdio::piped());
+        command.env_clear().env("LB_CONFIG", file).env("TMPDIR", &temp_folder.0).stderr(Stdio::piped());
         command.envs(variables.iter().map(|(name, value)| (name, value)));
-        if let Some(text) = operator {
+        if let Some(text) = operator_file {
             let file = file.with_extension("toml");
             std::fs::write(&file, text).expect("written");
             command.args(["serve", "--operator"]).arg(file);
@@ -127,14 +131,14 @@
         let mut child = command.spawn().expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let log: Arc<(Mutex<Vec<String>>, Condvar)> = Arc::default();
-        let keep = log.clone();
+        let log_writer = log.clone();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                keep.0.lock().expect("sound").push(line);
-                keep.1.notify_all();
+                log_writer.0.lock().expect("sound").push(line);
+                log_writer.1.notify_all();
             }
-            keep.0.lock().expect("sound").push("the log ends".to_owned());
-            keep.1.notify_all();
+            log_writer.0.lock().expect("sound").push("the log ends".to_owned());
+            log_writer.1.notify_all();
         });
         let clients = config["listen"].as_str().expect("an address").to_owned();
         let operators = config["operator"].as_str().unwrap_or_default().to_owned();
@@ -144,14 +148,15 @@
     /// Waits for a line of the log that contains these words.
     pub fn wait_for_log(&self, words: &str) -> String {
         let lines = self.log.0.lock().expect("sound");
-        let there = |lines: &Vec<String>| lines.iter().any(|line| line.contains(words));
-        let over = |lines: &Vec<String>| lines.last().is_some_and(|line| line == "the log ends");
-        let waits = |lines: &mut Vec<String>| !there(lines) && !over(lines);
-        let (lines, _) = self.log.1.wait_timeout_while(lines, TEST_TIMEOUT, waits).expect("sound");
+        let is_there = |lines: &Vec<String>| lines.iter().any(|line| line.contains(words));
+        let has_ended = |lines: &Vec<String>| lines.last().is_some_and(|line| line == "the log ends");
+        let is_missing = |lines: &mut Vec<String>| !is_there(lines) && !has_ended(lines);
+        let (lines, _) = self.log.1.wait_timeout_while(lines, TEST_TIMEOUT, is_missing).expect("sound");
         let found = lines.iter().find(|line| line.contains(words)).cloned();
         found.unwrap_or_else(|| panic!("no {words:?} in {lines:#?}"))
     }
 
+    /// Sends a signal, by its option of `kill`.
     pub fn signal(&self, name: &str) {
         let kill =
             Command::new("kill").args([name, &self.child.id().to_string()]).status().expect("kill runs");
@@ -175,6 +180,7 @@
         status.is_some_and(|status| status.success())
     }
 
+    /// Connects as a client.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.clients).expect("connected");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
@@ -184,7 +190,7 @@
 
 impl Drop for Gatherer {
     fn drop(&mut self) {
-        // Also where the test fails: no process outlives its test.
+        // Also where the test fails: no process outlives its test. One that has exited cannot be killed.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/common/process/worker.rs
+++ b/tests/common/process/worker.rs
@@ -9,27 +9,30 @@
 /// A worker that answers every part, and counts how often each was delivered.
 pub struct Worker {
     pub address: String,
+    /// Deliveries of each part, by its id.
     pub received: Arc<Mutex<HashMap<String, usize>>>,
     /// While this is set, no part is answered.
     pub paused: Arc<(Mutex<bool>, Condvar)>,
 }
 
 impl Worker {
+    /// Starts a worker on a port of its own.
     pub fn start() -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let worker = Worker { address, received: Arc::default(), paused: Arc::default() };
-        let (came, held) = (worker.received.clone(), worker.paused.clone());
+        let (received, paused) = (worker.received.clone(), worker.paused.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (came, held) = (came.clone(), held.clone());
-                thread::spawn(move || serve_frames(stream.expect("a connection"), &came, &held));
+                let (received, paused) = (received.clone(), paused.clone());
+                thread::spawn(move || serve_frames(stream.expect("a connection"), &received, &paused));
             }
         });
         worker
     }
-    pub fn set_paused(&self, held: bool) {
-        *self.paused.0.lock().expect("sound") = held;
+    /// Pauses the answers, or sends those that were held back.
+    pub fn set_paused(&self, paused: bool) {
+        *self.paused.0.lock().expect("sound") = paused;
         self.paused.1.notify_all();
     }
     /// Number of deliveries of parts.
@@ -42,10 +45,11 @@
     }
 }
 
+/// Answers the parts on one connection until it ends.
 fn serve_frames(
     mut stream: TcpStream,
-    came: &Mutex<HashMap<String, usize>>,
-    held: &(Mutex<bool>, Condvar),
+    received: &Mutex<HashMap<String, usize>>,
+    paused: &(Mutex<bool>, Condvar),
 ) -> Option<()> {
     loop {
         let text = String::from_utf8(read_frame(&mut stream).ok()?).expect("text");
@@ -53,9 +57,9 @@
             continue;
         }
         let id = text[1..].split(' ').next().expect("an id").to_owned();
-        *came.lock().expect("sound").entry(id.clone()).or_default() += 1;
-        let waiting = held.0.lock().expect("sound");
-        drop(held.1.wait_while(waiting, |held| *held).expect("sound"));
+        *received.lock().expect("sound").entry(id.clone()).or_default() += 1;
+        let is_paused = paused.0.lock().expect("sound");
+        drop(paused.1.wait_while(is_paused, |is_paused| *is_paused).expect("sound"));
         let answer = format!("q{id} good 5 util=0.1,queue=0\n5be2");
         write_frame(&mut stream, answer.as_bytes()).ok()?;
     }
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -32,23 +32,29 @@
     pub partitions: HashSet<(usize, usize)>,
 }
 
+/// The processes and their proxies; a member is named by its number.
 pub struct ProxiedFleet {
+    /// What all proxies do.
     pub faults: Arc<Mutex<NetworkFaults>>,
+    /// The process of each member; `None` while it does not run.
     pub members: Vec<Option<Gatherer>>,
+    /// The only worker.
     pub worker: Worker,
     pub discovery: Discovery,
     configs: Vec<Value>,
-    operators: Vec<String>,
+    operator_files: Vec<String>,
     /// The listener of each member's proxy. While it is `None`, connections are refused, as the member's machine would.
     proxy_listeners: Vec<Arc<Mutex<Option<TcpListener>>>>,
     proxy_addresses: Vec<SocketAddr>,
     folder: TempFolder,
 }
 
+/// The name of a member.
 fn name(id: usize) -> String {
     format!("g{id}")
 }
 
+/// The number of a member by its name.
 fn number(name: &str) -> usize {
     name[1..].parse().expect("a number")
 }
@@ -66,7 +72,7 @@
             worker,
             discovery,
             configs: Vec::new(),
-            operators: Vec::new(),
+            operator_files: Vec::new(),
             proxy_listeners: Vec::new(),
             proxy_addresses: Vec::new(),
             folder,
@@ -88,7 +94,7 @@
             config["settings"]["balancers"] = count.into();
             let seeds = [fleet.proxy_addresses[0].to_string(), fleet.proxy_addresses[1].to_string()];
             fleet.configs.push(config);
-            fleet.operators.push(format!(
+            fleet.operator_files.push(format!(
                 "[membership]\nlisten = \"{listen}\"\nadvertise = \"{}\"\ncluster = \"{CLUSTER}\"\nsecret = \"{SECRET}\"\n\
                  seeds = {seeds:?}\nperiod_ms = {PROBE_INTERVAL_MS}\nbury_ms = {SUSPICION_TIMEOUT_MS}\n",
                 fleet.proxy_addresses[id]
@@ -104,7 +110,7 @@
     pub fn start_member(&mut self, id: usize) {
         self.open_proxy(id);
         let gatherer =
-            Gatherer::start_with_operator_file(&self.folder, &self.configs[id], &self.operators[id]);
+            Gatherer::start_with_operator_file(&self.folder, &self.configs[id], &self.operator_files[id]);
         gatherer.wait_for_log(" serving on ");
         self.members[id] = Some(gatherer);
     }
@@ -119,6 +125,7 @@
         drop(self.members[id].take());
         self.close_proxy(id);
     }
+    /// Refuses connections to this member from now on.
     pub fn close_proxy(&self, id: usize) {
         *self.proxy_listeners[id].lock().expect("sound") = None;
         // Connecting ends the proxy's accept, which holds the port open.
@@ -128,19 +135,22 @@
     pub fn start_second_process(&self, id: usize) -> Gatherer {
         let mut config = self.configs[id].clone();
         config["operator"] = unused_address().into();
-        Gatherer::start_with_operator_file(&self.folder, &config, &self.operators[id])
+        Gatherer::start_with_operator_file(&self.folder, &config, &self.operator_files[id])
     }
+    /// The process of this member, which has to run.
     pub fn member(&self, id: usize) -> &Gatherer {
         self.members[id].as_ref().expect("it runs")
     }
+    /// The members that run.
     pub fn running(&self) -> Vec<usize> {
         (0..self.members.len()).filter(|id| self.members[*id].is_some()).collect()
     }
     /// Lets nothing pass from one group to the other.
     pub fn partition(&self, from: &[usize], to: &[usize]) {
-        let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b)));
+        let pairs = from.iter().flat_map(|sender| to.iter().map(move |receiver| (*sender, *receiver)));
         self.faults.lock().expect("sound").partitions.extend(pairs);
     }
+    /// Ends all faults.
     pub fn heal(&self) {
         *self.faults.lock().expect("sound") = NetworkFaults::default();
     }
@@ -153,10 +163,14 @@
     /// The state in which this member sees another; empty where it does not know it.
     pub fn state_seen_by(&self, id: usize, other: usize) -> String {
         let view = self.membership_status(id);
-        let row =
-            view["members"].as_array().expect("rows").iter().find(|row| row["name"] == name(other).as_str());
-        row.map_or(String::new(), |row| row["state"].as_str().expect("text").to_owned())
+        let member = view["members"]
+            .as_array()
+            .expect("a list")
+            .iter()
+            .find(|member| member["name"] == name(other).as_str());
+        member.map_or(String::new(), |member| member["state"].as_str().expect("text").to_owned())
     }
+    /// The fleet size by which this member computes its shares.
     pub fn fleet_size_seen_by(&self, id: usize) -> u64 {
         self.membership_status(id)["gatherers"].as_u64().expect("a number")
     }
@@ -187,17 +201,18 @@
     }
 }
 
+/// Passes datagrams on to a member, subject to the faults.
 fn proxy_datagrams(socket: UdpSocket, id: usize, to: SocketAddr, faults: Arc<Mutex<NetworkFaults>>) {
-    let seal = ClusterKey::new(CLUSTER, SECRET);
+    let key = ClusterKey::new(CLUSTER, SECRET);
     thread::spawn(move || {
         let mut bytes = [0; 2048];
         loop {
             let Ok(length) = socket.recv(&mut bytes) else { continue };
-            let sender = seal.decode_datagram(&bytes[..length]).map(|message| number(&message.from.name));
+            let sender = key.decode_datagram(&bytes[..length]).map(|message| number(&message.from.name));
             let copies = {
                 let faults = faults.lock().expect("sound");
-                let is_cut = sender.is_ok_and(|from| faults.partitions.contains(&(from, id)));
-                match is_cut || fastrand::f64() < faults.loss {
+                let is_partitioned = sender.is_ok_and(|from| faults.partitions.contains(&(from, id)));
+                match is_partitioned || fastrand::f64() < faults.loss {
                     true => 0,
                     false => 1 + usize::from(fastrand::f64() < faults.duplication),
                 }
@@ -241,9 +256,9 @@
 fn pass_tables(mut near: TcpStream, id: usize, to: SocketAddr, faults: &Mutex<NetworkFaults>) -> Option<()> {
     let request = read_frame(&mut near).ok()?;
     let from = number(&ClusterKey::new(CLUSTER, SECRET).decode(&request).expect("a member's").from.name);
-    let is_cut =
+    let is_partitioned =
         |partitions: &HashSet<_>| partitions.contains(&(from, id)) || partitions.contains(&(id, from));
-    if is_cut(&faults.lock().expect("sound").partitions) {
+    if is_partitioned(&faults.lock().expect("sound").partitions) {
         return None;
     }
     let mut far = TcpStream::connect(to).ok()?;
--- a/tests/common/simulated_fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -7,8 +7,10 @@
 };
 use std::collections::VecDeque;
 
+/// Aggregators of the fleet.
 pub const AGGREGATORS: u32 = 100;
 const WORKERS: u32 = 60;
+/// Zones, over which workers and aggregators are spread.
 pub const ZONES: u32 = 3;
 /// Milliseconds between two steps of the simulation.
 const STEP_MS: u64 = 10;
@@ -45,6 +47,7 @@
 }
 
 impl SimulatedFleet {
+    /// A fleet in which all workers answer.
     pub fn new(seed: u64, idempotency: Idempotency) -> SimulatedFleet {
         let endpoint = |id| Endpoint {
             zone: ZoneId(id % ZONES),
@@ -75,6 +78,7 @@
         }
     }
 
+    /// Changes what the chosen workers do from now on.
     pub fn set_behavior(&mut self, which: impl Fn(u32) -> bool, behavior: WorkerBehavior) {
         (0..WORKERS).filter(|id| which(*id)).for_each(|id| self.workers[id as usize] = behavior);
     }
