--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -79,33 +79,44 @@
         };
         let member_addresses: Vec<SocketAddr> =
             (0..count).map(|_| unused_address().parse().expect("an address")).collect();
-        for (id, to) in member_addresses.iter().enumerate() {
-            let listener = listen();
-            let address = listener.local_addr().expect("an address");
-            proxy_datagrams(UdpSocket::bind(address).expect("the same port"), id, *to, fleet.faults.clone());
-            let listener = Arc::new(Mutex::new(Some(listener)));
-            proxy_connections(listener.clone(), id, *to, fleet.faults.clone());
-            fleet.proxy_listeners.push(listener);
-            fleet.proxy_addresses.push(address);
+        for (id, address) in member_addresses.iter().enumerate() {
+            fleet.add_proxy(id, *address);
         }
-        for (id, listen) in member_addresses.iter().enumerate() {
-            let mut config = config(&fleet.discovery);
-            config["name"] = name(id).into();
-            config["settings"]["balancers"] = count.into();
-            let seeds = [fleet.proxy_addresses[0].to_string(), fleet.proxy_addresses[1].to_string()];
-            fleet.configs.push(config);
-            fleet.operator_files.push(format!(
-                "[membership]\nlisten = \"{listen}\"\nadvertise = \"{}\"\ncluster = \"{CLUSTER}\"\nsecret = \"{SECRET}\"\n\
-                 seeds = {seeds:?}\nperiod_ms = {PROBE_INTERVAL_MS}\nbury_ms = {SUSPICION_TIMEOUT_MS}\n",
-                fleet.proxy_addresses[id]
-            ));
-            fleet.members.push(None);
+        for (id, address) in member_addresses.iter().enumerate() {
+            fleet.add_member(id, *address, count);
         }
         (0..count).for_each(|id| fleet.start_member(id));
         fleet.wait_until_converged();
         fleet
     }
 
+    /// Starts the proxy of a member that will listen at this address.
+    fn add_proxy(&mut self, id: usize, member: SocketAddr) {
+        let listener = listen();
+        let address = listener.local_addr().expect("an address");
+        let socket = UdpSocket::bind(address).expect("the same port");
+        proxy_datagrams(socket, id, member, self.faults.clone());
+        let listener = Arc::new(Mutex::new(Some(listener)));
+        proxy_connections(listener.clone(), id, member, self.faults.clone());
+        self.proxy_listeners.push(listener);
+        self.proxy_addresses.push(address);
+    }
+
+    /// Adds the files of a member, which does not run yet.
+    fn add_member(&mut self, id: usize, listen: SocketAddr, count: usize) {
+        let mut config = config(&self.discovery);
+        config["name"] = name(id).into();
+        config["settings"]["balancers"] = count.into();
+        self.configs.push(config);
+        let seeds = [self.proxy_addresses[0].to_string(), self.proxy_addresses[1].to_string()];
+        self.operator_files.push(format!(
+            "[membership]\nlisten = \"{listen}\"\nadvertise = \"{}\"\ncluster = \"{CLUSTER}\"\nsecret = \"{SECRET}\"\n\
+             seeds = {seeds:?}\nperiod_ms = {PROBE_INTERVAL_MS}\nbury_ms = {SUSPICION_TIMEOUT_MS}\n",
+            self.proxy_addresses[id]
+        ));
+        self.members.push(None);
+    }
+
     /// Starts a process of this member, and opens its proxy.
     pub fn start_member(&mut self, id: usize) {
         self.open_proxy(id);
