--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -11,6 +11,7 @@
 
 const START: Time = Time(1_700_000_000_000_000_000);
 
+/// A core that has the list of both workers.
 fn core() -> Core {
     let config = platform_config();
     let mut core = Core::new(config.contracts);
@@ -19,6 +20,7 @@
     core
 }
 
+/// Applies an update of one worker, as from discovery.
 fn apply_status(core: &mut Core, now: Time, name: &str, status: EndpointStatus, started_at: Option<Time>) {
     let (address, zone) = (name.to_owned(), String::new());
     let worker =
@@ -57,14 +59,14 @@
     // A worker may have been restarted while it was disabled, which discovery lists only seconds later.
     let mut core = core();
     let warm = (0..200)
-        .filter(|at| submit(&mut core, START.after(Duration::from_millis(at * 20))) == ["w1"])
+        .filter(|number| submit(&mut core, START.after(Duration::from_millis(number * 20))) == ["w1"])
         .count();
     let now = START.after(Duration::from_secs(5));
     assert!(core.disable_worker(now, "w1") && core.disable_worker(now, "w1"));
     assert!((0..50).all(|_| submit(&mut core, now) == ["w2"]));
     assert!(core.enable_worker(now, "w1"));
     let enabled = (0..50_u64)
-        .filter(|at| submit(&mut core, now.after(Duration::from_millis(at * 20))) == ["w1"])
+        .filter(|number| submit(&mut core, now.after(Duration::from_millis(number * 20))) == ["w1"])
         .count();
     // The module assumes four cores at most, of which a worker that warms up carries a fifth to a fourth; 0.6 x 2.5 times
     // that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker receives 27.
@@ -85,18 +87,18 @@
         });
         states.collect::<Vec<_>>()
     };
-    let state = |state| vec![("w1".to_owned(), state)];
+    let only_w1 = |state| vec![("w1".to_owned(), state)];
     assert!(core.disable_worker(START, "w1") && core.disable_worker(START, "w1"));
     assert_eq!(
         recorded(&mut core),
-        state(RecordedWorkerState::Disabled),
+        only_w1(RecordedWorkerState::Disabled),
         "once, however often it is requested"
     );
     // What discovery sends meanwhile changes nothing.
     apply_status(&mut core, START, "w1", EndpointStatus::Active, Some(START));
     assert_eq!(recorded(&mut core), []);
     assert!(core.enable_worker(START, "w1"));
-    assert_eq!(recorded(&mut core), state(RecordedWorkerState::WarmingUp));
+    assert_eq!(recorded(&mut core), only_w1(RecordedWorkerState::WarmingUp));
 }
 
 proptest! {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -36,6 +36,7 @@
 /// The longest wait of a test, in virtual time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// Whether and how discovery responds.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoveryState {
     Up,
@@ -62,6 +63,7 @@
 }
 
 impl Discovery {
+    /// One that is up and has revision 1.
     fn new() -> Rc<Discovery> {
         Rc::new(Discovery {
             state: Cell::new(DiscoveryState::Up),
@@ -131,6 +133,7 @@
         format!(r#"{{"revision":{revision},"complete":{},"members":[{members}]}}"#, held.is_none())
     }
 
+    /// Answers the polls of one connection.
     async fn serve(self: Rc<Discovery>, mut stream: DuplexStream) {
         let mut buffer = BytesMut::new();
         loop {
@@ -154,6 +157,7 @@
     }
 }
 
+/// Connects to discovery, whatever the address.
 struct Network(Rc<Discovery>);
 
 impl Connector for Network {
@@ -168,36 +172,36 @@
 }
 
 /// Starts one of several gatherers, with the list of revision 1.
-fn gatherer(seed: u64, gatherers: u32, discovery: &Rc<Discovery>) -> Broker {
+fn start_gatherer(seed: u64, gatherers: u32, discovery: &Rc<Discovery>) -> Broker {
     let mut json = platform_json();
     json["settings"]["balancers"] = gatherers.into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-    let known = config.initial_workers.expect("a list");
-    broker.apply_endpoint_update(&known, true);
-    let (network, watching) = (Network(discovery.clone()), broker.clone());
+    let list = config.initial_workers.expect("a list");
+    broker.apply_endpoint_update(&list, true);
+    let (network, following) = (Network(discovery.clone()), broker.clone());
     spawn_local(async move {
         let descriptor_pool =
             DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         // The sender stays: discovery does not move.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
-        discovery::follow(&network, address, Some(known.revision), &watching, &descriptor_pool, backoff)
+        discovery::follow(&network, address, Some(list.revision), &following, &descriptor_pool, backoff)
             .await;
     });
     broker
 }
 
 /// Whether it knows that `w1` is draining.
-fn knows(broker: &Broker) -> bool {
+fn knows_of_the_change(broker: &Broker) -> bool {
     let list = broker.with_core(|core| core.endpoint_list());
     list.workers.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
-/// Waits until all gatherers know; returns how long that took.
-async fn all_know(gatherers: &[Broker]) -> Duration {
+/// Waits until all gatherers know that `w1` is draining; returns how long that took.
+async fn wait_until_all_know(gatherers: &[Broker]) -> Duration {
     let since = Instant::now();
-    while !gatherers.iter().all(knows) {
+    while !gatherers.iter().all(knows_of_the_change) {
         assert!(since.elapsed() < TEST_TIMEOUT, "waited in vain");
         sleep(Duration::from_millis(5)).await;
     }
@@ -205,13 +209,16 @@
 }
 
 /// Runs a number of gatherers beside one discovery, once for each seed.
-fn each_seed<F: Future<Output = ()>>(gatherers: u32, main: impl Fn(u64, Rc<Discovery>, Vec<Broker>) -> F) {
+fn run_with_each_seed<F: Future<Output = ()>>(
+    gatherers: u32,
+    main: impl Fn(u64, Rc<Discovery>, Vec<Broker>) -> F,
+) {
     for seed in 0..20 {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let discovery = Discovery::new();
-            let own = |id: u32| seed << 32 | u64::from(id);
-            let all = (0..gatherers).map(|id| gatherer(own(id), gatherers, &discovery)).collect();
+            let seed_of = |id: u32| seed << 32 | u64::from(id);
+            let all = (0..gatherers).map(|id| start_gatherer(seed_of(id), gatherers, &discovery)).collect();
             main(seed, discovery, all).await;
         });
     }
@@ -220,14 +227,14 @@
 #[test]
 fn a_change_is_known_before_it_counts_as_notified_however_long_discovery_was_down() {
     for gatherers in 2..=6 {
-        for down in [DiscoveryState::Unavailable, DiscoveryState::Resetting] {
-            each_seed(gatherers, |seed, discovery, all| async move {
+        for outage in [DiscoveryState::Unavailable, DiscoveryState::Resetting] {
+            run_with_each_seed(gatherers, |seed, discovery, all| async move {
                 sleep(Duration::from_secs(2)).await;
-                discovery.set_state(down);
+                discovery.set_state(outage);
                 sleep(Duration::from_millis(30_000 + 100 * seed)).await;
                 discovery.publish_draining();
                 discovery.set_state(DiscoveryState::Up);
-                let took = all_know(&all).await;
+                let took = wait_until_all_know(&all).await;
                 assert!(took < NOTIFIED_AFTER, "{gatherers} gatherers, seed {seed}: {took:?}");
             });
         }
@@ -237,7 +244,7 @@
 #[test]
 fn a_long_poll_follows_within_200_ms_of_a_response_also_on_a_new_connection() {
     for closes in [false, true] {
-        each_seed(1, |seed, discovery, _all| async move {
+        run_with_each_seed(1, |seed, discovery, _all| async move {
             discovery.closes.set(closes);
             sleep(Duration::from_secs(40)).await;
             let (polls, responses) = (discovery.polls.borrow(), discovery.responses.borrow());
@@ -254,18 +261,18 @@
 #[test]
 fn a_change_missed_by_an_unanswered_long_poll_is_known_2_s_after_its_timeout() {
     for gatherers in [1, 3, 6] {
-        each_seed(gatherers, |seed, discovery, all| async move {
+        run_with_each_seed(gatherers, |seed, discovery, all| async move {
             // Every gatherer's long poll is in flight, and gets no response.
             discovery.unresponsive.set(true);
             sleep(Duration::from_secs(3)).await;
             discovery.unresponsive.set(false);
             let wait = Backoff::new(0, gatherers, MAX_POLL_INTERVAL).long_poll_timeout();
-            let begun = discovery.polls.borrow().iter().copied().min().expect("a call");
-            let before = Instant::now() - begun;
+            let first = discovery.polls.borrow().iter().copied().min().expect("a poll");
+            let before = Instant::now() - first;
             discovery.publish_draining();
-            let took = all_know(&all).await + before;
+            let took = wait_until_all_know(&all).await + before;
             let last = discovery.polls.borrow().iter().take(gatherers as usize).copied().max();
-            let spread = last.expect("a call") - begun;
+            let spread = last.expect("a poll") - first;
             assert!(took <= spread + wait + Duration::from_secs(2), "seed {seed}: {took:?}");
         });
     }
@@ -273,9 +280,9 @@
 
 #[test]
 fn gatherers_that_start_together_have_all_polled_in_time() {
-    each_seed(6, |seed, discovery, all| async move {
+    run_with_each_seed(6, |seed, discovery, all| async move {
         discovery.publish_draining();
-        let took = all_know(&all).await;
+        let took = wait_until_all_know(&all).await;
         assert!(took < NOTIFIED_AFTER.min(MAX_POLL_INTERVAL), "seed {seed}: {took:?}");
         sleep(Duration::from_secs(1)).await;
         assert_eq!(discovery.polls.borrow().len(), 12, "one poll for what has changed, then a long poll");
@@ -352,11 +359,11 @@
 fn a_worker_that_started_in_the_future_by_a_stepped_clock_warms_up_in_time() {
     // The wall clock was stepped back as this process started: every worker would stay in slow start for an hour.
     let config = platform_config();
-    let (mut core, begun) = (Core::new(config.contracts), Time(1 << 60));
+    let (mut core, start) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
     let mut list = config.initial_workers.expect("a list");
     list.workers.truncate(1);
-    list.workers[0].started_at = Some(begun.after(Duration::from_secs(3600)));
+    list.workers[0].started_at = Some(start.after(Duration::from_secs(3600)));
     let state = |core: &mut Core| {
         core.record_events
             .drain(..)
@@ -366,13 +373,13 @@
             })
             .next_back()
     };
-    core.apply_endpoint_update(begun, &list, false);
+    core.apply_endpoint_update(start, &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
     let warm_up = core.contracts().settings.warm_up;
-    core.apply_endpoint_update(begun.after(warm_up), &list, false);
+    core.apply_endpoint_update(start.after(warm_up), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
     // A later start begins the warm-up again.
-    list.workers[0].started_at = Some(begun.after(Duration::from_secs(3700)));
-    core.apply_endpoint_update(begun.after(warm_up * 2), &list, false);
+    list.workers[0].started_at = Some(start.after(Duration::from_secs(3700)));
+    core.apply_endpoint_update(start.after(warm_up * 2), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -25,10 +25,10 @@
     gatherer.wait_for_log("discovery at");
     std::fs::write(&switch, "").expect("written");
     let mut client = gatherer.connect();
-    for at in 0..QUERIES {
-        let class = if at % 2 == 0 { "search" } else { "seal" };
-        query(&mut client, &format!("a{at}"), class).expect("written");
-        assert_eq!(response(&mut client).expect("an answer").status, 200, "query {at}");
+    for number in 0..QUERIES {
+        let class = if number % 2 == 0 { "search" } else { "seal" };
+        query(&mut client, &format!("a{number}"), class).expect("written");
+        assert_eq!(response(&mut client).expect("an answer").status, 200, "query {number}");
     }
     assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (QUERIES, 1));
     std::fs::remove_file(&switch).expect("removed");
@@ -85,13 +85,13 @@
 fn a_successor_finds_a_predecessor_that_is_out_of_descriptors_for_a_while() {
     let (folder, worker) = (TempFolder::new("starved"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
-    let (switch, first) = (folder.0.join("faults"), config(&discovery));
-    let mut second = first.clone();
-    second["operator"] = unused_address().into();
-    let first = Gatherer::start_with_faults(&folder, &first, "seed=4,accept=1", Some(&switch));
+    let (switch, first_config) = (folder.0.join("faults"), config(&discovery));
+    let mut second_config = first_config.clone();
+    second_config["operator"] = unused_address().into();
+    let first = Gatherer::start_with_faults(&folder, &first_config, "seed=4,accept=1", Some(&switch));
     first.wait_for_log(" serving on ");
     std::fs::write(&switch, "").expect("written");
-    let second = Gatherer::start_without_waiting(&folder, &second);
+    let second = Gatherer::start_without_waiting(&folder, &second_config);
     // Longer than one answer may take.
     thread::sleep(Duration::from_millis(2500));
     std::fs::remove_file(&switch).expect("removed");
@@ -147,9 +147,12 @@
         .write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
         .expect("written");
     thread::sleep(Duration::from_millis(600));
-    let left = Duration::from_millis(1500).saturating_sub(sent.elapsed());
+    let time_left = Duration::from_millis(1500).saturating_sub(sent.elapsed());
     std::fs::remove_file(&switch).expect("removed");
     let deadline =
         Duration::from_millis(deadline.recv_timeout(Duration::from_secs(30)).expect("the part comes"));
-    assert!(deadline <= left + Duration::from_millis(150), "given {deadline:?} where {left:?} were left");
+    assert!(
+        deadline <= time_left + Duration::from_millis(150),
+        "given {deadline:?} where {time_left:?} were left"
+    );
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -14,10 +14,12 @@
 
 const START: Time = Time(1_700_000_000_000_000_000);
 
-fn after(ms: u64) -> Time {
-    START.after(Duration::from_millis(ms))
+/// The time so many milliseconds after the start.
+fn after(milliseconds: u64) -> Time {
+    START.after(Duration::from_millis(milliseconds))
 }
 
+/// The list of two workers with these starts.
 fn list(started_at: [Option<Time>; 2]) -> WorkerListUpdate {
     let worker = |(name, started_at): (&str, Option<Time>)| ListedWorker {
         name: name.to_owned(),
@@ -35,6 +37,7 @@
     }
 }
 
+/// The core of one of so many processes.
 fn core(processes: u32, started_at: [Option<Time>; 2]) -> Core {
     let mut core = Core::new(platform_config().contracts);
     core.set_process_count(processes);
@@ -43,9 +46,9 @@
     core
 }
 
-/// Submits a query with one part of 0.2 s and completes its attempts at once; at a worker that is down the connection
+/// Submits a query with one part of 0.2 s and completes its attempts at once; at an unreachable worker the connection
 /// fails. Returns the names of the workers that received an attempt.
-fn submit(core: &mut Core, now: Time, down: &str) -> Vec<String> {
+fn submit(core: &mut Core, now: Time, unreachable: &str) -> Vec<String> {
     let part = single_part(Some(Duration::from_millis(200)));
     let request = search_request(ClassId(0), vec![part]);
     core.submit(now, request).expect("it is accepted");
@@ -55,7 +58,7 @@
             let Command::Call { worker, parts } = command else { continue };
             let name = core.worker_name(worker).expect("a name").to_owned();
             let outcome =
-                if name == down { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded };
+                if name == unreachable { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Succeeded };
             parts.iter().for_each(|part| {
                 core.on_attempt_finished(now, part.attempt_id, AttemptCompletion::without_value(outcome))
             });
@@ -82,6 +85,7 @@
     }
 }
 
+/// The core of a second process that takes over this state.
 fn successor(state: TakeoverState, now: Time) -> Core {
     let mut core = Core::new(platform_config().contracts);
     core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot);
@@ -94,9 +98,9 @@
     // The slow-start budget holds for the gatherer, so both processes of an upgrade share one.
     let sent_by = |processes: u32| {
         let mut cores: Vec<Core> = (0..processes).map(|_| core(processes, [Some(START), None])).collect();
-        (0..150_u64).fold(0, |sent, at| {
+        (0..150_u64).fold(0, |sent, number| {
             let count = cores.len();
-            let tried = submit(&mut cores[at as usize % count], after(at * 10), "");
+            let tried = submit(&mut cores[number as usize % count], after(number * 10), "");
             sent + tried.iter().filter(|name| *name == "w1").count()
         })
     };
@@ -108,22 +112,24 @@
 fn a_successor_keeps_the_workers_ejected_that_its_predecessor_ejected() {
     let mut first = core(1, [None, None]);
     // A worker that accepts no connection is ejected.
-    let tried: Vec<String> = (0..20).flat_map(|at| submit(&mut first, after(at * 20), "w1")).collect();
+    let tried: Vec<String> =
+        (0..20).flat_map(|number| submit(&mut first, after(number * 20), "w1")).collect();
     assert!(tried.iter().any(|name| name == "w1"));
     assert_eq!(first.avoided_workers(), 1);
     let mut second = successor(handed_over(&first), after(400));
     assert_eq!(second.avoided_workers(), 1);
-    assert!((0..20).all(|at| submit(&mut second, after(400 + at * 5), "w1") == ["w2"]));
+    assert!((0..20).all(|number| submit(&mut second, after(400 + number * 5), "w1") == ["w2"]));
     // A process without a snapshot has to eject it anew.
     let mut fresh = core(1, [None, None]);
-    let tried: Vec<String> = (0..20).flat_map(|at| submit(&mut fresh, after(400 + at * 5), "w1")).collect();
+    let tried: Vec<String> =
+        (0..20).flat_map(|number| submit(&mut fresh, after(400 + number * 5), "w1")).collect();
     assert!(tried.iter().any(|name| name == "w1"));
 }
 
 #[test]
 fn the_snapshot_of_a_restarted_worker_is_discarded() {
     let mut first = core(1, [None, None]);
-    (0..20).for_each(|at| drop(submit(&mut first, after(at * 20), "w1")));
+    (0..20).for_each(|number| drop(submit(&mut first, after(number * 20), "w1")));
     let mut state = handed_over(&first);
     state.list = list([Some(after(300)), None]);
     assert_eq!((first.avoided_workers(), successor(state, after(400)).avoided_workers()), (1, 0));
@@ -136,20 +142,20 @@
         limit in 128..600_usize,
     ) {
         let classes = [DescriptorClass::Clients, DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files, DescriptorClass::Operators];
-        let mut all = DescriptorAllocator::new(DescriptorBudget::new(limit, 20, 8).expect("enough"));
+        let mut descriptors = DescriptorAllocator::new(DescriptorBudget::new(limit, 20, 8).expect("enough"));
         for class in acquired {
             // It fails where all are in use.
-            let _ = all.acquire(classes[class]);
+            let _ = descriptors.acquire(classes[class]);
         }
-        all.set_budget(DescriptorBudget::new(limit / 2, 20, 8).expect("enough"));
+        descriptors.set_budget(DescriptorBudget::new(limit / 2, 20, 8).expect("enough"));
         // Every class lends: descriptors are reclaimed one at a time until half of them are in use.
-        while all.excess() > 0 {
-            let before = all.excess();
-            let class = all.class_to_reclaim_from().expect("a class holds more than its floor");
-            prop_assert!(all.held(class) > all.budget().floors[class as usize]);
-            prop_assert!(all.acquire(class).is_err(), "no class gets more meanwhile");
-            all.release(class);
-            prop_assert_eq!(all.excess(), before - 1);
+        while descriptors.excess() > 0 {
+            let before = descriptors.excess();
+            let class = descriptors.class_to_reclaim_from().expect("a class holds more than its floor");
+            prop_assert!(descriptors.held(class) > descriptors.budget().floors[class as usize]);
+            prop_assert!(descriptors.acquire(class).is_err(), "no class gets more meanwhile");
+            descriptors.release(class);
+            prop_assert_eq!(descriptors.excess(), before - 1);
         }
     }
 }
--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -25,13 +25,13 @@
         }
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let end = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let mut stream = tokio::net::TcpStream::connect(address).await.expect("connected");
         let request = http::encode_request("GET", "/list", "x", None);
         exchange(&mut stream, &mut BytesMut::new(), &request, 100).await
     });
     server.join().expect("it ends");
-    end.map(|response| String::from_utf8(response.body.to_vec()).expect("text"))
+    result.map(|response| String::from_utf8(response.body.to_vec()).expect("text"))
 }
 
 #[test]
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -60,7 +60,7 @@
 impl Gatherer {
     fn start(folder: &Path, name: &str, workers: &[String]) -> Gatherer {
         let mut config = platform_json();
-        let member = |(at, address): (usize, &String)| json!({"id": format!("w{at}"), "host_port": address, "cell": 0, "phase": "SERVING"});
+        let member = |(number, address): (usize, &String)| json!({"id": format!("w{number}"), "host_port": address, "cell": 0, "phase": "SERVING"});
         let members: Vec<Value> = workers.iter().enumerate().map(member).collect();
         config["name"] = name.into();
         config["known"] = json!({"revision": 1, "complete": true, "members": members});
@@ -85,6 +85,7 @@
     }
 }
 
+/// A query of four parts.
 fn request(id: &str) -> Vec<u8> {
     let part = |shard: u32| format!(r#"{{"range":{shard},"portion":0.25}}"#);
     let parts: Vec<String> = (0..4).map(part).collect();
@@ -123,6 +124,7 @@
     });
 }
 
+/// The report on these records.
 fn report(records: &Path) -> Value {
     let run = Command::new(PROGRAM).args(["report", "--json", "--step", "1"]).arg(records).output();
     let run = run.expect("it runs");
@@ -178,13 +180,13 @@
     assert_eq!((count("whole_in_time"), count("unknown")), (sent - 1, 1), "{counts}");
     assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(count), [0; 5], "{counts}");
     // The time steps add up to the same.
-    let of_step = |step: &Value| {
+    let received_in = |step: &Value| {
         step["classes"]["search"].as_object().map_or(0, |tenants| {
             tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
         })
     };
     let steps = report["steps"].as_array().expect("steps");
-    assert_eq!(steps.iter().map(of_step).sum::<u64>() as usize, sent);
+    assert_eq!(steps.iter().map(received_in).sum::<u64>() as usize, sent);
     let findings = report["findings"].as_array().expect("findings");
     let mut found: Vec<&str> =
         findings.iter().map(|finding| finding["what"].as_str().expect("text")).collect();
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -26,13 +26,14 @@
         Box::pin(async move {
             self.0.borrow_mut().push(address.to_owned());
             let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(answer(far));
+            spawn_local(serve_searches(far));
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-async fn answer(mut stream: DuplexStream) {
+/// Answers every search on a connection with no hits.
+async fn serve_searches(mut stream: DuplexStream) {
     let result = r#"{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},"hits":{"total":{"value":0,"relation":"eq"},"max_score":null,"hits":[]}}"#;
     let mut buffer = BytesMut::new();
     while matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
@@ -53,6 +54,7 @@
     broker.submit(request).await
 }
 
+/// Runs with one index server.
 fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<AnsweringServers>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -2,6 +2,7 @@
 
 use std::process::{Command, Output};
 
+/// Runs the check on a list with this text, or without a list.
 fn check(text: Option<&str>) -> Output {
     let file = std::env::temp_dir().join(format!("clayshore-known-red-{}.txt", std::process::id()));
     match text {
@@ -9,17 +10,17 @@
         None => drop(std::fs::remove_file(&file)),
     }
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red");
-    let said = Command::new(script).arg(&file).output().expect("it runs");
+    let output = Command::new(script).arg(&file).output().expect("it runs");
     drop(std::fs::remove_file(&file));
-    said
+    output
 }
 
 #[test]
 fn a_list_names_three_tests_at_most_each_with_cause_and_issue() {
     let names = |text: Option<&str>| {
-        let said = check(text);
-        assert!(said.status.success(), "{}", String::from_utf8_lossy(&said.stderr));
-        String::from_utf8(said.stdout).expect("text")
+        let output = check(text);
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        String::from_utf8(output.stdout).expect("text")
     };
     assert_eq!(names(None), "");
     assert_eq!(names(Some("a::b | it waits in vain | 28\nc | lost at the end | issue 9")), "a::b\nc\n");
@@ -33,8 +34,8 @@
         (format!("{line}\n"), "line 2: expected"),
     ];
     for (text, fault) in cases {
-        let said = check(Some(&text));
-        let words = String::from_utf8(said.stderr).expect("text");
-        assert!(!said.status.success() && words.contains(fault), "{text:?}: {words}");
+        let output = check(Some(&text));
+        let words = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && words.contains(fault), "{text:?}: {words}");
     }
 }
--- a/tests/machine_usage.rs
+++ b/tests/machine_usage.rs
@@ -15,8 +15,8 @@
     let mut table = "machine_id,time_stamp,cpu_util_percent,mem_util_percent\n".to_owned();
     for second in 0..30 {
         for machine in ["w1", "w2"] {
-            let share = if machine == busy { 95 } else { 5 };
-            let written = writeln!(table, "{machine},{second},{share},40");
+            let percent = if machine == busy { 95 } else { 5 };
+            let written = writeln!(table, "{machine},{second},{percent},40");
             assert!(written.is_ok());
         }
     }
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -12,12 +12,12 @@
 
 const MEMBERS: usize = 6;
 
-fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 /// A configuration that generates the same cases each time.
-fn fixed(cases: u32) -> ProptestConfig {
+fn fixed_cases(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(23);
     ProptestConfig {
         cases,
@@ -35,18 +35,19 @@
     Partition { from: usize, to: usize, both_ways: bool },
     Restart { member: usize, down_ms: u64 },
     Upgrade { member: usize, gap_ms: u64 },
-    Loss { share: f64 },
+    Loss { fraction: f64 },
     Heal,
 }
 
-fn fault() -> impl Strategy<Value = Fault> {
+/// A random fault.
+fn any_fault() -> impl Strategy<Value = Fault> {
     let member = 0..MEMBERS;
     prop_oneof![
         3 => (member.clone(), 50..1900_u64).prop_map(|(member, ms)| Fault::Pause { member, ms }),
         3 => (member.clone(), member.clone(), any::<bool>()).prop_map(|(from, to, both_ways)| Fault::Partition { from, to, both_ways }),
         2 => (member.clone(), 0..3000_u64).prop_map(|(member, down_ms)| Fault::Restart { member, down_ms }),
         1 => (member, 0..900_u64).prop_map(|(member, gap_ms)| Fault::Upgrade { member, gap_ms }),
-        1 => (0.0..0.2_f64).prop_map(|share| Fault::Loss { share }),
+        1 => (0.0..0.2_f64).prop_map(|fraction| Fault::Loss { fraction }),
         1 => Just(Fault::Heal),
     ]
 }
@@ -75,8 +76,8 @@
                 simulation.advance(ms(*gap_ms));
                 simulation.start(*member);
             }
-            Fault::Loss { share } => {
-                simulation.faults = NetworkFaults { loss: *share, duplicated: 0.1, delayed: 0.05 }
+            Fault::Loss { fraction } => {
+                simulation.faults = NetworkFaults { loss: *fraction, duplicated: 0.1, delayed: 0.05 }
             }
             Fault::Heal => simulation.partitions.clear(),
         }
@@ -86,10 +87,10 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(200))]
+    #![proptest_config(fixed_cases(200))]
     #[test]
     fn inside_the_bounds_no_running_member_is_declared_dead_and_all_converge_again(
-        seed in 0..1_000_000_u64, faults in prop::collection::vec((fault(), 0..4000_u64), 1..5),
+        seed in 0..1_000_000_u64, faults in prop::collection::vec((any_fault(), 0..4000_u64), 1..5),
     ) {
         let mut simulation = simulate(seed, &faults);
         (simulation.faults, simulation.partitions) = (NetworkFaults::default(), Default::default());
@@ -107,7 +108,7 @@
 
 #[test]
 fn without_the_isolation_guard_a_partitioned_member_declares_the_fleet_dead() {
-    let cut_off = |timing: Timing| {
+    let declared_dead_by_isolated = |timing: Timing| {
         let mut simulation = Members::of_nodes(MEMBERS, 5, timing);
         simulation.partition(|id| id == 0, |_| true);
         simulation.partition(|_| true, |id| id == 0);
@@ -115,15 +116,18 @@
         false_positives_by(&simulation, 0)
     };
     let never = Duration::from_secs(86_400);
-    assert_eq!(cut_off(Timing::default()), 0);
-    assert_eq!(cut_off(Timing { isolation_timeout: never, ..Timing::default() }), MEMBERS - 1);
+    assert_eq!(declared_dead_by_isolated(Timing::default()), 0);
+    assert_eq!(
+        declared_dead_by_isolated(Timing { isolation_timeout: never, ..Timing::default() }),
+        MEMBERS - 1
+    );
 }
 
 #[test]
 fn without_the_pause_guard_a_resumed_member_declares_one_dead_that_answered_meanwhile() {
     // One member is suspected; another is paused until long after the first has answered, and reads a message of a third
     // before it runs its timers.
-    let paused = |timing: Timing| -> usize {
+    let declared_dead_by_resumed = |timing: Timing| -> usize {
         let false_positives = (0..8).map(|seed| {
             let mut simulation = Members::of_nodes(MEMBERS, seed, timing);
             simulation.pause(1, ms(5000));
@@ -138,12 +142,12 @@
         false_positives.sum()
     };
     let never = Duration::from_secs(86_400);
-    assert_eq!(paused(Timing::default()), 0);
-    assert!(paused(Timing { pause_threshold: never, ..Timing::default() }) > 0);
+    assert_eq!(declared_dead_by_resumed(Timing::default()), 0);
+    assert!(declared_dead_by_resumed(Timing { pause_threshold: never, ..Timing::default() }) > 0);
 }
 
 /// Updates about a member that no member reported.
-fn forged() -> impl Strategy<Value = MemberUpdate> {
+fn forged_update() -> impl Strategy<Value = MemberUpdate> {
     let start = prop_oneof![
         2 => Just(None),
         1 => (0..200_u64).prop_map(Some),
@@ -172,10 +176,10 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(100))]
+    #![proptest_config(fixed_cases(100))]
     #[test]
     fn forged_updates_are_refuted_and_all_running_members_are_present_again(
-        forgeries in prop::collection::vec((0..MEMBERS, forged(), forged(), 0..900_u64), 1..12),
+        forgeries in prop::collection::vec((0..MEMBERS, forged_update(), forged_update(), 0..900_u64), 1..12),
     ) {
         let mut simulation = Members::of_nodes(MEMBERS, 1, Timing::default());
         let starts: Vec<u64> = (0..MEMBERS).filter_map(|id| Some(simulation.node(id)?.own().start)).collect();
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -11,6 +11,7 @@
 /// Messages that are each lost or delivered: all patterns are run.
 const MESSAGES: u32 = 7;
 
+/// What all patterns of loss gave.
 struct Explored {
     runs: usize,
     /// Different histories: which member reported which state of which other, in order.
@@ -24,7 +25,7 @@
         let mut simulation = Members::of_nodes(members, 3, Timing::default());
         simulation.reports.clear();
         fault(&mut simulation);
-        simulation.scripted_losses = (0..MESSAGES).map(|at| pattern >> at & 1 == 1).collect();
+        simulation.scripted_losses = (0..MESSAGES).map(|message| pattern >> message & 1 == 1).collect();
         check(&mut simulation, &format!("pattern {pattern:07b}"));
         explored.runs += 1;
         let history = simulation
@@ -36,7 +37,8 @@
     explored
 }
 
-fn dead_to_all(simulation: &Members, id: usize) -> bool {
+/// Whether all running members observe this one as dead or failed.
+fn is_dead_to_all(simulation: &Members, id: usize) -> bool {
     simulation.living().all(|by| {
         matches!(simulation.observed_state(by, id), Some(ObservedState::Dead | ObservedState::Failed))
     })
@@ -45,7 +47,8 @@
 #[test]
 fn a_crash_is_detected_without_a_false_positive_whatever_is_lost() {
     let check = |simulation: &mut Members, pattern: &str| {
-        let detected = simulation.run_until(Duration::from_secs(6), |simulation| dead_to_all(simulation, 2));
+        let detected =
+            simulation.run_until(Duration::from_secs(6), |simulation| is_dead_to_all(simulation, 2));
         assert!(detected.is_some(), "{pattern}: {:?}", simulation.reports);
         assert!(simulation.false_positives().is_empty(), "{pattern}");
         assert!(
@@ -75,7 +78,8 @@
         simulation.kill(2);
     };
     let detects_crash = |simulation: &mut Members, pattern: &str| {
-        let detected = simulation.run_until(Duration::from_secs(8), |simulation| dead_to_all(simulation, 2));
+        let detected =
+            simulation.run_until(Duration::from_secs(8), |simulation| is_dead_to_all(simulation, 2));
         assert!(
             detected.is_some() && simulation.false_positives().is_empty(),
             "{pattern}: {:?}",
--- a/tests/membership_processes.rs
+++ b/tests/membership_processes.rs
@@ -108,59 +108,59 @@
 #[test]
 fn both_processes_of_an_upgrade_are_one_member_and_a_stopped_one_has_left() {
     let mut fleet = ProxiedFleet::start("upgraded", 5);
-    let start = |fleet: &ProxiedFleet| {
-        let view = fleet.membership_status(0);
-        let rows = view["members"].as_array().expect("rows").clone();
-        rows.iter().find(|row| row["name"] == "g2").expect("listed")["start"].as_u64()
+    let start_of_g2 = |fleet: &ProxiedFleet| {
+        let status = fleet.membership_status(0);
+        let members = status["members"].as_array().expect("a list").clone();
+        members.iter().find(|member| member["name"] == "g2").expect("listed")["start"].as_u64()
     };
-    let before = start(&fleet);
+    let before = start_of_g2(&fleet);
     let second = fleet.start_second_process(2);
     second.wait_for_log(" serving on ");
     let mut first = fleet.members[2].replace(second).expect("it runs");
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    wait_until("the second's start", || start(&fleet) > before);
+    wait_until("the second's start", || start_of_g2(&fleet) > before);
     fleet.wait_until_converged();
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
     // A planned stop is announced and needs no proof.
-    let mut last = fleet.members[4].take().expect("it runs");
-    last.signal("-TERM");
+    let mut stopped = fleet.members[4].take().expect("it runs");
+    stopped.signal("-TERM");
     for id in 0..4 {
         wait_until("left", || fleet.state_seen_by(id, 4) == "left");
         assert_eq!(fleet.fleet_size_seen_by(id), 4);
     }
-    assert!(last.wait_for_exit());
+    assert!(stopped.wait_for_exit());
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
 }
 
 #[test]
 fn foreign_datagrams_are_counted_without_effect_and_operators_see_all_members() {
     let fleet = ProxiedFleet::start("strangers", 5);
-    let view = fleet.membership_status(0);
-    let address = view["own"]["address"].as_str().expect("an address").to_owned();
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let status = fleet.membership_status(0);
+    let address = status["own"]["address"].as_str().expect("an address").to_owned();
+    let foreign_socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let long = [0; 1400];
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"clym\x07later", b"clym\x01short", &long] {
-        stranger.send_to(bytes, &address).expect("sent");
+        foreign_socket.send_to(bytes, &address).expect("sent");
     }
-    for why in ["foreign", "version", "seal", "length"] {
-        wait_until(why, || fleet.membership_status(0)["refused"][why].as_u64() == Some(1));
+    for reason in ["foreign", "version", "seal", "length"] {
+        wait_until(reason, || fleet.membership_status(0)["refused"][reason].as_u64() == Some(1));
     }
     fleet.wait_until_converged();
-    let run = |extra: &[&str]| {
+    let run_members_command = |options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
-        let out =
-            command.args(["members", &fleet.member(0).operators]).args(extra).output().expect("it runs");
-        assert!(out.status.success(), "{out:?}");
-        String::from_utf8(out.stdout).expect("text")
+        let output =
+            command.args(["members", &fleet.member(0).operators]).args(options).output().expect("it runs");
+        assert!(output.status.success(), "{output:?}");
+        String::from_utf8(output.stdout).expect("text")
     };
-    let text = run(&[]);
+    let text = run_members_command(&[]);
     assert!(
         text.starts_with("5 gatherers share the fleet\n") && text.contains("not taken, seal: 1"),
         "{text}"
     );
     assert_eq!(text.lines().filter(|line| line.starts_with('g')).count(), 5, "{text}");
-    let json: serde_json::Value = serde_json::from_str(&run(&["--json"])).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&run_members_command(&["--json"])).expect("JSON");
     assert_eq!(json["members"].as_array().map(Vec::len), Some(4));
     // Another method is rejected.
     assert_eq!(call_operator_api(&fleet.member(0).operators, "PUT", "/-/members").0, 405);
@@ -173,13 +173,16 @@
     let (folder, worker) = (TempFolder::new("peers"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let seed = listen();
-    let at = seed.local_addr().expect("an address");
-    let datagrams = UdpSocket::bind(at).expect("the same port");
+    let seed_address = seed.local_addr().expect("an address");
+    let datagrams = UdpSocket::bind(seed_address).expect("the same port");
     let mut config = config(&discovery);
     config["settings"]["allowed"]["may-tell"] = true.into();
-    (config["peer_listen"], config["peers"]) = (unused_address().into(), vec![at.to_string()].into());
-    let operator =
-        format!("[membership]\nlisten = \"{}\"\ncluster = \"test\"\nseeds = [\"{at}\"]\n", unused_address());
+    (config["peer_listen"], config["peers"]) =
+        (unused_address().into(), vec![seed_address.to_string()].into());
+    let operator = format!(
+        "[membership]\nlisten = \"{}\"\ncluster = \"test\"\nseeds = [\"{seed_address}\"]\n",
+        unused_address()
+    );
     let gatherer = Gatherer::start_with_operator_file(&folder, &config, &operator);
     gatherer.wait_for_log(" serving on ");
     // A member contacts its seeds with its first tick, half a second after its start at most.
--- a/tests/membership_simulation.rs
+++ b/tests/membership_simulation.rs
@@ -4,6 +4,7 @@
 use gatherer::simulation::{self, Experiment, Outcome, Simulation, chart};
 use std::path::Path;
 
+/// Runs an experiment.
 fn outcome(experiment: &Experiment) -> Outcome {
     let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
     let outcome = simulation::run(experiment, members, |_| {});
@@ -11,7 +12,8 @@
     Outcome { cpu_us: 0.0, ..outcome }
 }
 
-fn read(name: &str) -> Experiment {
+/// Reads one of the shipped experiments.
+fn read_experiment(name: &str) -> Experiment {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     Experiment::read(&folder.join(name)).expect("an experiment")
 }
@@ -22,7 +24,7 @@
     let mut run_count = 0;
     for entry in std::fs::read_dir(folder).expect("the folder") {
         let file = entry.expect("an entry").file_name().into_string().expect("text");
-        let mut experiment = read(&file);
+        let mut experiment = read_experiment(&file);
         // Long experiments are cut to 180 s here; the simulator runs them in full.
         experiment.seconds = experiment.seconds.min(180.0);
         experiment.steps.retain(|step| step.at <= 180.0);
@@ -36,7 +38,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_outcome_and_another_seed_does_not() {
-    let experiment = read("lossy.toml");
+    let experiment = read_experiment("lossy.toml");
     let short = Experiment { seconds: 40.0, steps: experiment.steps[..1].to_vec(), ..experiment };
     let first = outcome(&short);
     assert_eq!(first, outcome(&short));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -16,21 +16,22 @@
     let discovery = Discovery::start(&member("w1", &worker.address));
     let folder = TempFolder::new("operators");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
-    let at = &gatherer.operators;
+    let address = &gatherer.operators;
     // Many times as many callers as may be connected at once, silent or in the middle of a request.
-    let mut silent: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(at).expect("connected")).collect();
+    let mut silent: Vec<TcpStream> =
+        (0..40).map(|_| TcpStream::connect(address).expect("connected")).collect();
     silent.iter_mut().step_by(2).for_each(|caller| caller.write_all(b"GET /-/rea").expect("written"));
-    assert_eq!(call_operator_api(at, "GET", "/-/ready"), (200, "ready\n".to_owned()));
+    assert_eq!(call_operator_api(address, "GET", "/-/ready"), (200, "ready\n".to_owned()));
     for (method, path, status) in [
         ("POST", "/-/drain", 405),
         ("PUT", "/-/metrics", 405),
         ("GET", "/-/drains", 404),
         ("PUT", "/api", 404),
     ] {
-        let (answered, text) = call_operator_api(at, method, path);
+        let (answered, text) = call_operator_api(address, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
-    let mut malformed = TcpStream::connect(at).expect("connected");
+    let mut malformed = TcpStream::connect(address).expect("connected");
     malformed.write_all(b"\x00\x01 nothing\r\n\r\n").expect("written");
     assert_eq!(response(&mut malformed).expect("an answer").status, 400);
     // One call for each connection.
@@ -44,7 +45,7 @@
     }
     worker.set_paused(true);
     query(&mut client, "a4", "search").expect("written");
-    wait_until("four attempts are written", || metric_value(at, "gatherer.forwards") == 4);
+    wait_until("four attempts are written", || metric_value(address, "gatherer.forwards") == 4);
     let metrics = [
         ("succeeded.search", 2),
         ("succeeded.seal", 1),
@@ -55,13 +56,13 @@
         ("ejected", 0),
     ];
     for (name, value) in metrics {
-        assert_eq!(metric_value(at, &format!("gatherer.{name}")), value, "{name}");
+        assert_eq!(metric_value(address, &format!("gatherer.{name}")), value, "{name}");
     }
 
     // Draining: unhealthy at once, accepted queries are answered, and their connections end after the response.
-    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
-    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
-    assert_eq!(call_operator_api(at, "GET", "/-/ready"), (503, "drained\n".to_owned()));
+    assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(address, "GET", "/-/ready"), (503, "drained\n".to_owned()));
     let mut idle = gatherer.connect();
     idle.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
     assert_eq!(response(&mut idle).expect("an answer").status, 503);
@@ -69,21 +70,21 @@
     worker.set_paused(false);
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     assert_eq!(client.read(&mut [0]).expect("the end"), 0);
-    assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 200);
+    assert_eq!(call_operator_api(address, "PUT", "/-/resume").0, 200);
     let mut resumed = gatherer.connect();
     resumed.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
     assert_eq!(response(&mut resumed).expect("an answer").status, 200);
-    assert_eq!(metric_value(at, "gatherer.succeeded.search"), 3);
+    assert_eq!(metric_value(address, "gatherer.succeeded.search"), 3);
 
     // SIGTERM during a drain ends the process, and no call undoes it.
-    assert_eq!(call_operator_api(at, "PUT", "/-/drain").0, 200);
+    assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     worker.set_paused(true);
     let mut last_client = gatherer.connect();
     query(&mut last_client, "a5", "search").expect("written");
-    wait_until("one query is open", || metric_value(at, "gatherer.outstanding") == 1);
+    wait_until("one query is open", || metric_value(address, "gatherer.outstanding") == 1);
     gatherer.signal("-TERM");
     gatherer.wait_for_log("stopping: ");
-    assert_eq!(call_operator_api(at, "PUT", "/-/resume").0, 409);
+    assert_eq!(call_operator_api(address, "PUT", "/-/resume").0, 409);
     worker.set_paused(false);
     assert_eq!(response(&mut last_client).expect("an answer").status, 200);
     let mut gatherer = gatherer;
@@ -93,15 +94,15 @@
 #[test]
 fn a_disabled_worker_receives_nothing_until_it_is_enabled() {
     let (first, second) = (Worker::start(), Worker::start());
-    let both = |since: u64| {
-        let up = format!(r#""up_since_ms":{since},"id":"w%1""#);
-        let first = member("w%1", &first.address).replace(r#""id":"w%1""#, &up);
+    let list_of_both = |started_at_ms: u64| {
+        let start = format!(r#""up_since_ms":{started_at_ms},"id":"w%1""#);
+        let first = member("w%1", &first.address).replace(r#""id":"w%1""#, &start);
         format!("{first},{}", member("w2", &second.address))
     };
-    let discovery = Discovery::start(&both(0));
-    let folder = TempFolder::new("bans");
+    let discovery = Discovery::start(&list_of_both(0));
+    let folder = TempFolder::new("disabled");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
-    let at = &gatherer.operators;
+    let address = &gatherer.operators;
     let mut client = gatherer.connect();
     let mut number = 0;
     let mut send_queries = |times: usize| {
@@ -120,26 +121,26 @@
         ("GET", "/-/workers/w2/disable", 405),
         ("PUT", "/-/workers/w2/remove", 404),
     ] {
-        let (answered, text) = call_operator_api(at, method, path);
+        let (answered, text) = call_operator_api(address, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
-    assert_eq!(metric_value(at, "gatherer.ejected"), 0, "none of these changes anything");
+    assert_eq!(metric_value(address, "gatherer.ejected"), 0, "none of these changes anything");
     // Disabled twice; no update of discovery in between undoes it, nor does a restart of the worker.
-    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
-    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/disable").0, 200);
-    assert_eq!(metric_value(at, "gatherer.ejected"), 1);
+    assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/disable").0, 200);
+    assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/disable").0, 200);
+    assert_eq!(metric_value(address, "gatherer.ejected"), 1);
     let before = first.parts_received();
     send_queries(20);
-    for list in [both(1), member("w2", &second.address), both(2)] {
+    for list in [list_of_both(1), member("w2", &second.address), list_of_both(2)] {
         let listed = list.matches("host_port").count() as u64;
         discovery.publish(&list);
-        wait_until("the list is received", || metric_value(at, "gatherer.discovered") == listed);
+        wait_until("the list is received", || metric_value(address, "gatherer.discovered") == listed);
         send_queries(20);
     }
     assert_eq!(first.parts_received(), before);
     // One call to enable it undoes both.
-    assert_eq!(call_operator_api(at, "PUT", "/-/workers/w%251/enable").0, 200);
-    assert_eq!(metric_value(at, "gatherer.ejected"), 0);
+    assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/enable").0, 200);
+    assert_eq!(metric_value(address, "gatherer.ejected"), 0);
     while first.parts_received() == before {
         send_queries(1);
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -9,7 +9,7 @@
 use std::thread;
 
 /// A discovery that sends this list once and then nothing more, as when it is down.
-fn discovery(list: String) -> String {
+fn start_discovery(list: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     thread::spawn(move || {
@@ -25,7 +25,7 @@
 }
 
 /// A worker that answers every part with the same value.
-fn worker() -> String {
+fn start_worker() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     thread::spawn(move || {
@@ -47,6 +47,7 @@
     address
 }
 
+/// Reads what has arrived into the buffer; the connection must not end.
 fn read(stream: &mut TcpStream, buffer: &mut BytesMut) {
     let mut bytes = [0; 4096];
     let count = stream.read(&mut bytes).expect("readable");
@@ -54,6 +55,7 @@
     buffer.extend_from_slice(&bytes[..count]);
 }
 
+/// Reads the response on this connection.
 fn response(stream: &mut TcpStream) -> ReceivedResponse {
     let mut buffer = BytesMut::new();
     loop {
@@ -73,6 +75,7 @@
     (child, address.expect("the program serves"), log)
 }
 
+/// Sends a signal, by its option of `kill`.
 fn send_signal(child: &Child, name: &str) {
     let kill = Command::new("kill").args([name, &child.id().to_string()]).status().expect("kill runs");
     assert!(kill.success());
@@ -83,6 +86,7 @@
     log.lines().map(|line| line.expect("a line")).find(|line| line.contains(words)).expect("such a line")
 }
 
+/// Stops the program by SIGTERM; returns the rest of its log.
 fn stop(mut child: Child, mut log: impl BufRead) -> String {
     send_signal(&child, "-TERM");
     let mut rest = String::new();
@@ -95,11 +99,11 @@
 fn a_query_is_answered_and_sigterm_ends_the_program() {
     let list = format!(
         r#"{{"revision":2,"complete":true,"members":[{{"id":"w1","host_port":"{}","phase":"SERVING"}}]}}"#,
-        worker()
+        start_worker()
     );
     let mut config: serde_json::Value =
         serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    config["discovery"] = discovery(list.clone()).into();
+    config["discovery"] = start_discovery(list.clone()).into();
     config["known"] = serde_json::from_str(&list).expect("JSON");
     let path = std::env::temp_dir().join(format!("clayshore-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("written");
@@ -127,11 +131,11 @@
     std::fs::write(&path, config.to_string().replace("\"seed\":\"07\"", "\"seed\":\"x\"")).expect("written");
     send_signal(&child, "-HUP");
     assert!(wait_for_log(&mut log, "not read again").contains("seed: no hexadecimal"));
-    let moved = discovery(list);
-    config["discovery"] = moved.clone().into();
+    let new_address = start_discovery(list);
+    config["discovery"] = new_address.clone().into();
     std::fs::write(&path, config.to_string()).expect("written");
     send_signal(&child, "-HUP");
-    wait_for_log(&mut log, &format!("discovery at {moved}: list 2 with 1 workers"));
+    wait_for_log(&mut log, &format!("discovery at {new_address}: list 2 with 1 workers"));
 
     let log = stop(child, log);
     assert!(log.contains("counters: taken=1 malformed=0 answered_whole=1 "), "{log}");
@@ -154,13 +158,17 @@
 }
 
 #[test]
-fn the_system_s_limit_of_descriptors_holds_where_it_is_lower() {
+fn a_lower_descriptor_limit_of_the_system_holds() {
     // With a budget above the system's limit, accepting would fail under many connections.
     let path = std::env::temp_dir().join(format!("clayshore-limit-{}.toml", std::process::id()));
     std::fs::write(&path, include_str!("scenario/opensearch.toml")).expect("written");
-    let start_with_limit = |most: u32| {
+    let start_with_limit = |max_descriptors: u32| {
         let mut shell = Command::new("sh");
-        let line = format!("ulimit -n {most}; exec {} {}", env!("CARGO_BIN_EXE_gatherer"), path.display());
+        let line = format!(
+            "ulimit -n {max_descriptors}; exec {} {}",
+            env!("CARGO_BIN_EXE_gatherer"),
+            path.display()
+        );
         shell.args(["-c", &line]).stderr(Stdio::piped());
         let mut child = shell.spawn().expect("the shell starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
@@ -238,7 +246,7 @@
     let counts = &report["classes"]["search"];
     assert_eq!((&counts["asked"], &counts["refused"], &counts["unknown"]), (&5.into(), &5.into(), &0.into()));
     let findings: Vec<_> =
-        report["findings"].as_array().expect("findings").iter().map(|f| &f["what"]).collect();
+        report["findings"].as_array().expect("findings").iter().map(|finding| &finding["what"]).collect();
     assert_eq!(findings, ["worker_loses", "death"], "{json}");
     let page = text(&folder.join("page.html"));
     assert_eq!(run_to_end(&["report", &records, "--out", &page]).0, Some(0));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -25,15 +25,15 @@
 
 proptest! {
     #[test]
-    fn a_handover_message_with_one_changed_byte_is_never_accepted(at in 0..200_usize, flip in 1..=255_u8) {
+    fn a_handover_message_with_one_changed_byte_is_never_accepted(position in 0..200_usize, flipped_bits in 1..=255_u8) {
         let sent = Message::WorkerEnabled { worker: "index-17".repeat(8) };
         let mut bytes = BytesMut::from(&handover::encode(&sent).expect("encoded")[..]);
-        let at = at % bytes.len();
-        bytes[at] ^= flip;
+        let position = position % bytes.len();
+        bytes[position] ^= flipped_bits;
         // A changed digit of the checksum may be the same digit in the other case.
-        let same = bytes[at].eq_ignore_ascii_case(&(bytes[at] ^ flip));
+        let same_digit = bytes[position].eq_ignore_ascii_case(&(bytes[position] ^ flipped_bits));
         if let Ok(Some(message)) = handover::take_message(&mut bytes) {
-            prop_assert!(same && message == sent);
+            prop_assert!(same_digit && message == sent);
         }
     }
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -35,6 +35,7 @@
 }
 
 impl MemoryDisk {
+    /// Counts a call, which fails if that is planned.
     fn call(&mut self) -> io::Result<()> {
         match &mut self.planned_failures {
             Some(PlannedFailures { calls_before: 0, failures: 0 }) => self.planned_failures = None,
@@ -79,6 +80,7 @@
     RecordBody::Reload { applied: true, detail: format!("number {number}") }
 }
 
+/// Reads all files; returns the valid records and the damaged ones.
 fn read(files: &BTreeMap<String, Vec<u8>>) -> (Vec<Record>, Vec<DamagedRecord>) {
     let (mut reader, mut records, mut damaged) = (Reader::default(), Vec::new(), Vec::new());
     for (name, bytes) in files {
@@ -90,6 +92,7 @@
     (records, damaged)
 }
 
+/// Records with the sequence numbers from 0.
 fn records(count: u64) -> Vec<Record> {
     let record = |seq| Record {
         version: VERSION,
@@ -207,8 +210,8 @@
     let schema = serde_json::to_value(schemars::schema_for!(Record)).expect("a schema");
     let validator = jsonschema::validator_for(&schema).expect("a valid schema");
     let mut accumulator = MetricsAccumulator::default();
-    for (at, end) in QUERY_ENDS.into_iter().enumerate() {
-        let labels = QueryLabels { class: at % 2, tenant: Some(at % 3).filter(|tenant| *tenant > 0) };
+    for (number, end) in QUERY_ENDS.into_iter().enumerate() {
+        let labels = QueryLabels { class: number % 2, tenant: Some(number % 3).filter(|tenant| *tenant > 0) };
         accumulator.record_accepted(labels);
         accumulator.record_end(labels, end, Duration::from_millis(7));
         accumulator.record_attempt("w1", metrics::ATTEMPT_DONE, Duration::from_millis(5));
@@ -276,12 +279,12 @@
 
 proptest! {
     #[test]
-    fn no_damaged_record_is_ever_accepted(at in 0usize..400, to in any::<u8>(), seq in 0u64..1000) {
+    fn no_damaged_record_is_ever_accepted(position in 0usize..400, changed in any::<u8>(), seq in 0u64..1000) {
         let record = Record { seq, ..records(1).remove(0) };
         let mut bytes = record.encode();
-        let at = at % (bytes.len() - 1);
-        prop_assume!(bytes[at] != to);
-        bytes[at] = to;
+        let position = position % (bytes.len() - 1);
+        prop_assume!(bytes[position] != changed);
+        bytes[position] = changed;
         prop_assert!(Record::decode(&bytes).is_err(), "{}", String::from_utf8_lossy(&bytes));
     }
 
@@ -300,7 +303,7 @@
     ) {
         let (mut accumulator, mut summary) =
             (MetricsAccumulator::default(), Summary::new(1000, 0, u64::MAX));
-        let names = |count: usize| (0..count).map(|at| at.to_string()).collect();
+        let names = |count: usize| (0..count).map(|number| number.to_string()).collect();
         let start = RecordBody::Start { configuration: String::new(), classes: names(3), tenants: names(3) };
         let mut seq = 0;
         let mut add = |body| {
@@ -311,16 +314,16 @@
         };
         add(start);
         let (mut accepted, mut ended, mut with_response) = (0, 0, 0);
-        for (at, (class, tenant, end, micros)) in events.iter().enumerate() {
+        for (index, (class, tenant, end, latency_us)) in events.iter().enumerate() {
             let labels = QueryLabels { class: *class, tenant: Some(*tenant).filter(|tenant| *tenant < 2) };
             accumulator.record_accepted(labels);
             accepted += 1;
             if let Some(end) = QUERY_ENDS.get(*end) && *end != QueryEnd::RejectedShuttingDown {
-                accumulator.record_end(labels, *end, Duration::from_micros(*micros));
+                accumulator.record_end(labels, *end, Duration::from_micros(*latency_us));
                 ended += 1;
                 with_response += u64::from((*end as usize) < 3);
             }
-            if snapshots_at.contains(&at) {
+            if snapshots_at.contains(&index) {
                 add(RecordBody::Metrics(accumulator.take_snapshot()));
             }
         }
@@ -346,6 +349,7 @@
     }
 }
 
+/// Number of valid records that are read of two with this noise between them.
 fn valid_records_around(noise: &[u8]) -> usize {
     let all = records(2);
     let parts = [&all[0].encode()[..], noise, b"\n", &all[1].encode()].concat();
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -19,19 +19,20 @@
 
 /// As on the platform: no operators' API, and deadlines so short that SIGKILL may follow 1.7 s after SIGTERM.
 fn config_with_short_deadlines(discovery: &Discovery) -> Value {
-    with_times(discovery, 600, 1000)
+    config_with_times(discovery, 600, 1000)
 }
 
 /// The same with deadlines so long that nothing times out on a busy machine.
 fn config_with_long_deadlines(discovery: &Discovery) -> Value {
-    with_times(discovery, 60_000, 60_000)
+    config_with_times(discovery, 60_000, 60_000)
 }
 
-fn with_times(discovery: &Discovery, aim_ms: u64, deadline_ms: u64) -> Value {
+fn config_with_times(discovery: &Discovery, objective_ms: u64, deadline_ms: u64) -> Value {
     let mut config = config(discovery);
     config.as_object_mut().expect("an object").remove("operator");
     for class in config["settings"]["categories"].as_array_mut().expect("classes") {
-        (class["promise"], class["deadline"]) = (json!(aim_ms * 1_000_000), json!(deadline_ms * 1_000_000));
+        (class["promise"], class["deadline"]) =
+            (json!(objective_ms * 1_000_000), json!(deadline_ms * 1_000_000));
     }
     config
 }
@@ -67,22 +68,22 @@
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut gatherer = Gatherer::start(&folder, &config_with_short_deadlines(&discovery));
     let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
-    for (at, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("a{at}"), "seal").expect("written");
+    for (number, client) in idle_clients.iter_mut().enumerate() {
+        query(client, &format!("a{number}"), "seal").expect("written");
         assert_eq!(response(client).expect("an answer").status, 200);
     }
     gatherer.pause();
     let (complete, partial) = idle_clients.split_at_mut(4);
-    for (at, client) in complete.iter_mut().enumerate() {
-        query(client, &format!("b{at}"), "seal").expect("written");
+    for (number, client) in complete.iter_mut().enumerate() {
+        query(client, &format!("b{number}"), "seal").expect("written");
     }
     for client in partial.iter_mut() {
         client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("written");
     }
     // Some have only just connected and are not accepted yet.
     let mut new: Vec<_> = (0..4).map(|_| gatherer.connect()).collect();
-    for (at, client) in new.iter_mut().enumerate() {
-        query(client, &format!("c{at}"), "seal").expect("written");
+    for (number, client) in new.iter_mut().enumerate() {
+        query(client, &format!("c{number}"), "seal").expect("written");
     }
     gatherer.signal("-TERM");
     gatherer.signal("-CONT");
@@ -111,8 +112,8 @@
     config["settings"]["allowed"]["retry-after"] = json!(false);
     let mut gatherer = Gatherer::start(&folder, &config);
     let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
-    for (at, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("a{at}"), "seal").expect("written");
+    for (number, client) in idle_clients.iter_mut().enumerate() {
+        query(client, &format!("a{number}"), "seal").expect("written");
         assert_eq!(response(client).expect("an answer").status, 200);
     }
     gatherer.signal("-TERM");
@@ -120,8 +121,8 @@
     gatherer.pause();
     // Not a wait for an event: the grace period passes while the process is paused.
     thread::sleep(GRACE_PERIOD);
-    for (at, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("b{at}"), "seal").expect("written");
+    for (number, client) in idle_clients.iter_mut().enumerate() {
+        query(client, &format!("b{number}"), "seal").expect("written");
     }
     gatherer.signal("-CONT");
     for client in &mut idle_clients {
@@ -161,16 +162,16 @@
     let (folder, worker) = (TempFolder::new("early"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let (config, file) = (config_with_short_deadlines(&discovery), folder.0.join("config.json"));
-    let made = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
-    assert!(made.success());
+    let made_pipe = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
+    assert!(made_pipe.success());
     let mut gatherer = Gatherer::spawn(&file, &config, &folder, None);
     // Opening it waits until the process has opened it for reading.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).expect("opened");
     gatherer.signal("-HUP");
     // The reload reads a regular file.
-    let usual = folder.0.join("usual.json");
-    std::fs::write(&usual, config.to_string()).expect("written");
-    std::fs::rename(&usual, &file).expect("in its place");
+    let regular = folder.0.join("usual.json");
+    std::fs::write(&regular, config.to_string()).expect("written");
+    std::fs::rename(&regular, &file).expect("in its place");
     write!(pipe, "{config}").expect("written");
     drop(pipe);
     gatherer.wait_for_log("configuration read again");
@@ -203,6 +204,7 @@
     text[1..].split(' ').next().expect("an id").to_owned()
 }
 
+/// Ends a connection by a reset.
 fn reset(stream: TcpStream) {
     set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
     drop(stream);
@@ -216,13 +218,13 @@
         let discovery = Discovery::start(&member("w1", &first));
         let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
         let mut watch = gatherer.connect();
-        let mut asked = Vec::new();
+        let mut pending = Vec::new();
         for class in ["seal", "search"] {
             let mut client = gatherer.connect();
             query(&mut client, class, class).expect("written");
             let mut connection = connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
             assert_eq!(read_part(&mut connection), format!("{class}.0"));
-            asked.push((client, connection));
+            pending.push((client, connection));
         }
         // From here on there is another worker, which may receive retries of idempotent parts.
         let both = format!("{},{}", member("w1", &first), member("w2", &second.address));
@@ -231,7 +233,7 @@
         wait_until("the list is received", || counter(&mut watch, "listings") > listings);
         gatherer.pause();
         let mut clients = Vec::new();
-        for (client, mut connection) in asked {
+        for (client, mut connection) in pending {
             connection.write_all(&[30, 0, 0, 0, b'q', b's']).expect("written");
             if by_reset {
                 reset(connection);
@@ -279,19 +281,20 @@
     let mut gatherer = Gatherer::start(&folder, &config);
     let mut watch = gatherer.connect();
     let mut clients = Vec::new();
-    for at in 0..12 {
+    for number in 0..12 {
         let mut client = gatherer.connect();
-        query(&mut client, &format!("a{at}"), if at % 2 == 0 { "seal" } else { "search" }).expect("written");
+        query(&mut client, &format!("a{number}"), if number % 2 == 0 { "seal" } else { "search" })
+            .expect("written");
         clients.push(client);
     }
     wait_until("all attempts are dispatched", || counter(&mut watch, "sent") >= 12);
     // All disconnect while the process is paused, some by a reset, some after the beginning of another request.
     gatherer.pause();
-    for (at, mut client) in clients.into_iter().enumerate() {
-        if at % 3 > 0 {
+    for (number, mut client) in clients.into_iter().enumerate() {
+        if number % 3 > 0 {
             client.write_all(b"POST /api HTTP/1.1\r\n").expect("written");
         }
-        if at % 3 > 1 {
+        if number % 3 > 1 {
             reset(client);
         }
     }
@@ -312,8 +315,8 @@
     drop(watch);
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
-    let last = TcpStream::connect(address).expect("connected");
-    let last = last.local_addr().expect("an address");
+    let last_connection = TcpStream::connect(address).expect("connected");
+    let last = last_connection.local_addr().expect("an address");
     let mut connections_closed = 0;
     for mut stream in connections.iter() {
         if stream.peer_addr().ok() == Some(last) {
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -16,23 +16,26 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::{self, JoinHandle};
 
+/// A gatherer's surroundings: two workers, discovery, and the folder that its processes share.
 struct Fleet {
-    worker: Worker,
-    other: Worker,
+    first_worker: Worker,
+    second_worker: Worker,
     discovery: Discovery,
     folder: TempFolder,
     config: serde_json::Value,
 }
 
 impl Fleet {
+    /// Starts the workers and discovery.
     fn new(name: &str) -> Fleet {
-        let (worker, other) = (Worker::start(), Worker::start());
-        let members = format!("{},{}", member("w1", &worker.address), member("w2", &other.address));
+        let (first_worker, second_worker) = (Worker::start(), Worker::start());
+        let members =
+            format!("{},{}", member("w1", &first_worker.address), member("w2", &second_worker.address));
         let discovery = Discovery::start(&members);
         let (folder, mut config) = (TempFolder::new(name), config(&discovery));
         // Each of two processes may use half: enough for all queries that the clients here have open at once.
         config["settings"]["allowed"]["max-open"] = 100.into();
-        Fleet { worker, other, discovery, folder, config }
+        Fleet { first_worker, second_worker, discovery, folder, config }
     }
     /// The same gatherer's configuration for the next process, with another operators' address.
     fn next_config(&self) -> serde_json::Value {
@@ -53,11 +56,13 @@
         let listen = self.config["listen"].as_str().expect("an address").replace(':', "-");
         self.folder.0.join(format!("clayshore-{user}-{listen}.sock"))
     }
-    fn parts(&self) -> usize {
-        self.worker.parts_received() + self.other.parts_received()
+    /// Number of deliveries of parts to either worker.
+    fn parts_received(&self) -> usize {
+        self.first_worker.parts_received() + self.second_worker.parts_received()
     }
 }
 
+/// Whether its readiness check succeeds.
 fn is_ready(gatherer: &Gatherer) -> bool {
     call_operator_api(&gatherer.operators, "GET", "/-/ready").0 == 200
 }
@@ -69,41 +74,41 @@
     assert_eq!(response(&mut client).expect("an answer").status, 200);
 }
 
-/// A client that sends queries without a pause, on kept connections, while `go` is set; returns the number of its answers.
-/// Where a connection is closed between two requests it retries once on a new one, as the protocol allows.
+/// A client that sends queries without a pause, on connections that it keeps, while `running` is set; returns the number
+/// of its queries. Where a connection is closed between two requests it retries once on a new one, as the protocol allows.
 fn spawn_client(
     address: String,
     name: String,
-    go: Arc<AtomicBool>,
+    running: Arc<AtomicBool>,
     answers: Arc<AtomicUsize>,
 ) -> JoinHandle<usize> {
     thread::spawn(move || {
         let connect =
             || std::net::TcpStream::connect(&address).expect("the address always accepts connections");
-        let (mut stream, mut asked, mut crossed) = (connect(), 0, 0);
-        while go.load(Ordering::Relaxed) {
-            let id = format!("{name}.{asked}");
-            let class = if asked % 2 == 0 { "seal" } else { "search" };
-            let ask = |stream: &mut std::net::TcpStream| {
+        let (mut stream, mut queries, mut retries) = (connect(), 0, 0);
+        while running.load(Ordering::Relaxed) {
+            let id = format!("{name}.{queries}");
+            let class = if queries % 2 == 0 { "seal" } else { "search" };
+            let send_query = |stream: &mut std::net::TcpStream| {
                 query(stream, &id, class)?;
                 response(stream)
             };
-            let answer = ask(&mut stream).or_else(|_| {
-                crossed += 1;
+            let answer = send_query(&mut stream).or_else(|_| {
+                retries += 1;
                 stream = connect();
-                ask(&mut stream)
+                send_query(&mut stream)
             });
             let answer = answer.expect("a request on a new connection is answered");
             assert_eq!(answer.status, 200, "{id}");
-            asked += 1;
+            queries += 1;
             answers.fetch_add(1, Ordering::Relaxed);
             // A new connection every few requests, so that some always wait to be accepted.
-            if asked % 5 == 0 || !answer.keep_alive {
+            if queries % 5 == 0 || !answer.keep_alive {
                 stream = connect();
             }
         }
-        assert!(crossed <= 1, "{name}: {crossed} requests met a closed connection");
-        asked
+        assert!(retries <= 1, "{name}: {retries} requests met a closed connection");
+        queries
     })
 }
 
@@ -118,18 +123,20 @@
 fn clients_notice_nothing_of_three_upgrades_in_a_row() {
     let fleet = Fleet::new("upgrades");
     let mut serving = Gatherer::start(&fleet.folder, &fleet.config);
-    let (go, answers) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
+    let (running, answers) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..4)
-        .map(|at| spawn_client(serving.clients.clone(), format!("c{at}"), go.clone(), answers.clone()))
+        .map(|number| {
+            spawn_client(serving.clients.clone(), format!("c{number}"), running.clone(), answers.clone())
+        })
         .collect();
     let wait_for_answers = |more: usize| {
-        let until = answers.load(Ordering::Relaxed) + more;
-        while answers.load(Ordering::Relaxed) < until {
+        let expected = answers.load(Ordering::Relaxed) + more;
+        while answers.load(Ordering::Relaxed) < expected {
             assert!(clients.iter().all(|client| !client.is_finished()), "a client has failed");
             thread::yield_now();
         }
     };
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..3 {
         wait_for_answers(40);
         let next = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
@@ -138,20 +145,20 @@
         wait_for_answers(40);
         serving.signal("-TERM");
         assert!(serving.wait_for_exit());
-        taken += counter_at_exit(&serving, "taken");
+        accepted += counter_at_exit(&serving, "taken");
         serving = next;
     }
     wait_for_answers(40);
-    go.store(false, Ordering::Relaxed);
-    let asked: usize = clients.into_iter().map(|client| client.join().expect("it lost no request")).sum();
+    running.store(false, Ordering::Relaxed);
+    let queries: usize = clients.into_iter().map(|client| client.join().expect("it lost no request")).sum();
     serving.signal("-TERM");
     assert!(serving.wait_for_exit());
-    taken += counter_at_exit(&serving, "taken");
+    accepted += counter_at_exit(&serving, "taken");
     // At the clients and at the gatherers: each query was accepted once and answered once. At the workers: each
     // non-idempotent part was delivered once.
-    assert_eq!(taken, asked);
-    assert!(fleet.parts() >= asked);
-    for worker in [&fleet.worker, &fleet.other] {
+    assert_eq!(accepted, queries);
+    assert!(fleet.parts_received() >= queries);
+    for worker in [&fleet.first_worker, &fleet.second_worker] {
         let deliveries = worker.received.lock().expect("sound");
         let delivered_twice = deliveries.iter().filter(|(id, times)| {
             let number = id.split('.').nth(1).and_then(|number| number.parse::<usize>().ok());
@@ -180,17 +187,17 @@
     assert!(first.wait_for_exit());
     let mut client = second.connect();
     // The worker that was enabled again is warming up, so that some queries are rejected.
-    for at in 0.. {
-        query(&mut client, &format!("a{at}"), "search").expect("written");
+    for number in 0.. {
+        query(&mut client, &format!("a{number}"), "search").expect("written");
         let status = response(&mut client).expect("an answer").status;
         assert!(status == 200 || status == 503, "{status}");
-        if fleet.worker.parts_received() >= 5 {
+        if fleet.first_worker.parts_received() >= 5 {
             break;
         }
     }
-    assert_eq!(fleet.other.parts_received(), 0);
+    assert_eq!(fleet.second_worker.parts_received(), 0);
     // A worker that is disabled and no longer listed is still known to the next process.
-    fleet.discovery.publish(&member("w1", &fleet.worker.address));
+    fleet.discovery.publish(&member("w1", &fleet.first_worker.address));
     wait_until("the list is received", || metric_value(&second.operators, "gatherer.discovered") == 1);
     let third = Gatherer::start(&fleet.folder, &fleet.next_config());
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w2/enable").0, 200);
@@ -275,7 +282,10 @@
     query(&mut client, "a1", "seal").expect("written");
     second.signal("-CONT");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
-    assert_eq!(fleet.worker.max_deliveries_of_a_part().max(fleet.other.max_deliveries_of_a_part()), 1);
+    assert_eq!(
+        fleet.first_worker.max_deliveries_of_a_part().max(fleet.second_worker.max_deliveries_of_a_part()),
+        1
+    );
 }
 
 #[test]
@@ -290,7 +300,10 @@
     first.wait_for_exit();
     assert_one_query_is_answered(&first, "search");
     second.wait_for_log("upgrade: the predecessor has ended");
-    assert_eq!((fleet.worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")), (0, 1));
+    assert_eq!(
+        (fleet.first_worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -372,7 +385,8 @@
         (b"clayshore-handover 1 2 0\n{}", "checksum is wrong"),
         (b"clayshore-handover 1 900 0\n{\"state\":", "unexpected end of file"),
     ];
-    for (bytes, why) in cases {
+    for (bytes, reason) in cases {
+        // There is none before the first case.
         let _ = std::fs::remove_file(&path);
         let other = UnixListener::bind(&path).expect("bound");
         let predecessor = thread::spawn(move || {
@@ -386,7 +400,7 @@
         predecessor.join().expect("it has replied");
         let lines = gatherer.log.0.lock().expect("sound").clone();
         let warnings: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
-        assert!(warnings.len() == 1 && warnings[0].contains(why), "{warnings:?}");
+        assert!(warnings.len() == 1 && warnings[0].contains(reason), "{warnings:?}");
         wait_until("ready", || is_ready(&gatherer));
         gatherer.signal("-TERM");
         assert!(gatherer.wait_for_exit());
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -29,23 +29,25 @@
             // Connecting takes a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
             let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(worker(far, self.0));
+            spawn_local(serve_parts(far, self.0));
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
 }
 
-async fn worker(mut stream: DuplexStream, time: Duration) {
+/// Answers every part on a connection after a delay.
+async fn serve_parts(mut stream: DuplexStream, delay: Duration) {
     let mut buffer = BytesMut::new();
     while matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
-        while let Some(length) = buffer.first_chunk::<4>().map(|four| u32::from_le_bytes(*four) as usize) {
+        while let Some(length) = buffer.first_chunk::<4>().map(|length| u32::from_le_bytes(*length) as usize)
+        {
             if buffer.len() < 4 + length {
                 break;
             }
             buffer.advance(4);
             let text = String::from_utf8(buffer.split_to(length).to_vec()).expect("text");
             if let Some(rest) = text.strip_prefix('m') {
-                tokio::time::sleep(time).await;
+                tokio::time::sleep(delay).await;
                 let answer = format!("q{} good 5 -\nvalue", rest.split(' ').next().expect("an id"));
                 let mut bytes = (answer.len() as u32).to_le_bytes().to_vec();
                 bytes.extend(answer.bytes());
@@ -71,10 +73,12 @@
     }
 }
 
-fn run<F: Future<Output = ()>>(time: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
-    run_on(Rc::new(AnsweringWorkers(Duration::from_millis(time))), main);
+/// Runs with workers that answer every part after so many milliseconds.
+fn run<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
+    run_on(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
 }
 
+/// Runs with workers that are connected to in this way.
 fn run_on<F: Future<Output = ()>>(
     connector: Rc<dyn Connector>,
     main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
@@ -96,7 +100,8 @@
     });
 }
 
-fn ask(label: &str, class: &str, shards: u32, broker: &Broker) -> SearchRequest {
+/// A query of the given number of parts.
+fn request(label: &str, class: &str, shards: u32, broker: &Broker) -> SearchRequest {
     let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
     let part = |shard| QueryPart {
         shard: ShardId(shard),
@@ -120,7 +125,7 @@
             .map(|_| pool.try_acquire(DescriptorClass::Clients).expect("a guaranteed descriptor"))
             .collect();
         assert!(client_permits.iter().all(DescriptorPermit::try_mark_busy));
-        let outcome = broker.submit(ask("wide", "seal", SHARDS, &broker)).await;
+        let outcome = broker.submit(request("wide", "seal", SHARDS, &broker)).await;
         let QueryOutcome::Answered { complete: true, values } = outcome else {
             panic!(
                 "{outcome:?} {} {}",
@@ -137,11 +142,11 @@
         );
         assert_eq!(broker.with_core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
         let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
-        let most = usable
+        let max_held = usable
             - floor
             - floors[DescriptorClass::Discovery as usize]
             - floors[DescriptorClass::Files as usize];
-        assert!(counters.peak_held[DescriptorClass::Workers as usize] <= most, "{counters}");
+        assert!(counters.peak_held[DescriptorClass::Workers as usize] <= max_held, "{counters}");
     });
 }
 
@@ -154,7 +159,7 @@
             held.push(pool.try_acquire(DescriptorClass::Workers).expect("free"));
             assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
-        let outcome = broker.submit(ask("none", "seal", 2, &broker)).await;
+        let outcome = broker.submit(request("none", "seal", 2, &broker)).await;
         assert!(matches!(outcome, QueryOutcome::Rejected { .. }), "{outcome:?}");
         let counters = broker.with_core(|core| core.counters.clone());
         assert!(counters.ended_skipped > 0 && counters.ended_refused == 0, "{counters}");
@@ -165,12 +170,12 @@
 #[test]
 fn idle_worker_connections_are_reclaimed_for_clients_and_reopened() {
     run(1, |broker, pool| async move {
-        let served = |outcome| matches!(outcome, QueryOutcome::Answered { complete: true, .. });
-        assert!(served(broker.submit(ask("a", "search", 8, &broker)).await));
+        let is_complete = |outcome| matches!(outcome, QueryOutcome::Answered { complete: true, .. });
+        assert!(is_complete(broker.submit(request("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let idle =
+        let (held, busy) =
             pool.descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
-        assert!(idle.0 > 0 && idle.1 == 0, "{idle:?}");
+        assert!(held > 0 && busy == 0, "{held} held, {busy} busy");
         // What workers lent is reclaimed: clients acquire everything that their class may hold.
         let mut client_permits = Vec::new();
         while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
@@ -180,7 +185,7 @@
         let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
         assert_eq!(client_permits.len(), usable - floors[1] - floors[2] - floors[3]);
         // What workers are guaranteed is there for the next query.
-        assert!(served(broker.submit(ask("b", "search", 8, &broker)).await));
+        assert!(is_complete(broker.submit(request("b", "search", 8, &broker)).await));
         assert!(pool.counters.borrow().peak_descriptors <= usable);
     });
 }
@@ -198,8 +203,9 @@
     let stuck = Rc::new(StuckWorkers::default());
     run_on(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
-            let asked = broker.clone();
-            let client = spawn_local(async move { asked.submit(ask(class, class, 1, &asked)).await });
+            let submitting = broker.clone();
+            let client =
+                spawn_local(async move { submitting.submit(request(class, class, 1, &submitting)).await });
             while stuck.0.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
@@ -226,12 +232,12 @@
     let mut list = config.initial_workers.expect("a list");
     list.workers.truncate(1);
     broker.apply_endpoint_update(&list, true);
-    let ask = ask("frames", "search", 5, &broker);
-    let orders = broker.with_core(|core| {
-        core.submit(now, ask).expect("taken");
+    let request = request("frames", "search", 5, &broker);
+    let commands = broker.with_core(|core| {
+        core.submit(now, request).expect("it is accepted");
         core.step(now)
     });
-    let calls = orders.iter().filter_map(|order| match order {
+    let calls = commands.iter().filter_map(|command| match command {
         Command::Call { parts, .. } => Some(parts.len()),
         _ => None,
     });
@@ -260,10 +266,10 @@
     // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was dispatched.
     let slow = Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
     run_on(slow.clone(), |broker, _| async move {
-        let asked = broker.clone();
-        let mut ask = ask("late", "search", 1, &broker);
-        ask.time_left = Duration::from_millis(1000);
-        let client = spawn_local(async move { asked.submit(ask).await });
+        let submitting = broker.clone();
+        let mut request = request("late", "search", 1, &broker);
+        request.time_left = Duration::from_millis(1000);
+        let client = spawn_local(async move { submitting.submit(request).await });
         while slow.worker_ends.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -299,7 +305,7 @@
 fn a_connect_that_fails_for_want_of_descriptors_is_no_failure_of_the_worker() {
     // Workers, and then their zone, would be ejected for what fails in this process.
     run_on(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
-        let outcome = broker.submit(ask("starved", "seal", 2, &broker)).await;
+        let outcome = broker.submit(request("starved", "seal", 2, &broker)).await;
         assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
         let counters = broker.with_core(|core| core.counters.clone());
         assert_eq!(
