--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -144,6 +144,36 @@
     }
 }
 
+/// Every query that was sent is counted once: all were answered in time but the one that the killed gatherer had.
+fn check_counts(report: &Value, sent: usize) {
+    let counts = &report["classes"]["search"];
+    let count = |name: &str| counts[name].as_u64().expect("a number") as usize;
+    assert_eq!((count("whole_in_time"), count("unknown")), (sent - 1, 1), "{counts}");
+    assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(count), [0; 5], "{counts}");
+    // The time steps add up to the same.
+    let received_in = |step: &Value| {
+        step["classes"]["search"].as_object().map_or(0, |tenants| {
+            tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
+        })
+    };
+    let steps = report["steps"].as_array().expect("steps");
+    assert_eq!(steps.iter().map(received_in).sum::<u64>() as usize, sent);
+}
+
+/// The findings are the death and the slowdown, and no others; the records of all four processes are whole.
+fn check_findings(report: &Value) {
+    let findings = report["findings"].as_array().expect("findings");
+    let mut found: Vec<&str> =
+        findings.iter().map(|finding| finding["what"].as_str().expect("text")).collect();
+    found.sort_unstable();
+    assert_eq!(found, ["death", "fleet_slow"], "{findings:#?}");
+    let death = findings.iter().find(|finding| finding["what"] == "death").expect("the death is found");
+    assert!(death["gatherer"] == "g1" && death["certainty"] == "certain", "{death}");
+    assert!(death["evidence"].as_str().expect("text").contains("1 search"), "{death}");
+    let starts = report["starts"].as_array().expect("starts");
+    assert_eq!((starts.len(), report["lines"]["damaged"].as_u64()), (4, Some(0)));
+}
+
 #[test]
 fn a_death_during_a_slowdown_of_the_fleet_and_the_slowdown_are_both_found() {
     let folder: PathBuf = std::env::temp_dir().join(format!("clayshore-incident-{}", std::process::id()));
@@ -175,28 +205,8 @@
 
     let sent = 3 * 180 + 1 + 2 * 30 + 3 * 100;
     let report = wait_for_records(&records, sent);
-    let counts = &report["classes"]["search"];
-    let count = |name: &str| counts[name].as_u64().expect("a number") as usize;
-    assert_eq!((count("whole_in_time"), count("unknown")), (sent - 1, 1), "{counts}");
-    assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(count), [0; 5], "{counts}");
-    // The time steps add up to the same.
-    let received_in = |step: &Value| {
-        step["classes"]["search"].as_object().map_or(0, |tenants| {
-            tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
-        })
-    };
-    let steps = report["steps"].as_array().expect("steps");
-    assert_eq!(steps.iter().map(received_in).sum::<u64>() as usize, sent);
-    let findings = report["findings"].as_array().expect("findings");
-    let mut found: Vec<&str> =
-        findings.iter().map(|finding| finding["what"].as_str().expect("text")).collect();
-    found.sort_unstable();
-    assert_eq!(found, ["death", "fleet_slow"], "{findings:#?}");
-    let death = findings.iter().find(|finding| finding["what"] == "death").expect("the death is found");
-    assert!(death["gatherer"] == "g1" && death["certainty"] == "certain", "{death}");
-    assert!(death["evidence"].as_str().expect("text").contains("1 search"), "{death}");
-    let starts = report["starts"].as_array().expect("starts");
-    assert_eq!((starts.len(), report["lines"]["damaged"].as_u64()), (4, Some(0)));
+    check_counts(&report, sent);
+    check_findings(&report);
     if let Ok(page) = std::env::var("CLAYSHORE_KEEP_PAGE") {
         let run =
             Command::new(PROGRAM).args(["report", "--step", "1", "--out", &page]).arg(&records).status();
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -48,66 +48,94 @@
     SearchRequest { tenant: Some(TenantId(0)), ..search_request(ClassId(class), vec![single_part(None)]) }
 }
 
-proptest! {
-    #[test]
-    fn any_sequence_of_events_keeps_the_sums(events in prop::collection::vec(test_event(), 1..120)) {
+/// A core under random events, and what is expected of its counts.
+struct RandomRun {
+    core: Core,
+    now: Time,
+    open: Vec<RequestId>,
+    in_flight: Vec<AttemptId>,
+    /// Queries received, by class.
+    received: [u64; 2],
+    /// Queries that have ended.
+    ended: u64,
+}
+
+impl RandomRun {
+    fn new() -> RandomRun {
         let config = platform_config();
         let mut core = Core::new(config.contracts);
-        let mut now = Time(1_700_000_000_000_000_000);
+        let now = Time(1_700_000_000_000_000_000);
         core.apply_endpoint_update(now, &config.initial_workers.expect("a list"), true);
-        let mut open: Vec<RequestId> = Vec::new();
-        let mut in_flight: Vec<AttemptId> = Vec::new();
-        let mut received = [0_u64; 2];
-        let mut ended = 0_u64;
-        for event in events {
-            match event {
-                TestEvent::Submitted { class } => {
-                    received[class] += 1;
-                    match core.submit(now, request_of_tenant(class)) {
-                        Ok(query) => open.push(query),
-                        Err(_) => ended += 1,
-                    }
-                }
-                TestEvent::RejectedUnread { class } => {
-                    (received[class], ended) = (received[class] + 1, ended + 1);
-                    core.reject_unread(ClassId(class));
-                }
-                TestEvent::RejectedStopping { class } => {
-                    (received[class], ended) = (received[class] + 1, ended + 1);
-                    core.reject_stopping(ClassId(class), None);
+        RandomRun { core, now, open: Vec::new(), in_flight: Vec::new(), received: [0; 2], ended: 0 }
+    }
+
+    fn apply(&mut self, event: TestEvent) {
+        match event {
+            TestEvent::Submitted { class } => {
+                self.received[class] += 1;
+                match self.core.submit(self.now, request_of_tenant(class)) {
+                    Ok(query) => self.open.push(query),
+                    Err(_) => self.ended += 1,
                 }
-                TestEvent::ClientDisconnected { query } if !open.is_empty() => {
-                    let query = open.remove(query % open.len());
-                    core.disconnect_client(now, query);
+            }
+            TestEvent::RejectedUnread { class } => {
+                self.received[class] += 1;
+                self.ended += 1;
+                self.core.reject_unread(ClassId(class));
+            }
+            TestEvent::RejectedStopping { class } => {
+                self.received[class] += 1;
+                self.ended += 1;
+                self.core.reject_stopping(ClassId(class), None);
+            }
+            TestEvent::ClientDisconnected { query } if !self.open.is_empty() => {
+                let query = self.open.remove(query % self.open.len());
+                self.core.disconnect_client(self.now, query);
+            }
+            TestEvent::AttemptFinished { attempt, outcome } if !self.in_flight.is_empty() => {
+                let attempt = self.in_flight.remove(attempt % self.in_flight.len());
+                let completion = AttemptCompletion::without_value(OUTCOMES[outcome]);
+                self.core.on_attempt_finished(self.now, attempt, completion);
+            }
+            TestEvent::TimePassed { ms } => self.now = self.now.after(Duration::from_millis(ms)),
+            TestEvent::ClientDisconnected { .. } | TestEvent::AttemptFinished { .. } => {}
+        }
+    }
+
+    /// Runs a step of the core, and follows its commands.
+    fn step(&mut self) {
+        for command in self.core.step(self.now) {
+            match command {
+                Command::Call { parts, .. } => {
+                    self.in_flight.extend(parts.iter().map(|part| part.attempt_id));
                 }
-                TestEvent::AttemptFinished { attempt, outcome } if !in_flight.is_empty() => {
-                    let attempt = in_flight.remove(attempt % in_flight.len());
-                    let completion = AttemptCompletion::without_value(OUTCOMES[outcome]);
-                    core.on_attempt_finished(now, attempt, completion);
+                Command::Cancel { attempt_id, .. } => {
+                    self.in_flight.retain(|other| *other != attempt_id);
                 }
-                TestEvent::TimePassed { ms } => now = now.after(Duration::from_millis(ms)),
-                TestEvent::ClientDisconnected { .. } | TestEvent::AttemptFinished { .. } => {}
-            }
-            for command in core.step(now) {
-                match command {
-                    Command::Call { parts, .. } => {
-                        in_flight.extend(parts.iter().map(|part| part.attempt_id));
-                    }
-                    Command::Cancel { attempt_id, .. } => in_flight.retain(|other| *other != attempt_id),
-                    Command::Respond { query, .. } => {
-                        open.retain(|other| *other != query);
-                        ended += 1;
-                    }
-                    _ => {}
+                Command::Respond { query, .. } => {
+                    self.open.retain(|other| *other != query);
+                    self.ended += 1;
                 }
+                _ => {}
             }
-            let counts = core.class_counts();
-            prop_assert_eq!([counts[0].received, counts[1].received], received);
+        }
+    }
+}
+
+proptest! {
+    #[test]
+    fn any_sequence_of_events_keeps_the_sums(events in prop::collection::vec(test_event(), 1..120)) {
+        let mut run = RandomRun::new();
+        for event in events {
+            run.apply(event);
+            run.step();
+            let counts = run.core.class_counts();
+            prop_assert_eq!([counts[0].received, counts[1].received], run.received);
             let open_queries: u64 = counts.iter().map(|counts| counts.open()).sum();
-            prop_assert_eq!(open_queries, core.open_queries() as u64);
+            prop_assert_eq!(open_queries, run.core.open_queries() as u64);
             let counted: u64 =
                 counts.iter().map(|counts| counts.succeeded + counts.rejected + counts.failed).sum();
-            prop_assert_eq!(counted, ended, "each query that ended is counted once");
+            prop_assert_eq!(counted, run.ended, "each query that ended is counted once");
         }
     }
 }
--- a/tests/policy_snapshot.rs
+++ b/tests/policy_snapshot.rs
@@ -10,8 +10,14 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// An aggregator that has learned something for each field: worker 1 answered, worker 2 failed to connect.
-fn taught() -> Aggregator {
+/// The time of the first step, and between queries, in nanoseconds.
+const START_NS: u64 = 1_000_000_000;
+const QUERY_INTERVAL_NS: u64 = 50_000_000;
+/// The time in which an attempt finishes.
+const ATTEMPT_TIME: Duration = Duration::from_millis(20);
+
+/// Settings under which each field of the snapshot gets a value.
+fn settings() -> Settings {
     let class = Class {
         latency_objective: Duration::from_millis(1500),
         objective_stretch: 0.0,
@@ -25,7 +31,7 @@
         partial_weight: 0.0,
         second_step_parts: 0,
     };
-    let mut aggregator = Aggregator::new(Settings {
+    Settings {
         seed: 42,
         fleet_size: 1,
         classes: vec![class],
@@ -38,52 +44,59 @@
         slow_start_budget_window: Duration::from_secs(2),
         cold_capacity_fraction: 0.5,
         ..Settings::default()
-    });
+    }
+}
+
+/// An aggregator with a history for each field of the snapshot: worker 1 answered, worker 2 failed to connect.
+fn aggregator_with_history() -> Aggregator {
+    let mut aggregator = Aggregator::new(settings());
     let worker = |id| Endpoint {
         worker: WorkerId(id),
         units: 1.0,
         started_at: Some(Time(1_000)),
         ..Endpoint::default()
     };
-    let mut actions = Vec::new();
     let list = EndpointUpdate::Full(vec![worker(1), worker(2)].into());
-    aggregator.step(Time(1_000_000_000), [Event::EndpointUpdate(list)], &mut actions);
-    for number in 0..8 {
-        let (id, part, job) = (RequestId(2 * number), RequestId(2 * number + 1), JobId(number));
-        let now = 1_000_000_000 + number * 50_000_000;
-        let query = NewQuery {
+    aggregator.step(Time(START_NS), [Event::EndpointUpdate(list)], &mut Vec::new());
+    (0..8).for_each(|number| run_query(&mut aggregator, number));
+    aggregator
+}
+
+/// Submits a query with one part, and finishes the attempts at once that it leads to.
+fn run_query(aggregator: &mut Aggregator, number: u64) {
+    let (id, part, job) = (RequestId(2 * number), RequestId(2 * number + 1), JobId(number));
+    let now = Time(START_NS + number * QUERY_INTERVAL_NS);
+    let query = NewQuery {
+        id,
+        class: ClassId(0),
+        tenant: Some(TenantId(0)),
+        valid_until: now.after(Duration::from_secs(5)),
+        job,
+        is_retry: false,
+    };
+    let part = NewPart { id: part, key: None, cost_hint: None, job, shard: ShardId(0), weight: 1.0 };
+    let mut actions = Vec::new();
+    aggregator.step(now, [Event::QueryReceived(query), Event::PartReceived(part)], &mut actions);
+    for action in actions {
+        let Action::Send { id, worker, .. } = action else { continue };
+        let outcome = match worker {
+            WorkerId(1) => AttemptOutcome::Succeeded,
+            _ => AttemptOutcome::ConnectFailed,
+        };
+        let result = AttemptResult {
             id,
-            class: ClassId(0),
-            tenant: Some(TenantId(0)),
-            valid_until: Time(now + 5_000_000_000),
-            job,
-            is_retry: false,
+            attempt: AttemptNo(0),
+            worker,
+            outcome,
+            elapsed: ATTEMPT_TIME,
+            part_finished: outcome == AttemptOutcome::Succeeded,
+            load_report: Some(Vec::new()),
         };
-        let needed = NewPart { id: part, key: None, cost_hint: None, job, shard: ShardId(0), weight: 1.0 };
-        actions.clear();
-        aggregator.step(Time(now), [Event::QueryReceived(query), Event::PartReceived(needed)], &mut actions);
-        for action in std::mem::take(&mut actions) {
-            let Action::Send { id, worker, .. } = action else { continue };
-            let outcome = match worker {
-                WorkerId(1) => AttemptOutcome::Succeeded,
-                _ => AttemptOutcome::ConnectFailed,
-            };
-            let result = AttemptResult {
-                id,
-                attempt: AttemptNo(0),
-                worker,
-                outcome,
-                elapsed: Duration::from_millis(20),
-                part_finished: outcome == AttemptOutcome::Succeeded,
-                load_report: Some(Vec::new()),
-            };
-            aggregator.step(Time(now + 20_000_000), [Event::AttemptFinished(result)], &mut actions);
-        }
+        aggregator.step(now.after(ATTEMPT_TIME), [Event::AttemptFinished(result)], &mut Vec::new());
     }
-    aggregator
 }
 
-fn name(worker: WorkerId) -> Option<&'static str> {
+fn name_of(worker: WorkerId) -> Option<&'static str> {
     match worker.0 {
         1 => Some("one"),
         2 => Some("two"),
@@ -91,7 +104,7 @@
     }
 }
 
-fn worker(name: &str) -> Option<WorkerId> {
+fn worker_named(name: &str) -> Option<WorkerId> {
     match name {
         "one" => Some(WorkerId(1)),
         "two" => Some(WorkerId(2)),
@@ -101,7 +114,7 @@
 
 #[test]
 fn a_snapshot_keeps_the_hand_over_messages_form() {
-    let snapshot = taught().snapshot(name);
+    let snapshot = aggregator_with_history().snapshot(name_of);
     insta::with_settings!({ prepend_module_to_snapshot => false, omit_expression => true }, {
         insta::assert_snapshot!("policy_snapshot", serde_json::to_string_pretty(&snapshot).expect("it serialises"));
     });
@@ -109,11 +122,11 @@
 
 #[test]
 fn a_restored_snapshot_is_the_one_that_was_taken() {
-    let aggregator = taught();
-    let sent = serde_json::to_value(aggregator.snapshot(name)).expect("it serialises");
+    let aggregator = aggregator_with_history();
+    let sent = serde_json::to_value(aggregator.snapshot(name_of)).expect("it serialises");
     let received: PolicySnapshot = serde_json::from_value(sent.clone()).expect("it deserialises");
-    let mut successor = taught();
-    successor.restore(received, worker);
-    let again: Value = serde_json::to_value(successor.snapshot(name)).expect("it serialises");
-    assert_eq!(sent, again);
+    let mut successor = aggregator_with_history();
+    successor.restore(received, worker_named);
+    let restored: Value = serde_json::to_value(successor.snapshot(name_of)).expect("it serialises");
+    assert_eq!(sent, restored);
 }
