--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -10,7 +10,7 @@
     DescriptorDenied, EvictionReason, ResourcePressure, Source,
 };
 use gatherer::policy::{Time, WorkerId};
-use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
+use proptest::prelude::{TestCaseError, prop, prop_assert, prop_assert_eq, proptest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -40,6 +40,19 @@
     }
 }
 
+/// The ticket that was removed from a full queue is the last of a worker that has the most waiting.
+fn check_removed(
+    waiting: &BTreeMap<ConnectTicket, u32>,
+    removed: ConnectTicket,
+) -> Result<(), TestCaseError> {
+    let waiting_for = |worker: u32| waiting.values().filter(|other| **other == worker).count();
+    let of_removed = waiting[&removed];
+    let most = (0..6).map(waiting_for).max();
+    prop_assert_eq!(Some(waiting_for(of_removed)), most);
+    prop_assert!(waiting.iter().all(|(ticket, worker)| *worker != of_removed || *ticket <= removed));
+    Ok(())
+}
+
 proptest! {
     #[test]
     fn the_descriptor_budget_is_never_exceeded_and_floors_can_always_be_acquired(
@@ -201,14 +214,8 @@
                 0 => {
                     let (ticket, removed) = queue.enqueue(now, WorkerId(worker), ms(time_left_ms));
                     waiting.insert(ticket, worker);
-                    let waiting_for = |worker: u32| waiting.values().filter(|other| **other == worker).count();
                     if let Some(removed) = removed {
-                        let of_removed = waiting[&removed];
-                        let most = (0..6).map(waiting_for).max();
-                        prop_assert_eq!(Some(waiting_for(of_removed)), most);
-                        prop_assert!(
-                            waiting.iter().all(|(ticket, worker)| *worker != of_removed || *ticket <= removed)
-                        );
+                        check_removed(&waiting, removed)?;
                         waiting.remove(&removed);
                     }
                 }
@@ -250,8 +257,9 @@
     let [often_used, rarely_used, penalised, single_request, slow, silent] =
         [(); 6].map(|()| accept(&mut connections));
     // One is used every 10 ms and is long overdue, the other every 200 ms and was used before it.
-    (0..10).for_each(|turn| query(&mut connections, rarely_used, turn * 200, RequestValidity::Valid));
-    (0..10).for_each(|turn| query(&mut connections, often_used, 1900 + turn * 10, RequestValidity::Valid));
+    (0..10).for_each(|number| query(&mut connections, rarely_used, number * 200, RequestValidity::Valid));
+    (0..10)
+        .for_each(|number| query(&mut connections, often_used, 1900 + number * 10, RequestValidity::Valid));
     query(&mut connections, penalised, 1000, RequestValidity::Invalid);
     query(&mut connections, single_request, 1000, RequestValidity::Valid);
     connections.receive_bytes(at(1500), slow, 20);
@@ -288,9 +296,9 @@
     let mut connections = ClientConnections::default();
     let dribbling = connections.accept(Time(0), Source(1));
     let uploading = connections.accept(Time(0), Source(1));
-    for turn in 1..=10 {
-        connections.receive_bytes(Time(turn * 30 * MS), dribbling, 1);
-        connections.receive_bytes(Time(turn * 30 * MS), uploading, 6_000);
+    for number in 1..=10 {
+        connections.receive_bytes(Time(number * 30 * MS), dribbling, 1);
+        connections.receive_bytes(Time(number * 30 * MS), uploading, 6_000);
     }
     let expired = connections.evict_expired(Time(310 * MS), ResourcePressure::FULL);
     assert_eq!(expired, [(dribbling, EvictionReason::Slow)]);
