--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -152,7 +152,9 @@
     let style = if finding.certainty == Certainty::Possible { "finding possible" } else { "finding" };
     html! {
         div class=(style) {
-            b { (finding_title(&finding.kind)) } " " span.quiet { "(" (certainty_label(finding.certainty)) ")" }
+            b { (finding_title(&finding.kind)) }
+            " "
+            span.quiet { "(" (certainty_label(finding.certainty)) ")" }
             div { (date_time(finding.from_ms)) " to " (time_of_day(finding.to_ms)) }
             div { (finding.evidence) "." }
             @if let Some(counter_evidence) = &finding.counter_evidence {
@@ -167,12 +169,21 @@
 }
 
 fn count_row(first: &str, counts: &QueryCounts) -> Markup {
-    html! { tr { td { (first) } td { (counts.received) } @for end in &END_COLUMNS { td { ((end.count)(counts)) } } } }
+    html! {
+        tr {
+            td { (first) }
+            td { (counts.received) }
+            @for end in &END_COLUMNS { td { ((end.count)(counts)) } }
+        }
+    }
 }
 
 fn class_totals(classes: &BTreeMap<String, QueryCounts>) -> Markup {
     html! {
-        div.wide { table { (count_header("class")) @for (class, counts) in classes { (count_row(class, counts)) } } }
+        div.wide { table {
+            (count_header("class"))
+            @for (class, counts) in classes { (count_row(class, counts)) }
+        } }
     }
 }
 
@@ -256,7 +267,8 @@
             }
         } }
         p.quiet {
-            "From left to right as time passes; green: got a response, red: a fifth or more got none; empty: nothing was sent."
+            "From left to right as time passes; green: got a response, red: a fifth or more got none; \
+             empty: nothing was sent."
         }
     }
 }
@@ -306,7 +318,12 @@
     html! {
         div.wide { table {
             tr {
-                th { "gatherer" } th.text { "start" } th { "from" } th { "to" } th { "end" } th { "records missing" }
+                th { "gatherer" }
+                th.text { "start" }
+                th { "from" }
+                th { "to" }
+                th { "end" }
+                th { "records missing" }
             }
             @for (id, incarnation) in summary.incarnations.iter().take(MAX_TABLE_ROWS) {
                 tr {
--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -1,7 +1,7 @@
 //! The process's descriptors and buffered bytes as the sockets use them: permits that release themselves when dropped,
 //! and waiting for one. It owns the one budget that all classes share. Who gets what is decided in [`crate::limits`].
 //!
-//! This file holds the pool: `descriptor_permit.rs` holds the permit for one descriptor, `connect_permit.rs` the permits to
+//! This file holds the pool, `descriptor_permit.rs` the permit for one descriptor, `connect_permit.rs` the permits to
 //! connect and the queue for them, `buffer_reservation.rs` the bytes buffered for one peer.
 
 mod buffer_reservation;
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -229,10 +229,16 @@
         tokio::select! {
             biased;
             count = read.read_buf(&mut self.buffer) => SessionEvent::Read(count),
-            rest = write_next(write, self.connection, &self.shared.broker), if has_frame => SessionEvent::Written(rest),
+            rest = write_next(write, self.connection, &self.shared.broker), if has_frame => {
+                SessionEvent::Written(rest)
+            }
             () = self.connection.wake.notified() => SessionEvent::Wake,
-            () = tokio::time::sleep_until(deadline.unwrap_or(self.last_used)), if deadline.is_some() => SessionEvent::FrameOverdue,
-            () = tokio::time::sleep_until(message_deadline), if self.message_started_at.is_some() => SessionEvent::ResponseOverdue,
+            () = tokio::time::sleep_until(deadline.unwrap_or(self.last_used)), if deadline.is_some() => {
+                SessionEvent::FrameOverdue
+            }
+            () = tokio::time::sleep_until(message_deadline), if self.message_started_at.is_some() => {
+                SessionEvent::ResponseOverdue
+            }
             () = tokio::time::sleep_until(idle_at), if self.connection.is_idle() => SessionEvent::Idle,
         }
     }
