--- /dev/null
+++ b/tests/listener/clients.rs
@@ -0,0 +1,98 @@
+//! Clients of the server under test, which share its thread: well-behaved ones and others.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// How long one attempt to connect blocks the thread while the backlog is full. With room in it, none blocks at all.
+const CONNECT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1);
+
+pub async fn send_request(stream: &mut TcpStream, path: &str) {
+    stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await.expect("written");
+}
+
+pub async fn read_response(stream: &mut TcpStream, path: &str) -> String {
+    let mut text = Vec::new();
+    while !text.ends_with(format!("{path}\n").as_bytes()) {
+        let count = stream.read_buf(&mut text).await.expect("readable");
+        assert!(count > 0, "the connection ended after {:?}", String::from_utf8_lossy(&text));
+    }
+    String::from_utf8(text).expect("text")
+}
+
+pub async fn exchange(stream: &mut TcpStream, path: &str) -> String {
+    send_request(stream, path).await;
+    read_response(stream, path).await
+}
+
+/// A well-behaved client: where its idle connection was closed, it sends its request once more on a new one.
+pub async fn well_behaved(address: SocketAddr, idle: &mut Option<TcpStream>) -> String {
+    if let Some(stream) = idle {
+        let mut text = Vec::new();
+        if stream.write_all(b"GET /well-behaved HTTP/1.1\r\n\r\n").await.is_ok() {
+            while !text.ends_with(b"/well-behaved\n") && matches!(stream.read_buf(&mut text).await, Ok(1..)) {
+            }
+        }
+        if !text.is_empty() {
+            return String::from_utf8(text).expect("text");
+        }
+    }
+    let stream = idle.insert(connect_and_send(address, b"GET /well-behaved HTTP/1.1\r\n\r\n").await);
+    read_response(stream, "/well-behaved").await
+}
+
+/// Connects and sends a request at once, before the server has a turn: clients and server share a thread, and a client that
+/// waited for its turn between the two would send its request as late as the thread is busy. While the backlog is full, it
+/// tries again.
+async fn connect_and_send(address: SocketAddr, request: &[u8]) -> TcpStream {
+    loop {
+        let mut stream = match std::net::TcpStream::connect_timeout(&address, CONNECT_ATTEMPT_TIMEOUT) {
+            Ok(stream) => stream,
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                tokio::time::sleep(CONNECT_ATTEMPT_TIMEOUT).await;
+                continue;
+            }
+            Err(error) => panic!("no connection: {error}"),
+        };
+        std::io::Write::write_all(&mut stream, request).expect("written");
+        stream.set_nonblocking(true).expect("set");
+        return TcpStream::from_std(stream).expect("a stream");
+    }
+}
+
+/// A client that misbehaves in one of several ways, and reconnects at once whenever it is closed.
+pub async fn misbehaving(address: SocketAddr, number: usize) {
+    loop {
+        let Ok(mut stream) = TcpStream::connect(address).await else { return };
+        let bytes: &[u8] = match number % 5 {
+            0 => b"",
+            1 => b"GET /half HTTP/1.1\r\nX-Pad:",
+            2 => b"GET /once HTTP/1.1\r\n\r\n",
+            3 => b"\0\0 malformed \r\n\r\n",
+            _ => b"GET /malformed HTTP/1.1\r\n\r\n",
+        };
+        let mut discarded = [0; 512];
+        // It may be closed at any point, which is what it provokes.
+        if stream.write_all(bytes).await.is_ok() {
+            while matches!(stream.read(&mut discarded).await, Ok(1..)) {
+                if number.is_multiple_of(10) && stream.write_all(b"a").await.is_err() {
+                    break;
+                }
+            }
+        }
+    }
+}
+
+/// Waits until a condition holds, and fails the test after 20 s.
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let all = async {
+        while !holds() {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+    };
+    tokio::time::timeout(Duration::from_secs(20), all)
+        .await
+        .unwrap_or_else(|_| panic!("waited in vain: {what}"));
+}
--- /dev/null
+++ b/tests/listener/flood.rs
@@ -0,0 +1,82 @@
+//! Well-behaved clients beside many times more connections than descriptors.
+
+use crate::clients::{misbehaving, read_response, send_request, well_behaved};
+use crate::server::{Server, run};
+use gatherer::limits::DescriptorClass;
+use gatherer::service::lifecycle::LifecycleRequest;
+use gatherer::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::{JoinHandle, spawn_local};
+
+/// Acquires all descriptors that workers are guaranteed, busy, as queries of many parts do.
+fn fill_guaranteed_worker_descriptors(pool: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
+    let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
+    let held: Vec<DescriptorPermit> = (0..floor)
+        .map(|_| pool.try_acquire(DescriptorClass::Workers).expect("a guaranteed descriptor"))
+        .collect();
+    assert!(held.iter().all(DescriptorPermit::try_mark_busy));
+    held
+}
+
+async fn well_behaved_clients_lose_nothing(
+    descriptors: usize,
+    failures: u32,
+    workers_busy: bool,
+    min_admitted: u64,
+) {
+    let server = Server::start(descriptors, failures).await;
+    let worker_descriptors =
+        workers_busy.then(|| fill_guaranteed_worker_descriptors(server.manager.descriptor_pool()));
+    let misbehaving_clients: Vec<_> =
+        (0..10 * descriptors).map(|number| spawn_local(misbehaving(server.address, number))).collect();
+    // Well-behaved clients keep their connections; one that is closed between two requests reconnects.
+    let mut clients = [None, None, None, None];
+    let admitted = || server.manager.descriptor_pool().counters.borrow().admitted;
+    let mut rounds = 0;
+    while rounds < 10 || admitted() < min_admitted {
+        for client in &mut clients {
+            assert!(well_behaved(server.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
+        }
+        rounds += 1;
+        assert!(server.free() <= server.manager.descriptor_pool().descriptors(|all| all.budget().usable));
+        tokio::task::yield_now().await;
+    }
+    let counters = server.manager.descriptor_pool().counters.borrow().clone();
+    assert!(counters.peak_descriptors <= descriptors - 16, "{counters}");
+    assert!(counters.evicted_early > 0 && counters.total_evicted() > 0, "{counters}");
+    assert_eq!((counters.rejected, counters.rejected_no_descriptor), (0, 0), "{counters}");
+    assert_eq!(counters.accept_failed > 0, failures > 0, "{counters}");
+    let mut last = server.client().await;
+    send_request(&mut last, "/held").await;
+    while server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
+        tokio::task::yield_now().await;
+    }
+    // After SIGTERM well-behaved clients still get their responses, and the process ends under load.
+    server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+    assert!(well_behaved(server.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
+    server.manager.wait_for_closing().await;
+    server.held.add_permits(1);
+    assert!(read_response(&mut last, "/held").await.contains("Connection: close\r\n"));
+    misbehaving_clients.iter().for_each(JoinHandle::abort);
+    server.accepting.await.expect("accepting ends");
+    while server.manager.open_connections() > 0 {
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+    drop(worker_descriptors);
+}
+
+#[test]
+fn well_behaved_clients_lose_nothing_among_ten_times_as_many_connections_as_descriptors() {
+    run(well_behaved_clients_lose_nothing(96, 0, false, 2000));
+}
+
+#[test]
+fn well_behaved_clients_lose_nothing_while_workers_use_all_guaranteed_descriptors() {
+    run(well_behaved_clients_lose_nothing(96, 0, true, 600));
+}
+
+#[test]
+fn well_behaved_clients_lose_nothing_while_accepts_fail_for_want_of_descriptors() {
+    run(well_behaved_clients_lose_nothing(64, 1, false, 80));
+}
--- /dev/null
+++ b/tests/listener/server.rs
@@ -0,0 +1,129 @@
+//! The server under test: a connection manager and a listener on a loopback socket, in front of an echo.
+
+use gatherer::limits::DescriptorBudget;
+use gatherer::protocol::http::{MalformedMessage, Request, Response};
+use gatherer::routing::Invariant;
+use gatherer::transport::connection_manager::ConnectionManager;
+use gatherer::transport::descriptor_pool::DescriptorPool;
+use gatherer::transport::listener::{Accept, AcceptFuture, Front, accept_connections};
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+
+/// Responds with the request's path. `/held` waits for a permit of the test.
+struct Echo {
+    held: Rc<Semaphore>,
+}
+
+impl Front for Echo {
+    async fn respond(&self, request: Request) -> Response {
+        match request.path.as_str() {
+            "/held" => drop(self.held.acquire().await),
+            "/malformed" => return Response::text(400, "malformed"),
+            _ => {}
+        }
+        Response::text(200, request.path)
+    }
+    fn malformed(&self, error: MalformedMessage) -> Response {
+        Response::text(error.status(), error.to_string())
+    }
+    fn overloaded(&self, _: Option<&Request>) -> Response {
+        Response::text(503, "overloaded").with_header("Retry-After", "1")
+    }
+    fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
+        request.headers.get("X-Caller")
+    }
+    fn label<'a>(&self, _: &'a Request) -> Option<&'a str> {
+        None
+    }
+    fn on_invariant_violated(&self, invariant: Invariant, concerns: &str) {
+        eprintln!("{}: {concerns}", invariant.name());
+    }
+}
+
+/// Too many open files.
+const EMFILE: i32 = 24;
+/// The connection was reset before it was accepted.
+pub const ECONNABORTED: i32 = 103;
+
+/// A connection manager and a listener that admits connections to it.
+pub struct Server {
+    pub manager: Rc<ConnectionManager>,
+    pub address: SocketAddr,
+    pub held: Rc<Semaphore>,
+    pub accepting: JoinHandle<()>,
+}
+
+/// Fails a number of accepts with an error of the system before it accepts a connection; one more before each further one.
+struct FailingListener {
+    listener: TcpListener,
+    failures_left: Cell<u32>,
+    errno: i32,
+}
+
+impl Accept for FailingListener {
+    fn accept(&self) -> AcceptFuture<'_> {
+        Box::pin(async move {
+            if self.failures_left.get() > 0 {
+                self.failures_left.set(self.failures_left.get() - 1);
+                return Err(io::Error::from_raw_os_error(self.errno));
+            }
+            let accepted = Accept::accept(&self.listener).await;
+            self.failures_left.set(1);
+            accepted
+        })
+    }
+}
+
+impl Server {
+    pub async fn start(descriptors: usize, failures: u32) -> Server {
+        Server::with_buffer_limit(descriptors, failures, 4 << 20).await
+    }
+    pub async fn with_buffer_limit(descriptors: usize, failures: u32, max_buffered_bytes: usize) -> Server {
+        Server::with_accept_errors(descriptors, failures, EMFILE, max_buffered_bytes).await
+    }
+    pub async fn with_accept_errors(
+        descriptors: usize,
+        failures: u32,
+        errno: i32,
+        max_buffered_bytes: usize,
+    ) -> Server {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let descriptor_pool = DescriptorPool::new(
+            DescriptorBudget::new(descriptors, 16, 0).expect("enough"),
+            max_buffered_bytes,
+        );
+        let (manager, held) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
+        let front = Rc::new(Echo { held: held.clone() });
+        let accepting = if failures > 0 {
+            spawn_local(accept_connections(
+                FailingListener { listener, failures_left: Cell::new(failures), errno },
+                front,
+                manager.clone(),
+            ))
+        } else {
+            spawn_local(accept_connections(listener, front, manager.clone()))
+        };
+        let evicting = manager.clone();
+        spawn_local(async move { evicting.run_evictions().await });
+        let timed = manager.clone();
+        spawn_local(async move { timed.run_lifecycle_timers().await });
+        Server { manager, address, held, accepting }
+    }
+    pub fn free(&self) -> usize {
+        self.manager.descriptor_pool().descriptors(|all| all.free())
+    }
+    pub async fn client(&self) -> TcpStream {
+        TcpStream::connect(self.address).await.expect("connected")
+    }
+}
+
+pub fn run(main: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, main);
+}
