--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -154,7 +154,7 @@
         };
         let needed = needed_weight(class, self.settings.cells, query.first_step_complete.is_some());
         let factor = if query.over_quota { OVER_QUOTA_THRESHOLD_FACTOR } else { 1.0 };
-        let threshold = (usual - self.recent_failure_rate.min(MAX_FAILURE_CORRECTION)) * factor;
+        let threshold = (usual - self.estimates.recent_failure_rate.min(MAX_FAILURE_CORRECTION)) * factor;
         let left = seconds(query.objective_at.since(self.now));
         let ids = query.parts.clone();
         let plan = self.plan_parts(ids);
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,6 @@
 //! Dispatch of attempts, retries and hedged requests, and what their results change. What limits extra
 //! attempts is in `retry_budget.rs`, what results say of a worker's health in `outlier_detection.rs`.
 
-use crate::policy::estimates::{MODEL_SAMPLE_WEIGHT, SAMPLE_WEIGHT};
 use crate::policy::load_reports::utilization;
 use crate::policy::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::queries::{Attempt, Part};
@@ -134,8 +133,7 @@
         // jams.
         if !self.stalled {
             let failed = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut);
-            let failed = f64::from(u8::from(failed));
-            self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (failed - self.recent_failure_rate);
+            self.estimates.record_attempt_result(failed);
         }
         if outcome == AttemptOutcome::NotSent && result.attempt.0 > 0 {
             self.attempt_window.remove_extra_attempt(attempt.sent_at);
@@ -152,7 +150,7 @@
         self.apply_outcome(result.worker, outcome, attempt.cost);
         if let Some(report) = result.load_report {
             let utilization = utilization(&self.settings.report_fields, &report);
-            self.mean_reported_utilization += SAMPLE_WEIGHT * (utilization - self.mean_reported_utilization);
+            self.estimates.record_utilization(utilization);
             self.apply_load_report(result.worker, utilization);
         }
         self.drop_if_finished(result.id);
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -9,7 +9,7 @@
 /// Weight of a new sample in running means: about the last twenty count.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.05;
 /// Weight of a new sample in the model of latency: about the last hundred successes count.
-pub(super) const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
+const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
 /// Weight of a new sample in the mean interval of queries.
 const QUERY_INTERVAL_SAMPLE_WEIGHT: f64 = 0.2;
 /// Seconds between queries before any was received.
@@ -121,6 +121,10 @@
     pub(super) last_success_at: Time,
     /// Seconds that a part takes without waiting, by class.
     pub(super) base_latency: Vec<f64>,
+    /// Running share of attempts that were rejected or timed out.
+    pub(super) recent_failure_rate: f64,
+    /// Running mean of the utilization that responses report.
+    pub(super) mean_reported_utilization: f64,
 }
 
 impl Estimates {
@@ -135,6 +139,17 @@
             ..Estimates::default()
         }
     }
+
+    /// Records whether an attempt was rejected or timed out.
+    pub(super) fn record_attempt_result(&mut self, failed: bool) {
+        let failed = f64::from(u8::from(failed));
+        self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (failed - self.recent_failure_rate);
+    }
+
+    /// Records the utilization that a response reports.
+    pub(super) fn record_utilization(&mut self, utilization: f64) {
+        self.mean_reported_utilization += SAMPLE_WEIGHT * (utilization - self.mean_reported_utilization);
+    }
 }
 
 /// The shortest latency objective of any class, in seconds; infinite where there is no class.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -82,10 +82,6 @@
     slow_start_phase: f64,
 
     estimates: Estimates,
-    /// Running share of attempts that were rejected or timed out.
-    recent_failure_rate: f64,
-    /// Running mean of the utilization that responses report.
-    mean_reported_utilization: f64,
 }
 
 impl Aggregator {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -79,6 +79,6 @@
     /// keeps other queries' parts waiting.
     pub(super) fn retry_budget_permits(&self, is_hedge: bool) -> bool {
         self.attempt_window.budget_permits(self.settings.retry_budget)
-            && (!is_hedge || self.attempt_window.hedge_permits(self.mean_reported_utilization))
+            && (!is_hedge || self.attempt_window.hedge_permits(self.estimates.mean_reported_utilization))
     }
 }
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -162,7 +162,7 @@
             tenant_quotas: self.tenant_quotas.snapshot(),
             client_retries: self.client_retries.snapshot(),
             latency_model: self.estimates.latency_model.clone(),
-            recent_failure_rate: self.recent_failure_rate,
+            recent_failure_rate: self.estimates.recent_failure_rate,
             query_interval: self.estimates.query_arrivals.mean_interval_s,
             last_query_at: self.estimates.query_arrivals.last_at,
             last_success_at: self.estimates.last_success_at,
@@ -194,7 +194,7 @@
             self.estimates.base_latency = snapshot.base_latency;
         }
         self.estimates.latency_model = snapshot.latency_model;
-        self.recent_failure_rate = snapshot.recent_failure_rate;
+        self.estimates.recent_failure_rate = snapshot.recent_failure_rate;
         self.estimates.query_arrivals =
             QueryArrivals { mean_interval_s: snapshot.query_interval, last_at: snapshot.last_query_at };
         self.estimates.last_success_at = snapshot.last_success_at;
