--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -4,14 +4,14 @@
 //! [`Simulation`] owns the virtual clock, all processes and the events in flight. It decides nothing for a
 //! member.
 
-use super::network::{NetworkFaults, Traffic, address, id_at, id_of, name};
+use super::event_queue::{DueEvent, Event, EventQueue};
+use super::network::{Link, NetworkFaults, Traffic, address, id_at, id_of, name};
 use super::peer::{Peer, PeerStart, StartPeer};
 use crate::membership::{
     Command, ConnectionProbeResult, MemberChange, MemberState, MemberUpdate, Message, Node, Timing,
 };
 use crate::policy::Time;
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -34,42 +34,7 @@
 /// How long a connection attempt without a response takes.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Something that happens to a member's process.
-#[derive(Clone)]
-enum Event<M> {
-    Tick { id: usize, starts: u64 },
-    Datagram { to: usize, message: M },
-    ProbeResult { id: usize, name: String, start: u64, result: ConnectionProbeResult },
-    Table { to: usize, from: usize, message: M, is_reply: bool },
-}
-
-impl<M> Event<M> {
-    /// The member that the event happens to.
-    fn target(&self) -> usize {
-        match self {
-            Event::Tick { id, .. } | Event::ProbeResult { id, .. } => *id,
-            Event::Datagram { to, .. } | Event::Table { to, .. } => *to,
-        }
-    }
-}
-
-/// When an event in flight is due. Events that are due at the same time happen in the order of their serial
-/// numbers.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct QueuedEvent {
-    due: Time,
-    serial: u64,
-}
-
-/// The direction from one member to another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Link {
-    /// The sender.
-    pub from: usize,
-    /// The receiver.
-    pub to: usize,
-}
-
+/// A member's process, which may be dead.
 struct Process<P: Peer> {
     /// The running process; none if it is dead.
     node: Option<P>,
@@ -111,11 +76,7 @@
     /// What all members sent.
     pub traffic: Traffic,
     processes: Vec<Process<P>>,
-    /// The events in flight, the next one first.
-    queue: BinaryHeap<Reverse<QueuedEvent>>,
-    /// The events in flight, by their serial numbers.
-    events: HashMap<u64, Event<P::Message>>,
-    last_serial: u64,
+    queue: EventQueue<P::Message>,
     start_peer: StartPeer<P>,
     configured_gatherers: u32,
     seeds: Vec<SocketAddr>,
@@ -161,9 +122,7 @@
             reports: Vec::new(),
             traffic: Traffic::default(),
             processes: (0..count).map(|_| process()).collect(),
-            queue: BinaryHeap::new(),
-            events: HashMap::new(),
-            last_serial: 0,
+            queue: EventQueue::new(),
             start_peer,
             configured_gatherers: count as u32,
             seeds: (0..SEED_MEMBERS.min(count)).map(address).collect(),
@@ -239,22 +198,15 @@
     /// Lets this much time pass.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now.after(duration);
-        while let Some(Reverse(next)) = self.queue.peek().copied()
-            && next.due <= end
-        {
-            self.queue.pop();
-            self.now = next.due;
-            if let Some(event) = self.events.remove(&next.serial) {
-                self.apply(event);
-            }
+        while let Some(DueEvent { due, event }) = self.queue.pop_due(end) {
+            self.now = due;
+            self.apply(event);
         }
         self.now = end;
     }
 
     fn schedule(&mut self, due: Time, event: Event<P::Message>) {
-        self.last_serial += 1;
-        self.events.insert(self.last_serial, event);
-        self.queue.push(Reverse(QueuedEvent { due, serial: self.last_serial }));
+        self.queue.push(due, event);
     }
 
     /// Has an event happen.
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -7,6 +7,7 @@
 
 pub mod chart;
 pub mod engine;
+mod event_queue;
 pub mod experiment;
 pub mod network;
 pub mod observations;
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -50,6 +50,15 @@
     }
 }
 
+/// The direction from one member to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Link {
+    /// The sender.
+    pub from: usize,
+    /// The receiver.
+    pub to: usize,
+}
+
 /// What all members have sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
