--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -19,8 +19,8 @@
     harness
 }
 
-/// Sends parts to these shards and leaves them unanswered, so that a further part there would wait past the latency
-/// objective.
+/// Sends parts to these shards and leaves them unanswered, so that a further part there would wait past the
+/// latency objective.
 fn saturate(harness: &mut AggregatorHarness, shards: &[u32]) {
     for (shard, cost_ms) in shards.iter().flat_map(|shard| [(*shard, 900), (*shard, 140)]) {
         let (_, _, mut events) = harness.new_query(None, &[shard]);
@@ -54,7 +54,8 @@
     assert_eq!(harness.sent.len(), before + 8, "and the late part has its chance");
 }
 
-/// The number of hedges while eight parts become late, after a hundred that were answered with this utilization.
+/// The number of hedges while eight parts become late, after a hundred that were answered with this
+/// utilization.
 fn hedges(utilization: f64) -> usize {
     let mut harness = AggregatorHarness::new(settings(), &[1, 2, 3, 4, 5, 6, 7, 8]);
     for number in 0..100 {
@@ -211,15 +212,16 @@
 
 #[test]
 fn an_idle_fleet_is_sent_more_than_a_busy_one() {
-    // On a quiet day 3% were rejected because the objective seemed at risk, and random choice of replicas did better.
+    // On a quiet day 3% were rejected because the objective seemed at risk, and random choice of replicas did
+    // better.
     let (idle, busy) = (admitted_at(0.3), admitted_at(1.0));
     assert!(busy > 0 && idle * 10 > busy * 13, "{idle} at 0.3, {busy} at 1.0");
 }
 
 #[test]
 fn a_fast_deployment_without_hints_is_served_from_its_first_query() {
-    // A first estimate made for slow deployments exceeds the whole objective: every query is rejected, and nothing
-    // is learned.
+    // A first estimate made for slow deployments exceeds the whole objective: every query is rejected, and
+    // nothing is learned.
     for objective_ms in [20, 80, 2500, 60_000] {
         let fast = Class {
             latency_objective: ms(objective_ms),
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -5,8 +5,8 @@
 use common::{AggregatorHarness, endpoint_list, ms, rejected, settings};
 use gatherer::policy::{EndpointUpdate, Event, RequestId};
 
-/// A client's attempt at a request, which its cost hint tells apart from others; the client waits for this attempt as
-/// long as `time_left_ms` says.
+/// A client's attempt at a request, which its cost hint tells apart from others; the client waits for this
+/// attempt as long as `time_left_ms` says.
 fn client_attempt(
     harness: &mut AggregatorHarness,
     cost_hint_ms: u64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What tests share: the decision module under test with its actions recorded, real processes, fleets of both, and
-//! the platform's configuration.
+//! What tests share: the decision module under test with its actions recorded, real processes, fleets of
+//! both, and the platform's configuration.
 #![allow(dead_code)] // each test file uses a part of this
 
 pub mod platform;
@@ -139,7 +139,8 @@
         (query, parts)
     }
 
-    /// The events of a query of class 0 with one part for each shard; returns its id, its parts' and the events.
+    /// The events of a query of class 0 with one part for each shard; returns its id, its parts' and the
+    /// events.
     pub fn new_query(
         &mut self,
         key: Option<&str>,
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,5 +1,5 @@
-//! Real processes of the program on loopback, with fake workers, discovery, clients and operators. Tests wait for events:
-//! a line of the log, a response, a counter.
+//! Real processes of the program on loopback, with fake workers, discovery, clients and operators. Tests wait
+//! for events: a line of the log, a response, a counter.
 
 #![allow(unused_imports)] // each test file uses a part of what is re-exported
 
@@ -52,8 +52,8 @@
     }
 }
 
-/// A loopback address that no other test uses: a port that was free a moment ago on 127.0.0.1 may be in use by another
-/// test now.
+/// A loopback address that no other test uses: a port that was free a moment ago on 127.0.0.1 may be in use
+/// by another test now.
 pub fn unused_address() -> String {
     listen().local_addr().expect("an address").to_string()
 }
--- a/tests/common/process/frame.rs
+++ b/tests/common/process/frame.rs
@@ -1,4 +1,5 @@
-//! Frames of the worker protocol and of the members' table exchange: a length of four bytes, then that many bytes.
+//! Frames of the worker protocol and of the members' table exchange: a length of four bytes, then that many
+//! bytes.
 
 use std::io::{Read, Write};
 
--- a/tests/common/process/gatherer.rs
+++ b/tests/common/process/gatherer.rs
@@ -88,8 +88,8 @@
         Gatherer::spawn(&file, config, temp_folder, operator_file)
     }
 
-    /// Starts it with the fault injection library preloaded. `faults` lists the faults, which happen while the file `switch`
-    /// exists.
+    /// Starts it with the fault injection library preloaded. `faults` lists the faults, which happen while
+    /// the file `switch` exists.
     pub fn start_with_faults(
         folder: &TempFolder,
         config: &serde_json::Value,
@@ -163,7 +163,8 @@
         assert!(kill.success());
     }
 
-    /// Pauses the process (SIGSTOP) and waits until it is: what arrives from now on is seen at the same wake-up.
+    /// Pauses the process (SIGSTOP) and waits until it is: what arrives from now on is seen at the same
+    /// wake-up.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
--- a/tests/common/proxied_fleet.rs
+++ b/tests/common/proxied_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes of the program, each behind a proxy that everything to that member passes: it drops,
-//! duplicates and partitions by sender.
+//! A fleet of real processes of the program, each behind a proxy that everything to that member passes: it
+//! drops, duplicates and partitions by sender.
 #![allow(dead_code)] // each test file uses a part of this
 
 use super::process::{
@@ -16,7 +16,8 @@
 
 const CLUSTER: &str = "test";
 const SECRET: &str = "known to members only";
-/// The probe interval of these tests: shorter than in production, and longer than a busy machine delays a process.
+/// The probe interval of these tests: shorter than in production, and longer than a busy machine delays a
+/// process.
 const PROBE_INTERVAL_MS: u64 = 100;
 /// The suspicion time-out of these tests.
 const SUSPICION_TIMEOUT_MS: u64 = 4000;
@@ -43,7 +44,8 @@
     pub discovery: Discovery,
     configs: Vec<Value>,
     operator_files: Vec<String>,
-    /// The listener of each member's proxy. While it is `None`, connections are refused, as the member's machine would.
+    /// The listener of each member's proxy. While it is `None`, connections are refused, as the member's
+    /// machine would.
     proxy_listeners: Vec<Arc<Mutex<Option<TcpListener>>>>,
     proxy_addresses: Vec<SocketAddr>,
     folder: TempFolder,
--- a/tests/common/simulated_fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet at full size: a hundred aggregators, sixty workers in three zones, and an overloaded discovery.
+//! A simulated fleet at full size: a hundred aggregators, sixty workers in three zones, and an overloaded
+//! discovery.
 
 use super::{AggregatorHarness, Sent, class, entry, ms, settings};
 use gatherer::policy::{
@@ -83,8 +84,8 @@
         (0..WORKERS).filter(|id| which(*id)).for_each(|id| self.workers[id as usize] = behavior);
     }
 
-    /// Advances time by a span in milliseconds; each aggregator gets four queries of eight parts a second. Returns the
-    /// number of dispatches to the chosen workers, and of all.
+    /// Advances time by a span in milliseconds; each aggregator gets four queries of eight parts a second.
+    /// Returns the number of dispatches to the chosen workers, and of all.
     pub fn advance(&mut self, span: u64, which: impl Fn(u32) -> bool) -> (usize, usize) {
         let (mut to_chosen, mut total) = (0, 0);
         for _ in 0..span / STEP_MS {
@@ -152,9 +153,9 @@
 const MAX_QUEUED_POLLS: usize = 14;
 const USELESS_AFTER_MS: u64 = 2000;
 
-/// Simulates callers that poll an overloaded discovery for 90 s, as on the deployment herd+vast: a poll takes 150 ms, 14
-/// wait in turn, others are rejected, and the response to one that has waited for 2 s is useless. Returns how many callers
-/// got their list, and the most polls in a second.
+/// Simulates callers that poll an overloaded discovery for 90 s, as on the deployment herd+vast: a poll takes
+/// 150 ms, 14 wait in turn, others are rejected, and the response to one that has waited for 2 s is useless.
+/// Returns how many callers got their list, and the most polls in a second.
 pub fn simulate_discovery_polls(
     starts: Vec<u64>,
     mut backoff_ms: impl FnMut(usize) -> u64,
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Limits of connections, descriptors and buffered bytes: properties over random histories, and the eviction order.
+//! Limits of connections, descriptors and buffered bytes: properties over random histories, and the eviction
+//! order.
 
 use gatherer::limits::client_connections::RequestValidity;
 use gatherer::limits::connection_pool::{
@@ -226,7 +227,9 @@
                     if let Some((ticket, WorkerId(worker))) = started {
                         prop_assert_eq!(waiting.remove(&ticket), Some(worker));
                         prop_assert!(
-                            waiting.iter().all(|(other, worker)| *other > ticket || at_limit(&connecting, *worker))
+                            waiting
+                                .iter()
+                                .all(|(other, worker)| *other > ticket || at_limit(&connecting, *worker))
                         );
                         connecting.push(worker);
                     } else {
--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -1,4 +1,5 @@
-//! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled again.
+//! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled
+//! again.
 
 mod common;
 
@@ -32,7 +33,8 @@
     );
 }
 
-/// Submits a query with one part of 0.2 s and completes it at once. Returns the names of the workers that received it.
+/// Submits a query with one part of 0.2 s and completes it at once. Returns the names of the workers that
+/// received it.
 fn submit(core: &mut Core, now: Time) -> Vec<String> {
     let part = single_part(Some(Duration::from_millis(200)));
     let request = search_request(ClassId(0), vec![part]);
@@ -68,8 +70,8 @@
     let enabled = (0..50_u64)
         .filter(|number| submit(&mut core, now.after(Duration::from_millis(number * 20))) == ["w1"])
         .count();
-    // The module assumes four cores at most, of which a worker that warms up carries a fifth to a fourth; 0.6 x 2.5 times
-    // that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker receives 27.
+    // The module assumes four cores at most, of which a worker that warms up carries a fifth to a fourth; 0.6
+    // x 2.5 times that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker receives 27.
     assert!(
         warm > 60 && (1..=11).contains(&enabled),
         "{warm} of 200 while warm, {enabled} of 50 in the first second after it was enabled"
@@ -126,8 +128,14 @@
             }
             prop_assert!(!core.disable_worker(now, "w3") && !core.enable_worker(now, "w3"));
             let sent = submit(&mut core, now);
-            prop_assert!(sent.iter().all(|name| !disabled[usize::from(name == "w2")]), "{sent:?}, disabled: {disabled:?}");
-            let listed: Vec<&str> = ["w1", "w2"].into_iter().filter(|name| core.disabled_workers().is_disabled(name)).collect();
+            prop_assert!(
+                sent.iter().all(|name| !disabled[usize::from(name == "w2")]),
+                "{sent:?}, disabled: {disabled:?}"
+            );
+            let listed: Vec<&str> = ["w1", "w2"]
+                .into_iter()
+                .filter(|name| core.disabled_workers().is_disabled(name))
+                .collect();
             prop_assert_eq!(listed.len(), disabled.iter().filter(|disabled| **disabled).count());
         }
     }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery that has to be polled: one service for all gatherers, which answers polls in turn, fails those that wait too
-//! long and goes down. Changes have to be known by the time at which the protocol counts them as notified. The clock is
-//! virtual, seeds are fixed.
+//! Discovery that has to be polled: one service for all gatherers, which answers polls in turn, fails those
+//! that wait too long and goes down. Changes have to be known by the time at which the protocol counts them
+//! as notified. The clock is virtual, seeds are fixed.
 
 mod common;
 
@@ -357,7 +357,8 @@
 
 #[test]
 fn a_worker_that_started_in_the_future_by_a_stepped_clock_warms_up_in_time() {
-    // The wall clock was stepped back as this process started: every worker would stay in slow start for an hour.
+    // The wall clock was stepped back as this process started: every worker would stay in slow start for an
+    // hour.
     let config = platform_config();
     let (mut core, start) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, return short or are interrupted inside a real process of the program, by a fault library that
-//! it preloads. Queries are counted at both ends.
+//! System calls that fail, return short or are interrupted inside a real process of the program, by a fault
+//! library that it preloads. Queries are counted at both ends.
 
 mod common;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,8 +17,8 @@
         let (first, later) = (fleet.advance(1000, in_lost_zone).0, fleet.advance(2000, in_lost_zone).0);
         // Each on its own: 900 sends in the first second, and 800 in the next two.
         assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
-        // Healed without a restart, so that no endpoint update shows it. Each on its own: 1,190 sends in three
-        // seconds.
+        // Healed without a restart, so that no endpoint update shows it. Each on its own: 1,190 sends in
+        // three seconds.
         fleet.set_behavior(in_lost_zone, WorkerBehavior::Answers);
         fleet.advance(1000, in_lost_zone);
         let back = fleet.advance(3000, in_lost_zone).0;
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -1,6 +1,6 @@
-//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member, in front of
-//! twelve workers, when half of the gatherers die or are partitioned. One tenant submits far more than its quota, the
-//! other stays within its own; what warming-up workers receive is counted at the workers.
+//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member, in
+//! front of twelve workers, when half of the gatherers die or are partitioned. One tenant submits far more
+//! than its quota, the other stays within its own; what warming-up workers receive is counted at the workers.
 
 mod common;
 
@@ -22,8 +22,8 @@
 const STEP_MS: u64 = 10;
 /// Work of a part, in seconds.
 const PART_S: f64 = 0.1;
-/// Queries a second of two parts each, over all gatherers: of the tenant that stays within its quota, and of the one that
-/// does not. The workers have capacity for 60.
+/// Queries a second of two parts each, over all gatherers: of the tenant that stays within its quota, and of
+/// the one that does not. The workers have capacity for 60.
 const QUERIES_PER_S: [u64; 2] = [16, 100];
 /// The quota of either tenant.
 const QUOTA_PER_S: f64 = 20.0;
@@ -217,8 +217,8 @@
     }
 }
 
-/// Runs a fleet of which some gatherers meet a fault; then most workers restart if that is wanted, and what happens in the
-/// next ten seconds is counted.
+/// Runs a fleet of which some gatherers meet a fault; then most workers restart if that is wanted, and what
+/// happens in the next ten seconds is counted.
 fn run(
     seed: u64,
     follows_membership: bool,
@@ -267,7 +267,8 @@
         };
         let (whole, halves) = (run(seed, true, true, |_| {}), run(seed, true, true, partition));
         assert!(halves.peak_budget_use <= 1.0, "seed {seed}: {halves:?}");
-        // Neither half has taken the other's share: all continues as without a partition, tenants' quotas too.
+        // Neither half has taken the other's share: all continues as without a partition, tenants' quotas
+        // too.
         assert_eq!(halves, whole, "seed {seed}");
         let died = run(seed, true, true, kill_half);
         assert!(died.peak_budget_use > 0.0 && died.peak_budget_use <= 1.0, "seed {seed}: {died:?}");
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,5 +1,5 @@
-//! The two processes of a hot restart: together they use no more than one process may, and the successor continues with
-//! the snapshot of its predecessor.
+//! The two processes of a hot restart: together they use no more than one process may, and the successor
+//! continues with the snapshot of its predecessor.
 
 mod common;
 
@@ -46,8 +46,8 @@
     core
 }
 
-/// Submits a query with one part of 0.2 s and completes its attempts at once; at an unreachable worker the connection
-/// fails. Returns the names of the workers that received an attempt.
+/// Submits a query with one part of 0.2 s and completes its attempts at once; at an unreachable worker the
+/// connection fails. Returns the names of the workers that received an attempt.
 fn submit(core: &mut Core, now: Time, unreachable: &str) -> Vec<String> {
     let part = single_part(Some(Duration::from_millis(200)));
     let request = search_request(ClassId(0), vec![part]);
@@ -141,7 +141,13 @@
         acquired in prop::collection::vec(0..5_usize, 0..200),
         limit in 128..600_usize,
     ) {
-        let classes = [DescriptorClass::Clients, DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files, DescriptorClass::Operators];
+        let classes = [
+            DescriptorClass::Clients,
+            DescriptorClass::Workers,
+            DescriptorClass::Discovery,
+            DescriptorClass::Files,
+            DescriptorClass::Operators,
+        ];
         let mut descriptors = DescriptorAllocator::new(DescriptorBudget::new(limit, 20, 8).expect("enough"));
         for class in acquired {
             // It fails where all are in use.
--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,5 @@
-//! One HTTP exchange with discovery or an index server, on loopback sockets: what ends a response, and what does not.
+//! One HTTP exchange with discovery or an index server, on loopback sockets: what ends a response, and what
+//! does not.
 
 use bytes::BytesMut;
 use gatherer::protocol::http;
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,6 +1,6 @@
-//! An incident on loopback: three gatherers with scripted workers and clients; all workers are slow at once, and one
-//! gatherer is killed meanwhile. The report has findings for these two faults and no others, and its counts are those of
-//! the clients.
+//! An incident on loopback: three gatherers with scripted workers and clients; all workers are slow at once,
+//! and one gatherer is killed meanwhile. The report has findings for these two faults and no others, and its
+//! counts are those of the clients.
 
 mod common;
 
@@ -60,7 +60,10 @@
 impl Gatherer {
     fn start(folder: &Path, name: &str, workers: &[String]) -> Gatherer {
         let mut config = platform_json();
-        let member = |(number, address): (usize, &String)| json!({"id": format!("w{number}"), "host_port": address, "cell": 0, "phase": "SERVING"});
+        let member = |(number, address): (usize, &String)| {
+            let id = format!("w{number}");
+            json!({"id": id, "host_port": address, "cell": 0, "phase": "SERVING"})
+        };
         let members: Vec<Value> = workers.iter().enumerate().map(member).collect();
         config["name"] = name.into();
         config["known"] = json!({"revision": 1, "complete": true, "members": members});
@@ -144,7 +147,8 @@
     }
 }
 
-/// Every query that was sent is counted once: all were answered in time but the one that the killed gatherer had.
+/// Every query that was sent is counted once: all were answered in time but the one that the killed gatherer
+/// had.
 fn check_counts(report: &Value, sent: usize) {
     let counts = &report["classes"]["search"];
     let count = |name: &str| counts[name].as_u64().expect("a number") as usize;
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,4 +1,5 @@
-//! Connections to index servers: which address is connected to, and what is sent on a connection that was idle.
+//! Connections to index servers: which address is connected to, and what is sent on a connection that was
+//! idle.
 
 mod common;
 
@@ -90,7 +91,8 @@
 
 #[test]
 fn a_non_idempotent_search_is_sent_on_a_new_connection() {
-    // The server may close or reset an idle connection just then: the search may have run, and its result is lost.
+    // The server may close or reset an idle connection just then: the search may have run, and its result is
+    // lost.
     run(|broker, connector| async move {
         for (label, class) in [("a", "search"), ("b", "search"), ("c", "seal")] {
             assert!(is_complete(&submit(&broker, label, class).await));
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -8,7 +8,8 @@
     WorkerId,
 };
 
-/// Submits a query for one part of shard 0 whose client waits for `time_left_ms`; returns whether it was sent in that step.
+/// Submits a query for one part of shard 0 whose client waits for `time_left_ms`; returns whether it was sent
+/// in that step.
 fn admitted(harness: &mut AggregatorHarness, time_left_ms: u64, is_retry: bool) -> bool {
     let (query, _, mut events) = harness.new_query(Some("k"), &[0]);
     if let Some(Event::QueryReceived(new_query)) = events.first_mut() {
@@ -26,7 +27,8 @@
 
 #[test]
 fn many_aggregators_together_warm_a_worker_up_without_overloading_it() {
-    // najdeno-ljubljana grown: a sixtieth of the slow-start budget holds no whole part, so no aggregator sent any.
+    // najdeno-ljubljana grown: a sixtieth of the slow-start budget holds no whole part, so no aggregator sent
+    // any.
     let aggregators = 60;
     let start = Time(1_000_000 * MS);
     let mut sent_at: Vec<Time> = Vec::new();
@@ -53,8 +55,8 @@
         }
         sent_at.extend(harness.sent.iter().map(|sent| sent.at));
     }
-    // Parts of 0.1 s; the worker has one core, of which a fifth is available at first; twice that is allowed in a
-    // second.
+    // Parts of 0.1 s; the worker has one core, of which a fifth is available at first; twice that is allowed
+    // in a second.
     let mut total = 0;
     for second in 0..9_u64 {
         let inside = |at: &&Time| at.since(start).as_secs() == second;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership in virtual time under each fault that it has to tolerate: which members are declared dead and when, which are
-//! not, and what each estimates the number of gatherers to be meanwhile.
+//! Membership in virtual time under each fault that it has to tolerate: which members are declared dead and
+//! when, which are not, and what each estimates the number of gatherers to be meanwhile.
 
 use gatherer::membership::{Node, ObservedState, Timing};
 use gatherer::simulation::engine::Report;
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -1,5 +1,6 @@
-//! Random faults, with shrinking, inside the bounds that docs/membership.md states: no running member is declared dead, and
-//! all converge again afterwards. Also proof that the guards are needed: without each, a running member is declared dead.
+//! Random faults, with shrinking, inside the bounds that docs/membership.md states: no running member is
+//! declared dead, and all converge again afterwards. Also proof that the guards are needed: without each, a
+//! running member is declared dead.
 
 use gatherer::membership::{MemberState, MemberUpdate, Message, MessageKind, Node, ObservedState, Timing};
 use gatherer::simulation::network::{address, name};
@@ -44,7 +45,8 @@
     let member = 0..MEMBERS;
     prop_oneof![
         3 => (member.clone(), 50..1900_u64).prop_map(|(member, ms)| Fault::Pause { member, ms }),
-        3 => (member.clone(), member.clone(), any::<bool>()).prop_map(|(from, to, both_ways)| Fault::Partition { from, to, both_ways }),
+        3 => (member.clone(), member.clone(), any::<bool>())
+            .prop_map(|(from, to, both_ways)| Fault::Partition { from, to, both_ways }),
         2 => (member.clone(), 0..3000_u64).prop_map(|(member, down_ms)| Fault::Restart { member, down_ms }),
         1 => (member, 0..900_u64).prop_map(|(member, gap_ms)| Fault::Upgrade { member, gap_ms }),
         1 => (0.0..0.2_f64).prop_map(|fraction| Fault::Loss { fraction }),
@@ -125,8 +127,8 @@
 
 #[test]
 fn without_the_pause_guard_a_resumed_member_declares_one_dead_that_answered_meanwhile() {
-    // One member is suspected; another is paused until long after the first has answered, and reads a message of a third
-    // before it runs its timers.
+    // One member is suspected; another is paused until long after the first has answered, and reads a message
+    // of a third before it runs its timers.
     let declared_dead_by_resumed = |timing: Timing| -> usize {
         let false_positives = (0..8).map(|seed| {
             let mut simulation = Members::of_nodes(MEMBERS, seed, timing);
@@ -165,7 +167,8 @@
     (0..MEMBERS + 2, start, incarnation, state).prop_map(|(id, start, incarnation, state)| {
         MemberUpdate {
             name: name(id),
-            // None stands for the member's own start; the others stand for later ones, by milliseconds, and for the last.
+            // None stands for the member's own start; the others stand for later ones, by milliseconds, and
+            // for the last.
             start: start.map_or(0, |later| later.saturating_mul(1_000_000).max(1)),
             incarnation,
             address: address(id),
@@ -202,6 +205,9 @@
         };
         simulation.advance(Duration::from_secs(15));
         prop_assert!(simulation.run_until(Duration::from_secs(30), all_present).is_some());
-        prop_assert!((0..MEMBERS).all(|id| simulation.gatherers(id).is_some_and(|count| count <= MEMBERS as u32 + 2)));
+        prop_assert!(
+            (0..MEMBERS)
+                .all(|id| simulation.gatherers(id).is_some_and(|count| count <= MEMBERS as u32 + 2))
+        );
     }
 }
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,5 +1,5 @@
-//! Every pattern of loss of the first messages after a fault, run on the program's own state machine: three or four members
-//! with a crash, a partition, both, or a paused member.
+//! Every pattern of loss of the first messages after a fault, run on the program's own state machine: three
+//! or four members with a crash, a partition, both, or a paused member.
 
 use gatherer::membership::{Node, ObservedState, Timing};
 use gatherer::simulation::Simulation;
--- a/tests/membership_processes.rs
+++ b/tests/membership_processes.rs
@@ -1,5 +1,5 @@
-//! Membership with real processes of the program, and a proxy before each that injects faults: what every process comes to
-//! know, and that no running process is declared dead meanwhile.
+//! Membership with real processes of the program, and a proxy before each that injects faults: what every
+//! process comes to know, and that no running process is declared dead meanwhile.
 
 mod common;
 
@@ -168,8 +168,8 @@
 
 #[test]
 fn membership_stays_off_where_the_platform_carries_datagrams_itself() {
-    // There datagrams over 256 bytes, and all other paths between gatherers, are forbidden; a member's datagrams have up to
-    // 1,200 bytes.
+    // There datagrams over 256 bytes, and all other paths between gatherers, are forbidden; a member's
+    // datagrams have up to 1,200 bytes.
     let (folder, worker) = (TempFolder::new("peers"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let seed = listen();
--- a/tests/membership_simulation.rs
+++ b/tests/membership_simulation.rs
@@ -1,5 +1,5 @@
-//! The membership simulation: its experiments keep their rules, the same seed gives the same run, and a broken rule is
-//! reported.
+//! The membership simulation: its experiments keep their rules, the same seed gives the same run, and a
+//! broken rule is reported.
 
 use gatherer::simulation::{self, Experiment, Outcome, Simulation, chart};
 use std::path::Path;
@@ -51,7 +51,8 @@
 
 #[test]
 fn broken_rules_are_reported() {
-    // A third of the fleet is paused for longer than the suspicion timeout, and deaths have to be known at once.
+    // A third of the fleet is paused for longer than the suspicion timeout, and deaths have to be known at
+    // once.
     let text = r#"
         title = "broken"
         members = 6
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' calls to a real process: readiness, metrics, drain and resume, and disabling workers, while silent callers
-//! hold connections.
+//! Operators' calls to a real process: readiness, metrics, drain and resume, and disabling workers, while
+//! silent callers hold connections.
 
 mod common;
 
@@ -59,7 +59,8 @@
         assert_eq!(metric_value(address, &format!("gatherer.{name}")), value, "{name}");
     }
 
-    // Draining: unhealthy at once, accepted queries are answered, and their connections end after the response.
+    // Draining: unhealthy at once, accepted queries are answered, and their connections end after the
+    // response.
     assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(address, "GET", "/-/ready"), (503, "drained\n".to_owned()));
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -8,8 +8,8 @@
     WorkerId,
 };
 
-/// Runs for 4 s with workers that do not respond while the others respond after 100 ms; returns what was sent in the last
-/// second.
+/// Runs for 4 s with workers that do not respond while the others respond after 100 ms; returns what was sent
+/// in the last second.
 fn sent_beside_unresponsive(unresponsive: &[u32], workers: &[u32]) -> Vec<Sent> {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, workers);
     let start = harness.now;
@@ -50,8 +50,8 @@
 
 #[test]
 fn a_failed_connection_alone_does_not_make_a_worker_warm_up() {
-    // In a large fleet a warming-up worker gets next to nothing for most of its warm-up, so only the endpoint list
-    // may start one.
+    // In a large fleet a warming-up worker gets next to nothing for most of its warm-up, so only the endpoint
+    // list may start one.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     harness.submit(Some("k"), &[0]);
     let first = harness.last_sent();
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_non_idempotent_query_is_rejected_where_its_class_fails_at_every_replica() {
-    // Eight of twelve workers lost the non-idempotent class: while its other replica was ejected, its parts went
-    // to one that had lost six before them.
+    // Eight of twelve workers lost the non-idempotent class: while its other replica was ejected, its parts
+    // went to one that had lost six before them.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings =
         Settings { classes, may_health_check: false, max_retry_after: Some(ms(500)), ..settings() };
@@ -167,7 +167,8 @@
 
 #[test]
 fn one_connection_reset_does_not_eject_a_worker() {
-    // Where connections break now and then, most workers were ejected at any time, and only the worst were eligible.
+    // Where connections break now and then, most workers were ejected at any time, and only the worst were
+    // eligible.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     harness.submit(Some("k"), &[0]);
     let preferred = harness.last_sent().worker;
@@ -192,8 +193,8 @@
 
 #[test]
 fn errors_alone_eject_no_worker() {
-    // zone+vast: two errors ejected a replica that fails at once while the other was full. Only ejected workers get
-    // health checks.
+    // zone+vast: two errors ejected a replica that fails at once while the other was full. Only ejected
+    // workers get health checks.
     for (outcome, ejected) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
         let mut harness = AggregatorHarness::new(settings(), &[1]);
         harness.submit(Some("k"), &[0]);
--- a/tests/policy_snapshot.rs
+++ b/tests/policy_snapshot.rs
@@ -1,5 +1,5 @@
-//! The form in which the decision module's snapshot travels in the hand-over message: versions of the gatherer that run
-//! one after the other have to agree on it.
+//! The form in which the decision module's snapshot travels in the hand-over message: versions of the
+//! gatherer that run one after the other have to agree on it.
 
 use gatherer::Aggregator;
 use gatherer::policy::{
@@ -47,7 +47,8 @@
     }
 }
 
-/// An aggregator with a history for each field of the snapshot: worker 1 answered, worker 2 failed to connect.
+/// An aggregator with a history for each field of the snapshot: worker 1 answered, worker 2 failed to
+/// connect.
 fn aggregator_with_history() -> Aggregator {
     let mut aggregator = Aggregator::new(settings());
     let worker = |id| Endpoint {
@@ -115,8 +116,9 @@
 #[test]
 fn a_snapshot_keeps_the_hand_over_messages_form() {
     let snapshot = aggregator_with_history().snapshot(name_of);
+    let json = serde_json::to_string_pretty(&snapshot).expect("it serialises");
     insta::with_settings!({ prepend_module_to_snapshot => false, omit_expression => true }, {
-        insta::assert_snapshot!("policy_snapshot", serde_json::to_string_pretty(&snapshot).expect("it serialises"));
+        insta::assert_snapshot!("policy_snapshot", json);
     });
 }
 
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,5 +1,5 @@
-//! The program itself, on loopback sockets: start, one query, reload, SIGTERM, exit; the sub-commands; and the errors
-//! that name a key of a file.
+//! The program itself, on loopback sockets: start, one query, reload, SIGTERM, exit; the sub-commands; and
+//! the errors that name a key of a file.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, ReceivedResponse};
@@ -282,7 +282,8 @@
         let error = gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
         assert!(error.contains(message), "{at}: {error}");
     }
-    // The operators' address is taken from the file, else from the environment; without either the API is off.
+    // The operators' address is taken from the file, else from the environment; without either the API is
+    // off.
     let operator_address_of = |value: serde_json::Value, variable: Option<&str>| {
         let mut json = good.clone();
         json["operator"] = value;
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -25,7 +25,10 @@
 
 proptest! {
     #[test]
-    fn a_handover_message_with_one_changed_byte_is_never_accepted(position in 0..200_usize, flipped_bits in 1..=255_u8) {
+    fn a_handover_message_with_one_changed_byte_is_never_accepted(
+        position in 0..200_usize,
+        flipped_bits in 1..=255_u8,
+    ) {
         let sent = Message::WorkerEnabled { worker: "index-17".repeat(8) };
         let mut bytes = BytesMut::from(&handover::encode(&sent).expect("encoded")[..]);
         let position = position % bytes.len();
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -279,7 +279,11 @@
 
 proptest! {
     #[test]
-    fn no_damaged_record_is_ever_accepted(position in 0usize..400, changed in any::<u8>(), seq in 0u64..1000) {
+    fn no_damaged_record_is_ever_accepted(
+        position in 0usize..400,
+        changed in any::<u8>(),
+        seq in 0u64..1000,
+    ) {
         let record = Record { seq, ..records(1).remove(0) };
         let mut bytes = record.encode();
         let position = position % (bytes.len() - 1);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! The scenario language: `send`, `expect`, `close`, `open`, `wait`, one command to a line, run on in-memory pipes under a
-//! paused clock that advances only when all tasks are idle. The transcript lists everything that each party received, and
-//! when.
+//! The scenario language: `send`, `expect`, `close`, `open`, `wait`, one command to a line, run on in-memory
+//! pipes under a paused clock that advances only when all tasks are idle. The transcript lists everything
+//! that each party received, and when.
 
 mod fronts;
 mod network;
@@ -123,7 +123,8 @@
         assert!(words.contains(what), "line {line}: {who} got {words:?}, not {what:?}\n{}", self.transcript);
     }
 
-    /// Closes a party's next connection; or its port, so that connecting is refused or (silently) never completes.
+    /// Closes a party's next connection; or its port, so that connecting is refused or (silently) never
+    /// completes.
     fn close(&mut self, who: &str, what: &str) {
         let mut parties = self.environment.network.0.borrow_mut();
         let party = parties.get_mut(who).expect("a party");
@@ -178,8 +179,8 @@
         self.broker.apply_endpoint_update(&update, false);
     }
 
-    /// Sends what a party says: `NAME.N` on its Nth connection, `NAME` on the next one. A client without an open
-    /// connection connects first.
+    /// Sends what a party says: `NAME.N` on its Nth connection, `NAME` on the next one. A client without an
+    /// open connection connects first.
     fn send_as_party<F: Front + 'static>(&mut self, who: &str, what: &str, front: &Rc<F>) {
         let (name, number) =
             who.split_once('.').map_or((who, None), |(name, number)| (name, number.parse().ok()));
--- a/tests/scenario/network.rs
+++ b/tests/scenario/network.rs
@@ -1,4 +1,5 @@
-//! The fake network of a scenario: in-memory pipes to and from its parties, and what each party receives as text.
+//! The fake network of a scenario: in-memory pipes to and from its parties, and what each party receives as
+//! text.
 
 use bytes::{BufMut, BytesMut};
 use gatherer::protocol::http;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Both fronts against fake parties: runs every scenario in `tests/scenarios/` and compares its transcript with a snapshot.
+//! Both fronts against fake parties: runs every scenario in `tests/scenarios/` and compares its transcript
+//! with a snapshot.
 
 mod scenario;
 
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! Connections and processes that end while a response is pending, on real processes and sockets. Races are forced: the
-//! process is paused while both events arrive, so that it sees both at the same wake-up. Counted at clients and workers.
+//! Connections and processes that end while a response is pending, on real processes and sockets. Races are
+//! forced: the process is paused while both events arrive, so that it sees both at the same wake-up. Counted
+//! at clients and workers.
 
 mod common;
 
@@ -46,7 +47,8 @@
     found.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
 }
 
-/// Sends a query for one part of shard 0, of so little cost that all those of a test are expected to be answered in time.
+/// Sends a query for one part of shard 0, of so little cost that all those of a test are expected to be
+/// answered in time.
 fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0,"price":9000}],"predicate":"c41e"}"#;
     let head = format!(
@@ -97,7 +99,8 @@
         assert_eq!(response(client).expect("an answer").status, 400);
     }
     assert!(gatherer.wait_for_exit());
-    // So many at once may exceed what admission expects to be answered in time; rejected queries were not sent.
+    // So many at once may exceed what admission expects to be answered in time; rejected queries were not
+    // sent.
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served > 0 && statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
     assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (8 + served, 1));
@@ -256,7 +259,8 @@
     }
 }
 
-/// A listener whose queue is full, and the connections that fill it: further ones are not established until it accepts.
+/// A listener whose queue is full, and the connections that fill it: further ones are not established until
+/// it accepts.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -288,7 +292,8 @@
         clients.push(client);
     }
     wait_until("all attempts are dispatched", || counter(&mut watch, "sent") >= 12);
-    // All disconnect while the process is paused, some by a reset, some after the beginning of another request.
+    // All disconnect while the process is paused, some by a reset, some after the beginning of another
+    // request.
     gatherer.pause();
     for (number, mut client) in clients.into_iter().enumerate() {
         if number % 3 > 0 {
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,5 +1,6 @@
-//! Upgrades with real processes: two or three on one address, killed, paused and restarted at every stage, while clients
-//! send queries. No request is lost and none runs twice, counted at the clients and at the workers.
+//! Upgrades with real processes: two or three on one address, killed, paused and restarted at every stage,
+//! while clients send queries. No request is lost and none runs twice, counted at the clients and at the
+//! workers.
 
 mod common;
 
@@ -43,7 +44,8 @@
         config["operator"] = unused_address().into();
         config
     }
-    /// The same with a discovery that accepts connections and never answers, so that the process is not ready at once.
+    /// The same with a discovery that accepts connections and never answers, so that the process is not ready
+    /// at once.
     fn config_with_silent_discovery(&self) -> (serde_json::Value, TcpListener) {
         let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut config = self.next_config();
@@ -74,8 +76,9 @@
     assert_eq!(response(&mut client).expect("an answer").status, 200);
 }
 
-/// A client that sends queries without a pause, on connections that it keeps, while `running` is set; returns the number
-/// of its queries. Where a connection is closed between two requests it retries once on a new one, as the protocol allows.
+/// A client that sends queries without a pause, on connections that it keeps, while `running` is set; returns
+/// the number of its queries. Where a connection is closed between two requests it retries once on a new one,
+/// as the protocol allows.
 fn spawn_client(
     address: String,
     name: String,
@@ -154,8 +157,8 @@
     serving.signal("-TERM");
     assert!(serving.wait_for_exit());
     accepted += counter_at_exit(&serving, "taken");
-    // At the clients and at the gatherers: each query was accepted once and answered once. At the workers: each
-    // non-idempotent part was delivered once.
+    // At the clients and at the gatherers: each query was accepted once and answered once. At the workers:
+    // each non-idempotent part was delivered once.
     assert_eq!(accepted, queries);
     assert!(fleet.parts_received() >= queries);
     for worker in [&fleet.first_worker, &fleet.second_worker] {
@@ -275,7 +278,8 @@
     let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.signal("-STOP");
-    // SIGTERM before the successor is ready: the first process ends as usual, and the queue of connections outlives it.
+    // SIGTERM before the successor is ready: the first process ends as usual, and the queue of connections
+    // outlives it.
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     let mut client = first.connect();
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,4 +1,5 @@
-//! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are reclaimed.
+//! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are
+//! reclaimed.
 
 mod common;
 
@@ -59,7 +60,8 @@
     }
 }
 
-/// Connects to workers that do not read, by connections that buffer a few bytes; the workers' ends are kept here.
+/// Connects to workers that do not read, by connections that buffer a few bytes; the workers' ends are kept
+/// here.
 #[derive(Default)]
 struct StuckWorkers(RefCell<Vec<DuplexStream>>);
 
@@ -118,7 +120,8 @@
 
 #[test]
 fn a_query_with_more_parts_than_descriptors_waits_and_is_answered_completely() {
-    // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48 descriptors in all.
+    // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48
+    // descriptors in all.
     run(20, |broker, pool| async move {
         let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
         let client_permits: Vec<DescriptorPermit> = (0..floor)
@@ -152,7 +155,8 @@
 
 #[test]
 fn without_a_connection_the_query_is_rejected_as_not_executed() {
-    // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected rather than failed.
+    // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected
+    // rather than failed.
     run(20, |broker, pool| async move {
         let mut held = Vec::new();
         while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
@@ -199,7 +203,8 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_as_its_client_disconnects_never_runs() {
-    // A frame that stays in a full connection would run whenever the worker reads on, after its client is gone.
+    // A frame that stays in a full connection would run whenever the worker reads on, after its client is
+    // gone.
     let stuck = Rc::new(StuckWorkers::default());
     run_on(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
@@ -263,7 +268,8 @@
 
 #[test]
 fn the_deadline_sent_to_a_worker_includes_the_wait_for_its_connection() {
-    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was dispatched.
+    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was
+    // dispatched.
     let slow = Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
     run_on(slow.clone(), |broker, _| async move {
         let submitting = broker.clone();
