--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,6 +6,7 @@
 pub mod process;
 pub mod proxied_fleet;
 pub mod simulated_fleet;
+pub mod upgrade_fixture;
 
 use gatherer::Aggregator;
 use gatherer::policy::{
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -5,65 +5,15 @@
 mod common;
 
 use common::process::{
-    Discovery, Gatherer, TempFolder, Worker, call_operator_api, config, member, metric_value, query,
-    response, unused_address, wait_until,
+    Gatherer, TempFolder, call_operator_api, member, metric_value, query, response, wait_until,
 };
+use common::upgrade_fixture::UpgradeFixture;
 use std::io::{BufRead, BufReader, Write};
-use std::net::TcpListener;
-use std::os::unix::fs::MetadataExt;
 use std::os::unix::net::{UnixListener, UnixStream};
-use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::{self, JoinHandle};
 
-/// A gatherer's surroundings: two workers, discovery, and the folder that its processes share.
-struct Fleet {
-    first_worker: Worker,
-    second_worker: Worker,
-    discovery: Discovery,
-    folder: TempFolder,
-    config: serde_json::Value,
-}
-
-impl Fleet {
-    /// Starts the workers and discovery.
-    fn new(name: &str) -> Fleet {
-        let (first_worker, second_worker) = (Worker::start(), Worker::start());
-        let members =
-            format!("{},{}", member("w1", &first_worker.address), member("w2", &second_worker.address));
-        let discovery = Discovery::start(&members);
-        let (folder, mut config) = (TempFolder::new(name), config(&discovery));
-        // Each of two processes may use half: enough for all queries that the clients here have open at once.
-        config["settings"]["allowed"]["max-open"] = 100.into();
-        Fleet { first_worker, second_worker, discovery, folder, config }
-    }
-    /// The same gatherer's configuration for the next process, with another operators' address.
-    fn next_config(&self) -> serde_json::Value {
-        let mut config = self.config.clone();
-        config["operator"] = unused_address().into();
-        config
-    }
-    /// The same with a discovery that accepts connections and never answers, so that the process is not ready
-    /// at once.
-    fn config_with_silent_discovery(&self) -> (serde_json::Value, TcpListener) {
-        let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let mut config = self.next_config();
-        config["discovery"] = silent.local_addr().expect("an address").to_string().into();
-        (config, silent)
-    }
-    /// Path of the takeover socket.
-    fn takeover_socket_path(&self) -> PathBuf {
-        let user = std::fs::metadata(&self.folder.0).expect("a folder").uid();
-        let listen = self.config["listen"].as_str().expect("an address").replace(':', "-");
-        self.folder.0.join(format!("clayshore-{user}-{listen}.sock"))
-    }
-    /// Number of deliveries of parts to either worker.
-    fn parts_received(&self) -> usize {
-        self.first_worker.parts_received() + self.second_worker.parts_received()
-    }
-}
-
 /// Whether its readiness check succeeds.
 fn is_ready(gatherer: &Gatherer) -> bool {
     call_operator_api(&gatherer.operators, "GET", "/-/ready").0 == 200
@@ -124,7 +74,7 @@
 
 #[test]
 fn clients_notice_nothing_of_three_upgrades_in_a_row() {
-    let fleet = Fleet::new("upgrades");
+    let fleet = UpgradeFixture::new("upgrades");
     let mut serving = Gatherer::start(&fleet.folder, &fleet.config);
     let (running, answers) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..4)
@@ -173,7 +123,7 @@
 
 #[test]
 fn disabled_workers_survive_an_upgrade_and_changes_reach_both_processes() {
-    let fleet = Fleet::new("handed");
+    let fleet = UpgradeFixture::new("handed");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
@@ -209,7 +159,7 @@
 
 #[test]
 fn a_drain_is_handed_over_and_does_not_hold_up_the_upgrade() {
-    let fleet = Fleet::new("drained");
+    let fleet = UpgradeFixture::new("drained");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
@@ -224,7 +174,7 @@
 
 #[test]
 fn drain_and_resume_during_an_upgrade_apply_to_both_processes() {
-    let fleet = Fleet::new("both");
+    let fleet = UpgradeFixture::new("both");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
     let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
@@ -240,7 +190,7 @@
 
 #[test]
 fn the_predecessor_continues_if_the_successor_is_stopped() {
-    let fleet = Fleet::new("undone");
+    let fleet = UpgradeFixture::new("undone");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
     wait_until("ready", || is_ready(&second));
@@ -255,7 +205,7 @@
 
 #[test]
 fn a_successor_that_dies_before_it_is_ready_changes_nothing() {
-    let fleet = Fleet::new("stillborn");
+    let fleet = UpgradeFixture::new("stillborn");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
     let mut second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
@@ -272,7 +222,7 @@
 
 #[test]
 fn a_paused_successor_serves_the_connections_that_waited_for_it() {
-    let fleet = Fleet::new("hung");
+    let fleet = UpgradeFixture::new("hung");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
     let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
@@ -294,7 +244,7 @@
 
 #[test]
 fn a_predecessor_that_dies_midway_leaves_its_connection_queue_and_its_disabled_workers() {
-    let fleet = Fleet::new("midway");
+    let fleet = UpgradeFixture::new("midway");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
     let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
@@ -312,7 +262,7 @@
 
 #[test]
 fn a_predecessor_that_hangs_is_not_waited_for_forever() {
-    let fleet = Fleet::new("deaf");
+    let fleet = UpgradeFixture::new("deaf");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     first.signal("-STOP");
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
@@ -333,7 +283,7 @@
 
 #[test]
 fn a_silent_connection_holds_up_no_upgrade() {
-    let fleet = Fleet::new("mute");
+    let fleet = UpgradeFixture::new("mute");
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     let _silent = UnixStream::connect(fleet.takeover_socket_path()).expect("connected");
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
@@ -345,7 +295,7 @@
 
 #[test]
 fn a_third_start_waits_for_the_end_of_the_upgrade() {
-    let fleet = Fleet::new("third");
+    let fleet = UpgradeFixture::new("third");
     let mut first = Gatherer::start(&fleet.folder, &fleet.config);
     let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
     wait_until("ready", || is_ready(&second));
@@ -367,7 +317,7 @@
 
 #[test]
 fn upgrades_work_without_a_writable_folder() {
-    let fleet = Fleet::new("unwritable");
+    let fleet = UpgradeFixture::new("unwritable");
     let missing = TempFolder(fleet.folder.0.join("missing"));
     let mut first = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.config, &missing);
     first.wait_for_log("further starts find this one by name");
@@ -381,7 +331,7 @@
 
 #[test]
 fn an_invalid_hand_over_is_rejected_with_one_log_line() {
-    let fleet = Fleet::new("foreign");
+    let fleet = UpgradeFixture::new("foreign");
     let path = fleet.takeover_socket_path();
     let cases: [(&[u8], &str); 4] = [
         (b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nConnection: close\r\nServer: other\r\n\r\n", "form of a hand-over"),
