--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -28,6 +28,9 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two requests of a process that has to wait.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two attempts that need nothing of the other process: a look for a list, a call of the system that failed for
+/// a moment.
+const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a successor waits for discovery at most: it already has the predecessor's endpoint list.
 const MAX_DISCOVERY_WAIT: Duration = Duration::from_secs(1);
 
@@ -108,7 +111,7 @@
         if self.takeover.borrow().process_count() > 1 {
             let listed = async {
                 while self.broker.with_core(|core| !core.has_discovery_list()) {
-                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
+                    tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
             };
             tokio::select! {
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -2,7 +2,7 @@
 //! the listening socket and the state.
 
 use super::Upgrade;
-use super::{REPLY_TIMEOUT, RETRY_INTERVAL};
+use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
 use crate::limits::DescriptorClass;
 use crate::protocol::handover::{Message, TakeoverState};
 use crate::service::LifecycleState;
@@ -59,7 +59,7 @@
                         // An idle client's descriptor helps: a successor waits.
                         self.connections.descriptor_pool().reclaim(DescriptorClass::Clients);
                     }
-                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
+                    tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                     continue;
                 }
             };
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -2,7 +2,7 @@
 //! ends. Where there is none it binds the address.
 
 use super::Upgrade;
-use super::{REPLY_TIMEOUT, RETRY_INTERVAL};
+use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
 use crate::protocol::handover::{Message, TakeoverState};
 use crate::routing::Invariant;
 use crate::service::lifecycle::LifecycleRequest;
@@ -181,7 +181,7 @@
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
                 Err(error) if since.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
-                    tokio::time::sleep(RETRY_INTERVAL / 10).await;
+                    tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
                 bound => return bound,
             }
