--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,10 +1,13 @@
-//! What holds for the decision module's files: each is listed in the deploy file, does no I/O, keeps to the line width,
-//! and imports nothing of the layers above it.
+//! What holds for the source files. Those of the decision module: each is listed in the deploy file, does no I/O, keeps to the
+//! line width, and imports nothing of the layers above it. Those of the program: they are short, hold no test module, and
+//! name what they import.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 const MAX_LINE_WIDTH: usize = 110;
+/// Lines of a file of the program.
+const MAX_FILE_LINES: usize = 400;
 /// What a file of the module may import beside its own siblings: the parts of the standard library that do no I/O and
 /// read no clock, and libraries of plain data.
 const ALLOWED_IMPORTS: [&str; 9] = [
@@ -47,14 +50,26 @@
     files
 }
 
-/// The path of each file of the module from the repository's root, with its text.
-fn module_files() -> Vec<(String, String)> {
+/// The path of each file below a folder, from the repository's root, with its text.
+fn files_with_text(folder: &str) -> Vec<(String, String)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let name = |path: &Path| path.strip_prefix(root).expect("it is below the root").display().to_string();
-    let files = files_below(&root.join("src/policy"));
+    let files = files_below(&root.join(folder));
     files.iter().map(|path| (name(path), std::fs::read_to_string(path).expect("it can be read"))).collect()
 }
 
+/// The files of the decision module.
+fn module_files() -> Vec<(String, String)> {
+    files_with_text("src/policy")
+}
+
+/// The Rust files below a folder.
+fn rust_files(folder: &str) -> Vec<(String, String)> {
+    let mut files = files_with_text(folder);
+    files.retain(|(path, _)| path.ends_with(".rs"));
+    files
+}
+
 /// The lines of a file that are code, with their numbers.
 fn code(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let numbered = text.lines().enumerate().map(|(at, line)| (at + 1, line.trim()));
@@ -111,6 +126,33 @@
     }
 }
 
+#[test]
+fn files_of_the_program_are_short() {
+    for (path, text) in rust_files("src") {
+        let lines = text.lines().count();
+        assert!(lines <= MAX_FILE_LINES, "{path} has {lines} lines");
+    }
+}
+
+#[test]
+fn test_modules_have_files_of_their_own() {
+    for (path, text) in rust_files("src") {
+        let mut lines = code(&text).skip_while(|(_, line)| *line != "#[cfg(test)]");
+        let module = lines.nth(1).map(|(_, line)| line);
+        assert!(module.is_none_or(|line| line == "mod tests;"), "{path}: {module:?}");
+    }
+}
+
+#[test]
+fn imports_are_named() {
+    for (path, text) in ["src", "tests", "examples"].into_iter().flat_map(rust_files) {
+        for (number, line) in code(&text).filter(|(_, line)| line.contains("use ")) {
+            let names_all = line.contains("::*") && !line.contains("prelude::*");
+            assert!(!names_all, "{path}:{number} imports all of a module");
+        }
+    }
+}
+
 /// Whether a name is a module beside this file.
 fn is_module(file: &str, name: &str) -> bool {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
