--- a/tests/program.rs
+++ b/tests/program.rs
@@ -282,8 +282,12 @@
         let error = gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
         assert!(error.contains(message), "{at}: {error}");
     }
-    // The operators' address is taken from the file, else from the environment; without either the API is
-    // off.
+}
+
+#[test]
+fn the_operators_address_is_that_of_the_file_or_else_of_the_environment() {
+    let good: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
+    // Without either, the API is off.
     let operator_address_of = |value: serde_json::Value, variable: Option<&str>| {
         let mut json = good.clone();
         json["operator"] = value;
@@ -302,6 +306,10 @@
         Ok(Some("127.0.0.1:7".to_owned()))
     );
     assert_eq!(operator_address_of("x".into(), None), Err("operator: no address \"x\"".to_owned()));
+}
+
+#[test]
+fn an_invalid_front_file_is_named_by_its_key() {
     let toml = include_str!("scenario/opensearch.toml");
     let cases = [
         ("zone = \"a\"", "colour = 1\nzone = \"a\"", "colour"),
@@ -317,6 +325,13 @@
         let error = bad.expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
+    let shipped =
+        gatherer::program::opensearch_file::FrontFile::parse(include_str!("../deploy/opensearch.toml"), 1);
+    assert!(shipped.is_ok(), "{shipped:?}");
+}
+
+#[test]
+fn an_invalid_records_section_is_named_by_line_and_key() {
     let operator = include_str!("../deploy/operator.toml");
     let parse = gatherer::program::operator::OperatorFile::parse;
     assert!(parse(operator).is_ok_and(|operator| operator.records.is_some()));
@@ -332,6 +347,11 @@
         let error = parse(&format!("{operator}{line}\n")).expect_err(line).to_string();
         assert!(error.contains(&message), "{line}: {error}");
     }
+}
+
+#[test]
+fn an_invalid_membership_section_is_named_by_line_and_key() {
+    let parse = gatherer::program::operator::OperatorFile::parse;
     let membership = "[membership]\nlisten = \"127.0.0.1:7946\"\ncluster = \"c\"\nseeds = []\n";
     assert!(parse(membership).is_ok_and(|operator| operator.membership.is_some()));
     let cases = [
@@ -348,7 +368,4 @@
     }
     let secret = format!("{membership}secret = \"not to be printed\"\n");
     assert!(!format!("{:?}", parse(&secret).expect("sound")).contains("not to be"));
-    let shipped =
-        gatherer::program::opensearch_file::FrontFile::parse(include_str!("../deploy/opensearch.toml"), 1);
-    assert!(shipped.is_ok(), "{shipped:?}");
 }
