--- a/tests/listener/clients.rs
+++ b/tests/listener/clients.rs
@@ -46,7 +46,7 @@
 /// Connects and sends a request at once, before the server has a turn: clients and server share a thread, and a client that
 /// waited for its turn between the two would send its request as late as the thread is busy. While the backlog is full, it
 /// tries again.
-async fn connect_and_send(address: SocketAddr, request: &[u8]) -> TcpStream {
+pub async fn connect_and_send(address: SocketAddr, request: &[u8]) -> TcpStream {
     loop {
         let mut stream = match std::net::TcpStream::connect_timeout(&address, CONNECT_ATTEMPT_TIMEOUT) {
             Ok(stream) => stream,
--- a/tests/listener/flood.rs
+++ b/tests/listener/flood.rs
@@ -1,6 +1,6 @@
 //! Well-behaved clients beside many times more connections than descriptors.
 
-use crate::clients::{misbehaving, read_response, send_request, well_behaved};
+use crate::clients::{connect_and_send, misbehaving, read_response, well_behaved};
 use crate::server::{Server, run};
 use gatherer::limits::DescriptorClass;
 use gatherer::service::lifecycle::LifecycleRequest;
@@ -47,8 +47,7 @@
     assert!(counters.evicted_early > 0 && counters.total_evicted() > 0, "{counters}");
     assert_eq!((counters.rejected, counters.rejected_no_descriptor), (0, 0), "{counters}");
     assert_eq!(counters.accept_failed > 0, failures > 0, "{counters}");
-    let mut last = server.client().await;
-    send_request(&mut last, "/held").await;
+    let mut last = connect_and_send(server.address, b"GET /held HTTP/1.1\r\n\r\n").await;
     while server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
         tokio::task::yield_now().await;
     }
