--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -60,12 +60,14 @@
     /// Counts a query against its tenant's quota; whether it goes beyond this aggregator's share of that. A
     /// client's retry belongs to its first attempt, and uses up nothing.
     fn exceeds_quota(&mut self, request: &NewQuery) -> bool {
-        let quota = |tenant: TenantId| self.settings.tenants.get(tenant.0)?.quota_per_s;
-        let Some((tenant, quota)) = request.tenant.and_then(|tenant| Some((tenant, quota(tenant)?))) else {
+        let quota_of = |tenant: TenantId| self.settings.tenants.get(tenant.0)?.quota_per_s;
+        let Some((tenant, quota)) = request.tenant.and_then(|tenant| Some((tenant, quota_of(tenant)?)))
+        else {
             return false;
         };
-        let rate = quota / f64::from(self.settings.fleet_size.max(1));
-        let exceeded = self.tenant_quotas.exceeded(self.now, tenant, rate, QUOTA_BURST_S, request.is_retry);
+        let rate_per_s = quota / f64::from(self.settings.fleet_size.max(1));
+        let exceeded =
+            self.tenant_quotas.record_query(self.now, tenant, rate_per_s, QUOTA_BURST_S, request.is_retry);
         exceeded && self.settings.over_quota_weight.is_some_and(|weight| weight < 1.0)
     }
 
@@ -75,12 +77,12 @@
         let Some(query) = query else { return };
         query.parts.push(request.id);
         let class = query.request.class;
-        let usual = self.estimates.base_latency.get(class.0).copied().unwrap_or(INITIAL_COST_S);
+        let base_latency = self.estimates.base_latency.get(class.0).copied().unwrap_or(INITIAL_COST_S);
         let part = Part {
             query: query.request.id,
             class,
             key_hash: request.key.as_ref().map(|key| xxh3_64(key.as_bytes())),
-            cost: request.cost_hint.map(seconds).filter(|cost| *cost > 0.0).unwrap_or(usual),
+            cost: request.cost_hint.map(seconds).filter(|cost| *cost > 0.0).unwrap_or(base_latency),
             attempts: Vec::new(),
             succeeded: false,
             finished: false,
@@ -96,10 +98,10 @@
     /// Admits the queries whose response can be expected within the objective, those of the greatest priority
     /// weight for their cost first, and rejects the others at once.
     pub(super) fn admit(&mut self, actions: &mut Vec<Action>) {
-        let new =
+        let new_queries =
             self.queries.iter().filter(|(_, query)| !query.admitted && query.first_step_complete.is_none());
-        let new: Vec<RequestId> = new.map(|(id, _)| *id).collect();
-        new.into_iter().for_each(|id| self.compute_objective(id));
+        let new_queries: Vec<RequestId> = new_queries.map(|(id, _)| *id).collect();
+        new_queries.into_iter().for_each(|id| self.compute_objective(id));
         let awaits_second_step =
             |query: &Query| query.first_step_complete.is_some() && query.parts.is_empty();
         let pending = self.queries.iter().filter(|(_, query)| !query.admitted && !awaits_second_step(query));
@@ -117,9 +119,9 @@
         let Some(class) = self.settings.classes.get(query.request.class.0) else { return };
         let parts: Vec<&NewPart> =
             query.parts.iter().filter_map(|part| Some(&self.parts.get(part)?.request)).collect();
-        let waited = self.client_retries.waited(self.now, &query.request, &parts, class);
-        let left = class.latency_objective.saturating_sub(span(waited));
-        query.objective_at = self.now.after(left).min(query.request.valid_until);
+        let waited = self.client_retries.record_attempt(self.now, &query.request, &parts, class);
+        let time_left = class.latency_objective.saturating_sub(span(waited));
+        query.objective_at = self.now.after(time_left).min(query.request.valid_until);
     }
 
     /// Priority weight for a second of cost.
@@ -134,36 +136,38 @@
     /// Share of the time to the objective inside which a query's response must be expected. It falls as
     /// workers report to be busier: on an idle fleet any replica would serve what a strict threshold rejects.
     fn admission_threshold(&self) -> f64 {
-        let known: Vec<f64> = self.workers.values().filter_map(|worker| worker.utilization).collect();
-        if known.is_empty() {
+        let utilizations: Vec<f64> = self.workers.values().filter_map(|worker| worker.utilization).collect();
+        if utilizations.is_empty() {
             return BUSY_ADMISSION_THRESHOLD;
         }
-        let mean = known.iter().sum::<f64>() / known.len() as f64;
-        let (idle, busy) = BUSY_UTILIZATION;
-        let busy = ((mean - idle) / (busy - idle)).clamp(0.0, 1.0);
-        IDLE_ADMISSION_THRESHOLD + (BUSY_ADMISSION_THRESHOLD - IDLE_ADMISSION_THRESHOLD) * busy
+        let mean = utilizations.iter().sum::<f64>() / utilizations.len() as f64;
+        let (idle_utilization, busy_utilization) = BUSY_UTILIZATION;
+        let busy_share = ((mean - idle_utilization) / (busy_utilization - idle_utilization)).clamp(0.0, 1.0);
+        IDLE_ADMISSION_THRESHOLD + (BUSY_ADMISSION_THRESHOLD - IDLE_ADMISSION_THRESHOLD) * busy_share
     }
 
     /// Admits a query and dispatches its parts, or rejects it.
     fn try_admit(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let usual = self.admission_threshold();
+        let base_threshold = self.admission_threshold();
         let Some(query) = self.queries.get_mut(&id) else { return };
         query.admitted = true;
         let Some(class) = self.settings.classes.get(query.request.class.0) else {
-            return self.complete(id, Completion::Reject { retry_after: Duration::ZERO }, actions);
+            return self.complete_query(id, Completion::Reject { retry_after: Duration::ZERO }, actions);
         };
-        let needed = needed_weight(class, self.settings.cells, query.first_step_complete.is_some());
+        let required = required_weight(class, self.settings.cells, query.first_step_complete.is_some());
         let factor = if query.over_quota { OVER_QUOTA_THRESHOLD_FACTOR } else { 1.0 };
-        let threshold = (usual - self.estimates.recent_failure_rate.min(MAX_FAILURE_CORRECTION)) * factor;
-        let left = seconds(query.objective_at.since(self.now));
+        let threshold =
+            (base_threshold - self.estimates.recent_failure_rate.min(MAX_FAILURE_CORRECTION)) * factor;
+        let time_left_s = seconds(query.objective_at.since(self.now));
         let ids = query.parts.clone();
         let plan = self.plan_parts(ids);
-        let expected = expected_completion(&plan, needed);
-        if expected > threshold * left {
-            let retry_after = if expected.is_finite() { span(expected - left) } else { UNKNOWN_RETRY_AFTER };
-            return self.complete(id, Completion::Reject { retry_after }, actions);
+        let expected = expected_completion(&plan, required);
+        if expected > threshold * time_left_s {
+            let retry_after =
+                if expected.is_finite() { span(expected - time_left_s) } else { UNKNOWN_RETRY_AFTER };
+            return self.complete_query(id, Completion::Reject { retry_after }, actions);
         }
-        for part in plan.iter().filter(|part| part.expected_latency <= left) {
+        for part in plan.iter().filter(|part| part.expected_latency <= time_left_s) {
             self.dispatch(part.id, part.worker, part.expected_latency, actions);
         }
     }
@@ -194,7 +198,7 @@
 /// Weight of the parts that a query must be expected to get. More than the least coverage, so that queues do
 /// not form for responses that are partial anyway; not the complete coverage, so that one lost cell does not
 /// have every query rejected.
-fn needed_weight(class: &Class, cells: u32, is_second_step: bool) -> f64 {
+fn required_weight(class: &Class, cells: u32, is_second_step: bool) -> f64 {
     if is_second_step {
         return class.min_coverage;
     }
@@ -203,13 +207,13 @@
 }
 
 /// Seconds until the planned parts that come first have the needed weight; infinite where they never do.
-fn expected_completion(plan: &[PlannedPart], needed: f64) -> f64 {
+fn expected_completion(plan: &[PlannedPart], required: f64) -> f64 {
     let mut by_latency: Vec<&PlannedPart> = plan.iter().collect();
     by_latency.sort_by(|a, b| a.expected_latency.total_cmp(&b.expected_latency));
     let mut weight = 0.0;
     let last = by_latency.iter().find(|part| {
         weight += part.weight;
-        weight >= needed - WEIGHT_SUM_TOLERANCE
+        weight >= required - WEIGHT_SUM_TOLERANCE
     });
     last.map_or(f64::INFINITY, |part| part.expected_latency)
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -22,19 +22,19 @@
     /// Whether its class and the limit on attempts let a part be sent (again) at all.
     pub(super) fn may_retry(&self, part: &Part) -> bool {
         let Some(class) = self.class(part.class) else { return false };
-        let first_risk = part.attempts.iter().find(|attempt| attempt.may_have_run());
-        let is_safe = match (class.idempotency, first_risk) {
+        let first_possible_run = part.attempts.iter().find(|attempt| attempt.may_have_run());
+        let is_safe = match (class.idempotency, first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
             (Idempotency::Keyed, Some(first)) => self.now.since(first.sent_at) < class.repeat_window,
             (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        is_safe && self.settings.max_attempts.is_none_or(|most| (part.attempts.len() as u32) < most)
+        is_safe && self.settings.max_attempts.is_none_or(|limit| (part.attempts.len() as u32) < limit)
     }
 
     /// Whether a further attempt would run beside one at a worker that is not ejected.
     pub(super) fn is_hedge(&self, part: &Part) -> bool {
-        let in_use = |id| self.workers.get(&id).is_some_and(|worker| worker.ejection.is_none());
-        part.attempts.iter().any(|attempt| attempt.is_in_flight() && in_use(attempt.worker))
+        let is_not_ejected = |id| self.workers.get(&id).is_some_and(|worker| worker.ejection.is_none());
+        part.attempts.iter().any(|attempt| attempt.is_in_flight() && is_not_ejected(attempt.worker))
     }
 
     /// Sends an attempt, unless it is too late or the worker is not eligible. No other method sends.
@@ -48,9 +48,9 @@
         let (Some(part), Some(worker)) = (self.parts.get(&id), self.workers.get(&to)) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
         let late_weight = self.class(query.request.class).map_or(0.0, |class| class.late_weight);
-        let until =
+        let latest_response_at =
             if late_weight >= MIN_LATE_WEIGHT { query.request.valid_until } else { query.objective_at };
-        let timeout = until.since(self.now);
+        let timeout = latest_response_at.since(self.now);
         if timeout.is_zero() || !self.is_eligible(part, worker) {
             return;
         }
@@ -85,9 +85,9 @@
     /// Sends parts that have no attempt in flight, and hedges of attempts that are overdue.
     pub(super) fn retry_or_hedge(&mut self, actions: &mut Vec<Action>) {
         self.attempt_window.expire(self.now, &self.settings);
-        let open = self.parts.iter().filter(|(_, part)| !part.succeeded && !part.finished);
-        let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
-        for id in open {
+        let unfinished = self.parts.iter().filter(|(_, part)| !part.succeeded && !part.finished);
+        let unfinished: Vec<RequestId> = unfinished.map(|(id, _)| *id).collect();
+        for id in unfinished {
             if let Some((worker, expected_latency)) = self.next_attempt(id) {
                 self.dispatch(id, worker, expected_latency, actions);
             }
@@ -98,25 +98,30 @@
     fn next_attempt(&self, id: RequestId) -> Option<(WorkerId, f64)> {
         let part = self.parts.get(&id)?;
         let query = self.queries.get(&part.query)?;
-        let left = seconds(query.objective_at.since(self.now));
+        let time_left_s = seconds(query.objective_at.since(self.now));
         let in_flight: Vec<&Attempt> =
             part.attempts.iter().filter(|attempt| attempt.is_in_flight()).collect();
-        if in_flight.len() > 1 || !in_flight.iter().all(|attempt| self.deserves_hedge(part, attempt, left)) {
+        if in_flight.len() > 1
+            || !in_flight.iter().all(|attempt| self.should_hedge(part, attempt, time_left_s))
+        {
             return None;
         }
         let (worker, expected_latency) = self.select_replica(part)?;
         let threshold = if in_flight.is_empty() { 1.0 } else { HEDGE_THRESHOLD };
-        let is_other = in_flight.iter().all(|attempt| attempt.worker != worker);
-        (expected_latency < left * threshold && is_other).then_some((worker, expected_latency))
+        let is_other_worker = in_flight.iter().all(|attempt| attempt.worker != worker);
+        (expected_latency < time_left_s * threshold && is_other_worker).then_some((worker, expected_latency))
     }
 
-    /// Whether an attempt is overdue, its worker ejected, or this the last chance for a hedge. `left` is the
-    /// time to the objective in seconds.
-    fn deserves_hedge(&self, part: &Part, attempt: &Attempt, left: f64) -> bool {
+    /// Whether a hedged request may be sent beside this attempt: the attempt is overdue, its worker is
+    /// ejected, or the attempt is late and little time is left. `time_left_s` is the time until the latency
+    /// objective, in seconds.
+    fn should_hedge(&self, part: &Part, attempt: &Attempt, time_left_s: f64) -> bool {
         let age = seconds(self.now.since(attempt.sent_at));
         let is_ejected = self.workers.get(&attempt.worker).is_some_and(|worker| worker.ejection.is_some());
-        let is_last_chance =
-            || left < LAST_HEDGE_SERVICE_TIMES * self.estimates.latency_model.slopes().own_cost * part.cost;
+        let is_last_chance = || {
+            time_left_s
+                < LAST_HEDGE_SERVICE_TIMES * self.estimates.latency_model.slopes().own_cost * part.cost
+        };
         is_ejected
             || age > attempt.expected_latency + self.overdue_margin()
             || age > attempt.expected_latency && is_last_chance()
@@ -140,20 +145,20 @@
         }
         if let Some(worker) = self.workers.get_mut(&result.worker) {
             worker.in_flight.remove(&(attempt.sent_at, result.id, result.attempt));
-            let left = (worker.outstanding_cost - attempt.cost).max(0.0);
-            worker.outstanding_cost = if worker.in_flight.is_empty() { 0.0 } else { left };
+            let remaining_cost = (worker.outstanding_cost - attempt.cost).max(0.0);
+            worker.outstanding_cost = if worker.in_flight.is_empty() { 0.0 } else { remaining_cost };
         }
         if outcome == AttemptOutcome::Succeeded && !self.stalled {
             self.record_latency(&result, class, &attempt);
         }
-        self.record_failure(&result, class, &attempt);
+        self.record_attempt_outcome(&result, class, &attempt);
         self.apply_outcome(result.worker, outcome, attempt.cost);
         if let Some(report) = result.load_report {
             let utilization = utilization(&self.settings.report_fields, &report);
             self.estimates.record_utilization(utilization);
             self.apply_load_report(result.worker, utilization);
         }
-        self.drop_if_finished(result.id);
+        self.remove_if_released(result.id);
     }
 
     /// Notes the outcome at the part; the class and the attempt, unless that has ended before.
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -76,27 +76,33 @@
     /// Seconds for which the client of this query has waited before this attempt; zero for a first one. For a
     /// marked retry that shows no shorter time left, and whose first attempt went to another gatherer, it is
     /// the mean.
-    pub(super) fn waited(&mut self, now: Time, query: &NewQuery, parts: &[&NewPart], class: &Class) -> f64 {
+    pub(super) fn record_attempt(
+        &mut self,
+        now: Time,
+        query: &NewQuery,
+        parts: &[&NewPart],
+        class: &Class,
+    ) -> f64 {
         self.expire(now);
-        let left = query.valid_until.since(now);
-        let spent = class.deadline.saturating_sub(left);
-        let is_shortened = self.is_shortened(query, left);
+        let time_left = query.valid_until.since(now);
+        let time_spent = class.deadline.saturating_sub(time_left);
+        let has_shortened_time = self.has_shortened_time(query, time_left);
         self.retries_are_marked |= query.is_retry;
         // An unmarked retry comes within the longest pause and a part of an objective; one that comes later
         // says little of the client.
-        let in_reach =
-            spent <= class.latency_objective.mul_f64(UNMARKED_RETRY_OBJECTIVES) + self.max_retry_after;
-        let may_be_retry = query.is_retry || !self.retries_are_marked && in_reach;
+        let is_within_retry_window =
+            time_spent <= class.latency_objective.mul_f64(UNMARKED_RETRY_OBJECTIVES) + self.max_retry_after;
+        let may_be_retry = query.is_retry || !self.retries_are_marked && is_within_retry_window;
         let digest = digest(query, parts);
         let first = self.requests.get(&digest).map(|request| request.first_at).filter(|_| query.is_retry);
         let waited = match first {
-            _ if is_shortened && may_be_retry => seconds(spent),
+            _ if has_shortened_time && may_be_retry => seconds(time_spent),
             Some(first) => {
                 let waited = seconds(now.since(first));
                 self.mean_wait += SAMPLE_WEIGHT * (waited - self.mean_wait);
                 waited
             }
-            None if query.is_retry => self.mean_wait.min(seconds(spent)),
+            None if query.is_retry => self.mean_wait.min(seconds(time_spent)),
             None => 0.0,
         };
         let first_at = Time(now.0.saturating_sub(span(waited).as_nanos() as u64));
@@ -125,7 +131,7 @@
 
     /// Whether less time is left than the first attempts of this class come with: a client's last attempt has
     /// what is left of its whole time.
-    fn is_shortened(&mut self, query: &NewQuery, time_left: Duration) -> bool {
+    fn has_shortened_time(&mut self, query: &NewQuery, time_left: Duration) -> bool {
         let usual = self.usual_time_left.entry(query.class).or_insert(UsualTimeLeft { time_left, lead: 0 });
         let is_usual = time_left.abs_diff(usual.time_left) < time_left.mul_f64(TIME_LEFT_TOLERANCE);
         if !query.is_retry {
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -25,7 +25,7 @@
     pub(super) fn complete_queries(&mut self, actions: &mut Vec<Action>) {
         for id in self.queries.keys().copied().collect::<Vec<_>>() {
             if let Some(completion) = self.completion(id) {
-                self.complete(id, completion, actions);
+                self.complete_query(id, completion, actions);
             }
         }
     }
@@ -48,35 +48,40 @@
     /// Whether a query is to be answered now, and if so, whether the answer is complete.
     fn response(&self, query: &Query, class: &Class, parts: &[&Part]) -> Option<bool> {
         let coverage: f64 = parts.iter().filter(|part| part.succeeded).map(|part| part.request.weight).sum();
-        let all = !parts.is_empty() && parts.iter().all(|part| part.succeeded);
+        let all_succeeded = !parts.is_empty() && parts.iter().all(|part| part.succeeded);
         let complete = match query.first_step_complete {
-            Some(first) => all && first,
+            Some(first) => all_succeeded && first,
             None => coverage >= class.complete_coverage - WEIGHT_SUM_TOLERANCE && !parts.is_empty(),
         };
-        if complete || (all && query.first_step_complete.is_some()) {
+        if complete || (all_succeeded && query.first_step_complete.is_some()) {
             return Some(complete);
         }
-        let enough = !parts.is_empty() && coverage >= class.min_coverage - WEIGHT_SUM_TOLERANCE;
-        let late = self.is_due(query.objective_at);
-        let earns = class.partial_weight * coverage / class.complete_coverage.max(WEIGHT_SUM_TOLERANCE);
-        let partial = enough && (self.is_due(query.request.valid_until) || late && earns > class.late_weight);
+        let covers_minimum = !parts.is_empty() && coverage >= class.min_coverage - WEIGHT_SUM_TOLERANCE;
+        let objective_is_due = self.is_due(query.objective_at);
+        let partial_value =
+            class.partial_weight * coverage / class.complete_coverage.max(WEIGHT_SUM_TOLERANCE);
+        let partial = covers_minimum
+            && (self.is_due(query.request.valid_until)
+                || objective_is_due && partial_value > class.late_weight);
         partial.then_some(false)
     }
 
     /// Whether a query can earn nothing any more, or must not be tried again.
     fn is_lost(&self, query: &Query, class: &Class, parts: &[&Part]) -> bool {
         let in_flight = parts.iter().any(|part| part.is_in_flight());
-        let hopeless = self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !in_flight);
+        let is_past_useful_time =
+            self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !in_flight);
         let reset = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
         let resets = |part: &Part| part.attempts.iter().filter(reset).count();
         // A part with no attempt in flight and none to follow is lost: the query is not held back for it.
-        let is_dead = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_retry(part);
-        let dead: f64 = parts.iter().filter(|part| is_dead(part)).map(|part| part.request.weight).sum();
-        let unreachable =
-            dead > WEIGHT_SUM_TOLERANCE && 1.0 - dead < class.min_coverage - WEIGHT_SUM_TOLERANCE;
+        let is_unservable = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_retry(part);
+        let unservable_weight: f64 =
+            parts.iter().filter(|part| is_unservable(part)).map(|part| part.request.weight).sum();
+        let min_coverage_unreachable = unservable_weight > WEIGHT_SUM_TOLERANCE
+            && 1.0 - unservable_weight < class.min_coverage - WEIGHT_SUM_TOLERANCE;
         self.is_due(query.request.valid_until)
-            || hopeless
-            || unreachable
+            || is_past_useful_time
+            || min_coverage_unreachable
             || parts.iter().any(|part| resets(part) > MAX_CONNECTION_RESETS)
     }
 
@@ -89,7 +94,12 @@
 // What follows.
 impl Aggregator {
     /// Answers or rejects a query. No other method does.
-    pub(super) fn complete(&mut self, id: RequestId, completion: Completion, actions: &mut Vec<Action>) {
+    pub(super) fn complete_query(
+        &mut self,
+        id: RequestId,
+        completion: Completion,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let class = self.settings.classes.get(query.request.class.0);
         match completion {
@@ -116,11 +126,11 @@
                 });
             }
         }
-        self.cancel(id, actions);
+        self.cancel_query(id, actions);
     }
 
     /// Drops a query that nobody waits for.
-    pub(super) fn cancel(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn cancel_query(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else { return };
         self.jobs.remove(&query.request.job);
         self.release(query.parts, actions);
@@ -137,11 +147,11 @@
                 let cancel = |(number, _)| Action::Cancel { id, attempt: AttemptNo(number as u32) };
                 actions.extend(in_flight.map(cancel));
             }
-            self.drop_if_finished(id);
+            self.remove_if_released(id);
         }
     }
 
-    pub(super) fn drop_if_finished(&mut self, id: RequestId) {
+    pub(super) fn remove_if_released(&mut self, id: RequestId) {
         if self.parts.get(&id).is_some_and(|part| part.released && !part.is_in_flight()) {
             self.parts.remove(&id);
         }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -47,7 +47,7 @@
 
 impl Aggregator {
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
-        let (endpoints, full) = match update {
+        let (endpoints, is_full_list) = match update {
             EndpointUpdate::Failed => {
                 return self.subscription.failed(self.now, &self.settings, &mut self.random);
             }
@@ -55,7 +55,7 @@
             EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => (endpoints, true),
         };
         self.subscription.succeeded();
-        if full {
+        if is_full_list {
             let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             for (_, worker) in self.workers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 worker.endpoint.status = EndpointStatus::Gone;
@@ -80,13 +80,13 @@
 
     /// Rebuilds the active replicas of each shard; those that stay keep their weight.
     fn rebuild_replica_sets(&mut self) {
-        let before = std::mem::take(&mut self.replica_sets);
+        let previous_sets = std::mem::take(&mut self.replica_sets);
         for (shard, workers) in active_replicas(&self.workers, &self.settings) {
-            let even = 1.0 / workers.len().max(1) as f64;
-            let known = before.get(&shard);
+            let even_weight = 1.0 / workers.len().max(1) as f64;
+            let known = previous_sets.get(&shard);
             let weight_of = |id: WorkerId| {
                 let replica = known.and_then(|set| set.iter().find(|replica| replica.worker == id));
-                replica.map_or(even, |replica| replica.weight)
+                replica.map_or(even_weight, |replica| replica.weight)
             };
             let mut set: Vec<Replica> =
                 workers.into_iter().map(|id| Replica { worker: id, weight: weight_of(id) }).collect();
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -35,20 +35,20 @@
 /// Greatest weight of one response in a worker's slowdown.
 const MAX_SAMPLE_WEIGHT: f64 = 0.7;
 /// Least and greatest slowdown that a worker is believed to have.
-const SLOWDOWN_RATIO: (f64, f64) = (0.5, 20.0);
+const SLOWDOWN_RANGE: (f64, f64) = (0.5, 20.0);
 /// Share of latencies that lie below the running base latency of a class: a part's cost without waiting.
 const BASE_LATENCY_QUANTILE: f64 = 0.2;
 
 /// A rate that decays from the time at which it was updated.
 #[derive(Clone, Copy, Default)]
-pub struct Decaying {
+pub struct DecayingRate {
     pub value: f64,
     pub updated_at: Time,
 }
 
-impl Decaying {
+impl DecayingRate {
     /// Its value at a later time.
-    pub(super) fn at(self, now: Time) -> f64 {
+    pub(super) fn value_at(self, now: Time) -> f64 {
         self.value * (-seconds(now.since(self.updated_at)) / FAILURE_RATE_DECAY_S).exp()
     }
 }
@@ -81,9 +81,9 @@
     pub(super) fn slopes(&self) -> LatencySlopes {
         let [cost_cost, cost_ahead, ahead_ahead, cost_latency, ahead_latency] = self.sums;
         let determinant = (cost_cost * ahead_ahead - cost_ahead * cost_ahead).max(f64::MIN_POSITIVE);
-        let own = (cost_latency * ahead_ahead - ahead_latency * cost_ahead) / determinant;
-        let ahead = (cost_cost * ahead_latency - cost_ahead * cost_latency) / determinant;
-        LatencySlopes { own_cost: own.clamp(0.3, 10.0), cost_ahead: ahead.clamp(0.1, 10.0) }
+        let own_cost = (cost_latency * ahead_ahead - ahead_latency * cost_ahead) / determinant;
+        let per_cost_ahead = (cost_cost * ahead_latency - cost_ahead * cost_latency) / determinant;
+        LatencySlopes { own_cost: own_cost.clamp(0.3, 10.0), cost_ahead: per_cost_ahead.clamp(0.1, 10.0) }
     }
 
     fn record_sample(&mut self, attempt: &Attempt, latency: f64) {
@@ -167,12 +167,13 @@
     /// Expected seconds until a worker would respond to a part of this cost.
     pub(super) fn expected_latency(&self, worker: &WorkerState, cost: f64) -> f64 {
         // Without responses what was learned decays: a stale estimate must not reject queries for good.
-        let memory = STALE_ESTIMATE_QUERY_INTERVALS * self.estimates.query_arrivals.mean_interval_s.max(1.0);
-        let decay = |since: Time| (-seconds(self.now.since(since)) / memory).exp();
+        let decay_time_s =
+            STALE_ESTIMATE_QUERY_INTERVALS * self.estimates.query_arrivals.mean_interval_s.max(1.0);
+        let decay = |since: Time| (-seconds(self.now.since(since)) / decay_time_s).exp();
         let slopes = self.estimates.latency_model.slopes();
         let own_slope = 1.0 + (slopes.own_cost - 1.0) * decay(self.estimates.last_success_at);
         let slowdown = (worker.mean_latency / worker.mean_expected_latency.max(1e-6))
-            .clamp(SLOWDOWN_RATIO.0, SLOWDOWN_RATIO.1);
+            .clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
         let slowdown = 1.0 + (slowdown - 1.0) * decay(worker.last_success_at);
         (own_slope * cost + slopes.cost_ahead * worker.outstanding_cost) * slowdown
             + self.seconds_overdue(worker)
@@ -184,8 +185,9 @@
         let latency = seconds(result.elapsed);
         let slopes = self.estimates.latency_model.slopes();
         let expected = slopes.own_cost * attempt.cost + slopes.cost_ahead * attempt.cost_ahead;
-        let sparse = seconds(self.now.since(worker.last_success_at)) / SPARSE_SAMPLE_INTERVAL_S;
-        let weight = (sparse.powi(4) / (1.0 + sparse.powi(4))).clamp(2.0 * SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
+        let sparseness = seconds(self.now.since(worker.last_success_at)) / SPARSE_SAMPLE_INTERVAL_S;
+        let weight =
+            (sparseness.powi(4) / (1.0 + sparseness.powi(4))).clamp(2.0 * SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
         worker.mean_latency += weight * (latency - worker.mean_latency);
         worker.mean_expected_latency += weight * (expected - worker.mean_expected_latency);
         self.estimates.last_success_at = self.now;
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -35,9 +35,9 @@
         let interval = self.health_check_interval_s();
         let checks_all = self.settings.report_source == ReportSource::HealthChecks;
         for (id, worker) in &mut self.workers {
-            let wanted = checks_all || worker.ejection.is_some();
-            let due = !worker.health_check_in_flight && worker.next_health_check_at <= self.now;
-            if !(wanted && due && worker.is_active()) {
+            let needs_check = checks_all || worker.ejection.is_some();
+            let is_due = !worker.health_check_in_flight && worker.next_health_check_at <= self.now;
+            if !(needs_check && is_due && worker.is_active()) {
                 continue;
             }
             worker.health_check_in_flight = true;
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -32,15 +32,15 @@
         }
         for set in self.replica_sets.values_mut().filter(|set| set.iter().any(|replica| replica.worker == id))
         {
-            let known: Vec<f64> =
+            let utilizations: Vec<f64> =
                 set.iter().filter_map(|replica| self.workers.get(&replica.worker)?.utilization).collect();
-            let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-            let least = MIN_WEIGHT_OF_EVEN / set.len() as f64;
+            let mean = utilizations.iter().sum::<f64>() / utilizations.len().max(1) as f64;
+            let min_weight = MIN_WEIGHT_OF_EVEN / set.len() as f64;
             for replica in set.iter_mut() {
                 if replica.worker == id {
                     replica.weight += gain * (mean - utilization);
                 }
-                replica.weight = replica.weight.max(least);
+                replica.weight = replica.weight.max(min_weight);
             }
             normalise(set);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -51,7 +51,7 @@
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
 /// Step intervals without a step from which this aggregator itself was paused: ages say nothing of workers
 /// then.
-const STALL_STEPS: f64 = 10.0;
+const STALL_THRESHOLD_STEPS: f64 = 10.0;
 
 /// The decisions of one aggregator. See the crate's page for how to embed it.
 #[derive(Default)]
@@ -79,7 +79,7 @@
     /// Half-open attempts in this step.
     half_open_attempts: usize,
     /// This aggregator's jitter, from 0 to 1, in the slow-start budget.
-    slow_start_phase: f64,
+    slow_start_jitter: f64,
 
     estimates: Estimates,
 }
@@ -90,7 +90,7 @@
     pub fn new(settings: Settings) -> Self {
         let mut random = fastrand::Rng::with_seed(settings.seed);
         Aggregator {
-            slow_start_phase: random.f64(),
+            slow_start_jitter: random.f64(),
             random,
             started_at: Time(u64::MAX),
             estimates: Estimates::new(&settings),
@@ -103,7 +103,7 @@
 
     /// Applies all events of a moment, then decides once, and appends what is to be done to `actions`.
     pub fn step(&mut self, now: Time, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>) {
-        self.begin(now);
+        self.begin_step(now);
         events.into_iter().for_each(|event| self.apply(event, actions));
         if self.subscription.take_due(self.now) {
             actions.push(Action::SubscribeToEndpoints);
@@ -120,8 +120,8 @@
     }
 
     /// Advances the clock and resets what counts within a step.
-    fn begin(&mut self, now: Time) {
-        let paused = seconds(now.since(self.now)) > STALL_STEPS * seconds(STEP_INTERVAL);
+    fn begin_step(&mut self, now: Time) {
+        let paused = seconds(now.since(self.now)) > STALL_THRESHOLD_STEPS * seconds(STEP_INTERVAL);
         self.stalled = self.started_at < now && paused;
         self.now = self.now.max(now);
         self.started_at = self.started_at.min(self.now);
@@ -136,7 +136,7 @@
             Event::PartReceived(part) => self.receive_part(part),
             Event::StreamingStarted { .. } => {}
             Event::AttemptFinished(result) => self.finish_attempt(result),
-            Event::ClientDisconnected { id } => self.cancel(id, actions),
+            Event::ClientDisconnected { id } => self.cancel_query(id, actions),
             Event::TimerFired { timer: _ } => self.timer_set = false,
             Event::HealthCheckFinished { worker, outcome, elapsed: _, load_report } => {
                 self.finish_health_check(worker, outcome, load_report)
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -14,7 +14,7 @@
 /// Half-open attempts in a step: each may cost a query a hedge.
 const MAX_HALF_OPEN_ATTEMPTS_PER_STEP: usize = 2;
 /// Shares of a part's own cost by which a replica may respond later than the soonest before that counts.
-const FREE_EXCESS_LATENCY_OF_COST: f64 = 0.3;
+const TOLERATED_EXCESS_LATENCY_OF_COST: f64 = 0.3;
 /// Failure rate from which a worker gets no non-idempotent part while others can.
 const AVOIDED_FAILURE_RATE: f64 = 0.15;
 /// Failure rate from which a worker gets no non-idempotent part at all.
@@ -82,31 +82,31 @@
             let (id, weight) = (replica.worker, replica.weight);
             Some(Candidate { id, weight, worker, expected_latency: 0.0 })
         });
-        let mut open: Vec<Candidate<'a>> = known.collect();
+        let mut candidates: Vec<Candidate<'a>> = known.collect();
         // A part that has failed at all healthy replicas goes to an ejected one that responds, not to the
         // same.
-        let untried = |may: &dyn Fn(&WorkerState) -> bool| {
-            open.iter().any(|candidate| self.is_untried(candidate.id) && may(candidate.worker))
+        let any_untried = |accepts: &dyn Fn(&WorkerState) -> bool| {
+            candidates.iter().any(|candidate| self.is_untried(candidate.id) && accepts(candidate.worker))
         };
         let healthy = |worker: &WorkerState| self.is_healthy(worker);
         let responsive = |worker: &WorkerState| self.is_responsive(worker);
-        let prefers_ejected = !self.part.is_in_flight() && !untried(&healthy) && untried(&responsive);
-        if !prefers_ejected && open.iter().any(|candidate| healthy(candidate.worker)) {
-            open.retain(|candidate| healthy(candidate.worker));
-        } else if open.iter().any(|candidate| responsive(candidate.worker)) {
-            open.retain(|candidate| responsive(candidate.worker));
+        let prefers_ejected = !self.part.is_in_flight() && !any_untried(&healthy) && any_untried(&responsive);
+        if !prefers_ejected && candidates.iter().any(|candidate| healthy(candidate.worker)) {
+            candidates.retain(|candidate| healthy(candidate.worker));
+        } else if candidates.iter().any(|candidate| responsive(candidate.worker)) {
+            candidates.retain(|candidate| responsive(candidate.worker));
         }
-        open.retain(|candidate| {
+        candidates.retain(|candidate| {
             self.policy.is_eligible(self.part, candidate.worker)
                 && !self.fails_more_than(candidate.worker, FORBIDDEN_FAILURE_RATE)
         });
-        if open.iter().any(|candidate| self.is_untried(candidate.id)) {
-            open.retain(|candidate| self.is_untried(candidate.id));
+        if candidates.iter().any(|candidate| self.is_untried(candidate.id)) {
+            candidates.retain(|candidate| self.is_untried(candidate.id));
         }
-        for candidate in &mut open {
+        for candidate in &mut candidates {
             candidate.expected_latency = self.policy.expected_latency(candidate.worker, self.part.cost);
         }
-        open
+        candidates
     }
 
     fn is_untried(&self, id: WorkerId) -> bool {
@@ -121,13 +121,13 @@
 
     /// Not ejected, or free for a half-open attempt; non-idempotent parts are none.
     fn is_healthy(&self, worker: &WorkerState) -> bool {
-        let half_open = || {
+        let may_send_half_open = || {
             !self.is_non_idempotent
                 && worker.in_flight.is_empty()
                 && worker.passes_health_checks
                 && self.policy.half_open_attempts < MAX_HALF_OPEN_ATTEMPTS_PER_STEP
         };
-        worker.ejection.is_none_or(|ejection| ejection.retry_at <= self.policy.now && half_open())
+        worker.ejection.is_none_or(|ejection| ejection.retry_at <= self.policy.now && may_send_half_open())
             && !self.fails_more_than(worker, AVOIDED_FAILURE_RATE)
     }
 
@@ -141,7 +141,7 @@
     /// The candidate of the least cost; of equal ones that of the greatest rendezvous hash.
     fn least_cost<'b>(&self, candidates: &'b [Candidate<'a>]) -> Option<&'b Candidate<'a>> {
         let latencies = candidates.iter().map(|candidate| candidate.expected_latency);
-        let soonest = latencies.fold(f64::INFINITY, f64::min);
+        let min_latency = latencies.fold(f64::INFINITY, f64::min);
         let preferred = match self.part.key_hash {
             Some(_) => self.preferred_replica(),
             None => self.replica_by_weight(candidates),
@@ -150,7 +150,7 @@
             let cost = self.weighted_cost(candidate, preferred == Some(candidate.id))
                 + self.cross_zone_cost(candidate)
                 + candidate.worker.new_call_cost(&self.policy.settings)
-                + self.excess_latency_cost(candidate, soonest)
+                + self.excess_latency_cost(candidate, min_latency)
                 + self.failure_cost(candidate);
             (cost, rendezvous_hash(self.hash, candidate.id), candidate)
         });
@@ -168,12 +168,12 @@
     /// weight.
     fn replica_by_weight(&self, candidates: &[Candidate<'_>]) -> Option<WorkerId> {
         let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-        let mut left = total * (self.hash >> 11) as f64 / (1u64 << 53) as f64;
-        let hit = candidates.iter().find(|candidate| {
-            left -= candidate.weight;
-            left < 0.0
+        let mut remaining_weight = total * (self.hash >> 11) as f64 / (1u64 << 53) as f64;
+        let chosen = candidates.iter().find(|candidate| {
+            remaining_weight -= candidate.weight;
+            remaining_weight < 0.0
         });
-        hit.map(|candidate| candidate.id)
+        chosen.map(|candidate| candidate.id)
     }
 
     /// DESIGN's cost: the part's own, less what a cache saves, over the replica's weight; zero at the replica
@@ -183,23 +183,24 @@
         if is_preferred && !has_key {
             return 0.0;
         }
-        let saved = if is_preferred { EXPECTED_HIT_RATE } else { 0.0 };
-        self.part.cost * (1.0 - saved) / (candidate.weight * self.replicas.len() as f64)
+        let saved_share = if is_preferred { EXPECTED_HIT_RATE } else { 0.0 };
+        self.part.cost * (1.0 - saved_share) / (candidate.weight * self.replicas.len() as f64)
     }
 
     /// Departure "crossing": acts where crossing zones has a price; the cost at which as much would be
     /// wasted.
     fn cross_zone_cost(&self, candidate: &Candidate<'_>) -> f64 {
         let settings = &self.policy.settings;
-        let per_cost =
+        let price_ratio =
             if settings.waste_price > 0.0 { settings.cross_zone_price / settings.waste_price } else { 0.0 };
         let crosses = candidate.worker.endpoint.zone != settings.zone;
-        if crosses { self.part.cost * per_cost } else { 0.0 }
+        if crosses { self.part.cost * price_ratio } else { 0.0 }
     }
 
     /// Departure "lag": acts where a replica would respond much later than the soonest.
-    fn excess_latency_cost(&self, candidate: &Candidate<'_>, soonest: f64) -> f64 {
-        (candidate.expected_latency - soonest - FREE_EXCESS_LATENCY_OF_COST * self.part.cost).max(0.0)
+    fn excess_latency_cost(&self, candidate: &Candidate<'_>, min_latency: f64) -> f64 {
+        (candidate.expected_latency - min_latency - TOLERATED_EXCESS_LATENCY_OF_COST * self.part.cost)
+            .max(0.0)
     }
 
     /// Departure "loss": the wait that a failed attempt costs. A part that may be sent again waits until the
@@ -210,8 +211,8 @@
         if self.is_non_idempotent {
             rate * seconds(self.objective_at.since(policy.now))
         } else {
-            let repeated = (rate - FAILURE_RATE_SAMPLE_WEIGHT).max(0.0);
-            repeated * (candidate.expected_latency + policy.overdue_margin())
+            let excess_rate = (rate - FAILURE_RATE_SAMPLE_WEIGHT).max(0.0);
+            excess_rate * (candidate.expected_latency + policy.overdue_margin())
         }
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -22,12 +22,12 @@
 #[derive(Default)]
 pub(super) struct AttemptWindow {
     received_at: VecDeque<Time>,
-    extra: VecDeque<ExtraAttempt>,
+    extra_attempts: VecDeque<ExtraAttempt>,
 }
 
 impl AttemptWindow {
     /// The span over which they are counted.
-    fn span(settings: &Settings) -> Duration {
+    fn window(settings: &Settings) -> Duration {
         settings.retry_budget.map_or(DEFAULT_WINDOW, |budget| budget.window)
     }
 
@@ -36,39 +36,40 @@
     }
 
     pub(super) fn record_extra_attempt(&mut self, now: Time, is_hedge: bool) {
-        self.extra.push_back(ExtraAttempt { sent_at: now, is_hedge });
+        self.extra_attempts.push_back(ExtraAttempt { sent_at: now, is_hedge });
     }
 
     /// Takes back an extra attempt that was never sent: it does not count against the budget.
     pub(super) fn remove_extra_attempt(&mut self, sent_at: Time) {
-        if let Some(at) = self.extra.iter().position(|extra| extra.sent_at == sent_at) {
-            self.extra.remove(at);
+        if let Some(at) = self.extra_attempts.iter().position(|extra| extra.sent_at == sent_at) {
+            self.extra_attempts.remove(at);
         }
     }
 
     /// Drops what has left the window.
     pub(super) fn expire(&mut self, now: Time, settings: &Settings) {
-        let window = AttemptWindow::span(settings);
+        let window = AttemptWindow::window(settings);
         self.received_at.retain(|at| now.since(*at) < window);
-        self.extra.retain(|extra| now.since(extra.sent_at) <= window);
+        self.extra_attempts.retain(|extra| now.since(extra.sent_at) <= window);
     }
 
     /// Requests received a second.
     pub(super) fn request_rate(&self, settings: &Settings) -> f64 {
-        self.received_at.len() as f64 / AttemptWindow::span(settings).as_secs_f64()
+        self.received_at.len() as f64 / AttemptWindow::window(settings).as_secs_f64()
     }
 
     /// Whether the stated budget leaves room for one more extra attempt.
     fn budget_permits(&self, budget: Option<RetryBudget>) -> bool {
         let requests = self.received_at.len() as f64;
-        budget
-            .is_none_or(|limit| self.extra.len() as f64 + 1.0 <= limit.free_attempts + limit.ratio * requests)
+        budget.is_none_or(|budget| {
+            self.extra_attempts.len() as f64 + 1.0 <= budget.free_attempts + budget.ratio * requests
+        })
     }
 
     /// Whether the limit on hedges, which falls as workers report to be busier, leaves room for one more.
-    fn hedge_permits(&self, mean_utilization: f64) -> bool {
+    fn hedge_limit_permits(&self, mean_utilization: f64) -> bool {
         let requests = self.received_at.len() as f64;
-        let hedges = self.extra.iter().filter(|extra| extra.is_hedge).count() as f64;
+        let hedges = self.extra_attempts.iter().filter(|extra| extra.is_hedge).count() as f64;
         hedges + 1.0 <= FREE_HEDGES + HEDGES_PER_REQUEST * requests * (1.0 - mean_utilization)
     }
 }
@@ -79,6 +80,7 @@
     /// keeps other queries' parts waiting.
     pub(super) fn retry_budget_permits(&self, is_hedge: bool) -> bool {
         self.attempt_window.budget_permits(self.settings.retry_budget)
-            && (!is_hedge || self.attempt_window.hedge_permits(self.estimates.mean_reported_utilization))
+            && (!is_hedge
+                || self.attempt_window.hedge_limit_permits(self.estimates.mean_reported_utilization))
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -24,15 +24,15 @@
             return true;
         }
         let fleet_size = f64::from(settings.fleet_size.max(1));
-        let warm = self.warm_capacity(cost, fleet_size);
-        let cold = settings.cold_capacity_fraction;
-        let capacity = |ramp: f64| cold + (1.0 - cold) * ramp;
-        let quota = |ramp: f64| {
-            SLOW_START_BUDGET_FRACTION * settings.slow_start_budget_factor * capacity(ramp) * warm
+        let warm_capacity = self.warm_capacity(cost, fleet_size);
+        let cold_capacity = settings.cold_capacity_fraction;
+        let capacity = |ramp: f64| cold_capacity + (1.0 - cold_capacity) * ramp;
+        let cost_rate = |ramp: f64| {
+            SLOW_START_BUDGET_FRACTION * settings.slow_start_budget_factor * capacity(ramp) * warm_capacity
                 / fleet_size
         };
         let window = settings.slow_start_budget_window;
-        let budget = quota(ramp) * seconds(window);
+        let budget = cost_rate(ramp) * seconds(window);
         if cost <= budget {
             let recent = worker.recent_sends.iter().filter(|sent| self.now.since(sent.at) <= window);
             return recent.map(|sent| sent.cost).sum::<f64>() + cost <= budget;
@@ -40,10 +40,10 @@
         // Where the budget of a window holds no whole part, an aggregator sends one when its share since the
         // last (or, jittered, since the start) has grown to it: on average the fleet keeps to its budget.
         let last = worker.recent_sends.back().filter(|sent| sent.at >= from);
-        let jittered = SentCost { at: from.max(self.started_at), cost: self.slow_start_phase * cost };
-        let SentCost { at, cost: due } = last.copied().unwrap_or(jittered);
-        let gap = seconds(self.now.since(at));
-        gap * quota(ramp - gap / seconds(settings.warm_up) / 2.0) >= due
+        let jittered = SentCost { at: from.max(self.started_at), cost: self.slow_start_jitter * cost };
+        let SentCost { at, cost: required_cost } = last.copied().unwrap_or(jittered);
+        let elapsed_s = seconds(self.now.since(at));
+        elapsed_s * cost_rate(ramp - elapsed_s / seconds(settings.warm_up) / 2.0) >= required_cost
     }
 
     /// Seconds of cost a second that a warm worker carries: the most that one served lately, less what an
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -5,7 +5,7 @@
 //! the name and each tuple the form that the message has always had, whatever the Rust names are.
 
 use crate::policy::client_retries::ClientRetriesSnapshot;
-use crate::policy::estimates::{Decaying, LatencyModel, QueryArrivals};
+use crate::policy::estimates::{DecayingRate, LatencyModel, QueryArrivals};
 use crate::policy::load_reports::{Replica, normalise};
 use crate::policy::worker_state::{Ejection, SentCost, WorkerState};
 use crate::policy::{Aggregator, ClassId, ShardId, TenantId, Time, WorkerId};
@@ -84,8 +84,8 @@
 }
 
 impl WorkerSnapshot {
-    fn of(name: &str, worker: &WorkerState) -> Self {
-        let rate = |(class, rate): (&Option<ClassId>, &Decaying)| (*class, rate.value, rate.updated_at);
+    fn new(name: &str, worker: &WorkerState) -> Self {
+        let rate = |(class, rate): (&Option<ClassId>, &DecayingRate)| (*class, rate.value, rate.updated_at);
         WorkerSnapshot {
             name: name.to_owned(),
             started_at: worker.endpoint.started_at,
@@ -115,7 +115,7 @@
         if worker.endpoint.started_at != self.started_at {
             return;
         }
-        let rate = |(class, value, updated_at)| (class, Decaying { value, updated_at });
+        let rate = |(class, value, updated_at)| (class, DecayingRate { value, updated_at });
         worker.utilization = self.utilization;
         worker.last_report_at = self.last_report_at;
         worker.mean_latency = self.mean_latency;
@@ -153,7 +153,7 @@
     /// What it has learned of the workers that have a name.
     #[must_use]
     pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
-        let worker = |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::of(name(*id)?, worker));
+        let worker = |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::new(name(*id)?, worker));
         let weight = |replica: &Replica| Some((name(replica.worker)?.to_owned(), replica.weight));
         let weights = |set: &Vec<Replica>| set.iter().filter_map(weight).collect();
         PolicySnapshot {
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -18,19 +18,20 @@
 pub(super) struct TenantQuotas(BTreeMap<TenantId, Bucket>);
 
 impl TenantQuotas {
-    /// Counts a query of a tenant that may send `rate` a second, and `burst` seconds' worth of that at once;
-    /// whether it exceeds the quota. A client's retry belongs to its first attempt, and uses up nothing.
-    pub(super) fn exceeded(
+    /// Counts a query of a tenant whose bucket is refilled with `rate_per_s` queries a second and holds
+    /// `burst_s` seconds' worth of them. Returns whether the query exceeds the quota. A client's retry takes
+    /// no token: the client's first attempt took one.
+    pub(super) fn record_query(
         &mut self,
         now: Time,
         tenant: TenantId,
-        rate: f64,
-        burst: f64,
+        rate_per_s: f64,
+        burst_s: f64,
         is_retry: bool,
     ) -> bool {
-        let capacity = (rate * burst).max(1.0);
+        let capacity = (rate_per_s * burst_s).max(1.0);
         let bucket = self.0.entry(tenant).or_insert(Bucket { tokens: capacity, updated_at: now });
-        bucket.tokens = (bucket.tokens + rate * seconds(now.since(bucket.updated_at))).min(capacity);
+        bucket.tokens = (bucket.tokens + rate_per_s * seconds(now.since(bucket.updated_at))).min(capacity);
         bucket.updated_at = now;
         let exceeded = bucket.tokens < 1.0;
         if !exceeded && !is_retry {
--- a/src/policy/worker_state.rs
+++ b/src/policy/worker_state.rs
@@ -1,7 +1,7 @@
 //! What the module remembers of one worker. This file owns the fields and what a part adds to them; each
 //! concern reads and changes its own fields in its own file.
 
-use crate::policy::estimates::{Decaying, INITIAL_COST_S};
+use crate::policy::estimates::{DecayingRate, INITIAL_COST_S};
 use crate::policy::time::seconds;
 use crate::policy::{AttemptNo, ClassId, Endpoint, EndpointStatus, RequestId, Settings, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -55,7 +55,7 @@
     pub connect_failed_at: Option<Time>,
     pub consecutive_failures: u32,
     /// Failure rates of its attempts: of each class, and of all (`None`).
-    pub failure_rates: BTreeMap<Option<ClassId>, Decaying>,
+    pub failure_rates: BTreeMap<Option<ClassId>, DecayingRate>,
     /// `None` while it takes attempts like any other.
     pub ejection: Option<Ejection>,
     pub health_check_in_flight: bool,
