--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,7 @@
-//! Every decision of the gatherer: which replica a part goes to, when to retry or hedge, which queries to
-//! reject and when to answer. [`Aggregator`] owns the state and orders the steps; each concern is decided in
-//! its own file. The module does no I/O and reads no clock: events and the time come in, actions go out.
+//! The decision module: which replica a part goes to, when to retry or hedge, which queries to reject and
+//! when to answer. [`Aggregator`] owns the state and runs the decisions of a step in a fixed order; each
+//! kind of decision has its own file. The module does no I/O and reads no clock: events and the current
+//! time are passed in, and actions are returned.
 
 mod action;
 mod admission;
@@ -46,23 +47,25 @@
 pub use snapshot::PolicySnapshot;
 pub use time::Time;
 
-/// Time between steps while nothing arrives: fine enough for latency objectives of a second, coarse enough to
-/// be free.
+/// Time between steps while no event arrives: short against latency objectives of a second, and long enough
+/// that the steps cost next to nothing.
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
-/// Step intervals without a step from which this aggregator itself was paused: ages say nothing of workers
-/// then.
+/// A gap between two steps of more than this many step intervals shows that this aggregator itself was
+/// paused: the ages of attempts then say nothing about the workers.
 const STALL_THRESHOLD_STEPS: f64 = 10.0;
 
-/// The decisions of one aggregator. See the crate's page for how to embed it.
+/// The state and the decisions of one aggregator. The crate's documentation shows how to embed it.
 #[derive(Default)]
 pub struct Aggregator {
     settings: Settings,
     random: fastrand::Rng,
-    /// The time of this step, and of the first one.
+    /// The time of the current step.
     now: Time,
+    /// The time of the first step; [`u64::MAX`] before it.
     started_at: Time,
-    /// Between this step and the one before it, the aggregator was paused.
+    /// Whether the aggregator was paused between the previous step and this one.
     stalled: bool,
+    /// Whether a timer is set that has not fired yet.
     timer_set: bool,
 
     subscription: Subscription,
@@ -76,16 +79,18 @@
     client_retries: ClientRetries,
     tenant_quotas: TenantQuotas,
     attempt_window: AttemptWindow,
-    /// Half-open attempts in this step.
+    /// Half-open attempts planned in this step.
     half_open_attempts: usize,
-    /// This aggregator's jitter, from 0 to 1, in the slow-start budget.
+    /// Share of a part's cost, random from 0 to 1, that must have accrued before this aggregator sends its
+    /// first part to a warming-up worker whose budget holds less than a part. It differs between
+    /// aggregators, so that they don't all send at once.
     slow_start_jitter: f64,
 
     estimates: Estimates,
 }
 
 impl Aggregator {
-    /// An instance that knows no worker yet.
+    /// Creates an aggregator without workers; the first endpoint update lists them.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let mut random = fastrand::Rng::with_seed(settings.seed);
@@ -101,7 +106,8 @@
         }
     }
 
-    /// Applies all events of a moment, then decides once, and appends what is to be done to `actions`.
+    /// Applies all events that arrived at `now`, decides once, and appends the resulting actions to
+    /// `actions`.
     pub fn step(&mut self, now: Time, events: impl IntoIterator<Item = Event>, actions: &mut Vec<Action>) {
         self.begin_step(now);
         events.into_iter().for_each(|event| self.apply(event, actions));
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Advances the clock and resets what counts within a step.
+    /// Advances the clock, detects a pause of this aggregator and resets the counters of a single step.
     fn begin_step(&mut self, now: Time) {
         let paused = seconds(now.since(self.now)) > STALL_THRESHOLD_STEPS * seconds(STEP_INTERVAL);
         self.stalled = self.started_at < now && paused;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,5 +1,6 @@
-//! Failure rates of workers, and their ejection: for failures in a row, for being unresponsive, or with their
-//! whole zone. This file never decides what an ejected worker may still get: replica selection does.
+//! Outlier detection: the failure rates of workers, and the ejection of workers for consecutive failures,
+//! for not responding, or together with their whole zone. Replica selection, not this file, decides which
+//! attempts an ejected worker still gets.
 
 use crate::policy::estimates::DecayingRate;
 use crate::policy::queries::Attempt;
@@ -11,34 +12,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Failures in a row that eject a worker: one may be chance.
+/// Consecutive failures that eject a worker: a single one may be chance.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 2;
-/// First time before a half-open attempt, and the longest; each failure doubles it.
+/// Shortest time from an ejection to the first half-open attempt. Each half-open attempt doubles the time
+/// to the next one.
 pub(super) const MIN_EJECTION_TIME: Duration = Duration::from_millis(1000);
+/// Upper bound of the time between half-open attempts when it is doubled.
 pub(super) const MAX_EJECTION_TIME: Duration = Duration::from_secs(8);
-/// Seconds over which the cost that a worker serves is averaged: load changes faster than its machine.
+/// Decay time of a worker's served cost rate, in seconds. It is short because load changes faster than the
+/// machine's capacity.
 pub(super) const SERVED_RATE_DECAY_S: f64 = 5.0;
-/// Weight of one attempt in a worker's failure rate.
+/// Weight of one attempt in a worker's moving average of failures.
 pub(super) const FAILURE_RATE_SAMPLE_WEIGHT: f64 = 0.3;
-/// Later attempts with a response from the same worker from which an overdue one waits in no queue: one
-/// proves nothing.
+/// An overdue attempt counts as lost once this many attempts that were sent later to the same worker have
+/// succeeded: it is then not waiting in a queue. A single one is no proof.
 const OVERTAKEN_TO_COUNT_AS_LOST: u32 = 2;
-/// Half-open attempts a second that one ejected worker may get from all aggregators together.
+/// Half-open attempts per second that one ejected worker may get from all aggregators together.
 const HALF_OPEN_ATTEMPTS_PER_S: f64 = 20.0;
-/// Workers of one zone without a response, while none has one, from which the whole zone is ejected.
+/// A zone is ejected when at least this many of its workers owe a response and no worker in it has
+/// responded since.
 const MIN_UNRESPONSIVE_IN_ZONE: usize = 3;
-/// The utilization that stands in for a report of a worker that is overdue or fails.
+/// The utilization that is assumed for a worker that is overdue or fails, as if it had reported it.
 const ASSUMED_UTILIZATION: f64 = 1.0;
 
 impl WorkerState {
-    /// The failure rate of a class of its attempts, or of all if that is more.
+    /// The worker's failure rate for one class, or over all classes if that is higher.
     pub(super) fn failure_rate(&self, now: Time, class: ClassId) -> f64 {
-        let rate = |key| self.failure_rates.get(&key).map_or(0.0, |rate| rate.value_at(now));
-        rate(None).max(rate(Some(class)))
+        let rate_of = |key| self.failure_rates.get(&key).map_or(0.0, |rate| rate.value_at(now));
+        rate_of(None).max(rate_of(Some(class)))
     }
 
-    /// Records an attempt in the failure rates, of its class too: a worker may fail at one class alone. One
-    /// success does not clear them.
     fn record_failure(&mut self, now: Time, class: ClassId) {
         self.add_failure_sample(now, class, 1.0);
     }
@@ -47,6 +50,8 @@
         self.add_failure_sample(now, class, 0.0);
     }
 
+    /// Adds a sample (1 for a failure, 0 for a success) to the failure rates of the class and of all
+    /// classes: a worker may fail at one class alone. One success does not clear the rates.
     fn add_failure_sample(&mut self, now: Time, class: ClassId, sample: f64) {
         for key in [None, Some(class)] {
             let rate = self.failure_rates.entry(key).or_default();
@@ -56,12 +61,13 @@
         }
     }
 
-    /// Ejects it until `duration` has passed. One that does not respond at all is worse than one that
-    /// rejects.
+    /// Ejects the worker until `duration` has passed. An ejection that is already in force stays as it is.
     fn eject(&mut self, now: Time, duration: Duration) {
         self.ejection.get_or_insert(Ejection { retry_at: now.after(duration), duration });
     }
 
+    /// Ejects a worker that gives no response at all. Replica selection ranks it below an ejected worker
+    /// that still responds, for instance with rejections.
     fn eject_as_unresponsive(&mut self, now: Time, duration: Duration) {
         self.unresponsive = true;
         self.eject(now, duration);
@@ -73,17 +79,18 @@
     }
 }
 
-/// First ejection time of an unresponsive worker: with jitter, and so long that the half-open attempts of the
-/// whole fleet together keep under their rate.
+/// The initial ejection time of an unresponsive worker. It has jitter, and grows with the fleet, so that
+/// the half-open attempts of all aggregators together keep to [`HALF_OPEN_ATTEMPTS_PER_S`].
 fn initial_ejection_time(fleet_size: u32, random: &mut fastrand::Rng) -> Duration {
-    let fleet = f64::from(fleet_size) / HALF_OPEN_ATTEMPTS_PER_S;
-    MIN_EJECTION_TIME.max(span(fleet * (0.5 + random.f64())))
+    let mean_seconds = f64::from(fleet_size) / HALF_OPEN_ATTEMPTS_PER_S;
+    MIN_EJECTION_TIME.max(span(mean_seconds * (0.5 + random.f64())))
 }
 
 // Workers that do not respond.
 impl Aggregator {
-    /// Reads an overdue response as a report of full utilization, and ejects a worker whose attempt is twice
-    /// overdue with no success since: a worker may accept parts and never respond.
+    /// Treats an overdue response as a report of full utilization. Ejects a worker whose oldest attempt is
+    /// past its expected latency by more than twice the overdue margin, if nothing has succeeded there
+    /// since that attempt was sent: a worker may accept parts and never respond.
     pub(super) fn eject_unresponsive(&mut self, actions: &mut Vec<Action>) {
         let all = self.workers.iter().map(|(id, worker)| (*id, self.seconds_overdue(worker)));
         let overdue: BTreeMap<WorkerId, f64> = all.filter(|(_, seconds)| *seconds > 0.0).collect();
@@ -103,14 +110,14 @@
                 actions.push(Action::Log { text });
             }
         }
-        // An aggregator that was paused itself receives every response late.
+        // After a pause of this aggregator, the responses of all zones are late.
         if !self.stalled {
             self.eject_unresponsive_zones(&overdue, actions);
         }
     }
 
-    /// Ejects all workers of a zone at once where several are overdue or cannot be reached, and none has
-    /// responded since: a lost zone is not to be found out one worker after the other.
+    /// Ejects all workers of an unresponsive zone at once: finding out a lost zone one worker at a time
+    /// would cost attempts at each of them.
     fn eject_unresponsive_zones(&mut self, overdue: &BTreeMap<WorkerId, f64>, actions: &mut Vec<Action>) {
         for zone in self.unresponsive_zones(overdue) {
             let mut ejected_count = 0;
@@ -131,14 +138,15 @@
         }
     }
 
-    /// The zones in which several active workers miss a response, and none has responded since.
+    /// The zones in which at least [`MIN_UNRESPONSIVE_IN_ZONE`] active workers are overdue or refused a
+    /// connection, and no worker has responded since those attempts were sent.
     fn unresponsive_zones(&self, overdue: &BTreeMap<WorkerId, f64>) -> Vec<ZoneId> {
         #[derive(Default)]
         struct ZoneResponses {
             last_response_at: Time,
             unanswered_sent_at: Vec<Time>,
         }
-        // In nearly all steps no response is missing anywhere.
+        // Shortcut for the usual step, in which no response is missing.
         let any_connect_failed = || self.workers.values().any(|worker| worker.connect_failed_at.is_some());
         if overdue.is_empty() && !any_connect_failed() {
             return Vec::new();
@@ -149,7 +157,8 @@
             zone.last_response_at = zone.last_response_at.max(worker.last_response_at);
             let oldest = worker.in_flight.first().map(|(sent, _, _)| *sent);
             let unanswered = oldest.filter(|_| overdue.contains_key(id)).or(worker.connect_failed_at);
-            // What its last process missed says nothing of a new one.
+            // An attempt that the worker's previous process left unanswered says nothing about the new
+            // process.
             let sent_to_current_process = |at: &Time| worker.warming_since.is_none_or(|from| *at > from);
             zone.unanswered_sent_at.extend(unanswered.filter(sent_to_current_process));
         }
@@ -161,9 +170,10 @@
     }
 }
 
-// Results.
+// Results of attempts.
 impl Aggregator {
-    /// Records what a result says of the worker's failure rates.
+    /// Updates the worker's failure rates by the result of an attempt and records a failed connection.
+    /// Results that arrive after a pause of this aggregator are skipped.
     pub(super) fn record_attempt_outcome(
         &mut self,
         result: &AttemptResult,
@@ -182,7 +192,9 @@
         match result.outcome {
             AttemptOutcome::Failed => worker.record_failure(self.now, class),
             AttemptOutcome::ConnectFailed => worker.connect_failed_at = Some(attempt.sent_at),
-            // Counts where nothing has succeeded since, else where it is overtaken: it may wait in a queue.
+            // An overdue attempt counts as a failure if no attempt has succeeded at the worker since it was
+            // sent. Otherwise it may be waiting in a queue, and counts only once it has been overtaken (see
+            // `record_success_and_lost_attempts`).
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
                 if overdue && !attempt.counted_as_lost && worker.last_success_at < attempt.sent_at =>
             {
@@ -192,8 +204,8 @@
         }
     }
 
-    /// Records a success, and as lost the overdue attempts that it and others overtook: they wait in no
-    /// queue.
+    /// Records a success. Overdue attempts that were sent earlier and have been overtaken by
+    /// [`OVERTAKEN_TO_COUNT_AS_LOST`] successes count as failures: they are not waiting in a queue.
     fn record_success_and_lost_attempts(&mut self, id: WorkerId, class: ClassId, sent_at: Time) {
         let (now, margin) = (self.now, self.overdue_margin());
         let Some(worker) = self.workers.get_mut(&id) else { return };
@@ -211,7 +223,8 @@
         }
     }
 
-    /// Reinstates or ejects a worker by the outcome of an attempt of this cost, or of a health check.
+    /// Reinstates or ejects a worker by the outcome of an attempt or of a failed health check. `cost` is
+    /// the attempt's cost in seconds; 0 for a health check.
     pub(super) fn apply_outcome(&mut self, id: WorkerId, outcome: AttemptOutcome, cost: f64) {
         let now = self.now;
         self.record_response(id, outcome);
@@ -224,15 +237,15 @@
                 worker.last_success_at = now;
                 worker.reinstate();
             }
-            // It comes at once and counts in the failure rate: a retry costs less than a replica that is
-            // full.
+            // An error arrives at once and counts in the failure rate only. Retrying it costs less than
+            // ejecting a replica while the others are full.
             AttemptOutcome::Failed => {}
             AttemptOutcome::Rejected
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionReset
             | AttemptOutcome::TimedOut => {
                 worker.consecutive_failures += 1;
-                // A connection that broke may be that one alone; a process that died refuses the next.
+                // A reset may concern one connection alone; a process that has died refuses the next one.
                 let unreachable = outcome == AttemptOutcome::ConnectFailed;
                 if unreachable || worker.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT {
                     if unreachable {
@@ -248,8 +261,8 @@
         }
     }
 
-    /// Where an outcome shows that the worker responded: its zone is not lost, and what was ejected with the
-    /// zone alone is reinstated.
+    /// Records that the worker responded, if the outcome shows it. Its zone is then not lost, and the
+    /// workers that were ejected only because of the zone are reinstated.
     fn record_response(&mut self, id: WorkerId, outcome: AttemptOutcome) {
         let responded =
             matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::Rejected);
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,5 +1,6 @@
-//! The choice of a replica for a part: eligibility first, then the least cost. A cost is a sum of terms, each
-//! in seconds of a worker's time. This file reads state and changes none.
+//! Replica selection: filters the replicas of a part's shard by eligibility and health, then chooses the
+//! one of the least cost. A cost is a sum of terms, each in seconds of a worker's time. This file reads the
+//! aggregator's state and changes none of it.
 
 use crate::policy::load_reports::Replica;
 use crate::policy::outlier_detection::FAILURE_RATE_SAMPLE_WEIGHT;
@@ -9,15 +10,17 @@
 use crate::policy::{Aggregator, Idempotency, Time, WorkerId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Share of a key's cost that its preferred replica is expected to save (DESIGN's P; its default).
+/// Share of a part's cost that the preferred replica of its key is expected to save by its cache. It is `P`
+/// in DESIGN, with the default given there.
 const EXPECTED_HIT_RATE: f64 = 0.5;
-/// Half-open attempts in a step: each may cost a query a hedge.
+/// Half-open attempts per step. The number is small because each may fail and make a query need a hedge.
 const MAX_HALF_OPEN_ATTEMPTS_PER_STEP: usize = 2;
-/// Shares of a part's own cost by which a replica may respond later than the soonest before that counts.
+/// A replica may respond later than the fastest one by this share of the part's cost before the excess
+/// counts as a cost.
 const TOLERATED_EXCESS_LATENCY_OF_COST: f64 = 0.3;
-/// Failure rate from which a worker gets no non-idempotent part while others can.
+/// Above this failure rate a worker gets no non-idempotent part while another replica can take it.
 const AVOIDED_FAILURE_RATE: f64 = 0.15;
-/// Failure rate from which a worker gets no non-idempotent part at all.
+/// Above this failure rate a worker gets no non-idempotent part at all.
 const FORBIDDEN_FAILURE_RATE: f64 = 0.5;
 
 /// A replica that a part may go to.
@@ -25,26 +28,27 @@
     id: WorkerId,
     weight: f64,
     worker: &'a WorkerState,
-    /// Seconds until it would respond.
+    /// Seconds until the worker is expected to respond.
     expected_latency: f64,
 }
 
-/// What all candidates for a part have in common.
+/// The selection of a replica for one part: the inputs that all candidates share.
 struct Selection<'a> {
     policy: &'a Aggregator,
     part: &'a Part,
-    /// Replicas of the part's shard, the ineligible among them.
+    /// All replicas of the part's shard, including ineligible ones.
     replicas: &'a [Replica],
-    /// A second attempt that runs would do harm.
+    /// Whether the part's class is not fully idempotent, so that a second run might do harm.
     is_non_idempotent: bool,
-    /// Of the part's key, or of its id where it has none.
+    /// Hash of the part's key, or of its id if it has no key.
     hash: u64,
-    /// When the query's latency objective is missed.
+    /// When the query's latency objective expires.
     objective_at: Time,
 }
 
 impl Aggregator {
-    /// The eligible replica of the least cost, and its expected latency in seconds.
+    /// The eligible replica of the least cost and its expected latency in seconds; `None` if no replica is
+    /// eligible.
     pub(super) fn select_replica(&self, part: &Part) -> Option<(WorkerId, f64)> {
         let replicas = self.replica_sets.get(&part.request.shard)?;
         let class = self.class(part.class);
@@ -60,7 +64,8 @@
         selection.least_cost(&candidates).map(|best| (best.id, best.expected_latency))
     }
 
-    /// Every condition on sending a part to a worker now, however healthy it is.
+    /// Whether a part may be sent to a worker now, apart from the worker's health: the part is unfinished,
+    /// the worker is active, and the limits on retries, on hedges and on slow start permit it.
     pub(super) fn is_eligible(&self, part: &Part, worker: &WorkerState) -> bool {
         let is_first = part.attempts.is_empty();
         !part.succeeded
@@ -75,7 +80,8 @@
 
 // Eligibility.
 impl<'a> Selection<'a> {
-    /// The replicas that the part may go to. Health filters only while a healthy replica is left.
+    /// The replicas that the part may go to, with their expected latencies. Unhealthy replicas are excluded
+    /// only while a healthy one is listed, and unresponsive ones while a responsive one is listed.
     fn candidates(&self) -> Vec<Candidate<'a>> {
         let known = self.replicas.iter().filter_map(|replica| {
             let worker = self.policy.workers.get(&replica.worker)?;
@@ -83,8 +89,8 @@
             Some(Candidate { id, weight, worker, expected_latency: 0.0 })
         });
         let mut candidates: Vec<Candidate<'a>> = known.collect();
-        // A part that has failed at all healthy replicas goes to an ejected one that responds, not to the
-        // same.
+        // A part that has failed at all healthy replicas goes to an ejected replica that responds, rather
+        // than to a healthy one again.
         let any_untried = |accepts: &dyn Fn(&WorkerState) -> bool| {
             candidates.iter().any(|candidate| self.is_untried(candidate.id) && accepts(candidate.worker))
         };
@@ -113,13 +119,14 @@
         self.part.attempts.iter().all(|attempt| attempt.worker != id)
     }
 
-    /// Whether a non-idempotent part would go to a worker that loses more than this share of its class: a
-    /// query that is rejected does no harm, one that is lost does.
+    /// Whether the part is non-idempotent and the worker's failure rate for its class is above `rate`. Such
+    /// a part is better rejected than lost: a rejection does no harm.
     fn fails_more_than(&self, worker: &WorkerState, rate: f64) -> bool {
         self.is_non_idempotent && worker.failure_rate(self.policy.now, self.part.class) > rate
     }
 
-    /// Not ejected, or free for a half-open attempt; non-idempotent parts are none.
+    /// Whether the worker is not ejected, or may get the part as a half-open attempt, and does not fail too
+    /// often for the part. Non-idempotent parts are never sent as half-open attempts.
     fn is_healthy(&self, worker: &WorkerState) -> bool {
         let may_send_half_open = || {
             !self.is_non_idempotent
@@ -131,14 +138,15 @@
             && !self.fails_more_than(worker, AVOIDED_FAILURE_RATE)
     }
 
+    /// Whether the worker responds, though it may be ejected, and does not fail too often for the part.
     fn is_responsive(&self, worker: &WorkerState) -> bool {
         !worker.unresponsive && !self.fails_more_than(worker, AVOIDED_FAILURE_RATE)
     }
 }
 
-// Cost. Each term is in seconds of a worker's time.
+// Cost.
 impl<'a> Selection<'a> {
-    /// The candidate of the least cost; of equal ones that of the greatest rendezvous hash.
+    /// The candidate of the least cost; among equal ones, that of the greatest rendezvous hash.
     fn least_cost<'b>(&self, candidates: &'b [Candidate<'a>]) -> Option<&'b Candidate<'a>> {
         let latencies = candidates.iter().map(|candidate| candidate.expected_latency);
         let min_latency = latencies.fold(f64::INFINITY, f64::min);
@@ -158,14 +166,16 @@
         least.map(|(_, _, candidate)| candidate)
     }
 
-    /// The replica that caches a key: all aggregators agree on it, whichever replicas are eligible.
+    /// The replica that is expected to have the part's key in its cache. All aggregators choose the same
+    /// one, because it depends on the key and the shard's replicas alone, not on which of them are
+    /// eligible.
     fn preferred_replica(&self) -> Option<WorkerId> {
         let ids = self.replicas.iter().map(|replica| replica.worker);
         ids.max_by_key(|id| rendezvous_hash(self.hash, *id))
     }
 
-    /// The candidate that a part without a key falls to by its hash: candidates are laid end to end by
-    /// weight.
+    /// The candidate for a part without a key, chosen by its hash with a probability in proportion to the
+    /// candidate's weight.
     fn replica_by_weight(&self, candidates: &[Candidate<'_>]) -> Option<WorkerId> {
         let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
         let mut remaining_weight = total * (self.hash >> 11) as f64 / (1u64 << 53) as f64;
@@ -176,8 +186,9 @@
         chosen.map(|candidate| candidate.id)
     }
 
-    /// DESIGN's cost: the part's own, less what a cache saves, over the replica's weight; zero at the replica
-    /// to which a part without a key falls.
+    /// The cost of DESIGN: the part's own cost, less what the preferred replica's cache saves, divided by
+    /// the replica's weight relative to an even one. For a part without a key it is zero at the preferred
+    /// replica.
     fn weighted_cost(&self, candidate: &Candidate<'_>, is_preferred: bool) -> f64 {
         let has_key = self.part.key_hash.is_some();
         if is_preferred && !has_key {
@@ -187,8 +198,8 @@
         self.part.cost * (1.0 - saved_share) / (candidate.weight * self.replicas.len() as f64)
     }
 
-    /// Departure "crossing": acts where crossing zones has a price; the cost at which as much would be
-    /// wasted.
+    /// Departure "crossing" from DESIGN's cost, in effect if crossing zones and wasted work have prices:
+    /// the amount of wasted work that would have the same price.
     fn cross_zone_cost(&self, candidate: &Candidate<'_>) -> f64 {
         let settings = &self.policy.settings;
         let price_ratio =
@@ -197,14 +208,16 @@
         if crosses { self.part.cost * price_ratio } else { 0.0 }
     }
 
-    /// Departure "lag": acts where a replica would respond much later than the soonest.
+    /// Departure "lag" from DESIGN's cost, in effect if a replica would respond much later than the
+    /// fastest: the seconds beyond the tolerated excess.
     fn excess_latency_cost(&self, candidate: &Candidate<'_>, min_latency: f64) -> f64 {
         (candidate.expected_latency - min_latency - TOLERATED_EXCESS_LATENCY_OF_COST * self.part.cost)
             .max(0.0)
     }
 
-    /// Departure "loss": the wait that a failed attempt costs. A part that may be sent again waits until the
-    /// failure shows, and one failure may be chance; one that may not waits in vain until its objective.
+    /// Departure "loss" from DESIGN's cost: the expected wait that a failed attempt costs. A part that may
+    /// be sent again waits until the attempt is overdue; the weight of one failure is deducted, because one
+    /// may be chance. A non-idempotent part waits without a response until its latency objective.
     fn failure_cost(&self, candidate: &Candidate<'_>) -> f64 {
         let policy = self.policy;
         let rate = candidate.worker.failure_rate(policy.now, self.part.class);
@@ -217,7 +230,8 @@
     }
 }
 
-/// The stable hash by which all aggregators agree on a key's preferred replica (rendezvous hashing).
+/// The rendezvous hash of a key and a worker. It is the same in every process, so that all aggregators
+/// agree on a key's preferred replica.
 fn rendezvous_hash(key: u64, worker: WorkerId) -> u64 {
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
