--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,5 +1,6 @@
-//! Which queries are admitted, in which order, and which are rejected at once: latency objective, threshold,
-//! priority and quota. This file sends nothing itself: dispatch does.
+//! Admission control: in which order queries are admitted and which are rejected at once, by the latency
+//! objective, the admission threshold, the priority weight and the tenant's quota. Attempts are sent by
+//! `attempts.rs`.
 
 use crate::policy::completion::{Completion, WEIGHT_SUM_TOLERANCE};
 use crate::policy::estimates::INITIAL_COST_S;
@@ -10,42 +11,48 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Share of the time to the objective inside which a query's response must be expected where workers are
-/// busy: estimates err, and a query lost late wastes all its work.
+/// A query is admitted if its response is expected within this share of the time left to its latency
+/// objective, while workers are busy. The share is below 1 because estimates err, and a query that is lost
+/// late wastes all its work.
 const BUSY_ADMISSION_THRESHOLD: f64 = 0.7;
-/// The same share where workers are idle: an estimate that errs costs little there, for a better replica is
-/// soon found.
+/// The same share while workers are idle. It is above 1 because an estimate that errs costs little there: a
+/// better replica is soon found.
 const IDLE_ADMISSION_THRESHOLD: f64 = 1.2;
-/// The mean utilizations between which the threshold falls from the idle one to the busy one.
+/// Mean utilizations of the workers between which the threshold falls from the idle value to the busy
+/// value.
 const BUSY_UTILIZATION: (f64, f64) = (0.8, 1.0);
-/// The most by which recent failures lower the threshold.
+/// Upper bound of the deduction from the threshold for recent failures.
 const MAX_FAILURE_CORRECTION: f64 = 0.5;
-/// Seconds of a tenant's quota that it may use at once: traffic comes in bursts, and unevenly over the
-/// aggregators.
+/// Seconds' worth of a tenant's quota that the tenant may use at once: traffic comes in bursts, and is
+/// unevenly distributed over the aggregators.
 const QUOTA_BURST_S: f64 = 3.0;
-/// Part of the usual threshold for a query beyond its tenant's quota.
+/// Factor on the threshold for a query beyond its tenant's quota.
 const OVER_QUOTA_THRESHOLD_FACTOR: f64 = 0.5;
-/// The pause advised where no time of completion can be expected.
+/// `Retry-After` of a rejection if no completion can be expected, for instance because no replica is
+/// eligible.
 const UNKNOWN_RETRY_AFTER: Duration = MIN_EJECTION_TIME;
 
-/// Where a part of a query would go.
+/// The replica that a part of a query would be sent to, if the query is admitted.
 struct PlannedPart {
     id: RequestId,
     cost: f64,
     weight: f64,
     worker: WorkerId,
-    /// Seconds from now.
+    /// Seconds from now until the response is expected.
     expected_latency: f64,
 }
 
 // Arrivals.
 impl Aggregator {
+    /// Records a query that has arrived. It is admitted or rejected at the end of the step, when its parts
+    /// are known.
     pub(super) fn receive_query(&mut self, request: NewQuery) {
         let over_quota = self.exceeds_quota(&request);
         self.attempt_window.record_request(self.now);
         self.estimates.query_arrivals.record(self.now, self.started_at);
         self.jobs.insert(request.job, request.id);
-        // The objective is computed once the parts are in: they show whose retry the query is.
+        // The latency objective is computed by `admit`: the parts tell which earlier query this one may be
+        // a retry of.
         let query = Query {
             objective_at: request.valid_until,
             parts: Vec::new(),
@@ -57,8 +64,9 @@
         self.queries.insert(query.request.id, query);
     }
 
-    /// Counts a query against its tenant's quota; whether it goes beyond this aggregator's share of that. A
-    /// client's retry belongs to its first attempt, and uses up nothing.
+    /// Counts a query against its tenant's quota and returns whether it exceeds this aggregator's share of
+    /// the quota. The result is `false` where queries beyond the quota keep their full weight. A client's
+    /// retry uses up no quota: its first attempt did.
     fn exceeds_quota(&mut self, request: &NewQuery) -> bool {
         let quota_of = |tenant: TenantId| self.settings.tenants.get(tenant.0)?.quota_per_s;
         let Some((tenant, quota)) = request.tenant.and_then(|tenant| Some((tenant, quota_of(tenant)?)))
@@ -71,6 +79,7 @@
         exceeded && self.settings.over_quota_weight.is_some_and(|weight| weight < 1.0)
     }
 
+    /// Adds a part to its query; a part without a known query is dropped.
     pub(super) fn receive_part(&mut self, request: NewPart) {
         self.attempt_window.record_request(self.now);
         let query = self.jobs.get(&request.job).and_then(|id| self.queries.get_mut(id));
@@ -95,8 +104,8 @@
 
 // Admission.
 impl Aggregator {
-    /// Admits the queries whose response can be expected within the objective, those of the greatest priority
-    /// weight for their cost first, and rejects the others at once.
+    /// Decides on each pending query, the highest priority weight per cost first: admits it if its response
+    /// is expected in time, and rejects it at once otherwise.
     pub(super) fn admit(&mut self, actions: &mut Vec<Action>) {
         let new_queries =
             self.queries.iter().filter(|(_, query)| !query.admitted && query.first_step_complete.is_none());
@@ -113,7 +122,8 @@
         }
     }
 
-    /// Computes when a query misses its objective, which counts from the client's first attempt.
+    /// Computes when a query's latency objective expires. The objective counts from the client's first
+    /// attempt.
     fn compute_objective(&mut self, id: RequestId) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let Some(class) = self.settings.classes.get(query.request.class.0) else { return };
@@ -124,7 +134,7 @@
         query.objective_at = self.now.after(time_left).min(query.request.valid_until);
     }
 
-    /// Priority weight for a second of cost.
+    /// The query's priority weight per second of its cost.
     fn weight_per_cost(&self, query: &Query) -> f64 {
         let parts = query.parts.iter().filter_map(|part| self.parts.get(part));
         let cost: f64 = parts.map(|part| part.cost).sum();
@@ -133,8 +143,9 @@
         weight * factor / cost.max(1e-6)
     }
 
-    /// Share of the time to the objective inside which a query's response must be expected. It falls as
-    /// workers report to be busier: on an idle fleet any replica would serve what a strict threshold rejects.
+    /// The share of the time left to the latency objective within which a query's response must be
+    /// expected. It falls as workers report a higher utilization: on an idle fleet, a strict threshold
+    /// would reject queries that any replica could serve.
     fn admission_threshold(&self) -> f64 {
         let utilizations: Vec<f64> = self.workers.values().filter_map(|worker| worker.utilization).collect();
         if utilizations.is_empty() {
@@ -146,7 +157,7 @@
         IDLE_ADMISSION_THRESHOLD + (BUSY_ADMISSION_THRESHOLD - IDLE_ADMISSION_THRESHOLD) * busy_share
     }
 
-    /// Admits a query and dispatches its parts, or rejects it.
+    /// Admits a query and dispatches its parts, or rejects it if it is not expected to complete in time.
     fn try_admit(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let base_threshold = self.admission_threshold();
         let Some(query) = self.queries.get_mut(&id) else { return };
@@ -172,18 +183,19 @@
         }
     }
 
-    /// Chooses replicas for parts. Each part counts as load for those after it until all are planned.
+    /// Chooses replicas for parts. While the plan is made, each planned part counts as outstanding cost at
+    /// its worker, so that the parts of one query spread out.
     fn plan_parts(&mut self, ids: Vec<RequestId>) -> Vec<PlannedPart> {
         let mut plan: Vec<PlannedPart> = Vec::new();
         for id in ids {
             let Some(part) = self.parts.get(&id).filter(|part| part.attempts.is_empty()) else { continue };
             let (cost, weight) = (part.cost, part.request.weight);
-            let Some((to, expected_latency)) = self.select_replica(part) else { continue };
-            if let Some(worker) = self.workers.get_mut(&to) {
+            let Some((worker_id, expected_latency)) = self.select_replica(part) else { continue };
+            if let Some(worker) = self.workers.get_mut(&worker_id) {
                 worker.add_part(cost, self.settings.parts_per_call);
                 self.half_open_attempts += usize::from(worker.ejection.is_some());
             }
-            plan.push(PlannedPart { id, cost, weight, worker: to, expected_latency });
+            plan.push(PlannedPart { id, cost, weight, worker: worker_id, expected_latency });
         }
         for part in &plan {
             if let Some(worker) = self.workers.get_mut(&part.worker) {
@@ -195,9 +207,9 @@
     }
 }
 
-/// Weight of the parts that a query must be expected to get. More than the least coverage, so that queues do
-/// not form for responses that are partial anyway; not the complete coverage, so that one lost cell does not
-/// have every query rejected.
+/// The weight of the parts that must be expected in time for a query to be admitted. It is more than the
+/// minimum coverage, so that queues do not form for responses that are partial anyway. It is less than the
+/// complete coverage, so that the loss of one cell does not make every query rejected.
 fn required_weight(class: &Class, cells: u32, is_second_step: bool) -> f64 {
     if is_second_step {
         return class.min_coverage;
@@ -206,7 +218,8 @@
     class.min_coverage.max(class.complete_coverage * all_but_one_cell).min(class.complete_coverage)
 }
 
-/// Seconds until the planned parts that come first have the needed weight; infinite where they never do.
+/// Seconds until the planned parts, in the order of their expected latency, reach the required weight;
+/// infinite if they never do.
 fn expected_completion(plan: &[PlannedPart], required: f64) -> f64 {
     let mut by_latency: Vec<&PlannedPart> = plan.iter().collect();
     by_latency.sort_by(|a, b| a.expected_latency.total_cmp(&b.expected_latency));
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,5 +1,6 @@
-//! Dispatch of attempts, retries and hedged requests, and what their results change. What limits extra
-//! attempts is in `retry_budget.rs`, what results say of a worker's health in `outlier_detection.rs`.
+//! Dispatch of attempts, retries and hedged requests, and the handling of their results. The limits on
+//! extra attempts are in `retry_budget.rs`, the workers' failure rates and ejections in
+//! `outlier_detection.rs`.
 
 use crate::policy::load_reports::utilization;
 use crate::policy::outlier_detection::MAX_EJECTION_TIME;
@@ -10,16 +11,17 @@
     Action, Aggregator, AttemptNo, AttemptOutcome, AttemptResult, ClassId, Idempotency, RequestId, WorkerId,
 };
 
-/// Weight of a late answer from which a query is worth carrying on past its latency objective.
+/// A query goes on past its latency objective if a late answer earns at least this share of its weight.
 pub(super) const MIN_LATE_WEIGHT: f64 = 0.25;
-/// Service times of the part itself left to the objective at which a hedge has its last chance.
+/// A late attempt is hedged without waiting for the overdue margin once the time left to the latency
+/// objective is less than this multiple of the part's expected service time.
 const LAST_HEDGE_SERVICE_TIMES: f64 = 2.5;
-/// Share of the time to the objective inside which a hedge's response must be expected.
+/// A hedge is sent only if its response is expected within this share of the time left to the objective.
 const HEDGE_THRESHOLD: f64 = 0.7;
 
 // Sending.
 impl Aggregator {
-    /// Whether its class and the limit on attempts let a part be sent (again) at all.
+    /// Whether the part's class and the limit on attempts allow a first or a further attempt.
     pub(super) fn may_retry(&self, part: &Part) -> bool {
         let Some(class) = self.class(part.class) else { return false };
         let first_possible_run = part.attempts.iter().find(|attempt| attempt.may_have_run());
@@ -31,21 +33,22 @@
         is_safe && self.settings.max_attempts.is_none_or(|limit| (part.attempts.len() as u32) < limit)
     }
 
-    /// Whether a further attempt would run beside one at a worker that is not ejected.
+    /// Whether a further attempt would be a hedge: another one is in flight at a worker that is not
+    /// ejected.
     pub(super) fn is_hedge(&self, part: &Part) -> bool {
         let is_not_ejected = |id| self.workers.get(&id).is_some_and(|worker| worker.ejection.is_none());
         part.attempts.iter().any(|attempt| attempt.is_in_flight() && is_not_ejected(attempt.worker))
     }
 
-    /// Sends an attempt, unless it is too late or the worker is not eligible. No other method sends.
+    /// Sends an attempt, unless no time is left or the worker is not eligible. All attempts are sent here.
     pub(super) fn dispatch(
         &mut self,
         id: RequestId,
-        to: WorkerId,
+        worker_id: WorkerId,
         expected_latency: f64,
         actions: &mut Vec<Action>,
     ) {
-        let (Some(part), Some(worker)) = (self.parts.get(&id), self.workers.get(&to)) else { return };
+        let (Some(part), Some(worker)) = (self.parts.get(&id), self.workers.get(&worker_id)) else { return };
         let Some(query) = self.queries.get(&part.query) else { return };
         let late_weight = self.class(query.request.class).map_or(0.0, |class| class.late_weight);
         let latest_response_at =
@@ -55,13 +58,15 @@
             return;
         }
         let is_hedge = self.is_hedge(part);
-        let (Some(part), Some(worker)) = (self.parts.get_mut(&id), self.workers.get_mut(&to)) else { return };
+        let (Some(part), Some(worker)) = (self.parts.get_mut(&id), self.workers.get_mut(&worker_id)) else {
+            return;
+        };
         if !part.attempts.is_empty() {
             self.attempt_window.record_extra_attempt(self.now, is_hedge);
         }
         let number = AttemptNo(part.attempts.len() as u32);
         part.attempts.push(Attempt {
-            worker: to,
+            worker: worker_id,
             sent_at: self.now,
             expected_latency,
             cost: part.cost,
@@ -79,10 +84,10 @@
             retry_at: self.now.after(ejection.duration),
             duration: (ejection.duration * 2).min(MAX_EJECTION_TIME),
         });
-        actions.push(Action::Send { id, worker: to, timeout });
+        actions.push(Action::Send { id, worker: worker_id, timeout });
     }
 
-    /// Sends parts that have no attempt in flight, and hedges of attempts that are overdue.
+    /// Sends the first attempts and retries that are possible now, and hedges of late attempts.
     pub(super) fn retry_or_hedge(&mut self, actions: &mut Vec<Action>) {
         self.attempt_window.expire(self.now, &self.settings);
         let unfinished = self.parts.iter().filter(|(_, part)| !part.succeeded && !part.finished);
@@ -94,7 +99,8 @@
         }
     }
 
-    /// The replica for a part's next attempt, where it may have one now and one would respond in time.
+    /// The replica for a part's next attempt and its expected latency in seconds; `None` if no attempt is
+    /// allowed now or none would respond in time.
     fn next_attempt(&self, id: RequestId) -> Option<(WorkerId, f64)> {
         let part = self.parts.get(&id)?;
         let query = self.queries.get(&part.query)?;
@@ -130,12 +136,12 @@
 
 // Results.
 impl Aggregator {
-    /// Applies the result of an attempt to its part, its worker and what is learned from it.
+    /// Applies the result of an attempt to its part, its worker and the estimates. A result without a known
+    /// attempt in flight is ignored.
     pub(super) fn finish_attempt(&mut self, result: AttemptResult) {
         let Some((class, attempt)) = self.close_attempt(&result) else { return };
         let outcome = result.outcome;
-        // The more attempts fail, the less wait a query is admitted to: this keeps queues from growing into
-        // jams.
+        // A higher failure rate lowers the admission threshold, so that queues don't grow without bound.
         if !self.stalled {
             let failed = matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut);
             self.estimates.record_attempt_result(failed);
@@ -161,7 +167,8 @@
         self.remove_if_released(result.id);
     }
 
-    /// Notes the outcome at the part; the class and the attempt, unless that has ended before.
+    /// Records the outcome at the part. Returns the part's class and the attempt, or `None` if the attempt
+    /// is unknown or has already ended.
     fn close_attempt(&mut self, result: &AttemptResult) -> Option<(ClassId, Attempt)> {
         let part = self.parts.get_mut(&result.id)?;
         let succeeded = result.outcome == AttemptOutcome::Succeeded;
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,5 +1,5 @@
-//! When a query is answered, rejected or cancelled, and what becomes of its parts then. No other file ends a
-//! query.
+//! Completion of queries: when a query is answered, rejected or cancelled, and the cancellation of its
+//! parts' attempts. No other file ends a query.
 
 use crate::policy::attempts::MIN_LATE_WEIGHT;
 use crate::policy::queries::{Attempt, Part, Query};
@@ -8,20 +8,22 @@
 };
 use std::time::Duration;
 
-/// Tolerance in sums of weights, which come rounded: the rule on honest answers lets them fall so short.
+/// Tolerance in comparisons of sums of part weights, which arrive rounded. The rule on how complete an
+/// answer may be called allows a sum to fall short by as much.
 pub(super) const WEIGHT_SUM_TOLERANCE: f64 = 1e-4;
-/// Connections that a part may break; with one more its query ends, for it may bring down whoever serves it.
+/// Connection resets that a part may cause. With one more its query ends, because the part may crash each
+/// worker that serves it.
 const MAX_CONNECTION_RESETS: usize = 1;
 
-/// How a query ends.
+/// The final response to a query or to its first step.
 pub(super) enum Completion {
     Respond { complete: bool },
     Reject { retry_after: Duration },
 }
 
-// When.
+// Conditions of completion.
 impl Aggregator {
-    /// Ends the queries that are complete, lost, or best answered in part now.
+    /// Ends the queries that are complete or lost, and those for which a partial answer is best sent now.
     pub(super) fn complete_queries(&mut self, actions: &mut Vec<Action>) {
         for id in self.queries.keys().copied().collect::<Vec<_>>() {
             if let Some(completion) = self.completion(id) {
@@ -30,7 +32,7 @@
         }
     }
 
-    /// How a query ends now; `None` while it goes on.
+    /// The completion of a query that is to end in this step; `None` while it goes on.
     fn completion(&self, id: RequestId) -> Option<Completion> {
         let query = self.queries.get(&id)?;
         let reject = Completion::Reject { retry_after: self.settings.max_retry_after.unwrap_or_default() };
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Whether a query is to be answered now, and if so, whether the answer is complete.
+    /// `Some(complete)` if a query is to be answered now; `None` if there is no answer to send yet.
     fn response(&self, query: &Query, class: &Class, parts: &[&Part]) -> Option<bool> {
         let coverage: f64 = parts.iter().filter(|part| part.succeeded).map(|part| part.request.weight).sum();
         let all_succeeded = !parts.is_empty() && parts.iter().all(|part| part.succeeded);
         let complete = match query.first_step_complete {
-            Some(first) => all_succeeded && first,
+            Some(first_step_complete) => all_succeeded && first_step_complete,
             None => coverage >= class.complete_coverage - WEIGHT_SUM_TOLERANCE && !parts.is_empty(),
         };
         if complete || (all_succeeded && query.first_step_complete.is_some()) {
@@ -66,14 +68,16 @@
         partial.then_some(false)
     }
 
-    /// Whether a query can earn nothing any more, or must not be tried again.
+    /// Whether a query is to be given up: its time is over, its minimum coverage cannot be reached any
+    /// more, or one of its parts has caused too many connection resets.
     fn is_lost(&self, query: &Query, class: &Class, parts: &[&Part]) -> bool {
         let in_flight = parts.iter().any(|part| part.is_in_flight());
         let is_past_useful_time =
             self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !in_flight);
         let reset = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
         let resets = |part: &Part| part.attempts.iter().filter(reset).count();
-        // A part with no attempt in flight and none to follow is lost: the query is not held back for it.
+        // A part without an attempt in flight that may not be sent again is lost. A query that depends on
+        // it ends at once, instead of at its objective.
         let is_unservable = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_retry(part);
         let unservable_weight: f64 =
             parts.iter().filter(|part| is_unservable(part)).map(|part| part.request.weight).sum();
@@ -85,15 +89,17 @@
             || parts.iter().any(|part| resets(part) > MAX_CONNECTION_RESETS)
     }
 
-    /// Whether a moment comes before the next step but one can act on it.
+    /// Whether `at` is so near that a later step may come too late to act on it: within one step interval
+    /// and two minimum step intervals.
     fn is_due(&self, at: Time) -> bool {
         self.now.after(STEP_INTERVAL + self.settings.min_step_interval * 2) >= at
     }
 }
 
-// What follows.
+// Ending a query.
 impl Aggregator {
-    /// Answers or rejects a query. No other method does.
+    /// Answers, rejects or fails a query; all queries end here, except those whose client has disconnected.
+    /// After the answer to the first of two steps the query stays, waiting for the parts of the second.
     pub(super) fn complete_query(
         &mut self,
         id: RequestId,
@@ -118,7 +124,7 @@
                 let may_have_run = query.first_step_complete.is_some()
                     || parts.any(|part| part.attempts.iter().any(Attempt::may_have_run));
                 let idempotent = class.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
-                let retry_after = self.settings.max_retry_after.map(|longest| retry_after.min(longest));
+                let retry_after = self.settings.max_retry_after.map(|limit| retry_after.min(limit));
                 actions.push(if may_have_run && !idempotent {
                     Action::Fail { id }
                 } else {
@@ -129,14 +135,15 @@
         self.cancel_query(id, actions);
     }
 
-    /// Drops a query that nobody waits for.
+    /// Removes a query and cancels its parts' attempts in flight.
     pub(super) fn cancel_query(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.remove(&id) else { return };
         self.jobs.remove(&query.request.job);
         self.release(query.parts, actions);
     }
 
-    /// Cancels the attempts in flight of parts that no query needs; a part stays until their results are in.
+    /// Releases parts that no query needs any more and cancels their attempts in flight, where the settings
+    /// allow it. A part is kept until the results of all its attempts have arrived.
     fn release(&mut self, parts: Vec<RequestId>, actions: &mut Vec<Action>) {
         for id in parts {
             let Some(part) = self.parts.get_mut(&id) else { continue };
@@ -151,6 +158,7 @@
         }
     }
 
+    /// Removes a released part once it has no attempt in flight.
     pub(super) fn remove_if_released(&mut self, id: RequestId) {
         if self.parts.get(&id).is_some_and(|part| part.released && !part.is_in_flight()) {
             self.parts.remove(&id);
