--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,21 +1,22 @@
-//! What the module asks of its host.
+//! The actions that the decision module returns to the program that embeds it.
 
 use crate::policy::{AttemptNo, RequestId, TimerId, WorkerId};
 use std::time::Duration;
 
-/// What the module asks of the aggregator that embeds it.
+/// One action that the embedding program must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a part.
     Send {
         /// The part.
         id: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// The attempt's time-out.
+        /// The attempt's time-out, counted from now.
         timeout: Duration,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight. Its end is still reported, as
+    /// [`AttemptFinished`](crate::policy::Event::AttemptFinished).
     Cancel {
         /// The part.
         id: RequestId,
@@ -26,38 +27,38 @@
     Respond {
         /// The query.
         id: RequestId,
-        /// The answer is complete.
+        /// Whether the answer covers as much as its class requires of a complete one.
         complete: bool,
     },
-    /// Reject a query: a retry does no harm.
+    /// Reject a query. The client may safely retry it.
     Reject {
         /// The query.
         id: RequestId,
-        /// When to come back; `None` for no advice.
+        /// The `Retry-After` to advise; `None` for no advice.
         retry_after: Option<Duration>,
     },
-    /// Fail a query, without a promise that it did not run.
+    /// Fail a query of which some part may have run, so that a retry may run it twice.
     Fail {
         /// The query.
         id: RequestId,
     },
-    /// Send [`Event::TimerFired`](crate::policy::Event::TimerFired) after a time.
+    /// Report [`Event::TimerFired`](crate::policy::Event::TimerFired) after a time.
     SetTimer {
-        /// How long from now.
+        /// The time from now to the event.
         after: Duration,
-        /// Comes back with the event.
+        /// The number to return with the event.
         timer: TimerId,
     },
     /// Send a health check.
     SendHealthCheck {
-        /// Where to.
+        /// The worker to check.
         worker: WorkerId,
     },
     /// Subscribe to the endpoint list.
     SubscribeToEndpoints,
-    /// Write a line for the people on call.
+    /// Write a line to the operator's log.
     Log {
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -1,6 +1,6 @@
-//! How long a client has waited already when one of its attempts arrives. A retry belongs to the client's
-//! first attempt, and the latency objective counts from there. Estimates only: nothing here rejects or
-//! chooses.
+//! Detection of client retries: how long a client has already waited when one of its attempts arrives. The
+//! latency objective counts from the client's first attempt. This file only estimates the time; admission
+//! decides what follows from it.
 
 use crate::policy::estimates::SAMPLE_WEIGHT;
 use crate::policy::time::{seconds, span};
@@ -10,61 +10,66 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Attempts that are remembered at most; the oldest are dropped first.
+/// Upper bound of remembered attempts; the oldest are dropped first.
 const MAX_REMEMBERED_ATTEMPTS: usize = 4096;
-/// Share by which two times left may differ and still count as equal.
+/// Relative difference below which two times left count as equal.
 const TIME_LEFT_TOLERANCE: f64 = 0.02;
-/// Latency objectives within which an unmarked retry may come after the longest `Retry-After`.
+/// An unmarked attempt may be a retry up to this many latency objectives plus the longest `Retry-After`
+/// after the first attempt.
 const UNMARKED_RETRY_OBJECTIVES: f64 = 1.25;
 
-/// The time left that most first attempts of a class come with.
+/// The time left with which the majority of a class's first attempts arrive (Boyer-Moore majority vote).
 #[derive(Clone, Copy, Debug)]
 struct UsualTimeLeft {
     time_left: Duration,
-    /// By how many attempts it leads over others.
+    /// Votes for this time left, less the votes against it.
     lead: i32,
 }
 
-/// A client's request that was received once or more.
+/// A client's request of which at least one attempt was received.
 #[derive(Clone, Copy, Debug)]
 struct KnownRequest {
+    /// When the first attempt was sent, as estimated.
     first_at: Time,
+    /// When the last attempt was received.
     last_at: Time,
 }
 
-/// What a gatherer knows of its clients' retries.
+/// The recent attempts of clients, and what was learned about their retries.
 #[derive(Debug, Default)]
 pub(super) struct ClientRetries {
-    /// A request is remembered for so long after its last attempt.
+    /// The time for which a request is remembered after its last attempt: the longest deadline of any
+    /// class.
     retention: Duration,
-    /// The longest `Retry-After` that clients get; zero where they take no advice.
+    /// The longest `Retry-After` that clients get; zero where they don't follow it.
     max_retry_after: Duration,
     usual_time_left: BTreeMap<ClassId, UsualTimeLeft>,
-    /// Clients mark their retries.
+    /// Whether any retry has been marked as such by its client.
     retries_are_marked: bool,
-    /// By digest.
+    /// The remembered requests by their digest.
     requests: BTreeMap<u64, KnownRequest>,
-    /// All attempts remembered, with their request's digest, oldest first.
+    /// The times of all remembered attempts and the digests of their requests, oldest first.
     attempts: VecDeque<(Time, u64)>,
-    /// Mean seconds from a first attempt to a retry, of those retries of which both arrived here.
+    /// Running mean of the seconds from a first attempt to its retry, where both arrived at this gatherer.
     mean_wait: f64,
 }
 
-/// What is handed over to a successor; its fields keep the names that the hand-over message has always had.
+/// The part of [`ClientRetries`] that is handed over to a successor in a hot restart. The serialised names
+/// of the fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClientRetriesSnapshot {
-    /// Class, usual time left, lead.
+    /// For each class: its index, the usual time left, and the lead of its votes.
     #[serde(rename = "patience")]
     usual_time_left: Vec<(usize, Duration, i32)>,
     #[serde(rename = "marked")]
     retries_are_marked: bool,
-    /// Versions before it was learned do not send it.
+    /// The default is for older versions, which do not send the field.
     #[serde(default)]
     mean_wait: f64,
 }
 
 impl ClientRetries {
-    /// For the classes and the advice of these settings.
+    /// Creates an empty record for the classes and the `Retry-After` of these settings.
     pub(super) fn new(settings: &Settings) -> ClientRetries {
         ClientRetries {
             retention: settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
@@ -73,9 +78,9 @@
         }
     }
 
-    /// Seconds for which the client of this query has waited before this attempt; zero for a first one. For a
-    /// marked retry that shows no shorter time left, and whose first attempt went to another gatherer, it is
-    /// the mean.
+    /// Records an attempt of a client and returns the seconds that the client has waited before it; zero
+    /// for a first attempt. For a marked retry with its whole time left whose first attempt went to another
+    /// gatherer, the mean wait is returned, but at most the time spent.
     pub(super) fn record_attempt(
         &mut self,
         now: Time,
@@ -86,19 +91,21 @@
         self.expire(now);
         let time_left = query.valid_until.since(now);
         let time_spent = class.deadline.saturating_sub(time_left);
-        let has_shortened_time = self.has_shortened_time(query, time_left);
+        let has_unusual_time_left = self.record_time_left(query, time_left);
         self.retries_are_marked |= query.is_retry;
-        // An unmarked retry comes within the longest pause and a part of an objective; one that comes later
-        // says little of the client.
+        // An unmarked retry is expected within the longest `Retry-After` and a multiple of the objective.
+        // If more of the deadline is spent, the client's time-out is probably just shorter than the
+        // deadline.
         let is_within_retry_window =
             time_spent <= class.latency_objective.mul_f64(UNMARKED_RETRY_OBJECTIVES) + self.max_retry_after;
         let may_be_retry = query.is_retry || !self.retries_are_marked && is_within_retry_window;
         let digest = digest(query, parts);
-        let first = self.requests.get(&digest).map(|request| request.first_at).filter(|_| query.is_retry);
-        let waited = match first {
-            _ if has_shortened_time && may_be_retry => seconds(time_spent),
-            Some(first) => {
-                let waited = seconds(now.since(first));
+        let first_attempt_at =
+            self.requests.get(&digest).map(|request| request.first_at).filter(|_| query.is_retry);
+        let waited = match first_attempt_at {
+            _ if has_unusual_time_left && may_be_retry => seconds(time_spent),
+            Some(first_attempt_at) => {
+                let waited = seconds(now.since(first_attempt_at));
                 self.mean_wait += SAMPLE_WEIGHT * (waited - self.mean_wait);
                 waited
             }
@@ -111,7 +118,7 @@
         waited
     }
 
-    /// What it knows of its clients, for a successor.
+    /// The state to hand over to a successor.
     pub(super) fn snapshot(&self) -> ClientRetriesSnapshot {
         let usual = self.usual_time_left.iter();
         ClientRetriesSnapshot {
@@ -121,7 +128,7 @@
         }
     }
 
-    /// Takes over what a predecessor knew of its clients.
+    /// Takes over the state of a predecessor.
     pub(super) fn restore(&mut self, snapshot: ClientRetriesSnapshot) {
         let usual = |(class, time_left, lead)| (ClassId(class), UsualTimeLeft { time_left, lead });
         self.usual_time_left = snapshot.usual_time_left.into_iter().map(usual).collect();
@@ -129,9 +136,10 @@
         self.mean_wait = snapshot.mean_wait;
     }
 
-    /// Whether less time is left than the first attempts of this class come with: a client's last attempt has
-    /// what is left of its whole time.
-    fn has_shortened_time(&mut self, query: &NewQuery, time_left: Duration) -> bool {
+    /// Counts the time left of a first attempt, and returns whether the time left of this attempt differs
+    /// from the one with which most first attempts of its class arrive. A client's last attempt has less,
+    /// because the client's whole time is limited.
+    fn record_time_left(&mut self, query: &NewQuery, time_left: Duration) -> bool {
         let usual = self.usual_time_left.entry(query.class).or_insert(UsualTimeLeft { time_left, lead: 0 });
         let is_usual = time_left.abs_diff(usual.time_left) < time_left.mul_f64(TIME_LEFT_TOLERANCE);
         if !query.is_retry {
@@ -143,7 +151,8 @@
         !is_usual
     }
 
-    /// Drops requests whose last attempt is long ago, and the oldest of too many.
+    /// Drops attempts that are past the retention or above the limit, and the requests of which they were
+    /// the last attempt.
     fn expire(&mut self, now: Time) {
         while let Some((at, digest)) = self.attempts.front().copied() {
             if now.since(at) <= self.retention && self.attempts.len() < MAX_REMEMBERED_ATTEMPTS {
@@ -157,7 +166,8 @@
     }
 }
 
-/// A digest of what a retry has in common with its first attempt: who asks, and for what.
+/// A digest of what a retry has in common with its first attempt: class, tenant, and the shards, weights,
+/// cost hints and keys of the parts.
 fn digest(query: &NewQuery, parts: &[&NewPart]) -> u64 {
     let mut hash = Xxh3::new();
     let mut add = |value: u64| hash.update(&value.to_le_bytes());
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, the replica set of each shard, and when the list is subscribed to again. This file
-//! never judges a worker's health.
+//! The endpoint list: applies its updates, derives the replica set of each shard, and schedules the
+//! subscription to the list. Workers' health is judged elsewhere.
 
 use crate::policy::load_reports::{Replica, normalise};
 use crate::policy::outlier_detection::{MAX_EJECTION_TIME, MIN_EJECTION_TIME};
@@ -10,16 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// First and longest backoff of the subscription.
+/// Backoff after the first failure of the subscription; each further failure doubles it.
 const MIN_BACKOFF: Duration = MIN_EJECTION_TIME;
+/// Upper bound of the backoff, before jitter.
 const MAX_BACKOFF: Duration = MAX_EJECTION_TIME;
-/// Share of a backoff that is added at random, so that aggregators which failed together do not return
-/// together.
+/// Upper bound of the random share that is added to a backoff, so that aggregators whose subscriptions
+/// failed together do not retry together.
 const BACKOFF_JITTER: f64 = 0.5;
 
-/// When the endpoint list is subscribed to: at the start, and again after each failure, with backoff.
+/// The schedule of subscriptions to the endpoint list: at the start, and after each failure with backoff.
 #[derive(Default)]
 pub(super) struct Subscription {
+    /// When to subscribe next; `None` while subscribed, or if the list is pushed without a subscription.
     subscribe_at: Option<Time>,
     backoff: Duration,
 }
@@ -29,7 +31,7 @@
         Subscription { subscribe_at: settings.poll_discovery.then_some(Time(0)), backoff: MIN_BACKOFF }
     }
 
-    /// Whether it is time to subscribe; true once for each time.
+    /// Whether it is time to subscribe. Returns `true` once for each scheduled time.
     pub(super) fn take_due(&mut self, now: Time) -> bool {
         self.subscribe_at.take_if(|at| *at <= now).is_some()
     }
@@ -46,6 +48,8 @@
 }
 
 impl Aggregator {
+    /// Applies an update of the endpoint list, or the failure of the subscription. Workers that are missing
+    /// from a full list are marked as gone.
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
         let (endpoints, is_full_list) = match update {
             EndpointUpdate::Failed => {
@@ -70,7 +74,7 @@
         let started = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
         let worker = self.workers.entry(endpoint.worker).or_insert_with(|| WorkerState::new(now));
         if worker.endpoint.started_at != endpoint.started_at && started.is_some() {
-            // A new process: what was counted against the old one does not apply to it.
+            // A new process runs there: the old process's ejection, failures and latency don't apply to it.
             worker.warming_since = worker.warming_since.max(started);
             worker.reinstate();
             worker.mean_latency = worker.mean_expected_latency;
@@ -78,7 +82,8 @@
         worker.endpoint = endpoint.clone();
     }
 
-    /// Rebuilds the active replicas of each shard; those that stay keep their weight.
+    /// Rebuilds the set of active replicas of each shard. Replicas that stay in the set keep their weight
+    /// in proportion to each other; new ones start with an even weight.
     fn rebuild_replica_sets(&mut self) {
         let previous_sets = std::mem::take(&mut self.replica_sets);
         for (shard, workers) in active_replicas(&self.workers, &self.settings) {
@@ -96,9 +101,9 @@
     }
 }
 
-/// The active workers that hold each shard, by id: shard `s` lies in `cells_per_shard` cells in a row from
-/// cell `s`, or with every worker where there are no cells. The workers are grouped by cell first, so that a
-/// long list does not cost its square.
+/// The active workers that hold each shard, in the order of their ids. Shard `s` is held by the workers of
+/// `cells_per_shard` consecutive cells from cell `s`, or by every worker if there are no cells. The workers
+/// are grouped by cell first, so that the cost does not grow with the square of the list's length.
 fn active_replicas(
     workers: &BTreeMap<WorkerId, WorkerState>,
     settings: &Settings,
