--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,4 +1,5 @@
-//! Estimates of latency and cost: what is learned from few samples, and how it decays. Nothing here chooses.
+//! Estimates of latency, cost and failure rates: how they are learned from few samples, and how they decay.
+//! This file makes no decisions.
 
 use crate::policy::queries::Attempt;
 use crate::policy::time::seconds;
@@ -6,40 +7,46 @@
 use crate::policy::{Aggregator, AttemptResult, ClassId, Settings, Time};
 use serde::{Deserialize, Serialize};
 
-/// Weight of a new sample in running means: about the last twenty count.
+/// Weight of a new sample in running means, which then cover about the last 20 samples.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of a new sample in the model of latency: about the last hundred successes count.
+/// Weight of a new sample in the latency model and in the recent failure rate, which then cover about the
+/// last 100 samples.
 const MODEL_SAMPLE_WEIGHT: f64 = 0.01;
-/// Weight of a new sample in the mean interval of queries.
+/// Weight of a new sample in the mean interval between queries.
 const QUERY_INTERVAL_SAMPLE_WEIGHT: f64 = 0.2;
-/// Seconds between queries before any was received.
+/// Assumed interval between queries before any was received, in seconds.
 const INITIAL_QUERY_INTERVAL_S: f64 = 1.0;
-/// Samples that the first guess at how latency grows with outstanding cost counts for.
+/// Number of samples that the initial latency model counts for.
 const PRIOR_SAMPLES: f64 = 20.0;
-/// Seconds of a part's cost that a worker and the model start from: only ratios matter until one is observed.
+/// Initial cost of a part in the estimates of a worker and in the latency model, in seconds. Until a
+/// latency is observed, only ratios to it matter.
 pub(super) const INITIAL_COST_S: f64 = 0.1;
-/// Cost of a part, as a share of the shortest latency objective, before any was observed and without a hint.
+/// Assumed cost of a part without a hint before any was observed, as a share of the shortest latency
+/// objective.
 const INITIAL_COST_PER_OBJECTIVE: f64 = 0.04;
-/// Seconds in which a failure rate decays as a path recovers.
+/// Decay time of a failure rate, in seconds: a worker whose path has recovered gets parts again.
 const FAILURE_RATE_DECAY_S: f64 = 10.0;
-/// Deviations past the expected latency at which an attempt is overdue (as in TCP's time-out).
+/// Mean deviations past the expected latency at which an attempt is overdue, as in TCP's retransmission
+/// time-out.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// Share of the shortest latency objective past which an attempt is overdue: twice that, at which a worker
-/// counts as unresponsive, is inside the objective.
+/// Upper bound of the overdue margin, as a share of the shortest latency objective. Twice the margin, at
+/// which a worker counts as unresponsive, is then still within the objective.
 const MAX_OVERDUE_MARGIN_OF_OBJECTIVE: f64 = 0.4;
-/// Mean intervals between this aggregator's queries, of a second at least, in which the latencies learned
-/// decay without responses.
+/// Decay time of learned latencies without responses, as a multiple of the mean interval between this
+/// aggregator's queries (at least one second).
 const STALE_ESTIMATE_QUERY_INTERVALS: f64 = 2.0;
-/// Seconds between a worker's responses from which one says as much of its slowdown as all before.
+/// Interval between a worker's responses, in seconds, at which one response has as much weight in the
+/// worker's slowdown as all earlier ones together.
 const SPARSE_SAMPLE_INTERVAL_S: f64 = 1.2;
-/// Greatest weight of one response in a worker's slowdown.
+/// Upper bound of one response's weight in a worker's slowdown.
 const MAX_SAMPLE_WEIGHT: f64 = 0.7;
-/// Least and greatest slowdown that a worker is believed to have.
+/// Bounds of a worker's estimated slowdown.
 const SLOWDOWN_RANGE: (f64, f64) = (0.5, 20.0);
-/// Share of latencies that lie below the running base latency of a class: a part's cost without waiting.
+/// Quantile of the latencies of a class that its base latency follows: a low one, because it stands for the
+/// cost of a part that waits in no queue.
 const BASE_LATENCY_QUANTILE: f64 = 0.2;
 
-/// A rate that decays from the time at which it was updated.
+/// A rate that decays exponentially from the time of its last update.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingRate {
     pub value: f64,
@@ -47,26 +54,27 @@
 }
 
 impl DecayingRate {
-    /// Its value at a later time.
+    /// The decayed value at a later time.
     pub(super) fn value_at(self, now: Time) -> f64 {
         self.value * (-seconds(now.since(self.updated_at)) / FAILURE_RATE_DECAY_S).exp()
     }
 }
 
-/// Seconds of latency for a second of a part's own cost, and for a second of cost outstanding ahead of it.
+/// Seconds of latency per second of a part's own cost, and per second of cost outstanding ahead of it at
+/// the worker.
 pub(super) struct LatencySlopes {
     pub(super) own_cost: f64,
     pub(super) cost_ahead: f64,
 }
 
 /// Latency as a linear function of the part's own cost and of the cost outstanding ahead of it, learned by
-/// decayed least squares over all workers: an aggregator sees only its own traffic, so the others' share
-/// shows in the slope.
+/// least squares with decay over all workers. An aggregator sees only its own traffic; the load from the
+/// others shows in the slope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct LatencyModel {
     /// Sums of cost², cost x ahead, ahead², cost x latency, ahead x latency.
     sums: [f64; 5],
-    /// Mean distance of latencies from what was expected, in seconds.
+    /// Mean absolute deviation of latencies from the expected ones, in seconds.
     pub(super) deviation: f64,
 }
 
@@ -96,7 +104,7 @@
     }
 }
 
-/// How often queries arrive.
+/// The running mean interval between queries.
 #[derive(Clone, Copy, Default)]
 pub(super) struct QueryArrivals {
     pub(super) mean_interval_s: f64,
@@ -104,7 +112,7 @@
 }
 
 impl QueryArrivals {
-    /// Records a query; the first interval counts from the start.
+    /// Records the arrival of a query. The first interval counts from the start of the aggregator.
     pub(super) fn record(&mut self, now: Time, started_at: Time) {
         let interval = seconds(now.since(self.last_at.max(started_at)));
         self.mean_interval_s += QUERY_INTERVAL_SAMPLE_WEIGHT * (interval - self.mean_interval_s);
@@ -112,14 +120,14 @@
     }
 }
 
-/// What one aggregator has learned of latency and of its own traffic.
+/// The estimates that one aggregator has learned over all its workers and from its own traffic.
 #[derive(Default)]
 pub(super) struct Estimates {
     pub(super) latency_model: LatencyModel,
     pub(super) query_arrivals: QueryArrivals,
-    /// When any worker last succeeded.
+    /// When an attempt last succeeded at any worker.
     pub(super) last_success_at: Time,
-    /// Seconds that a part takes without waiting, by class.
+    /// Seconds that a part takes without waiting in a queue, by class.
     pub(super) base_latency: Vec<f64>,
     /// Running share of attempts that were rejected or timed out.
     pub(super) recent_failure_rate: f64,
@@ -128,7 +136,7 @@
 }
 
 impl Estimates {
-    /// The estimates before anything was observed.
+    /// Creates the estimates that hold before anything was observed.
     pub(super) fn new(settings: &Settings) -> Estimates {
         Estimates {
             query_arrivals: QueryArrivals {
@@ -146,27 +154,29 @@
         self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (failed - self.recent_failure_rate);
     }
 
-    /// Records the utilization that a response reports.
+    /// Records the utilization reported by a response.
     pub(super) fn record_utilization(&mut self, utilization: f64) {
         self.mean_reported_utilization += SAMPLE_WEIGHT * (utilization - self.mean_reported_utilization);
     }
 }
 
-/// The shortest latency objective of any class, in seconds; infinite where there is no class.
+/// The shortest latency objective of any class, in seconds; infinite if there is no class.
 fn shortest_objective(settings: &Settings) -> f64 {
     settings.classes.iter().map(|class| seconds(class.latency_objective)).fold(f64::INFINITY, f64::min)
 }
 
-/// Seconds of a part's cost before any was observed and without a hint. It goes by the objectives: a guess
-/// made for slow deployments would take up a fast one's whole objective, and every query would be rejected.
+/// The assumed cost of a part without a hint before any was observed, in seconds. It depends on the latency
+/// objectives: a fixed estimate that suits slow deployments would take up the whole objective of a fast
+/// one, and every query would be rejected.
 fn initial_cost(settings: &Settings) -> f64 {
     INITIAL_COST_PER_OBJECTIVE * shortest_objective(settings)
 }
 
 impl Aggregator {
-    /// Expected seconds until a worker would respond to a part of this cost.
+    /// Expected seconds until a worker would respond to a part of this cost, sent now.
     pub(super) fn expected_latency(&self, worker: &WorkerState, cost: f64) -> f64 {
-        // Without responses what was learned decays: a stale estimate must not reject queries for good.
+        // Without responses the slope of the own cost and the worker's slowdown decay to 1: while all
+        // queries are rejected nothing responds, and a stale estimate would go on rejecting them.
         let decay_time_s =
             STALE_ESTIMATE_QUERY_INTERVALS * self.estimates.query_arrivals.mean_interval_s.max(1.0);
         let decay = |since: Time| (-seconds(self.now.since(since)) / decay_time_s).exp();
@@ -179,7 +189,8 @@
             + self.seconds_overdue(worker)
     }
 
-    /// Learns from the latency of an attempt that succeeded.
+    /// Updates the worker's slowdown, the latency model and the class's base latency by an attempt that
+    /// succeeded.
     pub(super) fn record_latency(&mut self, result: &AttemptResult, class: ClassId, attempt: &Attempt) {
         let Some(worker) = self.workers.get_mut(&result.worker) else { return };
         let latency = seconds(result.elapsed);
@@ -198,15 +209,15 @@
         }
     }
 
-    /// Seconds past the expected latency at which an attempt is overdue. It is bounded by the latency
-    /// objective: where a few workers are slow, estimates err by more than the objective leaves time for a
-    /// hedge.
+    /// Seconds past the expected latency at which an attempt is overdue. The margin is bounded by a share
+    /// of the latency objective: where a few workers are slow, the deviation may exceed the time in which a
+    /// hedge can still respond.
     pub(super) fn overdue_margin(&self) -> f64 {
         (OVERDUE_DEVIATIONS * self.estimates.latency_model.deviation)
             .min(MAX_OVERDUE_MARGIN_OF_OBJECTIVE * shortest_objective(&self.settings))
     }
 
-    /// Seconds by which the oldest attempt in flight at a worker is overdue; zero where it is not.
+    /// Seconds by which the oldest attempt in flight at a worker is overdue; zero if none is.
     pub(super) fn seconds_overdue(&self, worker: &WorkerState) -> f64 {
         let Some((sent_at, id, number)) = worker.in_flight.first() else { return 0.0 };
         let attempt = self.parts.get(id).and_then(|part| part.attempts.get(number.0 as usize));
--- a/src/policy/event.rs
+++ b/src/policy/event.rs
@@ -1,4 +1,5 @@
-//! What comes in: endpoint updates, queries, parts, results.
+//! The events that the embedding program passes to the decision module: endpoint updates, queries, parts
+//! and results.
 
 use crate::policy::{
     AttemptNo, CellId, ClassId, JobId, RequestId, ShardId, TenantId, Time, TimerId, WorkerId, ZoneId,
@@ -10,12 +11,12 @@
 /// Whether a listed worker takes parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStatus {
-    /// It does.
+    /// Takes new parts.
     #[default]
     Active,
-    /// It finishes what is in flight.
+    /// Takes no new parts and finishes those in flight.
     Draining,
-    /// It is gone.
+    /// No longer listed; gets no parts.
     Gone,
 }
 
@@ -24,54 +25,55 @@
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: CellId,
-    /// Whether it takes parts.
+    /// Whether the worker takes parts.
     pub status: EndpointStatus,
-    /// Its listed size.
+    /// The worker's size as listed; see
+    /// [`Settings::sizes_comparable`](crate::policy::Settings::sizes_comparable).
     pub units: f64,
-    /// When it last started; `None` for long ago.
+    /// When the worker's process last started; `None` if that is long ago.
     pub started_at: Option<Time>,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// Changed entries.
+    /// The changed entries.
     Delta(Arc<[Endpoint]>),
     /// The complete list.
     Full(Arc<[Endpoint]>),
-    /// The complete list as cached, possibly stale.
+    /// The complete list from a cache; it may be stale.
     Cached(Arc<[Endpoint]>),
-    /// A call failed or the subscription broke.
+    /// The call for the list failed or the subscription broke.
     Failed,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The worker answered.
     Succeeded,
-    /// Error; it may have run.
+    /// The worker responded with an error; the part may have run.
     Failed,
-    /// Rejected before it ran.
+    /// The worker rejected the part before running it.
     Rejected,
-    /// No reply in time.
+    /// No response arrived within the time-out; the part may have run.
     TimedOut,
-    /// No connection.
+    /// No connection to the worker could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke; the part may have run.
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the part may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether the outcome proves that the part did not run at the worker.
     #[must_use]
     pub fn proves_unrun(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
@@ -82,37 +84,37 @@
 /// [`Settings::report_fields`](crate::policy::Settings::report_fields).
 pub type LoadReport = Vec<Option<f64>>;
 
-/// A query that arrives; its parts follow in the same step.
+/// A query that has arrived. The parts of its first step are reported in the same step of the aggregator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewQuery {
-    /// Its id.
+    /// The query's id.
     pub id: RequestId,
-    /// Its class.
+    /// The query's class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that sent the query, if known.
     pub tenant: Option<TenantId>,
-    /// When the client gives this attempt up.
+    /// When the client stops waiting for this attempt.
     pub valid_until: Time,
-    /// Joins it to its parts.
+    /// The number that the query shares with its parts.
     pub job: JobId,
-    /// A client's retry, where clients mark them.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
 }
 
 /// A part of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewPart {
-    /// Its id.
+    /// The part's id.
     pub id: RequestId,
-    /// What it is about.
+    /// The key that the part reads; workers may cache by it.
     pub key: Option<Arc<str>>,
-    /// Rough expected cost.
+    /// A rough estimate of the part's cost.
     pub cost_hint: Option<Duration>,
-    /// Joins it to its query.
+    /// The number that the part shares with its query.
     pub job: JobId,
-    /// The shard that it needs.
+    /// The shard that answers the part.
     pub shard: ShardId,
-    /// Its share of the weight of the query's step.
+    /// The part's share of the total weight of its query's step, from 0 to 1.
     pub weight: f64,
 }
 
@@ -123,28 +125,28 @@
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// The worker that it went to.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// The time since the attempt was sent.
     pub elapsed: Duration,
-    /// No further attempt may be sent for the part.
+    /// Whether the part is finished, so that no further attempt may be sent for it.
     pub part_finished: bool,
-    /// The worker's load report, if one came along.
+    /// The worker's load report, if the response carried one.
     pub load_report: Option<LoadReport>,
 }
 
-/// What the aggregator that embeds the module reports to it.
+/// One event that the embedding program reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointUpdate(EndpointUpdate),
-    /// A query arrives.
+    /// A query has arrived.
     QueryReceived(NewQuery),
-    /// A part of a query arrives.
+    /// A part of a query has arrived.
     PartReceived(NewPart),
-    /// A streamed attempt has begun to respond; the client owns it now.
+    /// A streamed attempt has begun to respond; its response goes to the client from now on.
     StreamingStarted {
         /// The part.
         id: RequestId,
@@ -153,7 +155,7 @@
     },
     /// An attempt has ended.
     AttemptFinished(AttemptResult),
-    /// The client of a query has left.
+    /// The client of a query has disconnected.
     ClientDisconnected {
         /// The query.
         id: RequestId,
@@ -167,11 +169,11 @@
     HealthCheckFinished {
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: AttemptOutcome,
-        /// Time since it was sent.
+        /// The time since the health check was sent.
         elapsed: Duration,
-        /// The worker's load report, if one came along.
+        /// The worker's load report, if the response carried one.
         load_report: Option<LoadReport>,
     },
 }
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,16 +1,20 @@
-//! Health checks of workers: when they are sent, and what their results say. Where load reports come with
-//! health checks alone, all workers get them; elsewhere ejected ones do, before a part is risked on them.
+//! Health checks of workers: when they are sent, and what their results change. All workers are checked
+//! where load reports come with health checks alone; elsewhere only ejected workers are, so that no part is
+//! risked on a worker that is still down.
 
 use crate::policy::load_reports::utilization;
 use crate::policy::time::{seconds, span};
 use crate::policy::{Action, Aggregator, AttemptOutcome, LoadReport, ReportSource, WorkerId};
 
-/// Share of service that health checks may cost where reports come no other way: it sets their interval.
+/// Price of all health checks together per request received, in the unit of `health_check_price`; it
+/// determines their interval.
 const HEALTH_CHECK_BUDGET: f64 = 0.003;
 /// Shortest and longest interval of one worker's health checks, in seconds.
 const HEALTH_CHECK_INTERVAL_S: (f64, f64) = (0.5, 30.0);
 
 impl Aggregator {
+    /// Applies the result of a health check. A success does not reinstate an ejected worker: it only
+    /// permits the next half-open attempt.
     pub(super) fn finish_health_check(
         &mut self,
         id: WorkerId,
@@ -28,6 +32,7 @@
         }
     }
 
+    /// Sends the health checks that are due, at most one at a time to each worker.
     pub(super) fn send_health_checks(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.may_health_check {
             return;
@@ -49,7 +54,8 @@
         }
     }
 
-    /// Seconds between health checks of one worker, as the budget allows for all of them.
+    /// Seconds between the health checks of one worker, so that the checks of all workers together keep to
+    /// [`HEALTH_CHECK_BUDGET`].
     fn health_check_interval_s(&self) -> f64 {
         let active = self.workers.values().filter(|worker| worker.is_active()).count() as f64;
         let requests_per_s = self.attempt_window.request_rate(&self.settings);
--- a/src/policy/ids.rs
+++ b/src/policy/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers by which queries, workers and their places are known.
+//! Typed numeric identifiers of queries, workers, shards and the other objects of the decision module.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,25 +13,25 @@
 }
 
 ids! {
-    /// A query, or one part of it.
+    /// The id of a query or of one part of it.
     RequestId(u64);
-    /// The number that joins a query and its parts at one aggregator.
+    /// A number that a query and its parts share at one aggregator.
     JobId(u64);
-    /// A server that answers parts.
+    /// The id of a server that answers parts.
     WorkerId(u32);
-    /// A slice of the data; shard `s` is held by the workers of `cells_per_shard` cells in a row from cell
-    /// `s`.
+    /// The number of a shard of the data. Shard `s` is held by the workers of `cells_per_shard` consecutive
+    /// cells from cell `s`.
     ShardId(u32);
-    /// A position of a worker in the layout.
+    /// The number of a cell: the position of a worker in the data layout.
     CellId(u32);
     /// A class of query, as an index into `Settings::classes`.
     ClassId(usize);
     /// A tenant, as an index into `Settings::tenants`.
     TenantId(usize);
-    /// A zone.
+    /// The number of a zone.
     ZoneId(u32);
-    /// A number that comes back with a timer.
+    /// A number that is returned with the event of a timer.
     TimerId(u64);
-    /// The number of an attempt of a part, from 0.
+    /// The number of an attempt of a part, counted from 0.
     AttemptNo(u32);
 }
