--- a/src/policy/queries.rs
+++ b/src/policy/queries.rs
@@ -1,22 +1,24 @@
-//! Queries, their parts and the parts' attempts, as plain fields. Nothing here decides.
+//! The state of queries, of their parts and of the parts' attempts. This file holds data only; the
+//! decisions are in the other files.
 
 use crate::policy::{AttemptOutcome, ClassId, NewPart, NewQuery, RequestId, Time, WorkerId};
 
-/// An attempt of a part.
+/// One sending of a part to one worker.
 #[derive(Clone, Copy)]
 pub struct Attempt {
     pub worker: WorkerId,
     pub sent_at: Time,
-    /// Seconds in which a response was expected.
+    /// The latency that was expected when the attempt was sent, in seconds.
     pub expected_latency: f64,
-    /// Seconds of its own cost, and of the cost outstanding at the worker when it was sent.
+    /// The part's cost, in seconds.
     pub cost: f64,
+    /// The cost outstanding at the worker when the attempt was sent, in seconds.
     pub cost_ahead: f64,
-    /// Attempts that were sent later to the same worker and succeeded sooner.
+    /// Number of attempts that were sent later to the same worker and succeeded sooner.
     pub overtaken_by: u32,
-    /// It has been counted as a failure while in flight.
+    /// Whether the attempt has been counted as a failure while in flight.
     pub counted_as_lost: bool,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
@@ -25,6 +27,7 @@
         self.outcome.is_none()
     }
 
+    /// Whether the worker may have run the part; true while the attempt is in flight.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::proves_unrun)
     }
@@ -36,13 +39,13 @@
     pub query: RequestId,
     pub class: ClassId,
     pub key_hash: Option<u64>,
-    /// Seconds that a worker is expected to need for it.
+    /// The service time that a worker is expected to need, in seconds.
     pub cost: f64,
     pub attempts: Vec<Attempt>,
     pub succeeded: bool,
-    /// No further attempt may be sent.
+    /// Whether no further attempt may be sent.
     pub finished: bool,
-    /// Its query no longer needs it.
+    /// Whether the part's query no longer needs it.
     pub released: bool,
 }
 
@@ -55,12 +58,13 @@
 /// A query that this aggregator holds.
 pub struct Query {
     pub request: NewQuery,
-    /// When its latency objective is missed, or the client gone if that is sooner.
+    /// When the latency objective expires, or the client stops waiting if that is sooner.
     pub objective_at: Time,
     pub parts: Vec<RequestId>,
+    /// Whether the admission of the current step has been decided.
     pub admitted: bool,
-    /// It arrived when its tenant had used up its quota.
+    /// Whether the query's tenant had used up its quota when the query arrived.
     pub over_quota: bool,
-    /// Of a query in its second step: whether the first step was complete.
+    /// Whether the first step was complete, if the query is in its second step.
     pub first_step_complete: Option<bool>,
 }
