--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of an aggregator that serves each query from many shards.
+//! The gatherer: an aggregator that serves each query from many shards.
 //!
-//! An aggregator owns sockets, clocks and timers; this crate owns the decisions: which replica each part goes to, when to
-//! try again or send a hedged request, which queries to reject, and when to answer. It does no input or output. Hand
-//! all events of a moment to [`Aggregator::step`] and carry out the actions that come back.
+//! The [`policy`] module makes its decisions: which replica each part goes to, when to retry or send a hedged request,
+//! which queries to reject, and when to answer. It does no I/O; sockets, clocks and timers belong to the program that
+//! embeds it. Pass all events that arrived at one time to [`Aggregator::step`] and carry out the actions that it adds.
 //!
 //! ```
 //! use gatherer::policy::*;
@@ -30,28 +30,29 @@
 //!     ..Settings::default()
 //! });
 //!
-//! // The endpoint list comes in; the module asks for a timer, which the host sends back as `Event::TimerFired`.
+//! // The endpoint list arrives. The module requests a timer, which the program reports as `Event::TimerFired`.
 //! let worker = |id| Endpoint { worker: WorkerId(id), units: 1.0, ..Endpoint::default() };
 //! let list = EndpointUpdate::Full(vec![worker(1), worker(2)].into());
 //! let mut actions = Vec::new();
 //! aggregator.step(Time(0), [Event::EndpointUpdate(list)], &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::SetTimer { .. })));
 //!
-//! // A query with one part: the module sends it to a replica.
+//! // A query with one part arrives. The module sends the part to a replica.
 //! let (query, part, job) = (RequestId(1), RequestId(2), JobId(1));
 //! let valid_until = Time(5_000_000_000);
-//! let asked = NewQuery { id: query, class: ClassId(0), tenant: None, valid_until, job, is_retry: false };
+//! let new_query = NewQuery { id: query, class: ClassId(0), tenant: None, valid_until, job, is_retry: false };
 //! let key = Some("account-17".into());
-//! let needed = NewPart { id: part, key, cost_hint: None, job, shard: ShardId(0), weight: 1.0 };
+//! let new_part = NewPart { id: part, key, cost_hint: None, job, shard: ShardId(0), weight: 1.0 };
 //! actions.clear();
-//! aggregator.step(Time(1_000_000), [Event::QueryReceived(asked), Event::PartReceived(needed)], &mut actions);
+//! let events = [Event::QueryReceived(new_query), Event::PartReceived(new_part)];
+//! aggregator.step(Time(1_000_000), events, &mut actions);
 //! let sent = actions.iter().find_map(|action| match action {
 //!     Action::Send { id, worker, .. } if *id == part => Some(*worker),
 //!     _ => None,
 //! });
 //! let worker = sent.expect("the part is sent");
 //!
-//! // The worker responds, and the aggregator answers.
+//! // The worker answers the part, and the module answers the query.
 //! let result = AttemptResult {
 //!     id: part,
 //!     attempt: AttemptNo(0),
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -1,68 +1,68 @@
-//! What an instance is configured with.
+//! The configuration of an aggregator: classes, tenants, limits, prices and the layout of the data.
 
 use crate::policy::ZoneId;
 use std::time::Duration;
 
-/// What a second run of a part would do.
+/// The effect of running a part a second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Harmless.
+    /// A second run does no harm.
     #[default]
     Idempotent,
-    /// Dropped by the workers while the window since the first attempt is open.
+    /// Workers drop a repeat by its idempotency key within [`Class::repeat_window`] of the first attempt.
     Keyed,
-    /// Done again: never to be allowed.
+    /// A second run repeats the effect and must not happen.
     NonIdempotent,
 }
 
 /// One class of query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer inside this time earns the full weight.
+    /// An answer within this time earns the full weight.
     pub latency_objective: Duration,
     /// The objective grows by this multiple of the request's own cost; 0 where not set.
     pub objective_stretch: f64,
-    /// The longest that a client waits, over all its attempts.
+    /// The time for which a client waits at most, over all its attempts.
     pub deadline: Duration,
-    /// What a second run does.
+    /// The effect of a second run.
     pub idempotency: Idempotency,
-    /// For [`Idempotency::Keyed`]: how long repeats are dropped.
+    /// With [`Idempotency::Keyed`]: the time from the first attempt within which workers drop repeats.
     pub repeat_window: Duration,
     /// Weight of a complete answer.
     pub priority_weight: f64,
     /// Share of the weight that a late answer earns.
     pub late_weight: f64,
-    /// Least share of the parts' weight for any answer.
+    /// Share of the parts' weight that any answer must cover.
     pub min_coverage: f64,
-    /// Share of the parts' weight that makes an answer complete.
+    /// Share of the parts' weight from which an answer is complete.
     pub complete_coverage: f64,
-    /// A partial answer earns this times its coverage.
+    /// A partial answer earns this share of the weight, in proportion to its coverage.
     pub partial_weight: f64,
-    /// Parts of the second step; 0 for one step.
+    /// Number of parts in the second step; 0 if the class has one step.
     pub second_step_parts: u32,
 }
 
 /// The quota of one tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all aggregators; `None` where unlimited.
+    /// Queries per second over all aggregators; `None` if unlimited.
     pub quota_per_s: Option<f64>,
 }
 
-/// A value in a load report.
+/// The meaning of a value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Share of the processors in use.
     Busy,
-    /// Parts being handled.
+    /// Number of parts being served.
     InFlight,
-    /// Parts waiting.
+    /// Number of parts waiting in the worker's queue.
     Queued,
     /// Recent service time, in milliseconds.
     LatencyMs,
-    /// Parts served a second.
+    /// Parts served per second.
     Rate,
-    /// Anything else.
+    /// A value that the decision module does not use.
     Unknown,
 }
 
@@ -73,7 +73,7 @@
     Responses,
     /// With health checks only.
     HealthChecks,
-    /// Never.
+    /// Workers send no load reports.
     #[default]
     None,
 }
@@ -81,80 +81,82 @@
 /// The limit on retries and hedged requests; see [`Settings::retry_budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Attempts that are free in each window.
+    /// Extra attempts that are allowed in each window regardless of the number of requests.
     pub free_attempts: f64,
-    /// Attempts for each request received in the window.
+    /// Further extra attempts per request received in the window.
     pub ratio: f64,
-    /// The window.
+    /// The time over which requests and extra attempts are counted.
     pub window: Duration,
 }
 
-/// The configuration of an instance. An absent setting has the value that forbids or costs nothing.
+/// The configuration of an aggregator. By default, permissions are not given, optional limits are not set
+/// and prices are zero.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Seed of the instance's generator.
+    /// Seed of the aggregator's random number generator.
     pub seed: u64,
     /// Aggregators in the fleet, this one included; at least 1.
     pub fleet_size: u32,
-    /// Zone of this aggregator.
+    /// The zone of this aggregator.
     pub zone: ZoneId,
-    /// Classes by index.
+    /// The classes of queries, indexed by [`ClassId`](crate::policy::ClassId).
     pub classes: Vec<Class>,
-    /// Tenants by index; empty where there are none.
+    /// The tenants, indexed by [`TenantId`](crate::policy::TenantId); empty if there are none.
     pub tenants: Vec<Tenant>,
-    /// Share of its class's weight that a query beyond its tenant's quota earns; `None` where quotas do not
-    /// count.
+    /// Share of its class's weight that a query beyond its tenant's quota earns; `None` if quotas are not
+    /// applied.
     pub over_quota_weight: Option<f64>,
-    /// Least time between steps.
+    /// Shortest time between steps.
     pub min_step_interval: Duration,
-    /// The endpoint list must be subscribed to.
+    /// Whether the aggregator must subscribe to the endpoint list.
     pub poll_discovery: bool,
-    /// With `poll_discovery`: an instance without subscription must poll within this time.
+    /// With `poll_discovery`: the time within which an aggregator without a subscription must subscribe.
     pub poll_within: Duration,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Health checks may be sent to workers.
+    /// Whether health checks may be sent to workers.
     pub may_health_check: bool,
-    /// A part may have two attempts in flight at once.
+    /// Whether a part may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts a part may have; `None` where unlimited.
+    /// Upper bound of a part's attempts; `None` if unlimited.
     pub max_attempts: Option<u32>,
-    /// Longest `Retry-After` that clients keep to; `None` where they take no advice.
+    /// Longest `Retry-After` that clients follow; `None` if they follow none.
     pub max_retry_after: Option<Duration>,
-    /// Limit on retries and hedged requests; `None` where there is none.
+    /// Limit on retries and hedged requests; `None` if there is none.
     pub retry_budget: Option<RetryBudget>,
-    /// Cells in the layout; 0 where there are none.
+    /// Number of cells in the layout; 0 if the layout has no cells.
     pub cells: u32,
-    /// Cells in a row that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub cells_per_shard: u32,
-    /// Shards.
+    /// Number of shards.
     pub shards: u32,
-    /// Parts that a call carries.
+    /// Number of parts that a call to a worker can carry.
     pub parts_per_call: u32,
-    /// Cost of a call beside its parts.
+    /// Cost of a call in addition to the cost of its parts.
     pub call_cost: Duration,
-    /// Workers serve recurring keys for less.
+    /// Whether workers cache by key and serve recurring keys at a lower cost.
     pub keys_are_cached: bool,
-    /// Points (as a share of service) for each part that crosses zones.
+    /// Points deducted, as a share of service, for each part that crosses zones.
     pub cross_zone_price: f64,
-    /// Points for wasted work, as much as was requested.
+    /// Points deducted if as much work is wasted as was requested.
     pub waste_price: f64,
-    /// Points for one health check a part.
+    /// Points deducted if one health check is sent per part.
     pub health_check_price: f64,
-    /// How reports arrive.
+    /// How load reports arrive.
     pub report_source: ReportSource,
-    /// Values of a report, in order.
+    /// The meaning of each value of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// Worker sizes in the list may be compared.
+    /// Whether the sizes of workers in the endpoint list may be compared with each other.
     pub sizes_comparable: bool,
-    /// A worker that has just started carries at least this share of its capacity.
+    /// Lower bound of a worker's capacity at its start, as a share of its capacity when warm.
     pub cold_capacity_fraction: f64,
-    /// A worker is warm within this time of its start.
+    /// The time from a worker's start after which it is warm.
     pub warm_up: Duration,
-    /// A warming-up worker that is sent this multiple of its capacity ...
+    /// A warming-up worker fails if it is sent this multiple of its current capacity throughout
+    /// `slow_start_budget_window`.
     pub slow_start_budget_factor: f64,
-    /// ... for this long fails.
+    /// The time over which the load of a warming-up worker is compared with its capacity.
     pub slow_start_budget_window: Duration,
-    /// Grace for a response after the client's time.
+    /// Time after the client's deadline within which a response is still accepted.
     pub response_grace: Duration,
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,20 +1,24 @@
-//! What a warming-up worker may be sent. This file keeps to the budget alone: it chooses no replica.
+//! Slow start: limits what a warming-up worker is sent, so that it keeps within the slow-start budget. This
+//! file chooses no replica.
 
 use crate::policy::Aggregator;
 use crate::policy::outlier_detection::SERVED_RATE_DECAY_S;
 use crate::policy::time::seconds;
 use crate::policy::worker_state::{SentCost, WorkerState};
 
-/// Share of the slow-start budget that this aggregator lets itself use: costs vary, and calls come on top.
+/// Share of its slow-start budget that this aggregator uses. The rest is a margin, because the costs of
+/// parts vary and calls add to them.
 const SLOW_START_BUDGET_FRACTION: f64 = 0.6;
-/// Seconds of cost a second that any machine carries (one core), where nothing better was observed.
+/// Assumed capacity of a warm worker while no higher one was observed, in seconds of cost per second: one
+/// core.
 const MIN_CAPACITY: f64 = 1.0;
-/// The most that is believed of a machine's capacity, as a multiple of [`MIN_CAPACITY`].
+/// Upper bound of the assumed capacity, as a multiple of [`MIN_CAPACITY`].
 const MAX_CAPACITY_FACTOR: f64 = 4.0;
 
 impl Aggregator {
-    /// Whether a worker may get this much more cost now. It keeps a warming-up worker within its slow-start
-    /// budget: this aggregator's share of the load that the worker bears, in each window of that budget.
+    /// Whether a worker may be sent this much more cost now. A warming-up worker is kept within its
+    /// slow-start budget: in each window of the budget it gets no more than this aggregator's share of what
+    /// it can bear. A warm worker has no such limit.
     pub(super) fn slow_start_permits(&self, worker: &WorkerState, cost: f64) -> bool {
         let Some(from) = worker.warming_since else { return true };
         let settings = &self.settings;
@@ -37,8 +41,9 @@
             let recent = worker.recent_sends.iter().filter(|sent| self.now.since(sent.at) <= window);
             return recent.map(|sent| sent.cost).sum::<f64>() + cost <= budget;
         }
-        // Where the budget of a window holds no whole part, an aggregator sends one when its share since the
-        // last (or, jittered, since the start) has grown to it: on average the fleet keeps to its budget.
+        // If the part costs more than the budget of a whole window, the aggregator sends it once enough
+        // budget has accrued since its last send (or, with jitter, since the worker's start). On average,
+        // the fleet as a whole then keeps to its budget.
         let last = worker.recent_sends.back().filter(|sent| sent.at >= from);
         let jittered = SentCost { at: from.max(self.started_at), cost: self.slow_start_jitter * cost };
         let SentCost { at, cost: required_cost } = last.copied().unwrap_or(jittered);
@@ -46,8 +51,9 @@
         elapsed_s * cost_rate(ramp - elapsed_s / seconds(settings.warm_up) / 2.0) >= required_cost
     }
 
-    /// Seconds of cost a second that a warm worker carries: the most that one served lately, less what an
-    /// estimate from so few parts may err by.
+    /// The estimated capacity of a warm worker, in seconds of cost per second: the highest cost rate that
+    /// any worker has served lately, less the error of an estimate from so few parts. The rate is
+    /// extrapolated from this aggregator's traffic to the fleet's.
     fn warm_capacity(&self, cost: f64, fleet_size: f64) -> f64 {
         let lower_bound = |served: f64| fleet_size * (served - (served * cost / SERVED_RATE_DECAY_S).sqrt());
         let served =
--- a/src/policy/snapshot.rs
+++ b/src/policy/snapshot.rs
@@ -1,8 +1,8 @@
-//! What an aggregator has learned, as others may read it, and as a successor takes it over in a hot restart.
-//! Nothing here decides.
+//! Snapshots of what an aggregator has learned, which a successor takes over in a hot restart, and the few
+//! values that other modules read or set. This file makes no decisions.
 //!
-//! A snapshot travels in the hand-over message to a process that may be of another version: each field keeps
-//! the name and each tuple the form that the message has always had, whatever the Rust names are.
+//! A snapshot is part of the hand-over message to a process that may run another version. The serialised
+//! name of each field and the form of each tuple must not change.
 
 use crate::policy::client_retries::ClientRetriesSnapshot;
 use crate::policy::estimates::{DecayingRate, LatencyModel, QueryArrivals};
@@ -12,11 +12,11 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What was learned of one worker, by its name; fields as in [`WorkerState`].
+/// What was learned about one worker, identified by its name. The fields are those of [`WorkerState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerSnapshot {
     name: String,
-    /// The start of the process of which it was learned.
+    /// When the worker's process started about which it was learned.
     #[serde(rename = "since")]
     started_at: Option<Time>,
     #[serde(rename = "cold_from")]
@@ -44,14 +44,14 @@
     consecutive_failures: u32,
     #[serde(rename = "lost")]
     failure_rates: Vec<(Option<ClassId>, f64, Time)>,
-    /// The time of the next half-open attempt, and the ejection's duration.
+    /// The earliest time of the next half-open attempt, and the ejection's duration.
     #[serde(rename = "suspect")]
     ejection: Option<(Time, Duration)>,
     #[serde(rename = "served")]
     served_cost_rate: f64,
 }
 
-/// What was learned in all: of workers, of the weights of each shard's replicas, and for admission.
+/// What an aggregator has learned: about workers, the weights of each shard's replicas, and for admission.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
     #[serde(rename = "leaves")]
@@ -77,7 +77,7 @@
 }
 
 impl PolicySnapshot {
-    /// The workers of which anything was learned, those that are gone among them.
+    /// The names of all workers in the snapshot, including those that are gone.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
         self.workers.iter().map(|worker| worker.name.as_str())
     }
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Takes it over into a worker's state. Of a process that has been replaced since, only when it was last
-    /// sent a part is taken over.
+    /// Copies the snapshot into a worker's state. If the worker's process has been replaced since, only the
+    /// recent sends and the start of the warm-up are taken over.
     fn restore(self, worker: &mut WorkerState) {
         worker.recent_sends = self.recent_sends.into_iter().map(|(at, cost)| SentCost { at, cost }).collect();
         worker.warming_since = worker.warming_since.max(self.warming_since);
@@ -133,31 +133,34 @@
 }
 
 impl Aggregator {
-    /// The active workers that are ejected: they get half-open attempts and health checks only.
+    /// The active workers that are ejected.
     pub fn ejected_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
         let ejected =
             self.workers.iter().filter(|(_, worker)| worker.is_active() && worker.ejection.is_some());
         ejected.map(|(id, _)| *id)
     }
 
-    /// Replaces the setting of this name: two processes of one aggregator share the slow-start budget.
+    /// Replaces [`Settings::slow_start_budget_factor`](crate::policy::Settings::slow_start_budget_factor):
+    /// while two processes of one aggregator run, they share its budget.
     pub fn set_slow_start_budget_factor(&mut self, factor: f64) {
         self.settings.slow_start_budget_factor = factor;
     }
 
-    /// Replaces the setting of this name: so many aggregators share the workers, at least 1.
+    /// Replaces [`Settings::fleet_size`](crate::policy::Settings::fleet_size), the number of aggregators
+    /// that share the workers; 0 counts as 1.
     pub fn set_fleet_size(&mut self, aggregators: u32) {
         self.settings.fleet_size = aggregators.max(1);
     }
 
-    /// What it has learned of the workers that have a name.
+    /// What the aggregator has learned. Workers for which `name` returns `None` are left out.
     #[must_use]
     pub fn snapshot<'a>(&self, name: impl Fn(WorkerId) -> Option<&'a str>) -> PolicySnapshot {
-        let worker = |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::new(name(*id)?, worker));
-        let weight = |replica: &Replica| Some((name(replica.worker)?.to_owned(), replica.weight));
-        let weights = |set: &Vec<Replica>| set.iter().filter_map(weight).collect();
+        let worker_snapshot =
+            |(id, worker): (&WorkerId, &WorkerState)| Some(WorkerSnapshot::new(name(*id)?, worker));
+        let named_weight = |replica: &Replica| Some((name(replica.worker)?.to_owned(), replica.weight));
+        let weights = |set: &Vec<Replica>| set.iter().filter_map(named_weight).collect();
         PolicySnapshot {
-            workers: self.workers.iter().filter_map(worker).collect(),
+            workers: self.workers.iter().filter_map(worker_snapshot).collect(),
             replica_sets: self.replica_sets.iter().map(|(shard, set)| (*shard, weights(set))).collect(),
             tenant_quotas: self.tenant_quotas.snapshot(),
             client_retries: self.client_retries.snapshot(),
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Takes over what a predecessor has learned, of the workers that are known here by now.
+    /// Takes over what a predecessor has learned. Workers that are not in the endpoint list yet are
+    /// skipped.
     pub fn restore(&mut self, snapshot: PolicySnapshot, id: impl Fn(&str) -> Option<WorkerId>) {
         for worker in snapshot.workers {
             if let Some(known) = id(&worker.name).and_then(|id| self.workers.get_mut(&id)) {
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,26 +1,26 @@
-//! What tenants have left of their quotas at this aggregator. It counts only: what follows from an exceeded
-//! quota is decided at admission.
+//! Token buckets for the tenants' quotas at this aggregator. This file only counts; admission decides what
+//! follows from an exceeded quota.
 
 use crate::policy::time::seconds;
 use crate::policy::{TenantId, Time};
 use std::collections::BTreeMap;
 
-/// A token bucket.
+/// The token bucket of one tenant.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Queries that may still come now.
+    /// Number of queries that the tenant may still send now.
     tokens: f64,
     updated_at: Time,
 }
 
-/// A token bucket for each tenant that has sent a query.
+/// The token buckets of all tenants that have sent a query.
 #[derive(Debug, Default)]
 pub(super) struct TenantQuotas(BTreeMap<TenantId, Bucket>);
 
 impl TenantQuotas {
     /// Counts a query of a tenant whose bucket is refilled with `rate_per_s` queries a second and holds
-    /// `burst_s` seconds' worth of them. Returns whether the query exceeds the quota. A client's retry takes
-    /// no token: the client's first attempt took one.
+    /// `burst_s` seconds' worth of them. Returns whether the query exceeds the quota. A client's retry
+    /// takes no token: the client's first attempt took one.
     pub(super) fn record_query(
         &mut self,
         now: Time,
@@ -40,12 +40,12 @@
         exceeded
     }
 
-    /// What tenants have left, for a successor, as in the hand-over message.
+    /// Each tenant's tokens and the time of their last update, as in the hand-over message to a successor.
     pub(super) fn snapshot(&self) -> Vec<(TenantId, f64, Time)> {
         self.0.iter().map(|(tenant, bucket)| (*tenant, bucket.tokens, bucket.updated_at)).collect()
     }
 
-    /// Takes over what a predecessor has counted.
+    /// Replaces all buckets by those of a predecessor.
     pub(super) fn restore(&mut self, snapshot: Vec<(TenantId, f64, Time)>) {
         let bucket = |(tenant, tokens, updated_at)| (tenant, Bucket { tokens, updated_at });
         self.0 = snapshot.into_iter().map(bucket).collect();
--- a/src/policy/worker_state.rs
+++ b/src/policy/worker_state.rs
@@ -1,5 +1,6 @@
-//! What the module remembers of one worker. This file owns the fields and what a part adds to them; each
-//! concern reads and changes its own fields in its own file.
+//! The state that an aggregator keeps for each worker. This file declares the fields and the accounting of
+//! parts; outlier detection, slow start, health checks and the other files each read and change their own
+//! fields.
 
 use crate::policy::estimates::{DecayingRate, INITIAL_COST_S};
 use crate::policy::time::seconds;
@@ -7,10 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Cost that was sent to a worker, in seconds, and when.
+/// The cost of an attempt that was sent to a worker.
 #[derive(Clone, Copy)]
 pub struct SentCost {
     pub at: Time,
+    /// Cost in seconds, including that of a new call.
     pub cost: f64,
 }
 
@@ -19,55 +21,58 @@
 #[derive(Clone, Copy)]
 pub struct Ejection {
     pub retry_at: Time,
-    /// The time that a half-open attempt puts before the next one; each doubles it.
+    /// The time from the next half-open attempt to the one after it. Each half-open attempt doubles it.
     pub duration: Duration,
 }
 
-/// A worker as this aggregator knows it.
+/// The state of one worker at this aggregator.
 #[derive(Default)]
 pub struct WorkerState {
-    /// Its entry in the endpoint list.
+    /// The worker's entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// The start of its warm-up.
+    /// When the worker's warm-up started; `None` if no start was listed during its warm-up.
     pub warming_since: Option<Time>,
-    /// What was sent to it within a warm-up, for the slow-start budget.
+    /// The attempts sent within the last warm-up time, for the slow-start budget.
     pub recent_sends: VecDeque<SentCost>,
-    /// Cost of its attempts in flight, in seconds.
+    /// Cost of the attempts in flight, in seconds.
     pub outstanding_cost: f64,
-    /// Its attempts in flight by the time of sending.
+    /// The attempts in flight, in the order in which they were sent.
     pub in_flight: BTreeSet<(Time, RequestId, AttemptNo)>,
-    /// Parts that still fit the call that was opened in this step.
+    /// Number of parts that the call opened in this step can still carry.
     pub parts_left_in_call: u32,
-    /// The utilization that it reported last, and when.
+    /// The utilization that was last reported, or assumed because the worker was overdue or failed.
     pub utilization: Option<f64>,
+    /// When `utilization` was last set.
     pub last_report_at: Option<Time>,
-    /// Running means of its latency and of the latency that the model expected, in seconds: their ratio is
-    /// the worker's slowdown.
+    /// Running mean of the worker's latency, in seconds. Its ratio to `mean_expected_latency` is the
+    /// worker's slowdown.
     pub mean_latency: f64,
+    /// Running mean of the latency that the model expected of the same attempts, in seconds.
     pub mean_expected_latency: f64,
     pub last_success_at: Time,
-    /// When it last responded in any way, and whether it is ejected because it did not.
+    /// When the worker last responded with an answer, an error or a rejection.
     pub last_response_at: Time,
+    /// Whether the worker was ejected because it does not respond, and has not responded since.
     pub unresponsive: bool,
-    /// It is ejected because its zone seems lost, and for nothing of its own.
+    /// Whether the worker is ejected only because its whole zone does not respond.
     pub ejected_with_zone: bool,
-    /// When an attempt was sent that could not connect, with no response since.
+    /// When the last attempt was sent that could not connect; `None` once the worker responds.
     pub connect_failed_at: Option<Time>,
     pub consecutive_failures: u32,
-    /// Failure rates of its attempts: of each class, and of all (`None`).
+    /// Failure rates of the worker's attempts, by class, and over all classes under `None`.
     pub failure_rates: BTreeMap<Option<ClassId>, DecayingRate>,
-    /// `None` while it takes attempts like any other.
+    /// The worker's ejection; `None` while it is in normal use.
     pub ejection: Option<Ejection>,
     pub health_check_in_flight: bool,
-    /// Its last health check succeeded, or none was needed.
+    /// Whether the last health check succeeded; `true` before the first one.
     pub passes_health_checks: bool,
     pub next_health_check_at: Time,
-    /// Cost of the parts that it served, in seconds a second, decaying.
+    /// Decaying rate of the cost of the parts that the worker served, in seconds of cost per second.
     pub served_cost_rate: f64,
 }
 
 impl WorkerState {
-    /// A worker of which nothing is known yet.
+    /// Creates the state of a worker that was listed for the first time.
     pub(super) fn new(now: Time) -> Self {
         WorkerState {
             mean_latency: INITIAL_COST_S,
@@ -83,14 +88,15 @@
         self.endpoint.status == EndpointStatus::Active
     }
 
-    /// Counts a part of this cost, and its place in the step's call.
+    /// Adds the cost of a part, and its place in the call of this step. A part that fits no open call opens
+    /// a new one.
     pub(super) fn add_part(&mut self, cost: f64, parts_per_call: u32) {
         self.outstanding_cost += cost;
         self.parts_left_in_call =
             self.parts_left_in_call.checked_sub(1).unwrap_or(parts_per_call.saturating_sub(1));
     }
 
-    /// Seconds of cost of the call that a further part would open.
+    /// The cost in seconds of the call that a further part would open; zero if the part fits an open call.
     pub(super) fn new_call_cost(&self, settings: &Settings) -> f64 {
         if self.parts_left_in_call == 0 { seconds(settings.call_cost) } else { 0.0 }
     }
