--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries are admitted while workers are busy, and how many hedged requests are sent for late parts.
+//! Admission of queries while workers are busy, and the number of hedged requests for late parts.
 
 mod common;
 
@@ -8,7 +8,8 @@
     Idempotency, Settings, Tenant, TenantId, Time,
 };
 
-/// One worker for each of eight shards, and a class that may be answered from half of its parts.
+/// A harness with one worker for each of eight shards, and a class that may be answered from half of the
+/// parts.
 fn one_worker_per_shard() -> AggregatorHarness {
     let partial = Class { min_coverage: 0.5, partial_weight: 0.8, ..class(Idempotency::Idempotent) };
     let mut harness =
@@ -19,8 +20,8 @@
     harness
 }
 
-/// Sends parts to these shards and leaves them unanswered, so that a further part there would wait past the
-/// latency objective.
+/// Sends two parts to each of these shards and leaves them unanswered, so that a further part there would
+/// wait past the latency objective.
 fn saturate(harness: &mut AggregatorHarness, shards: &[u32]) {
     for (shard, cost_ms) in shards.iter().flat_map(|shard| [(*shard, 900), (*shard, 140)]) {
         let (_, _, mut events) = harness.new_query(None, &[shard]);
@@ -31,32 +32,32 @@
         }
         let before = harness.sent.len();
         harness.step(events);
-        assert_eq!(harness.sent.len(), before + 1, "there is room for it");
+        assert_eq!(harness.sent.len(), before + 1, "shard {shard}: the part of {cost_ms} ms is sent");
     }
 }
 
 #[test]
-fn a_query_of_which_only_half_can_come_in_time_is_rejected() {
+fn a_query_with_only_half_of_its_parts_expected_in_time_is_rejected() {
     let mut harness = one_worker_per_shard();
     saturate(&mut harness, &[0, 1, 2, 3]);
     let before = harness.sent.len();
     let (query, _) = harness.submit(None, &[0, 1, 2, 3, 4, 5, 6, 7]);
     assert!(harness.actions.iter().any(|action| matches!(action, Action::Reject { id, .. } if *id == query)));
-    assert_eq!(harness.sent.len(), before, "no part of it joins the queues");
+    assert_eq!(harness.sent.len(), before, "no part of the rejected query is sent");
 }
 
 #[test]
-fn one_saturated_shard_does_not_reject_a_query_that_may_be_answered_partially() {
+fn a_query_that_may_be_answered_partially_is_admitted_beside_one_saturated_shard() {
     let mut harness = one_worker_per_shard();
     saturate(&mut harness, &[5]);
     let before = harness.sent.len();
     harness.submit(None, &[0, 1, 2, 3, 4, 5, 6, 7]);
-    assert_eq!(harness.sent.len(), before + 8, "and the late part has its chance");
+    assert_eq!(harness.sent.len(), before + 8, "all parts are sent, the late one too");
 }
 
-/// The number of hedges while eight parts become late, after a hundred that were answered with this
+/// The number of hedges sent while eight parts are late, after 100 responses that reported this
 /// utilization.
-fn hedges(utilization: f64) -> usize {
+fn hedges_sent_at(utilization: f64) -> usize {
     let mut harness = AggregatorHarness::new(settings(), &[1, 2, 3, 4, 5, 6, 7, 8]);
     for number in 0..100 {
         harness.submit(None, &[number % 8]);
@@ -69,7 +70,7 @@
         harness.submit(None, &[shard]);
     }
     while harness.sent.iter().all(|sent| sent.attempt == AttemptNo(0)) {
-        assert!(harness.now < Time(1_010_000 * MS), "no part was ever late");
+        assert!(harness.now < Time(1_010_000 * MS), "no hedge was sent by 1010 s");
         harness.advance(10);
     }
     harness.advance(150);
@@ -78,13 +79,14 @@
 
 #[test]
 fn busy_workers_get_fewer_hedges() {
-    let (idle, busy) = (hedges(0.0), hedges(1.0));
-    assert!(busy < idle, "{idle} hedges where workers are idle, {busy} where they are busy");
+    let (idle, busy) = (hedges_sent_at(0.0), hedges_sent_at(1.0));
+    assert!(busy < idle, "{idle} hedges at a utilization of 0, {busy} at 1");
 }
 
 #[test]
-fn one_slow_response_does_not_have_deep_queues_rejected() {
-    // Quiet days of the first version: a mean of ratios took one slow response for a worker ten times slower.
+fn one_slow_response_does_not_reject_parts_that_have_to_queue() {
+    // The first version averaged ratios of latencies: under low load, one slow response made a worker look
+    // ten times slower.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for round in 0..10 {
         harness.submit(Some("k"), &[0]);
@@ -98,9 +100,9 @@
 }
 
 #[test]
-fn stale_estimates_do_not_reject_queries_for_good() {
-    // Incident i8d1b18: with all queries rejected nothing responds, and estimates that stay as they
-    // are reject the next queries too.
+fn stale_estimates_do_not_reject_queries_forever() {
+    // Incident i8d1b18: while all queries are rejected no worker responds, and estimates that don't decay
+    // reject the next queries too.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..30 {
         harness.submit(Some("k"), &[0]);
@@ -119,13 +121,14 @@
     let (query, _) = harness.submit(Some("k"), &[0]);
     assert!(
         !ended(&harness, query) && harness.last_sent().at == harness.now,
-        "an idle worker is given an attempt"
+        "the query is sent to an idle worker"
     );
 }
 
 #[test]
 fn failed_attempts_make_admission_stricter() {
-    // Incident i20f1d2: where partial answers count, queues ran full and half of all attempts were rejected.
+    // Incident i20f1d2: in a class with partial answers, the workers' queues filled up and half of all
+    // attempts were rejected.
     let mut admitted = Vec::new();
     for outcome in [AttemptOutcome::Succeeded, AttemptOutcome::Rejected] {
         let partial = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
@@ -150,12 +153,13 @@
         }
         admitted.push(harness.sent.len() - before);
     }
-    assert!(admitted[1] < admitted[0], "{admitted:?} parts admitted after answers, after rejections");
+    assert!(admitted[1] < admitted[0], "parts admitted after answers and after rejections: {admitted:?}");
 }
 
 #[test]
 fn a_query_expected_just_at_its_objective_is_rejected_at_once() {
-    // Incidents i474707 and iff9891: queries admitted at the threshold lose all their parts' work.
+    // Incidents i474707 and iff9891: queries that were expected just at their objective were admitted and
+    // missed it, and the work of all their parts was wasted.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     let mut rejected = 0;
     for _ in 0..20 {
@@ -168,7 +172,7 @@
 
 #[test]
 fn under_load_a_query_beyond_its_tenants_quota_is_rejected_first() {
-    // On an overloaded day rejections hit traffic within and over the quotas alike.
+    // Under overload, rejections used to hit queries within and beyond the quotas alike.
     let tenants = [Some(1.0), Some(1000.0)].map(|quota_per_s| Tenant { quota_per_s });
     let settings = Settings {
         tenants: tenants.into(),
@@ -189,11 +193,11 @@
     }
     assert!(
         served[0] < served[1] && served[0] >= 3,
-        "served {served:?}: the first tenant has a quota of 3 at once"
+        "queries served by tenant: {served:?}; the first tenant's quota permits 3 at once"
     );
 }
 
-/// How many of 30 simultaneous queries an aggregator sends to one worker that reports this utilization.
+/// The number of 30 simultaneous queries that are admitted to one worker that reports this utilization.
 fn admitted_at(utilization: f64) -> usize {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     for _ in 0..20 {
@@ -211,17 +215,17 @@
 }
 
 #[test]
-fn an_idle_fleet_is_sent_more_than_a_busy_one() {
-    // On a quiet day 3% were rejected because the objective seemed at risk, and random choice of replicas did
-    // better.
+fn an_idle_fleet_is_sent_more_queries_than_a_busy_one() {
+    // Under low load, 3% of the queries were rejected because their objective seemed at risk, and a random
+    // choice of replicas did better.
     let (idle, busy) = (admitted_at(0.3), admitted_at(1.0));
-    assert!(busy > 0 && idle * 10 > busy * 13, "{idle} at 0.3, {busy} at 1.0");
+    assert!(busy > 0 && idle * 10 > busy * 13, "{idle} queries sent at a utilization of 0.3, {busy} at 1.0");
 }
 
 #[test]
 fn a_fast_deployment_without_hints_is_served_from_its_first_query() {
-    // A first estimate made for slow deployments exceeds the whole objective: every query is rejected, and
-    // nothing is learned.
+    // An initial cost estimate that suits slow deployments exceeds the whole objective of a fast one: every
+    // query would be rejected, and no latency would ever be observed.
     for objective_ms in [20, 80, 2500, 60_000] {
         let fast = Class {
             latency_objective: ms(objective_ms),
@@ -238,6 +242,11 @@
             }
         }
         harness.step(events);
-        assert_eq!(harness.sent.len(), 2, "objective {objective_ms} ms: {:?}", harness.actions);
+        assert_eq!(
+            harness.sent.len(),
+            2,
+            "both parts are sent with an objective of {objective_ms} ms: {:?}",
+            harness.actions
+        );
     }
 }
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which workers are ejected, for how long, and which attempts they still receive.
+//! Outlier detection: which workers are ejected, for how long, and which attempts they still receive.
 
 mod common;
 
@@ -8,8 +8,8 @@
     WorkerId,
 };
 
-/// Runs for 4 s with workers that do not respond while the others respond after 100 ms; returns what was sent
-/// in the last second.
+/// Runs for 4 s while some workers do not respond and the others respond after 100 ms. Returns the attempts
+/// sent in the last second.
 fn sent_beside_unresponsive(unresponsive: &[u32], workers: &[u32]) -> Vec<Sent> {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, workers);
     let start = harness.now;
@@ -36,22 +36,30 @@
 #[test]
 fn an_unresponsive_worker_gets_half_open_attempts_only() {
     let sends = sent_beside_unresponsive(&[1], &[1, 2, 3]);
-    let silent = sends.iter().filter(|sent| sent.worker == WorkerId(1)).count();
-    assert!(silent <= 2, "{silent} of {} sends to a silent worker", sends.len());
+    let to_unresponsive = sends.iter().filter(|sent| sent.worker == WorkerId(1)).count();
+    assert!(
+        to_unresponsive <= 2,
+        "{to_unresponsive} of {} attempts sent to the unresponsive worker",
+        sends.len()
+    );
 }
 
 #[test]
-fn with_more_than_half_of_the_workers_unresponsive_the_others_get_the_parts() {
-    // Incident i1d46fa: an aggregator partitioned from one zone, with one more worker unresponsive.
+fn responsive_workers_get_the_parts_while_more_than_half_are_unresponsive() {
+    // Incident i1d46fa: an aggregator was partitioned from one zone, and one more worker was unresponsive.
     let sends = sent_beside_unresponsive(&[1, 2, 3], &[1, 2, 3, 4, 5]);
-    let silent = sends.iter().filter(|sent| sent.worker.0 <= 3).count();
-    assert!(silent * 8 <= sends.len(), "{silent} of {} sends to silent workers", sends.len());
+    let to_unresponsive = sends.iter().filter(|sent| sent.worker.0 <= 3).count();
+    assert!(
+        to_unresponsive * 8 <= sends.len(),
+        "{to_unresponsive} of {} attempts sent to unresponsive workers",
+        sends.len()
+    );
 }
 
 #[test]
 fn a_failed_connection_alone_does_not_make_a_worker_warm_up() {
-    // In a large fleet a warming-up worker gets next to nothing for most of its warm-up, so only the endpoint
-    // list may start one.
+    // In a large fleet a warming-up worker gets hardly any parts for most of its warm-up, so a warm-up may
+    // be started only by the endpoint list.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1]);
     harness.submit(Some("k"), &[0]);
     let first = harness.last_sent();
@@ -70,7 +78,8 @@
 
 #[test]
 fn a_worker_gets_no_part_of_a_class_that_fails_there() {
-    // Six of twelve workers answered every class but the non-idempotent one: a quarter of its queries failed.
+    // Six of twelve workers answered all classes except the non-idempotent one, and a quarter of that
+    // class's queries failed.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings = Settings { classes, may_health_check: false, ..settings() };
     // A key whose preferred replica is the first worker.
@@ -82,7 +91,7 @@
     let key = (0..)
         .map(|number| format!("k{number}"))
         .find(|key| preferred_replica(key) == WorkerId(1))
-        .expect("a key");
+        .expect("some key prefers the first worker");
     let mut harness = AggregatorHarness::new(settings.clone(), &[1]);
     let send_non_idempotent = |harness: &mut AggregatorHarness| {
         let (_, _, mut events) = harness.new_query(Some(&key), &[0]);
@@ -92,7 +101,7 @@
         harness.step(events);
         harness.last_sent()
     };
-    // Alone, it answers idempotent queries and loses non-idempotent ones.
+    // While it is the only worker, it answers idempotent queries and loses a non-idempotent one.
     let lost = send_non_idempotent(&mut harness);
     for _ in 0..14 {
         harness.submit(Some(&key), &[0]);
@@ -106,14 +115,22 @@
     harness.step(vec![harness.attempt_finished(lost, AttemptOutcome::TimedOut, None)]);
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2])))]);
     harness.submit(Some(&key), &[0]);
-    assert_eq!(harness.last_sent().worker, WorkerId(1), "what it answers still goes there");
-    assert_eq!(send_non_idempotent(&mut harness).worker, WorkerId(2), "what it loses does not");
+    assert_eq!(
+        harness.last_sent().worker,
+        WorkerId(1),
+        "idempotent queries still go to the worker that answers them"
+    );
+    assert_eq!(
+        send_non_idempotent(&mut harness).worker,
+        WorkerId(2),
+        "non-idempotent queries avoid the worker that loses them"
+    );
 }
 
 #[test]
 fn a_non_idempotent_query_is_rejected_where_its_class_fails_at_every_replica() {
-    // Eight of twelve workers lost the non-idempotent class: while its other replica was ejected, its parts
-    // went to one that had lost six before them.
+    // Eight of twelve workers lost the parts of the non-idempotent class. While the other replica was
+    // ejected, parts were sent to a worker that had already lost six.
     let classes = vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)];
     let settings =
         Settings { classes, may_health_check: false, max_retry_after: Some(ms(500)), ..settings() };
@@ -142,12 +159,15 @@
         )]);
     }
     let (query, sent) = submit_non_idempotent(&mut harness);
-    assert!(!sent, "it would be lost");
+    assert!(!sent, "the worker has lost four parts of the class and gets no more");
     let rejected = |action: &Action| matches!(action, Action::Reject { id, .. } if *id == query);
-    assert!(harness.actions.iter().any(rejected), "and rejected at once, while nothing of it has run");
+    assert!(
+        harness.actions.iter().any(rejected),
+        "the query is rejected at once, because no part of it has run"
+    );
     harness.submit(None, &[0]);
     assert_eq!(harness.last_sent().worker, WorkerId(1), "idempotent queries are served");
-    // Another replica that is ejected for broken connections is better than one that loses the class.
+    // A replica that is ejected for a failed connection is preferred to one that loses the class.
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(endpoint_list(&[1, 2])))]);
     let sent_to_second = loop {
         harness.submit(None, &[0]);
@@ -167,8 +187,8 @@
 
 #[test]
 fn one_connection_reset_does_not_eject_a_worker() {
-    // Where connections break now and then, most workers were ejected at any time, and only the worst were
-    // eligible.
+    // When single resets ejected workers, occasional broken connections kept most workers ejected, and only
+    // the worst ones were eligible.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     harness.submit(Some("k"), &[0]);
     let preferred = harness.last_sent().worker;
@@ -178,7 +198,7 @@
         (AttemptOutcome::ConnectFailed, false),
     ] {
         harness.step(vec![harness.attempt_finished(harness.last_sent(), outcome, Some(0.3))]);
-        // A hedge of what broke goes to the other worker.
+        // After a failed attempt, the retry at the other worker succeeds.
         if outcome != AttemptOutcome::Succeeded {
             harness.step(vec![harness.attempt_finished(
                 harness.last_sent(),
@@ -193,8 +213,8 @@
 
 #[test]
 fn errors_alone_eject_no_worker() {
-    // zone+vast: two errors ejected a replica that fails at once while the other was full. Only ejected
-    // workers get health checks.
+    // Seen in the scenario zone+vast: two errors ejected a replica that fails quickly, while the other
+    // replica was full. The test recognises an ejected worker by its health check.
     for (outcome, ejected) in [(AttemptOutcome::Failed, false), (AttemptOutcome::Rejected, true)] {
         let mut harness = AggregatorHarness::new(settings(), &[1]);
         harness.submit(Some("k"), &[0]);
@@ -235,7 +255,7 @@
             Some(0.3),
         )]);
         harness.advance(1200);
-        // A half-open attempt accompanies an attempt at the other worker.
+        // A half-open attempt may be sent beside an attempt at the other worker.
         harness.submit(Some("k"), &[0]);
         let tried = harness.sent.iter().any(|sent| sent.worker == preferred && sent.at == harness.now);
         assert_eq!(tried, is_retried, "{outcome:?}");
@@ -244,27 +264,28 @@
 
 #[test]
 fn an_aggregator_that_was_paused_ejects_no_zone() {
+    // Steps 3000 ms apart are a pause of the aggregator; steps of 10 ms are its normal interval.
     for (step_ms, is_ejected) in [(10, true), (3000, false)] {
         let mut harness =
             AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
         (0..12).for_each(|key| drop(harness.submit(Some(&format!("k{key}")), &[0])));
-        let mut reported = false;
+        let mut zone_was_ejected = false;
         for _ in 0..3000 / step_ms {
             harness.now = harness.now.after(ms(step_ms));
             harness.step(vec![Event::TimerFired { timer: TimerId(0) }]);
-            reported |= harness
+            zone_was_ejected |= harness
                 .actions
                 .iter()
                 .any(|action| matches!(action, Action::Log { text } if text.contains("zone 0")));
         }
-        assert_eq!(reported, is_ejected, "in steps of {step_ms} ms");
+        assert_eq!(zone_was_ejected, is_ejected, "ejection of the zone reported in steps of {step_ms} ms");
     }
 }
 
 #[test]
-fn a_zone_of_restarted_workers_is_not_ejected_for_what_the_old_processes_missed() {
-    // zone+mass: each aggregator ejected the whole zone again 10 ms after the list with its workers' new
-    // incarnations.
+fn a_zone_of_restarted_workers_is_not_ejected_for_responses_missed_by_the_old_processes() {
+    // Seen in the scenario zone+mass: 10 ms after the endpoint list with the workers' new incarnations,
+    // each aggregator ejected the whole zone again.
     let mut harness =
         AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2, 3, 4, 5, 6]);
     let zone_is_ejected = |harness: &AggregatorHarness| {
@@ -273,16 +294,19 @@
             .iter()
             .any(|action| matches!(action, Action::Log { text } if text.contains("zone 0: no answer")))
     };
-    let mut reported = false;
+    let mut zone_was_ejected = false;
     (0..12).for_each(|key| drop(harness.submit(Some(&format!("k{key}")), &[0])));
     for _ in 0..300 {
         harness.advance(10);
-        reported |= zone_is_ejected(&harness);
+        zone_was_ejected |= zone_is_ejected(&harness);
     }
-    assert!(reported, "nothing in it answers");
+    assert!(zone_was_ejected, "the zone is ejected while none of its workers responds");
     harness.advance(1000);
     let started_at = Some(harness.now);
     let restarted = (1..=6).map(|worker| entry(worker, EndpointStatus::Active, started_at)).collect();
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(restarted))]);
-    assert!(!zone_is_ejected(&harness), "it is ejected again for what came before the new incarnations");
+    assert!(
+        !zone_is_ejected(&harness),
+        "the zone is ejected again for attempts that were sent to the old incarnations"
+    );
 }
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica a part is sent to first, and which after a failure.
+//! Replica selection: which replica a part is sent to first, and which one after a failure.
 
 mod common;
 
@@ -7,7 +7,7 @@
     AttemptNo, AttemptOutcome, Endpoint, EndpointStatus, EndpointUpdate, Event, Settings, WorkerId, ZoneId,
 };
 
-/// Two workers of which the second has rejected parts twice, so that it is ejected but responds.
+/// A harness with two workers, of which the second is ejected but responsive: it has rejected two parts.
 fn one_healthy_and_one_ejected_worker() -> AggregatorHarness {
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     let mut rejections = 0;
@@ -28,7 +28,7 @@
             return harness;
         }
     }
-    panic!("the second worker got no parts");
+    panic!("the second worker got fewer than two of 100 parts");
 }
 
 #[test]
@@ -44,17 +44,17 @@
     harness.now = harness.now.after(ms(5));
     harness.step(vec![harness.attempt_finished(first, AttemptOutcome::Failed, None)]);
     let second = harness.last_sent();
-    assert_eq!((second.id, second.worker), (parts[0], WorkerId(2)), "not the same again");
+    assert_eq!((second.id, second.worker), (parts[0], WorkerId(2)), "the retry goes to the ejected worker");
 }
 
 #[test]
-fn a_part_that_is_only_late_is_not_hedged_at_an_ejected_worker() {
+fn a_late_part_is_not_hedged_at_an_ejected_worker() {
     let mut harness = one_healthy_and_one_ejected_worker();
     let (_, parts) = harness.submit(Some("next"), &[0]);
     harness.advance(400);
     let tried: Vec<WorkerId> =
         harness.sent.iter().filter(|sent| sent.id == parts[0]).map(|sent| sent.worker).collect();
-    assert_eq!(tried, [WorkerId(1)], "its answer is still out");
+    assert_eq!(tried, [WorkerId(1)], "the attempt at the healthy worker is still in flight");
 }
 
 #[test]
@@ -68,13 +68,14 @@
         harness.submit(Some("account-17"), &[4]);
         chosen.push(harness.sent.iter().map(|sent| sent.worker).collect::<Vec<_>>());
     }
-    assert_eq!(chosen[0], chosen[1], "every aggregator and every incarnation agrees");
-    assert_eq!(chosen[0][0], chosen[0][1], "the preferred replica goes by key, not by shard");
+    assert_eq!(chosen[0], chosen[1], "two aggregators choose the same replica");
+    assert_eq!(chosen[0][0], chosen[0][1], "the preferred replica depends on the key, not on the shard");
 }
 
 #[test]
 fn parts_of_one_key_spread_over_workers_before_they_queue() {
-    // A query waits for its slowest part: past a fraction of one part's cost, a queue outweighs a cached key.
+    // A query waits for its slowest part. A wait of more than a fraction of a part's cost therefore
+    // outweighs the benefit of a cached key.
     let mut harness = AggregatorHarness::new(settings(), &[1, 2, 3]);
     harness.submit(Some("k"), &[0, 1, 2, 3, 4, 5]);
     for worker in [1, 2, 3] {
@@ -105,14 +106,14 @@
     let mut harness = AggregatorHarness::new(settings(), &[1, 2]);
     harness.submit(Some("hot"), &[0]);
     let preferred = harness.last_sent().worker;
-    let mut moved = false;
+    let mut moved_off_preferred = false;
     for _ in 0..100 {
         let sent = harness.last_sent();
         harness.advance(100);
         let utilization = if sent.worker == preferred { 1.0 } else { 0.0 };
-        let other = if preferred == WorkerId(1) { WorkerId(2) } else { WorkerId(1) };
+        let other_worker = if preferred == WorkerId(1) { WorkerId(2) } else { WorkerId(1) };
         let health_check = Event::HealthCheckFinished {
-            worker: other,
+            worker: other_worker,
             outcome: AttemptOutcome::Succeeded,
             elapsed: ms(1),
             load_report: Some(vec![Some(0.0)]),
@@ -122,9 +123,9 @@
             health_check,
         ]);
         harness.submit(Some("hot"), &[0]);
-        moved |= harness.last_sent().worker != preferred;
+        moved_off_preferred |= harness.last_sent().worker != preferred;
     }
-    assert!(moved);
+    assert!(moved_off_preferred, "100 parts of the key all went to the busy replica");
 }
 
 #[test]
