--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -1,12 +1,12 @@
-//! A client's retry belongs to its first attempt: the latency objective counts from there.
+//! Client retries: the latency objective counts from the client's first attempt.
 
 mod common;
 
 use common::{AggregatorHarness, endpoint_list, ms, rejected, settings};
 use gatherer::policy::{EndpointUpdate, Event, RequestId};
 
-/// A client's attempt at a request, which its cost hint tells apart from others; the client waits for this
-/// attempt as long as `time_left_ms` says.
+/// The events of a client's attempt at a request. Requests differ by their cost hint; the client waits for
+/// this attempt for `time_left_ms`.
 fn client_attempt(
     harness: &mut AggregatorHarness,
     cost_hint_ms: u64,
@@ -26,7 +26,8 @@
     (id, events)
 }
 
-/// A harness whose first query was rejected because no worker was listed; now workers are listed.
+/// A harness whose first query was rejected because no worker was listed. Three workers are listed
+/// afterwards.
 fn harness_after_a_rejection(time_left_ms: u64) -> AggregatorHarness {
     let mut harness = AggregatorHarness::new(settings(), &[]);
     let (first, events) = client_attempt(&mut harness, 100, time_left_ms, false);
@@ -53,7 +54,7 @@
     let (retry, events) = client_attempt(&mut harness, 100, 3000, true);
     harness.step(events);
     assert!(rejected(&harness, retry));
-    assert!(harness.sent.is_empty(), "nobody pays for work that comes too late");
+    assert!(harness.sent.is_empty(), "no part is sent for an answer that would come too late");
 }
 
 #[test]
@@ -70,11 +71,14 @@
     let (_, events) = client_attempt(&mut harness, 50, 3000, true);
     harness.step(events);
     let timeout = harness.last_sent().timeout;
-    assert!(timeout < ms(1220) && timeout > ms(1180), "0.3 s of 1.5 s have passed: {timeout:?}");
+    assert!(
+        timeout < ms(1220) && timeout > ms(1180),
+        "the time-out is 1.5 s less the mean wait of 0.3 s: {timeout:?}"
+    );
 }
 
 #[test]
-fn another_clients_query_for_the_same_key_is_no_retry() {
+fn an_unmarked_query_for_the_same_key_is_not_taken_for_a_retry() {
     let mut harness = harness_after_a_rejection(3000);
     harness.advance(400);
     let (_, events) = client_attempt(&mut harness, 100, 3000, false);
@@ -83,10 +87,11 @@
 }
 
 #[test]
-fn the_time_left_of_a_last_attempt_counts_before_the_remembered_first_attempt() {
+fn a_shorter_time_left_takes_precedence_over_the_remembered_first_attempt() {
     let mut harness = harness_after_a_rejection(5000);
     harness.advance(400);
-    // The whole time is 5 s: 1 s of it has passed, though the first attempt seen here was 0.4 s ago.
+    // The client's whole time is 5 s. 1 s of it has passed, although the first attempt seen here was 0.4 s
+    // ago.
     let (_, events) = client_attempt(&mut harness, 100, 4000, true);
     harness.step(events);
     assert_eq!(harness.last_sent().timeout, ms(500));
--- a/tests/policy_invariants.rs
+++ b/tests/policy_invariants.rs
@@ -1,4 +1,5 @@
-//! The invariants of the decision module and its limits, driven through the interface alone.
+//! Invariants and limits of the decision module, tested through its public interface: complete and partial
+//! answers, resending, slow start, the retry budget and discovery.
 
 mod common;
 
@@ -22,7 +23,8 @@
 
 #[test]
 fn rounded_weights_make_a_complete_answer_only_when_all_parts_are_in() {
-    // split+mass: 45 parts of 0.022222 weigh 0.99999, and every query of the class was rejected.
+    // Seen in the scenario split+mass: 45 parts of weight 0.022222 sum to 0.99999, and every query of the
+    // class was rejected.
     for parts in 1..=100 {
         let shards: Vec<u32> = (0..parts).collect();
         let mut harness = AggregatorHarness::new(Settings { shards: parts, ..settings() }, &[1, 2, 3]);
@@ -34,15 +36,16 @@
             }
         }
         harness.step(events);
-        let (last, others) = harness.sent.split_last().expect("it is admitted");
-        let (last, finished) =
-            (harness.attempt_finished(*last, AttemptOutcome::Succeeded, None), others.iter());
-        let others =
-            finished.map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None)).collect();
-        harness.step(others);
-        assert_eq!(answered(&harness, query), None, "{parts} parts, one of them out");
-        harness.step(vec![last]);
-        assert_eq!(answered(&harness, query), Some(true), "{parts} parts, all in");
+        let (last, others) = harness.sent.split_last().expect("the query is admitted");
+        let last_finished = harness.attempt_finished(*last, AttemptOutcome::Succeeded, None);
+        let others_finished = others
+            .iter()
+            .map(|sent| harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None))
+            .collect();
+        harness.step(others_finished);
+        assert_eq!(answered(&harness, query), None, "{parts} parts, one not answered yet");
+        harness.step(vec![last_finished]);
+        assert_eq!(answered(&harness, query), Some(true), "{parts} parts, all answered");
     }
 }
 
@@ -115,7 +118,7 @@
             harness.advance(10);
             rejected |= harness.actions.contains(&Action::Reject { id: query, retry_after: None });
         }
-        assert!(!rejected, "{outcome:?}: an attempt is out or may have run");
+        assert!(!rejected, "{outcome:?}: rejected although an attempt may have run");
     }
 }
 
@@ -168,10 +171,13 @@
         harness.advance(20);
     }
     for worker in [1, 2] {
-        // The slow-start budget of a second for one core at 0.2 to 0.3 of its capacity, halved among two
-        // aggregators.
+        // The slow-start budget of one second is twice the capacity of one core at 0.2 to 0.3 of its warm
+        // capacity, shared by two aggregators.
         let work = harness.sent.iter().filter(|sent| sent.worker == WorkerId(worker)).count() as f64 * 0.1;
-        assert!(work <= 2.0 * 0.3 / 2.0 + 1e-9, "worker {worker} was sent {work} s of work");
+        assert!(
+            work <= 2.0 * 0.3 / 2.0 + 1e-9,
+            "worker {worker} was sent {work} s of work, 0.3 s are allowed"
+        );
     }
 }
 
@@ -195,10 +201,10 @@
         let extra_attempts = harness.sent.iter().filter(|sent| sent.attempt.0 > 0).count() as f64;
         assert!(
             extra_attempts <= budget.free_attempts + budget.ratio * requests,
-            "{extra_attempts} after {requests} requests"
+            "{extra_attempts} extra attempts after {requests} requests exceed the budget"
         );
     }
-    assert!(harness.sent.iter().any(|sent| sent.attempt.0 > 0));
+    assert!(harness.sent.iter().any(|sent| sent.attempt.0 > 0), "no extra attempt was sent");
 }
 
 #[test]
@@ -212,10 +218,10 @@
     assert_eq!(harness.sent.len(), 2);
     harness.now = harness.now.after(ms(5));
     harness.step(vec![harness.attempt_finished(harness.last_sent(), AttemptOutcome::NotSent, None)]);
-    assert_eq!(harness.sent.len(), 3, "the skipped one is not counted");
+    assert_eq!(harness.sent.len(), 3, "the attempt that was not sent is not counted");
     harness.now = harness.now.after(ms(5));
     harness.step(vec![harness.attempt_finished(harness.last_sent(), AttemptOutcome::Failed, None)]);
-    assert_eq!(harness.sent.len(), 3, "the budget is spent");
+    assert_eq!(harness.sent.len(), 3, "the budget of one extra attempt is spent");
 }
 
 #[test]
@@ -223,10 +229,11 @@
     let partial = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
     let mut harness = AggregatorHarness::new(Settings { classes: vec![partial], ..settings() }, &[1, 2, 3]);
     let (query, parts) = harness.submit(Some("k"), &[0, 1]);
-    let first = harness.sent.iter().copied().find(|sent| sent.id == parts[0]).expect("sent");
+    let first =
+        harness.sent.iter().copied().find(|sent| sent.id == parts[0]).expect("the first part is sent");
     harness.now = harness.now.after(ms(100));
     harness.step(vec![harness.attempt_finished(first, AttemptOutcome::Succeeded, None)]);
-    assert_eq!(answered(&harness, query), None, "a complete answer may still come");
+    assert_eq!(answered(&harness, query), None, "a complete answer is still possible");
     let mut answer = None;
     for _ in 0..150 {
         harness.advance(10);
@@ -235,7 +242,7 @@
             break;
         }
     }
-    let (answered_at, complete) = answer.expect("answered");
+    let (answered_at, complete) = answer.expect("the query is answered within 1.5 s");
     assert!(!complete);
     assert!(answered_at < Time(1_000_000 * MS).after(ms(1500)));
 }
@@ -267,26 +274,27 @@
 }
 
 #[test]
-fn polled_discovery_is_subscribed_to_at_start_and_again_after_a_failure() {
+fn the_endpoint_list_is_subscribed_to_at_start_and_again_after_a_failure() {
     let mut harness = AggregatorHarness::new(Settings { poll_discovery: true, ..settings() }, &[1]);
     assert!(harness.actions.contains(&Action::SubscribeToEndpoints));
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Failed)]);
     assert!(
         !harness.actions.contains(&Action::SubscribeToEndpoints),
-        "not at once: discovery may be overloaded"
+        "the subscription is retried only after a backoff, because discovery may be overloaded"
     );
-    let mut polls = 0;
+    let mut subscriptions = 0;
     for _ in 0..200 {
         harness.advance(10);
-        polls += harness.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count();
+        subscriptions +=
+            harness.actions.iter().filter(|action| **action == Action::SubscribeToEndpoints).count();
     }
-    assert_eq!(polls, 1);
+    assert_eq!(subscriptions, 1);
 }
 
 #[test]
 fn a_query_that_can_no_longer_be_served_ends_at_once() {
-    // Such a query was held until its objective: its client waited for nothing, its other parts went on
-    // working.
+    // Such a query used to be held until its objective: the client waited although no answer was possible,
+    // and the other parts used up the workers' time.
     let mut harness = AggregatorHarness::new(
         Settings { classes: vec![class(Idempotency::NonIdempotent)], ..settings() },
         &[1, 2, 3],
@@ -295,7 +303,7 @@
     let first = harness.sent[0];
     harness.step(vec![harness.attempt_finished(first, AttemptOutcome::ConnectionReset, None)]);
     assert!(harness.actions.contains(&Action::Fail { id: query }), "{:?}", harness.actions);
-    // The other part is cancelled, and nothing is sent again.
+    // The other part's attempt is cancelled, and no part is sent again.
     assert!(harness.actions.iter().any(|action| matches!(action, Action::Cancel { .. })));
     assert_eq!(harness.sent.len(), 2);
 }
--- a/tests/policy_snapshot.rs
+++ b/tests/policy_snapshot.rs
@@ -1,5 +1,5 @@
-//! The form in which the decision module's snapshot travels in the hand-over message: versions of the
-//! gatherer that run one after the other have to agree on it.
+//! The serialised form of the decision module's snapshot, which is part of the hand-over message. Versions
+//! of the gatherer that follow each other in a hot restart must agree on it.
 
 use gatherer::Aggregator;
 use gatherer::policy::{
@@ -10,13 +10,14 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The time of the first step, and between queries, in nanoseconds.
+/// The time of the first step, in nanoseconds.
 const START_NS: u64 = 1_000_000_000;
+/// The time between queries, in nanoseconds.
 const QUERY_INTERVAL_NS: u64 = 50_000_000;
-/// The time in which an attempt finishes.
+/// The time that each attempt takes.
 const ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Settings under which each field of the snapshot gets a value.
+/// Settings under which every field of the snapshot gets a value.
 fn settings() -> Settings {
     let class = Class {
         latency_objective: Duration::from_millis(1500),
@@ -47,8 +48,8 @@
     }
 }
 
-/// An aggregator with a history for each field of the snapshot: worker 1 answered, worker 2 failed to
-/// connect.
+/// An aggregator with values in every field of the snapshot: worker 1 has answered, and connections to
+/// worker 2 have failed.
 fn aggregator_with_history() -> Aggregator {
     let mut aggregator = Aggregator::new(settings());
     let worker = |id| Endpoint {
@@ -63,7 +64,7 @@
     aggregator
 }
 
-/// Submits a query with one part, and finishes the attempts at once that it leads to.
+/// Submits a query with one part and finishes the attempts that are sent for it.
 fn run_query(aggregator: &mut Aggregator, number: u64) {
     let (id, part, job) = (RequestId(2 * number), RequestId(2 * number + 1), JobId(number));
     let now = Time(START_NS + number * QUERY_INTERVAL_NS);
@@ -114,21 +115,22 @@
 }
 
 #[test]
-fn a_snapshot_keeps_the_hand_over_messages_form() {
+fn a_snapshot_keeps_the_form_of_the_hand_over_message() {
     let snapshot = aggregator_with_history().snapshot(name_of);
-    let json = serde_json::to_string_pretty(&snapshot).expect("it serialises");
+    let json = serde_json::to_string_pretty(&snapshot).expect("the snapshot serialises");
     insta::with_settings!({ prepend_module_to_snapshot => false, omit_expression => true }, {
         insta::assert_snapshot!("policy_snapshot", json);
     });
 }
 
 #[test]
-fn a_restored_snapshot_is_the_one_that_was_taken() {
+fn a_snapshot_of_a_restored_aggregator_equals_the_restored_one() {
     let aggregator = aggregator_with_history();
-    let sent = serde_json::to_value(aggregator.snapshot(name_of)).expect("it serialises");
-    let received: PolicySnapshot = serde_json::from_value(sent.clone()).expect("it deserialises");
+    let sent = serde_json::to_value(aggregator.snapshot(name_of)).expect("the snapshot serialises");
+    let received: PolicySnapshot = serde_json::from_value(sent.clone()).expect("the snapshot deserialises");
     let mut successor = aggregator_with_history();
     successor.restore(received, worker_named);
-    let restored: Value = serde_json::to_value(successor.snapshot(name_of)).expect("it serialises");
+    let restored: Value =
+        serde_json::to_value(successor.snapshot(name_of)).expect("the restored snapshot serialises");
     assert_eq!(sent, restored);
 }
