--- a/tests/event_ordering.rs
+++ b/tests/event_ordering.rs
@@ -1,4 +1,5 @@
-//! Odd but legal event orders from fixed seeds, with the invariants checked on what the module does.
+//! Random but legal orders of events, from fixed seeds. The invariants of the decision module are checked
+//! on each of its actions.
 
 mod common;
 
@@ -9,8 +10,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps of a run; no query is submitted in the last ones.
+/// Steps of a run.
 const STEPS: u32 = 3000;
+/// Steps in which queries are submitted; the rest lets the open queries end.
 const STEPS_WITH_QUERIES: u32 = 2500;
 
 /// A query that has no final action yet.
@@ -19,7 +21,7 @@
     parts: Vec<RequestId>,
 }
 
-/// A run of random events, and what is known of its queries and attempts.
+/// A run of random events, with the expected state of its queries and attempts.
 struct RandomRun {
     seed: u64,
     idempotency: Idempotency,
@@ -28,12 +30,12 @@
     open_queries: BTreeMap<RequestId, OpenQuery>,
     in_flight: Vec<Sent>,
     succeeded_parts: Vec<RequestId>,
-    /// When a part may have run first, of parts of which an attempt has ended.
+    /// The earliest time at which a part may have run, for parts of which an attempt has ended.
     may_have_run_at: BTreeMap<RequestId, Time>,
     draining: BTreeSet<WorkerId>,
-    /// When each request was received: queries and parts.
+    /// The arrival times of all requests, that is of queries and parts.
     received_at: Vec<Time>,
-    /// When retries and hedges were sent, within the window of the retry budget.
+    /// The times at which retries and hedges were sent within the window of the retry budget.
     extra_attempts_at: Vec<Time>,
 }
 
@@ -63,6 +65,7 @@
         }
     }
 
+    /// Passes random events to the module and checks its actions.
     fn step(&mut self, number: u32) {
         self.harness.now = self.harness.now.after(ms(self.random.u64(1..20)));
         let mut events = vec![Event::TimerFired { timer: TimerId(0) }];
@@ -71,7 +74,7 @@
         }
         events.extend(self.finish_attempts());
         if self.random.u16(0..400) == 0 {
-            events.push(self.change_a_worker());
+            events.push(self.change_worker_status());
         }
         let before = self.harness.sent.len();
         self.harness.step(events);
@@ -85,7 +88,7 @@
         let now = self.harness.now;
         assert!(
             self.open_queries.values().all(|query| now <= query.deadline.after(ms(20))),
-            "seed {}: query lost",
+            "seed {}: a query has not ended 20 ms after its deadline",
             self.seed
         );
     }
@@ -100,7 +103,7 @@
         events
     }
 
-    /// Finishes attempts at random, and those past their time-outs.
+    /// Finishes random attempts, and all attempts that are past their time-outs.
     fn finish_attempts(&mut self) -> Vec<Event> {
         let mut events = Vec::new();
         let mut unfinished = Vec::new();
@@ -131,8 +134,8 @@
         events
     }
 
-    /// Lets a worker drain, or serve again if it drains.
-    fn change_a_worker(&mut self) -> Event {
+    /// Marks a random worker as draining, or as active again if it is draining.
+    fn change_worker_status(&mut self) -> Event {
         let worker = self.random.u32(1..5);
         let status = if self.draining.remove(&WorkerId(worker)) {
             EndpointStatus::Active
@@ -143,21 +146,28 @@
         Event::EndpointUpdate(EndpointUpdate::Delta(vec![entry(worker, status, None)].into()))
     }
 
+    /// Checks that an attempt may be sent, and records it.
     fn check_sent(&mut self, sent: Sent) {
         let (seed, now) = (self.seed, self.harness.now);
         assert!(!self.draining.contains(&sent.worker), "seed {seed}: sent to a draining worker");
-        assert!(!self.succeeded_parts.contains(&sent.id), "seed {seed}: sent a part that is done");
+        assert!(
+            !self.succeeded_parts.contains(&sent.id),
+            "seed {seed}: sent a part that has already succeeded"
+        );
         assert!(
             self.open_queries.values().any(|query| query.parts.contains(&sent.id)),
-            "seed {seed}: query is over"
+            "seed {seed}: sent a part of a query that has ended"
         );
         let earlier = self.in_flight.iter().filter(|other| other.id == sent.id).map(|other| other.at).min();
         let first_possible_run = self.may_have_run_at.get(&sent.id).copied().into_iter().chain(earlier).min();
         match self.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::Keyed => assert!(first_possible_run.is_none_or(|at| now.since(at) <= ms(1000))),
+            Idempotency::Keyed => assert!(
+                first_possible_run.is_none_or(|at| now.since(at) <= ms(1000)),
+                "seed {seed}: a keyed part was sent again after its repeat window of 1 s"
+            ),
             Idempotency::NonIdempotent => {
-                assert!(first_possible_run.is_none(), "seed {seed}: effect may happen twice");
+                assert!(first_possible_run.is_none(), "seed {seed}: a non-idempotent part may run twice");
             }
         }
         if sent.attempt.0 > 0 {
@@ -166,7 +176,7 @@
         self.in_flight.push(sent);
     }
 
-    /// Counts a retry or hedge that was sent now.
+    /// Counts a retry or hedge that was sent now, and checks the retry budget.
     fn check_retry_budget(&mut self) {
         let now = self.harness.now;
         self.extra_attempts_at.push(now);
@@ -174,12 +184,13 @@
         let received = self.received_at.iter().filter(|at| now.since(**at) < ms(2000)).count();
         assert!(
             self.extra_attempts_at.len() as f64 <= 3.0 + 0.1 * received as f64,
-            "seed {}: over budget",
-            self.seed
+            "seed {}: {} extra attempts within 2 s exceed the budget",
+            self.seed,
+            self.extra_attempts_at.len()
         );
     }
 
-    /// Checks an action that ends a query; others pass.
+    /// Checks an action that ends a query; other actions are ignored.
     fn check_final_action(&mut self, action: &Action) {
         let (id, complete) = match action {
             Action::Respond { id, complete } => (id, Some(*complete)),
@@ -187,18 +198,25 @@
             _ => return,
         };
         let seed = self.seed;
-        let OpenQuery { parts, .. } = self.open_queries.remove(id).expect("one final answer for each query");
+        let OpenQuery { parts, .. } =
+            self.open_queries.remove(id).expect("an open query: each query ends once");
         let answered = parts.iter().filter(|part| self.succeeded_parts.contains(part)).count();
         let coverage = answered as f64 / parts.len() as f64;
         if let Some(complete) = complete {
             let min_coverage = if complete { 1.0 } else { 0.6 };
-            assert!(coverage >= min_coverage, "seed {seed}: marked falsely at a coverage of {coverage}");
+            assert!(
+                coverage >= min_coverage,
+                "seed {seed}: answered with complete={complete} at a coverage of {coverage}"
+            );
         }
         let may_have_run = parts.iter().any(|part| {
             self.may_have_run_at.contains_key(part) || self.in_flight.iter().any(|other| other.id == *part)
         });
         if matches!(action, Action::Reject { .. }) && self.idempotency == Idempotency::NonIdempotent {
-            assert!(!may_have_run, "seed {seed}: rejected though it may have run");
+            assert!(
+                !may_have_run,
+                "seed {seed}: a non-idempotent query was rejected though a part may have run"
+            );
         }
     }
 }
@@ -207,11 +225,11 @@
     let mut run = RandomRun::new(seed, idempotency);
     (0..STEPS).for_each(|number| run.step(number));
     assert!(run.open_queries.is_empty() || !run.harness.sent.is_empty());
-    assert!(run.harness.sent.len() > 100, "seed {seed}: hardly anything was sent");
+    assert!(run.harness.sent.len() > 100, "seed {seed}: only {} attempts were sent", run.harness.sent.len());
 }
 
 #[test]
-fn the_invariants_hold_whatever_the_order_of_events() {
+fn the_invariants_hold_for_random_event_orders() {
     for seed in 0..12 {
         run_random_events(seed, Idempotency::Idempotent);
         run_random_events(seed, Idempotency::Keyed);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -1,4 +1,5 @@
-//! Decisions in fleets of many aggregators that each see little traffic, driven through the interface alone.
+//! Decisions in fleets of many aggregators that each see little traffic, tested through the public
+//! interface of the decision module.
 
 mod common;
 
@@ -8,8 +9,8 @@
     WorkerId,
 };
 
-/// Submits a query for one part of shard 0 whose client waits for `time_left_ms`; returns whether it was sent
-/// in that step.
+/// Submits a query with one part, for shard 0, whose client waits for `time_left_ms`, and answers the part
+/// after 100 ms. Returns whether the query was admitted.
 fn admitted(harness: &mut AggregatorHarness, time_left_ms: u64, is_retry: bool) -> bool {
     let (query, _, mut events) = harness.new_query(Some("k"), &[0]);
     if let Some(Event::QueryReceived(new_query)) = events.first_mut() {
@@ -27,8 +28,8 @@
 
 #[test]
 fn many_aggregators_together_warm_a_worker_up_without_overloading_it() {
-    // najdeno-ljubljana grown: a sixtieth of the slow-start budget holds no whole part, so no aggregator sent
-    // any.
+    // Seen in the enlarged scenario najdeno-ljubljana: a sixtieth of the slow-start budget is less than one
+    // part, so no aggregator sent any part to the worker.
     let aggregators = 60;
     let start = Time(1_000_000 * MS);
     let mut sent_at: Vec<Time> = Vec::new();
@@ -39,7 +40,7 @@
         let list = [entry(1, EndpointStatus::Active, Some(start))];
         harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(list[..].into()))]);
         harness.advance(10 * (seed % 50));
-        // Retries and queries alike: each aggregator has a part for the worker twice a second.
+        // Each aggregator has a part for the worker twice a second, as a query or as a retry.
         while harness.now < start.after(ms(10_000)) {
             harness.submit(Some("k"), &[0]);
             harness.advance(150);
@@ -55,21 +56,21 @@
         }
         sent_at.extend(harness.sent.iter().map(|sent| sent.at));
     }
-    // Parts of 0.1 s; the worker has one core, of which a fifth is available at first; twice that is allowed
-    // in a second.
-    let mut total = 0;
+    // Each part costs 0.1 s. The worker has one core, of which a fifth is available at first, and fails if
+    // it is sent twice its capacity for a second.
+    let mut total_parts = 0;
     for second in 0..9_u64 {
-        let inside = |at: &&Time| at.since(start).as_secs() == second;
-        let sent_work = sent_at.iter().filter(inside).count() as f64 * 0.1;
+        let is_in_second = |at: &&Time| at.since(start).as_secs() == second;
+        let sent_work = sent_at.iter().filter(is_in_second).count() as f64 * 0.1;
         let allowed = 2.0 * (0.2 + 0.8 * second as f64 / 10.0);
         assert!(sent_work <= allowed, "second {second}: {sent_work:.1} s of work, {allowed:.1} s allowed");
-        total += sent_at.iter().filter(inside).count();
+        total_parts += sent_at.iter().filter(is_in_second).count();
     }
-    assert!(total >= 20, "{total} parts in all");
+    assert!(total_parts >= 20, "only {total_parts} parts were sent in 9 s");
 }
 
 #[test]
-fn an_aggregator_that_was_paused_does_not_count_it_against_its_workers() {
+fn responses_that_are_late_by_the_aggregators_own_pause_do_not_count_against_workers() {
     let settings = Settings { may_health_check: false, ..settings() };
     let mut harness = AggregatorHarness::new(settings, &[1]);
     for _ in 0..20 {
@@ -85,30 +86,36 @@
 
 #[test]
 fn a_retry_past_the_objective_of_its_first_attempt_is_rejected_at_once() {
-    // najdeno-ljubljana grown, big-2: such retries were half of all attempts.
+    // Seen in the enlarged scenarios najdeno-ljubljana and big-2: such retries were half of all attempts.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..5 {
         assert!(admitted(&mut harness, 4000, false));
     }
-    assert!(admitted(&mut harness, 4000, true), "rejected early, retried early: still in time");
+    assert!(admitted(&mut harness, 4000, true), "first submitted 0.1 s ago, with an objective of 1.5 s");
     assert!(!admitted(&mut harness, 2500, true), "first submitted 2.5 s ago, with an objective of 1.5 s");
 }
 
 #[test]
 fn a_short_client_deadline_is_not_taken_for_a_retry() {
-    // Incident idf13d3: clients that wait half a second, at a site that marks no retries.
+    // Incident idf13d3: clients wait for half a second only, at a site that marks no retries.
     let mut harness = AggregatorHarness::new(Settings { may_health_check: false, ..settings() }, &[1, 2]);
     for _ in 0..5 {
         assert!(admitted(&mut harness, 4000, false));
     }
-    assert!(!admitted(&mut harness, 3400, false), "as late as a retry of a query given up at its objective");
-    assert!(admitted(&mut harness, 600, false), "too late for a retry");
+    assert!(
+        !admitted(&mut harness, 3400, false),
+        "1.6 s spent: as late as a retry after a first attempt that missed its objective"
+    );
+    assert!(
+        admitted(&mut harness, 600, false),
+        "4.4 s spent: too late for a retry, so the client's deadline is short"
+    );
 }
 
 #[test]
 fn hedges_beside_healthy_workers_stay_within_a_fraction_of_the_requests() {
-    // najdeno-ljubljana grown: ten free attempts in 2 s at each of 79 aggregators were as much work as was
-    // asked for.
+    // Seen in the enlarged scenario najdeno-ljubljana: ten free attempts in 2 s at each of 79 aggregators
+    // were as much work as the queries themselves.
     let budget = Some(RetryBudget { free_attempts: 100.0, ratio: 1.0, window: ms(10_000) });
     let mut harness = AggregatorHarness::new(
         Settings { may_health_check: false, retry_budget: budget, ..settings() },
@@ -117,7 +124,7 @@
     harness.submit(Some("k"), &[0, 1, 2, 3, 4, 5, 6, 7]);
     let first = harness.sent.clone();
     harness.advance(200);
-    // Each worker that has parts answers one of them now, so its others are late and it is healthy.
+    // Each worker answers one of its parts now. It is then healthy, and its other parts are late.
     for worker in [1, 2, 3].map(WorkerId) {
         if let Some(sent) = first.iter().find(|sent| sent.worker == worker) {
             harness.step(vec![harness.attempt_finished(*sent, AttemptOutcome::Succeeded, None)]);
@@ -125,7 +132,7 @@
     }
     harness.advance(1100);
     let hedges = harness.sent.len() - first.len();
-    assert!((1..=2).contains(&hedges), "{hedges} hedges");
+    assert!((1..=2).contains(&hedges), "{hedges} hedges of 8 parts, 1 or 2 are expected");
 }
 
 #[test]
@@ -133,8 +140,9 @@
     let settings =
         Settings { cells: 8, cells_per_shard: 2, shards: 8, may_health_check: false, ..settings() };
     let mut harness = AggregatorHarness::new(settings, &[]);
-    let cell = |worker: u32| Endpoint { cell: CellId(worker), ..entry(worker, EndpointStatus::Active, None) };
-    let list: Vec<Endpoint> = (0..8).map(cell).collect();
+    let endpoint =
+        |worker: u32| Endpoint { cell: CellId(worker), ..entry(worker, EndpointStatus::Active, None) };
+    let list: Vec<Endpoint> = (0..8).map(endpoint).collect();
     harness.step(vec![Event::EndpointUpdate(EndpointUpdate::Full(list.into()))]);
     let unreachable: Vec<WorkerId> = [0, 2, 4, 6].map(WorkerId).into();
     for round in 0..20 {
@@ -145,7 +153,7 @@
             .filter(|sent| sent.at == harness.now && unreachable.contains(&sent.worker))
             .count();
         assert!(round == 0 || tried <= 2, "round {round}: {tried} ejected workers tried in one step");
-        // Every attempt is finished, the retries of failed ones too.
+        // Finish all attempts, including the retries of failed ones.
         for _ in 0..3 {
             let finished: Vec<Sent> =
                 harness.sent.iter().copied().filter(|sent| sent.at == harness.now).collect();
@@ -166,8 +174,9 @@
 }
 
 #[test]
-fn a_worker_that_loses_most_attempts_is_avoided_though_it_answers_some() {
-    // ahmedabad-orders grown: a path that lost most attempts was reinstated by each answer.
+fn a_worker_that_loses_most_attempts_is_avoided_although_it_answers_some() {
+    // Seen in the enlarged scenario ahmedabad-orders: a worker behind a path that lost most attempts was
+    // reinstated by each answer.
     let mut harness = AggregatorHarness::new(
         Settings { may_health_check: false, hedging_allowed: false, ..settings() },
         &[1, 2],
@@ -189,7 +198,7 @@
         sent_to_lossy.push(sent.worker == lossy);
     }
     let later = sent_to_lossy[10..].iter().filter(|to_lossy| **to_lossy).count();
-    assert!(later <= 4, "{later} of 20 parts to the lossy worker");
+    assert!(later <= 4, "{later} of the last 20 parts were sent to the lossy worker");
 }
 
 #[test]
@@ -203,5 +212,5 @@
     }
     assert!(rejected(&harness, query));
     harness.advance(1500);
-    assert_eq!(harness.sent.len(), 2, "no third worker gets it");
+    assert_eq!(harness.sent.len(), 2, "the part is not sent to a third worker");
 }
