--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -22,7 +22,7 @@
 // Sending.
 impl Aggregator {
     /// Whether the part's class and the limit on attempts allow a first or a further attempt.
-    pub(super) fn may_retry(&self, part: &Part) -> bool {
+    pub(super) fn may_attempt(&self, part: &Part) -> bool {
         let Some(class) = self.class(part.class) else { return false };
         let first_possible_run = part.attempts.iter().find(|attempt| attempt.may_have_run());
         let is_safe = match (class.idempotency, first_possible_run) {
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -14,7 +14,7 @@
 const MAX_REMEMBERED_ATTEMPTS: usize = 4096;
 /// Relative difference below which two times left count as equal.
 const TIME_LEFT_TOLERANCE: f64 = 0.02;
-/// An unmarked attempt may be a retry up to this many latency objectives plus the longest `Retry-After`
+/// An unmarked attempt may be a retry up to this many latency objectives plus the longest `Retry-After`,
 /// after the first attempt.
 const UNMARKED_RETRY_OBJECTIVES: f64 = 1.25;
 
@@ -120,9 +120,9 @@
 
     /// The state to hand over to a successor.
     pub(super) fn snapshot(&self) -> ClientRetriesSnapshot {
-        let usual = self.usual_time_left.iter();
+        let entries = self.usual_time_left.iter();
         ClientRetriesSnapshot {
-            usual_time_left: usual.map(|(class, usual)| (class.0, usual.time_left, usual.lead)).collect(),
+            usual_time_left: entries.map(|(class, usual)| (class.0, usual.time_left, usual.lead)).collect(),
             retries_are_marked: self.retries_are_marked,
             mean_wait: self.mean_wait,
         }
@@ -130,8 +130,8 @@
 
     /// Takes over the state of a predecessor.
     pub(super) fn restore(&mut self, snapshot: ClientRetriesSnapshot) {
-        let usual = |(class, time_left, lead)| (ClassId(class), UsualTimeLeft { time_left, lead });
-        self.usual_time_left = snapshot.usual_time_left.into_iter().map(usual).collect();
+        let entry = |(class, time_left, lead)| (ClassId(class), UsualTimeLeft { time_left, lead });
+        self.usual_time_left = snapshot.usual_time_left.into_iter().map(entry).collect();
         self.retries_are_marked = snapshot.retries_are_marked;
         self.mean_wait = snapshot.mean_wait;
     }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -62,23 +62,23 @@
         let objective_is_due = self.is_due(query.objective_at);
         let partial_value =
             class.partial_weight * coverage / class.complete_coverage.max(WEIGHT_SUM_TOLERANCE);
-        let partial = covers_minimum
+        let answers_partially = covers_minimum
             && (self.is_due(query.request.valid_until)
                 || objective_is_due && partial_value > class.late_weight);
-        partial.then_some(false)
+        answers_partially.then_some(false)
     }
 
     /// Whether a query is to be given up: its time is over, its minimum coverage cannot be reached any
     /// more, or one of its parts has caused too many connection resets.
     fn is_lost(&self, query: &Query, class: &Class, parts: &[&Part]) -> bool {
-        let in_flight = parts.iter().any(|part| part.is_in_flight());
+        let any_in_flight = parts.iter().any(|part| part.is_in_flight());
         let is_past_useful_time =
-            self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !in_flight);
-        let reset = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
-        let resets = |part: &Part| part.attempts.iter().filter(reset).count();
+            self.now >= query.objective_at && (class.late_weight < MIN_LATE_WEIGHT || !any_in_flight);
+        let is_reset = |attempt: &&Attempt| attempt.outcome == Some(AttemptOutcome::ConnectionReset);
+        let reset_count = |part: &Part| part.attempts.iter().filter(is_reset).count();
         // A part without an attempt in flight that may not be sent again is lost. A query that depends on
         // it ends at once, instead of at its objective.
-        let is_unservable = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_retry(part);
+        let is_unservable = |part: &Part| !part.succeeded && !part.is_in_flight() && !self.may_attempt(part);
         let unservable_weight: f64 =
             parts.iter().filter(|part| is_unservable(part)).map(|part| part.request.weight).sum();
         let min_coverage_unreachable = unservable_weight > WEIGHT_SUM_TOLERANCE
@@ -86,7 +86,7 @@
         self.is_due(query.request.valid_until)
             || is_past_useful_time
             || min_coverage_unreachable
-            || parts.iter().any(|part| resets(part) > MAX_CONNECTION_RESETS)
+            || parts.iter().any(|part| reset_count(part) > MAX_CONNECTION_RESETS)
     }
 
     /// Whether `at` is so near that a later step may come too late to act on it: within one step interval
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -71,11 +71,11 @@
 
     fn apply_endpoint(&mut self, endpoint: &Endpoint) {
         let now = self.now;
-        let started = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
+        let recent_start = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
         let worker = self.workers.entry(endpoint.worker).or_insert_with(|| WorkerState::new(now));
-        if worker.endpoint.started_at != endpoint.started_at && started.is_some() {
+        if worker.endpoint.started_at != endpoint.started_at && recent_start.is_some() {
             // A new process runs there: the old process's ejection, failures and latency don't apply to it.
-            worker.warming_since = worker.warming_since.max(started);
+            worker.warming_since = worker.warming_since.max(recent_start);
             worker.reinstate();
             worker.mean_latency = worker.mean_expected_latency;
         }
@@ -88,9 +88,9 @@
         let previous_sets = std::mem::take(&mut self.replica_sets);
         for (shard, workers) in active_replicas(&self.workers, &self.settings) {
             let even_weight = 1.0 / workers.len().max(1) as f64;
-            let known = previous_sets.get(&shard);
+            let previous_set = previous_sets.get(&shard);
             let weight_of = |id: WorkerId| {
-                let replica = known.and_then(|set| set.iter().find(|replica| replica.worker == id));
+                let replica = previous_set.and_then(|set| set.iter().find(|replica| replica.worker == id));
                 replica.map_or(even_weight, |replica| replica.weight)
             };
             let mut set: Vec<Replica> =
@@ -108,15 +108,16 @@
     workers: &BTreeMap<WorkerId, WorkerState>,
     settings: &Settings,
 ) -> BTreeMap<ShardId, Vec<WorkerId>> {
-    let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
+    let cell_of = |index: u32| index.checked_rem(settings.cells).unwrap_or(0);
     let mut by_cell: BTreeMap<u32, Vec<WorkerId>> = BTreeMap::new();
     for (id, worker) in workers.iter().filter(|(_, worker)| worker.is_active()) {
         by_cell.entry(cell_of(worker.endpoint.cell.0)).or_default().push(*id);
     }
-    let cells = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
+    let cells_per_shard = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
     let replicas_of = |shard: u32| {
-        let cells = (0..cells).filter_map(|offset| by_cell.get(&cell_of(cell_of(shard) + offset)));
-        let mut ids: Vec<WorkerId> = cells.flatten().copied().collect();
+        let holding_cells =
+            (0..cells_per_shard).filter_map(|offset| by_cell.get(&cell_of(cell_of(shard) + offset)));
+        let mut ids: Vec<WorkerId> = holding_cells.flatten().copied().collect();
         ids.sort_unstable();
         (ShardId(shard), ids)
     };
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -18,6 +18,9 @@
 const INITIAL_QUERY_INTERVAL_S: f64 = 1.0;
 /// Number of samples that the initial latency model counts for.
 const PRIOR_SAMPLES: f64 = 20.0;
+/// Bounds of the learned slopes of latency by a part's own cost and by the cost ahead of it.
+const OWN_COST_SLOPE: (f64, f64) = (0.3, 10.0);
+const COST_AHEAD_SLOPE: (f64, f64) = (0.1, 10.0);
 /// Initial cost of a part in the estimates of a worker and in the latency model, in seconds. Until a
 /// latency is observed, only ratios to it matter.
 pub(super) const INITIAL_COST_S: f64 = 0.1;
@@ -91,7 +94,10 @@
         let determinant = (cost_cost * ahead_ahead - cost_ahead * cost_ahead).max(f64::MIN_POSITIVE);
         let own_cost = (cost_latency * ahead_ahead - ahead_latency * cost_ahead) / determinant;
         let per_cost_ahead = (cost_cost * ahead_latency - cost_ahead * cost_latency) / determinant;
-        LatencySlopes { own_cost: own_cost.clamp(0.3, 10.0), cost_ahead: per_cost_ahead.clamp(0.1, 10.0) }
+        LatencySlopes {
+            own_cost: own_cost.clamp(OWN_COST_SLOPE.0, OWN_COST_SLOPE.1),
+            cost_ahead: per_cost_ahead.clamp(COST_AHEAD_SLOPE.0, COST_AHEAD_SLOPE.1),
+        }
     }
 
     fn record_sample(&mut self, attempt: &Attempt, latency: f64) {
@@ -150,8 +156,8 @@
 
     /// Records whether an attempt was rejected or timed out.
     pub(super) fn record_attempt_result(&mut self, failed: bool) {
-        let failed = f64::from(u8::from(failed));
-        self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (failed - self.recent_failure_rate);
+        let sample = f64::from(u8::from(failed));
+        self.recent_failure_rate += MODEL_SAMPLE_WEIGHT * (sample - self.recent_failure_rate);
     }
 
     /// Records the utilization reported by a response.
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -11,6 +11,9 @@
 const HEALTH_CHECK_BUDGET: f64 = 0.003;
 /// Shortest and longest interval of one worker's health checks, in seconds.
 const HEALTH_CHECK_INTERVAL_S: (f64, f64) = (0.5, 30.0);
+/// Lower bound of the random factor on the interval, and the width of its range.
+const MIN_JITTER: f64 = 0.8;
+const JITTER_RANGE: f64 = 0.4;
 
 impl Aggregator {
     /// Applies the result of a health check. A success does not reinstate an ejected worker: it only
@@ -46,10 +49,10 @@
                 continue;
             }
             worker.health_check_in_flight = true;
-            let interval =
+            let worker_interval =
                 worker.ejection.map_or(interval, |ejection| interval.min(seconds(ejection.duration)));
-            let jitter = 0.8 + 0.4 * self.random.f64();
-            worker.next_health_check_at = self.now.after(span(interval * jitter));
+            let jitter = MIN_JITTER + JITTER_RANGE * self.random.f64();
+            worker.next_health_check_at = self.now.after(span(worker_interval * jitter));
             actions.push(Action::SendHealthCheck { worker: *id });
         }
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -184,7 +184,7 @@
             return;
         }
         let age = seconds(self.now.since(attempt.sent_at));
-        let overdue = age > attempt.expected_latency + self.overdue_margin();
+        let is_overdue = age > attempt.expected_latency + self.overdue_margin();
         if result.outcome == AttemptOutcome::Succeeded {
             return self.record_success_and_lost_attempts(result.worker, class, attempt.sent_at);
         }
@@ -196,7 +196,7 @@
             // sent. Otherwise it may be waiting in a queue, and counts only once it has been overtaken (see
             // `record_success_and_lost_attempts`).
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
-                if overdue && !attempt.counted_as_lost && worker.last_success_at < attempt.sent_at =>
+                if is_overdue && !attempt.counted_as_lost && worker.last_success_at < attempt.sent_at =>
             {
                 worker.record_failure(self.now, class);
             }
@@ -215,9 +215,9 @@
             let Some(part) = self.parts.get_mut(&part) else { continue };
             let Some(attempt) = part.attempts.get_mut(number.0 as usize) else { continue };
             attempt.overtaken_by += 1;
-            let overdue = seconds(now.since(sent_at)) > attempt.expected_latency + margin;
-            let lost = overdue && attempt.overtaken_by >= OVERTAKEN_TO_COUNT_AS_LOST;
-            if lost && !std::mem::replace(&mut attempt.counted_as_lost, true) {
+            let is_overdue = seconds(now.since(sent_at)) > attempt.expected_latency + margin;
+            let is_lost = is_overdue && attempt.overtaken_by >= OVERTAKEN_TO_COUNT_AS_LOST;
+            if is_lost && !std::mem::replace(&mut attempt.counted_as_lost, true) {
                 worker.record_failure(now, part.class);
             }
         }
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -71,7 +71,7 @@
         !part.succeeded
             && !part.finished
             && worker.is_active()
-            && self.may_retry(part)
+            && self.may_attempt(part)
             && (!part.is_in_flight() || self.settings.hedging_allowed)
             && (is_first || self.retry_budget_permits(self.is_hedge(part)))
             && self.slow_start_permits(worker, part.cost + worker.new_call_cost(&self.settings))
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -20,9 +20,9 @@
     /// slow-start budget: in each window of the budget it gets no more than this aggregator's share of what
     /// it can bear. A warm worker has no such limit.
     pub(super) fn slow_start_permits(&self, worker: &WorkerState, cost: f64) -> bool {
-        let Some(from) = worker.warming_since else { return true };
+        let Some(warm_up_start) = worker.warming_since else { return true };
         let settings = &self.settings;
-        let age = seconds(self.now.since(from));
+        let age = seconds(self.now.since(warm_up_start));
         let ramp = (age / seconds(settings.warm_up).max(1e-3)).min(1.0);
         if ramp >= 1.0 {
             return true;
@@ -31,12 +31,12 @@
         let warm_capacity = self.warm_capacity(cost, fleet_size);
         let cold_capacity = settings.cold_capacity_fraction;
         let capacity = |ramp: f64| cold_capacity + (1.0 - cold_capacity) * ramp;
-        let cost_rate = |ramp: f64| {
+        let budget_rate = |ramp: f64| {
             SLOW_START_BUDGET_FRACTION * settings.slow_start_budget_factor * capacity(ramp) * warm_capacity
                 / fleet_size
         };
         let window = settings.slow_start_budget_window;
-        let budget = cost_rate(ramp) * seconds(window);
+        let budget = budget_rate(ramp) * seconds(window);
         if cost <= budget {
             let recent = worker.recent_sends.iter().filter(|sent| self.now.since(sent.at) <= window);
             return recent.map(|sent| sent.cost).sum::<f64>() + cost <= budget;
@@ -44,11 +44,12 @@
         // If the part costs more than the budget of a whole window, the aggregator sends it once enough
         // budget has accrued since its last send (or, with jitter, since the worker's start). On average,
         // the fleet as a whole then keeps to its budget.
-        let last = worker.recent_sends.back().filter(|sent| sent.at >= from);
-        let jittered = SentCost { at: from.max(self.started_at), cost: self.slow_start_jitter * cost };
-        let SentCost { at, cost: required_cost } = last.copied().unwrap_or(jittered);
-        let elapsed_s = seconds(self.now.since(at));
-        elapsed_s * cost_rate(ramp - elapsed_s / seconds(settings.warm_up) / 2.0) >= required_cost
+        let last_send = worker.recent_sends.back().filter(|sent| sent.at >= warm_up_start);
+        let jittered =
+            SentCost { at: warm_up_start.max(self.started_at), cost: self.slow_start_jitter * cost };
+        let SentCost { at: accrues_from, cost: required_cost } = last_send.copied().unwrap_or(jittered);
+        let elapsed_s = seconds(self.now.since(accrues_from));
+        elapsed_s * budget_rate(ramp - elapsed_s / seconds(settings.warm_up) / 2.0) >= required_cost
     }
 
     /// The estimated capacity of a warm worker, in seconds of cost per second: the highest cost rate that
@@ -56,8 +57,8 @@
     /// extrapolated from this aggregator's traffic to the fleet's.
     fn warm_capacity(&self, cost: f64, fleet_size: f64) -> f64 {
         let lower_bound = |served: f64| fleet_size * (served - (served * cost / SERVED_RATE_DECAY_S).sqrt());
-        let served =
+        let capacity =
             self.workers.values().map(|worker| lower_bound(worker.served_cost_rate)).fold(0.0, f64::max);
-        served.clamp(MIN_CAPACITY, MAX_CAPACITY_FACTOR * MIN_CAPACITY)
+        capacity.clamp(MIN_CAPACITY, MAX_CAPACITY_FACTOR * MIN_CAPACITY)
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -128,8 +128,8 @@
     for (path, text) in module_files() {
         for (number, line) in code_lines(&text) {
             if let Some(at) = line.find("crate::") {
-                let is_inside = line[at..].starts_with("crate::policy");
-                assert!(is_inside, "{path}:{number} uses a module outside src/policy: {line}");
+                let stays_in_module = line[at..].starts_with("crate::policy");
+                assert!(stays_in_module, "{path}:{number} uses a module outside src/policy: {line}");
             }
             let Some(import) = line.strip_prefix("use ").or_else(|| line.strip_prefix("pub use ")) else {
                 continue;
