--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -207,9 +207,10 @@
     }
 }
 
-/// The weight of the parts that must be expected in time for a query to be admitted. It is more than the
-/// minimum coverage, so that queues do not form for responses that are partial anyway. It is less than the
-/// complete coverage, so that the loss of one cell does not make every query rejected.
+/// The weight of the parts that must be expected in time for a query to be admitted. In the first step it
+/// is the complete coverage less the share of one cell, but at least the minimum coverage: with the minimum
+/// alone, queues would form for responses that are partial anyway, and with the complete coverage the loss
+/// of one cell would get every query rejected. The second step needs the minimum coverage.
 fn required_weight(class: &Class, cells: u32, is_second_step: bool) -> f64 {
     if is_second_step {
         return class.min_coverage;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -73,6 +73,7 @@
     replica_sets: BTreeMap<ShardId, Vec<Replica>>,
 
     queries: BTreeMap<RequestId, Query>,
+    /// The query of each job.
     jobs: BTreeMap<JobId, RequestId>,
     parts: BTreeMap<RequestId, Part>,
 
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -7,8 +7,8 @@
 
 /// Hedges that are allowed in a window regardless of the number of requests.
 const FREE_HEDGES: f64 = 2.0;
-/// Hedges allowed per request received in the window while all workers are idle. The number is low because
-/// the hedges of all aggregators together are load on each worker.
+/// Further hedges allowed per request received in the window while all workers are idle. The number is low
+/// because the hedges of all aggregators together are load on each worker.
 const HEDGES_PER_REQUEST: f64 = 0.05;
 /// The window if no retry budget is configured.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(8);
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -18,7 +18,7 @@
 pub(super) struct TenantQuotas(BTreeMap<TenantId, Bucket>);
 
 impl TenantQuotas {
-    /// Counts a query of a tenant whose bucket is refilled with `rate_per_s` queries a second and holds
+    /// Counts a query of a tenant whose bucket is refilled with `rate_per_s` queries per second and holds
     /// `burst_s` seconds' worth of them. Returns whether the query exceeds the quota. A client's retry
     /// takes no token: the client's first attempt took one.
     pub(super) fn record_query(
--- a/src/policy/worker_state.rs
+++ b/src/policy/worker_state.rs
@@ -16,8 +16,8 @@
     pub cost: f64,
 }
 
-/// The ejection of a worker: no attempt goes to it before `retry_at`, and from then on half-open attempts
-/// only.
+/// The ejection of a worker. As long as a part has a healthy replica that it has not tried, it is not sent
+/// to the worker before `retry_at`, and from then on only as a half-open attempt.
 #[derive(Clone, Copy)]
 pub struct Ejection {
     pub retry_at: Time,
@@ -30,7 +30,7 @@
 pub struct WorkerState {
     /// The worker's entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// When the worker's warm-up started; `None` if no start was listed during its warm-up.
+    /// When the worker's warm-up started; `None` if no start within the warm-up time was listed.
     pub warming_since: Option<Time>,
     /// The attempts sent within the last warm-up time, for the slow-start budget.
     pub recent_sends: VecDeque<SentCost>,
