--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Ejects all workers of an unresponsive zone at once: finding out a lost zone one worker at a time
+    /// Ejects all workers of an unresponsive zone at once: detecting a lost zone one worker at a time
     /// would cost attempts at each of them.
     fn eject_unresponsive_zones(&mut self, overdue: &BTreeMap<WorkerId, f64>, actions: &mut Vec<Action>) {
         for zone in self.unresponsive_zones(overdue) {
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -20,7 +20,7 @@
 pub struct Class {
     /// An answer within this time earns the full weight.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's own cost; 0 where not set.
+    /// The objective grows by this multiple of the request's own cost; 0 if not set.
     pub objective_stretch: f64,
     /// The time for which a client waits at most, over all its attempts.
     pub deadline: Duration,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -70,7 +70,7 @@
         harness.submit(None, &[shard]);
     }
     while harness.sent.iter().all(|sent| sent.attempt == AttemptNo(0)) {
-        assert!(harness.now < Time(1_010_000 * MS), "no hedge was sent by 1010 s");
+        assert!(harness.now < Time(1_010_000 * MS), "no hedge was sent within 10 s of the start");
         harness.advance(10);
     }
     harness.advance(150);
