--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, the replica set of each shard, and when the list is subscribed to again. This file
-//! never judges a worker's health.
+//! The endpoint list: applies its updates, derives the replica set of each shard, and schedules the
+//! subscription to the list. Workers' health is judged elsewhere.
 
 use crate::policy::load_reports::{Replica, normalise};
 use crate::policy::outlier_detection::{MAX_EJECTION_TIME, MIN_EJECTION_TIME};
@@ -10,16 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// First and longest backoff of the subscription.
+/// Backoff after the first failure of the subscription; each further failure doubles it.
 const MIN_BACKOFF: Duration = MIN_EJECTION_TIME;
+/// Upper bound of the backoff, before jitter.
 const MAX_BACKOFF: Duration = MAX_EJECTION_TIME;
-/// Share of a backoff that is added at random, so that aggregators which failed together do not return
-/// together.
+/// Upper bound of the random share that is added to a backoff, so that aggregators whose subscriptions
+/// failed together do not retry together.
 const BACKOFF_JITTER: f64 = 0.5;
 
-/// When the endpoint list is subscribed to: at the start, and again after each failure, with backoff.
+/// The schedule of subscriptions to the endpoint list: at the start, and after each failure with backoff.
 #[derive(Default)]
 pub(super) struct Subscription {
+    /// When to subscribe next; `None` while subscribed, or if the list is pushed without a subscription.
     subscribe_at: Option<Time>,
     backoff: Duration,
 }
@@ -29,7 +31,7 @@
         Subscription { subscribe_at: settings.poll_discovery.then_some(Time(0)), backoff: MIN_BACKOFF }
     }
 
-    /// Whether it is time to subscribe; true once for each time.
+    /// Whether it is time to subscribe. Returns `true` once for each scheduled time.
     pub(super) fn take_due(&mut self, now: Time) -> bool {
         self.subscribe_at.take_if(|at| *at <= now).is_some()
     }
@@ -46,8 +48,10 @@
 }
 
 impl Aggregator {
+    /// Applies an update of the endpoint list, or the failure of the subscription. Workers that are missing
+    /// from a full list are marked as gone.
     pub(super) fn apply_endpoint_update(&mut self, update: EndpointUpdate) {
-        let (endpoints, full) = match update {
+        let (endpoints, is_full_list) = match update {
             EndpointUpdate::Failed => {
                 return self.subscription.failed(self.now, &self.settings, &mut self.random);
             }
@@ -55,7 +59,7 @@
             EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => (endpoints, true),
         };
         self.subscription.succeeded();
-        if full {
+        if is_full_list {
             let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             for (_, worker) in self.workers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 worker.endpoint.status = EndpointStatus::Gone;
@@ -67,26 +71,27 @@
 
     fn apply_endpoint(&mut self, endpoint: &Endpoint) {
         let now = self.now;
-        let started = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
+        let recent_start = endpoint.started_at.filter(|at| now.since(*at) < self.settings.warm_up);
         let worker = self.workers.entry(endpoint.worker).or_insert_with(|| WorkerState::new(now));
-        if worker.endpoint.started_at != endpoint.started_at && started.is_some() {
-            // A new process: what was counted against the old one does not apply to it.
-            worker.warming_since = worker.warming_since.max(started);
+        if worker.endpoint.started_at != endpoint.started_at && recent_start.is_some() {
+            // A new process runs there: the old process's ejection, failures and latency don't apply to it.
+            worker.warming_since = worker.warming_since.max(recent_start);
             worker.reinstate();
             worker.mean_latency = worker.mean_expected_latency;
         }
         worker.endpoint = endpoint.clone();
     }
 
-    /// Rebuilds the active replicas of each shard; those that stay keep their weight.
+    /// Rebuilds the set of active replicas of each shard. Replicas that stay in the set keep their weight
+    /// in proportion to each other; new ones start with an even weight.
     fn rebuild_replica_sets(&mut self) {
-        let before = std::mem::take(&mut self.replica_sets);
+        let previous_sets = std::mem::take(&mut self.replica_sets);
         for (shard, workers) in active_replicas(&self.workers, &self.settings) {
-            let even = 1.0 / workers.len().max(1) as f64;
-            let known = before.get(&shard);
+            let even_weight = 1.0 / workers.len().max(1) as f64;
+            let previous_set = previous_sets.get(&shard);
             let weight_of = |id: WorkerId| {
-                let replica = known.and_then(|set| set.iter().find(|replica| replica.worker == id));
-                replica.map_or(even, |replica| replica.weight)
+                let replica = previous_set.and_then(|set| set.iter().find(|replica| replica.worker == id));
+                replica.map_or(even_weight, |replica| replica.weight)
             };
             let mut set: Vec<Replica> =
                 workers.into_iter().map(|id| Replica { worker: id, weight: weight_of(id) }).collect();
@@ -96,22 +101,23 @@
     }
 }
 
-/// The active workers that hold each shard, by id: shard `s` lies in `cells_per_shard` cells in a row from
-/// cell `s`, or with every worker where there are no cells. The workers are grouped by cell first, so that a
-/// long list does not cost its square.
+/// The active workers that hold each shard, in the order of their ids. Shard `s` is held by the workers of
+/// `cells_per_shard` consecutive cells from cell `s`, or by every worker if there are no cells. The workers
+/// are grouped by cell first, so that the cost does not grow with the square of the list's length.
 fn active_replicas(
     workers: &BTreeMap<WorkerId, WorkerState>,
     settings: &Settings,
 ) -> BTreeMap<ShardId, Vec<WorkerId>> {
-    let cell_of = |at: u32| at.checked_rem(settings.cells).unwrap_or(0);
+    let cell_of = |index: u32| index.checked_rem(settings.cells).unwrap_or(0);
     let mut by_cell: BTreeMap<u32, Vec<WorkerId>> = BTreeMap::new();
     for (id, worker) in workers.iter().filter(|(_, worker)| worker.is_active()) {
         by_cell.entry(cell_of(worker.endpoint.cell.0)).or_default().push(*id);
     }
-    let cells = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
+    let cells_per_shard = if settings.cells == 0 { 1 } else { settings.cells_per_shard.min(settings.cells) };
     let replicas_of = |shard: u32| {
-        let cells = (0..cells).filter_map(|offset| by_cell.get(&cell_of(cell_of(shard) + offset)));
-        let mut ids: Vec<WorkerId> = cells.flatten().copied().collect();
+        let holding_cells =
+            (0..cells_per_shard).filter_map(|offset| by_cell.get(&cell_of(cell_of(shard) + offset)));
+        let mut ids: Vec<WorkerId> = holding_cells.flatten().copied().collect();
         ids.sort_unstable();
         (ShardId(shard), ids)
     };
