--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -1,8 +1,8 @@
-//! Hosts the [`Core`] on a clock: fronts submit queries, a transport carries their attempts, and one task drives the
-//! core's steps.
+//! Runs the [`Core`] in real time: fronts submit queries, a transport sends their attempts, and one task calls the core's
+//! step function when it is due.
 //!
-//! It owns the process's clock and the channels on which the fronts await their outcomes. It decides nothing and does no
-//! I/O of its own: commands of the core go to a [`WorkerTransport`] or to the log.
+//! The broker owns the process's clock and the channels on which fronts await outcomes. It makes no decisions and does no
+//! I/O of its own: the core's commands go to a [`WorkerTransport`] or to the log.
 
 use super::attempt::{AttemptCompletion, AttemptId, Dispatch};
 use super::clock::Clock;
@@ -18,38 +18,38 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// The driving task steps the core at least this often, also where nothing is due.
+/// Longest time between two steps of the core, even if nothing is due.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(3600);
 
-/// Carries attempts to workers. It reports their completions through [`Broker::on_attempt_finished`].
+/// Sends attempts to workers and reports their completions through [`Broker::on_attempt_finished`].
 pub trait WorkerTransport {
-    /// A worker is listed at this address. `accepts_work` is whether it may be sent anything new.
+    /// Adds a worker at this address or updates it. `accepts_work` is whether it may receive new attempts.
     fn upsert_worker(&self, worker: WorkerId, name: &str, address: &str, accepts_work: bool);
-    /// A worker is no longer listed.
+    /// Removes a worker that is no longer listed.
     fn remove_worker(&self, worker: WorkerId);
-    /// Carries these attempts as one call.
+    /// Sends these attempts to the worker as one call.
     fn call(&self, worker: WorkerId, parts: Vec<Dispatch>);
-    /// Nobody waits for this attempt any longer; its completion is already accounted for.
+    /// Cancels an attempt whose result is no longer needed. The core has already recorded its completion.
     fn cancel(&self, worker: WorkerId, attempt_id: AttemptId);
-    /// Nobody waits for this attempt any longer, but an attempt that is sent may not be cancelled: only one of which no
-    /// byte is written yet is dropped. A transport whose attempts may always be cancelled never receives this.
+    /// Drops an attempt whose result is no longer needed, if none of its bytes are written yet. An attempt that is partly
+    /// or wholly written may not be cancelled. Never called where the settings allow cancellation.
     fn cancel_if_unsent(&self, _worker: WorkerId, _attempt_id: AttemptId) {}
 }
 
 struct Inner {
     core: RefCell<Core>,
-    /// Where each open query's outcome is awaited.
+    /// Sender of the outcome for each open query.
     outcome_senders: RefCell<HashMap<RequestId, oneshot::Sender<QueryOutcome>>>,
-    /// Wakes the driving task when the core has something to do.
+    /// Wakes the task that runs [`Broker::drive`] when the core has new events.
     wake_up: Notify,
     clock: Clock,
 }
 
-/// A handle on the one broker of a process.
+/// Handle to the broker, of which a process has one.
 #[derive(Clone)]
 pub struct Broker(Rc<Inner>);
 
-/// Reports the client's disconnect to the core when a submission is dropped before its outcome.
+/// Reports a client's disconnect to the core when the future of [`Broker::submit`] is dropped before the outcome.
 struct DisconnectGuard<'a> {
     broker: &'a Broker,
     query: RequestId,
@@ -66,7 +66,7 @@
 }
 
 impl Broker {
-    /// A broker on this clock.
+    /// Creates a broker that takes the time from `clock`.
     #[must_use]
     pub fn new(core: Core, clock: Clock) -> Broker {
         Broker(Rc::new(Inner {
@@ -77,25 +77,25 @@
         }))
     }
 
-    /// The time on the clock by which all deadlines of this broker are set.
+    /// Returns the time of the clock on which all deadlines of this broker are set.
     #[must_use]
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// Counts and logs an invariant that was broken outside the core.
+    /// Counts and logs the violation of an invariant that is checked outside the core.
     pub fn report_violation(&self, invariant: Invariant, subject: &str) {
         self.0.core.borrow_mut().count_violation(invariant);
         log::error!("{}", invariant.violation_message(subject));
     }
 
-    /// Reads or counts in the core. `access` must not call the broker again: the core is borrowed meanwhile.
+    /// Calls `access` with the core. `access` must not call the broker, because the core is mutably borrowed meanwhile.
     pub fn with_core<T>(&self, access: impl FnOnce(&mut Core) -> T) -> T {
         access(&mut self.0.core.borrow_mut())
     }
 
-    /// Submits a query and waits for its outcome. Where the returned future is dropped before that, the core is notified
-    /// that the client has disconnected.
+    /// Submits a query and waits for its outcome. If the returned future is dropped earlier, the core is notified that the
+    /// client has disconnected.
     pub async fn submit(&self, request: SearchRequest) -> QueryOutcome {
         let submitted = self.0.core.borrow_mut().submit(self.0.clock.now(), request);
         let query = match submitted {
@@ -109,20 +109,20 @@
         outcome.await.unwrap_or(QueryOutcome::Failed)
     }
 
-    /// An attempt has finished.
+    /// Reports to the core that an attempt has finished.
     pub fn on_attempt_finished(&self, attempt_id: AttemptId, completion: AttemptCompletion) {
         self.0.core.borrow_mut().on_attempt_finished(self.0.clock.now(), attempt_id, completion);
         self.0.wake_up.notify_one();
     }
 
-    /// Discovery has sent the list or changes of it; `cached` where it is the list of an earlier process.
+    /// Applies an endpoint list or a change of it; `cached` if it comes from an earlier process instead of discovery.
     pub fn apply_endpoint_update(&self, update: &WorkerListUpdate, cached: bool) {
         self.0.core.borrow_mut().apply_endpoint_update(self.0.clock.now(), update, cached);
         self.0.wake_up.notify_one();
     }
 
-    /// An operator disables a worker or enables it again. Returns whether any list ever named it; where none did, nothing
-    /// changes.
+    /// Disables or enables a worker on an operator's request. Returns false, and changes nothing, if the worker is not
+    /// known from any endpoint list.
     #[must_use]
     pub fn set_worker_disabled(&self, worker: &str, disabled: bool) -> bool {
         let now = self.0.clock.now();
@@ -133,14 +133,15 @@
         is_known
     }
 
-    /// Applies the same change where an operator made it at the gatherer's other process, which knew the worker.
+    /// Applies a request that an operator made to the gatherer's other process, where the worker was known.
     pub fn set_worker_disabled_by_peer(&self, worker: &str, disabled: bool) {
         self.with_core(|core| core.register_worker(worker));
-        // Whether any list named it does not matter here: the other process knew it.
+        // The worker was registered just above, so it is always known.
         let _ = self.set_worker_disabled(worker, disabled);
     }
 
-    /// Steps the core for as long as the process lives. Whatever tasks report while a step is due goes into that step.
+    /// Runs the core's steps for as long as the process lives. Where a step is due at once, other ready tasks run first, so
+    /// that their reports go into the same step.
     pub async fn drive(&self, transport: &dyn WorkerTransport) {
         loop {
             let now = self.0.clock.now();
@@ -165,7 +166,7 @@
             }
             Command::RemoveWorker { worker } => transport.remove_worker(worker),
             Command::Call { worker, parts } if parts.is_empty() => {
-                log::debug!("call is empty: worker_id={}", worker.0);
+                log::debug!("call without attempts not sent: worker_id={}", worker.0);
             }
             Command::Call { worker, parts } => transport.call(worker, parts),
             Command::Cancel { worker, attempt_id } => transport.cancel(worker, attempt_id),
@@ -175,11 +176,11 @@
             Command::Respond { query, outcome } => {
                 let sender = self.0.outcome_senders.borrow_mut().remove(&query);
                 if let Some(sender) = sender {
-                    // The client may have disconnected in this very moment; then nobody awaits the outcome.
+                    // Sending fails if the client has just disconnected; then nobody awaits the outcome.
                     let _ = sender.send(outcome);
                 }
             }
-            Command::Log(text) => log::info!("module: {text}"),
+            Command::Log(text) => log::info!("core: {text}"),
             Command::LogViolation(text) => log::error!("{text}"),
         }
     }
--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -1,59 +1,59 @@
-//! The whole output of the core: what its host is to carry out after a step.
+//! Commands: the output of the core, which its host executes after each step.
 
 use super::attempt::{AttemptId, Dispatch};
 use super::query::QueryOutcome;
 use crate::policy::{RequestId, WorkerId};
 
-/// One thing for the core's host to carry out.
+/// An instruction of the core to its host.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// A worker is listed at this address, for the first time or with changes.
+    /// Add a listed worker, or update it.
     UpsertWorker {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Its name.
+        /// Name of the worker.
         name: String,
-        /// Its address.
+        /// Address of the worker.
         address: String,
-        /// It may be sent new attempts.
+        /// Whether the worker may receive new attempts.
         accepts_work: bool,
     },
-    /// A worker is no longer listed.
+    /// Remove a worker that is no longer listed.
     RemoveWorker {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
     },
-    /// Carry these attempts as one call.
+    /// Send these attempts as one call.
     Call {
-        /// The worker that receives them.
+        /// Worker that receives the call.
         worker: WorkerId,
-        /// The attempts.
+        /// One attempt for each part in the call.
         parts: Vec<Dispatch>,
     },
-    /// Wait no longer for this attempt; its completion is already accounted for.
+    /// Cancel an attempt. The core has already recorded its completion.
     Cancel {
-        /// The worker that the attempt was sent to.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
-        /// The attempt.
+        /// Id of the attempt.
         attempt_id: AttemptId,
     },
-    /// Drop this attempt if no byte of it is written yet: nobody waits for it, but a written one may not be cancelled. Its
-    /// completion is reported as for any other attempt.
+    /// Drop an attempt whose query has ended, if none of its bytes are written yet; an attempt that is written may not be
+    /// cancelled. The transport reports its completion as for any other attempt.
     CancelIfUnsent {
-        /// The worker that the attempt is for.
+        /// Worker that the attempt is for.
         worker: WorkerId,
-        /// The attempt.
+        /// Id of the attempt.
         attempt_id: AttemptId,
     },
-    /// Give a query its final outcome.
+    /// Deliver the outcome of a query to its front.
     Respond {
-        /// The query.
+        /// Id of the query.
         query: RequestId,
-        /// Its outcome.
+        /// Outcome of the query.
         outcome: QueryOutcome,
     },
-    /// Write a line to the log.
+    /// Write a line to the log at info level.
     Log(String),
-    /// Write a line to the log as an error: an invariant is broken.
+    /// Write the violation of an invariant to the log, at error level.
     LogViolation(String),
 }
--- a/src/routing/contracts.rs
+++ b/src/routing/contracts.rs
@@ -1,32 +1,32 @@
-//! What the teams have agreed on, by name: classes with their contracts, tenants with their quotas, zones, and the
-//! limits within which the broker serves them.
+//! The configured contracts: classes, tenants with their quotas, zones, and the limits of the broker.
 //!
-//! It owns the mapping from configured names to the decision module's ids and never changes after it was built.
+//! [`Contracts`] owns the mapping from configured names to the decision module's ids. The names never change after the
+//! configuration is read.
 
 use crate::policy::{Class, ClassId, Settings, TenantId, ZoneId};
 use std::time::Duration;
 
-/// Limits of the broker and of the connections that carry its attempts.
+/// Limits of the broker and of its connections to workers.
 #[derive(Clone, Debug)]
 pub struct BrokerLimits {
-    /// Queries and parts, added up, that may be open at once.
+    /// Maximum number of queries and parts, added up, that may be open at once.
     pub max_open_requests: usize,
-    /// A connection that is not established within this time counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Duration,
-    /// A server closes a connection that is idle for this long.
+    /// Time after which a server closes an idle connection.
     pub connection_idle_timeout: Duration,
-    /// Parts that one connection carries at once.
+    /// Maximum number of parts in flight on one connection.
     pub max_parts_per_connection: usize,
-    /// How long after a worker was listed as draining or gone it may still receive new attempts.
+    /// Time after a worker is listed as draining or gone within which it may still receive new attempts.
     pub drain_grace: Duration,
-    /// Gatherers may exchange messages with each other.
+    /// Whether gatherers may exchange membership messages with each other.
     pub may_gossip: bool,
 }
 
-/// The names behind the decision module's ids, and the settings that go with them.
+/// The decision module's settings, with the configured names of its ids.
 #[derive(Clone, Debug)]
 pub struct Contracts {
-    /// The decision module's settings: contracts of the classes, budgets, layout, rules.
+    /// Settings of the decision module: class contracts, budgets, shard layout and permitted actions.
     pub settings: Settings,
     /// Class names, in the order of `settings.classes`.
     pub classes: Vec<String>,
@@ -34,7 +34,7 @@
     pub tenants: Vec<String>,
     /// Zone names, in the order of their ids.
     pub zones: Vec<String>,
-    /// Limits of the broker.
+    /// Limits of the broker and its connections.
     pub limits: BrokerLimits,
 }
 
@@ -43,17 +43,17 @@
 }
 
 impl Contracts {
-    /// The class of this name, with its contract.
+    /// Returns the id and contract of the class with this name.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
         let index = index_of(&self.classes, name)?;
         Some((ClassId(index), self.settings.classes.get(index)?))
     }
-    /// The tenant of this name.
+    /// Returns the id of the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         index_of(&self.tenants, name).map(TenantId)
     }
-    /// The zone of this name. All names that are not configured share one id, which is no configured zone's.
+    /// Returns the id of the zone with this name. All names that are not configured share one id, `u32::MAX`.
     #[must_use]
     pub fn zone(&self, name: &str) -> ZoneId {
         ZoneId(index_of(&self.zones, name).and_then(|index| u32::try_from(index).ok()).unwrap_or(u32::MAX))
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -1,8 +1,9 @@
-//! The life of queries without any I/O: events go in, commands come out, and the time is an argument.
+//! The broker's state machine, without I/O or a clock: events go in, commands come out, and the time is an argument.
 //!
-//! [`Core`] owns the open queries, the attempts in flight, the worker list, the counts, and the decision module. What the
-//! fronts and the transport report is accepted here, what concerns workers and other gatherers in `core/workers.rs`.
-//! `core/step.rs` hands all of it to the module, whose actions `core/dispatch.rs` and `core/completion.rs` carry out.
+//! [`Core`] owns the open queries, the attempts in flight, the worker list, the counters, and the decision module. This
+//! file takes reports of fronts and transports, and `core/workers.rs` those about workers and other gatherers.
+//! `core/step.rs` passes them to the decision module as events; `core/dispatch.rs` and `core/completion.rs` apply its
+//! actions.
 
 mod completion;
 mod dispatch;
@@ -33,35 +34,35 @@
 pub struct Core {
     contracts: Contracts,
     policy: Aggregator,
-    /// What has happened since the last step, for the decision module.
+    /// Events for the decision module since the last step.
     pending_events: Vec<Event>,
-    /// Commands of the next step that do not come from the decision module.
+    /// Commands that the next step returns.
     pending_commands: Vec<Command>,
-    /// The decision module's timers, by due time and a number that keeps two of one time apart.
+    /// Timers of the decision module, by due time and a sequence number that makes keys of the same time unique.
     timers: BTreeMap<(Time, u64), TimerId>,
     open_queries: OpenQueries,
     in_flight: InFlight,
     workers: WorkerList,
-    /// The last number that was given to a query, a part or a timer.
+    /// Last number assigned to a query, a part or a timer.
     last_number: u64,
-    /// Processes that are this one gatherer and share its limits.
+    /// Number of processes that run this gatherer and share its limits: two during a hot restart, else one.
     process_count: u32,
-    /// Discovery itself has sent a list, as opposed to a cached one.
+    /// Whether discovery has sent an endpoint list; a cached list does not count.
     has_discovery_list: bool,
-    /// What it has counted so far.
+    /// Counters since the start.
     pub counters: Counters,
     violations: Violations,
     class_counts: ClassCounts,
-    /// Counts by class, tenant and worker for the records; `None` where nothing is recorded.
+    /// Metrics by class, tenant and worker for the records; `None` if nothing is recorded.
     pub metrics: Option<MetricsAccumulator>,
-    /// Changes of the worker list and of workers' states for the records, since they were last taken. It stays empty where
-    /// nothing is recorded.
+    /// Changes of the worker list and of workers' states that the records do not contain yet. Empty if nothing is
+    /// recorded.
     pub record_events: Vec<RecordBody>,
     recorded_states: WorkerStates,
 }
 
 impl Core {
-    /// A core that knows no workers yet.
+    /// Creates a core without workers.
     #[must_use]
     pub fn new(contracts: Contracts) -> Core {
         Core {
@@ -85,42 +86,42 @@
         }
     }
 
-    /// The contracts that it serves.
+    /// Returns the configured contracts.
     #[must_use]
     pub fn contracts(&self) -> &Contracts {
         &self.contracts
     }
 
-    /// The number of queries that wait for their outcome.
+    /// Returns the number of queries that wait for their outcome.
     #[must_use]
     pub fn open_queries(&self) -> usize {
         self.open_queries.len()
     }
 
-    /// Whether a query of this label is open.
+    /// Returns whether a query with this label is open.
     #[must_use]
     pub fn has_open_query(&self, label: &str) -> bool {
         self.open_queries.has_label(label)
     }
 
-    /// How the queries of each class ended, in the order of the contracts.
+    /// Returns the query counts of each class, in the order of [`Contracts::classes`].
     #[must_use]
     pub fn class_counts(&self) -> &[QueryCounts] {
         self.class_counts.all()
     }
 
-    /// How often each invariant was broken, or would have been without its check.
+    /// Returns how often each invariant was violated, or would have been without its check.
     #[must_use]
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// Counts an invariant that was broken, or would have been without its check.
+    /// Counts the violation of an invariant, or an attempted one that its check prevented.
     pub fn count_violation(&mut self, invariant: Invariant) {
         self.violations.record(invariant);
     }
 
-    /// Counts a violation and has it logged; `subject` names what broke the invariant.
+    /// Counts a violation and logs it with the next step; `subject` names the query or attempt that caused it.
     fn report_violation(&mut self, invariant: Invariant, subject: &str) {
         self.count_violation(invariant);
         self.pending_commands.push(Command::LogViolation(invariant.violation_message(subject)));
@@ -131,10 +132,10 @@
         self.last_number
     }
 
-    /// Accepts a query. Its outcome follows as [`Command::Respond`].
+    /// Accepts a query. A later step returns its outcome as [`Command::Respond`].
     ///
     /// # Errors
-    /// The outcome itself, where the query is rejected at once because as many as may be are open.
+    /// The outcome [`Rejection::AtCapacity`] if the limit of open queries and parts is reached.
     pub fn submit(&mut self, now: Time, request: SearchRequest) -> Result<RequestId, QueryOutcome> {
         self.counters.taken += 1;
         let labels = QueryLabels { class: request.class.0, tenant: request.tenant.map(|tenant| tenant.0) };
@@ -151,12 +152,12 @@
         Ok(self.open_query(now, labels, request))
     }
 
-    /// Whether as many queries and parts are open as this process may hold.
+    /// Returns whether this process's share of `max_open_requests` is used up.
     fn is_at_capacity(&self) -> bool {
         self.open_queries.size() >= self.contracts.limits.max_open_requests / self.process_count as usize
     }
 
-    /// Opens a query and its parts, and hands them to the decision module.
+    /// Opens a query with its parts, and queues their events for the decision module.
     fn open_query(&mut self, now: Time, labels: QueryLabels, request: SearchRequest) -> RequestId {
         let SearchRequest { label, class, tenant, time_left, retry, payload, parts } = request;
         let number = self.next_number();
@@ -186,7 +187,7 @@
         id
     }
 
-    /// The client of a query has disconnected.
+    /// Closes a query because its client has disconnected. Does nothing if the query has already ended.
     pub fn disconnect_client(&mut self, now: Time, id: RequestId) {
         if let Some((query, _)) = self.close(id) {
             self.counters.left += 1;
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Counts a query that a front rejected because the process is stopping.
+    /// Counts a query that a front rejected because the process is shutting down.
     pub fn reject_stopping(&mut self, class: ClassId, tenant: Option<TenantId>) {
         self.counters.refused_stopping += 1;
         let labels = QueryLabels { class: class.0, tenant: tenant.map(|tenant| tenant.0) };
@@ -203,24 +204,24 @@
         self.record_end(labels, QueryEnd::RejectedShuttingDown, Duration::ZERO);
     }
 
-    /// Counts a query whose connection was closed without reading it, because no connection could be spared for it.
+    /// Counts a query that was rejected before it was parsed, because no descriptor could be kept busy for it.
     pub fn reject_unread(&mut self, class: ClassId) {
         self.class_counts.record_received(class.0);
         self.class_counts.record_end(class.0, QueryEnd::RejectedAtCapacity);
     }
 
-    /// Counts attempts whose last byte has been written.
+    /// Adds to the count of attempts whose last byte has been written.
     pub fn count_written(&mut self, attempts: usize) {
         self.counters.written += attempts as u64;
     }
 
-    /// An attempt has finished. One that was timed out or cancelled before is ignored.
+    /// Records the result of an attempt. Ignored if the attempt has already timed out or been cancelled.
     pub fn on_attempt_finished(&mut self, now: Time, attempt_id: AttemptId, completion: AttemptCompletion) {
         let Some(sent) = self.in_flight.remove(attempt_id) else { return };
         self.finish_attempt(now, attempt_id, &sent, completion);
     }
 
-    /// Accounts for an attempt that is no longer in flight, and reports it to the decision module.
+    /// Counts an attempt that is no longer in flight, updates its part, and queues the event for the decision module.
     fn finish_attempt(
         &mut self,
         now: Time,
@@ -257,7 +258,7 @@
         }));
     }
 
-    /// Counts how a query ended.
+    /// Counts the end of a query.
     fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, elapsed: Duration) {
         self.class_counts.record_end(labels.class, end);
         if let Some(metrics) = &mut self.metrics {
@@ -265,12 +266,12 @@
         }
     }
 
-    /// Removes a query with its parts; `None` if it has ended before.
+    /// Removes a query with its parts. Returns `None` if the query has already ended.
     fn close(&mut self, id: RequestId) -> Option<(OpenQuery, Vec<OpenPart>)> {
         let (query, parts) = self.open_queries.remove(id)?;
         if !self.contracts.settings.may_cancel {
-            // The decision module may not cancel attempts here. What is not written yet is still not sent for a query that
-            // nobody waits for.
+            // The settings forbid the decision module to cancel attempts. Attempts that are not written yet are dropped
+            // all the same, because nobody waits for the query any longer.
             let attempts = query.parts.iter().flat_map(|part| self.in_flight.of_part(*part));
             self.pending_commands.extend(attempts.map(|(attempt_id, sent)| Command::CancelIfUnsent {
                 worker: sent.worker,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! The broker between fronts and workers: it hosts the decision module with its clock and timers, maps names to the
-//! module's ids, carries out the module's actions, and gives each query its one final outcome.
+//! The broker between fronts and workers. It hosts the decision module with its clock and timers, maps configured names
+//! to the module's ids, turns the module's actions into commands, and gives each query exactly one outcome.
 //!
-//! It owns the open queries, the attempts in flight and the worker list. It knows no wire format and does no I/O.
+//! The broker owns the open queries, the attempts in flight and the worker list. It has no wire format and does no I/O.
 
 pub mod attempt;
 pub mod broker;
