--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -106,8 +106,8 @@
     pub fn accept(&mut self, now: Time, source: Source) -> u64 {
         self.last_id += 1;
         let id = self.last_id;
-        // A source that sends malformed input, is closed and reconnects at once keeps its penalty. Where all connections
-        // come from one address, clients cannot be distinguished, and none is penalised for another.
+        // A source that sends malformed input, is closed and reconnects at once keeps its penalty. Where all
+        // connections come from one address, clients cannot be distinguished, and none is penalised for another.
         let penalised = self.penalised_sources.get(&source).is_some_and(|at| now.since(*at) < PENALTY_TIME)
             && self.open_by_source.keys().any(|other| *other != source);
         let state = ConnectionState::Evictable(EvictionReason::Silent);
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Records bytes of a request that is not complete. A connection that is about to be closed becomes evictable again.
+    /// Records bytes of a request that is not complete. A connection that is about to be closed becomes evictable
+    /// again.
     pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let receiving = connection.state == ConnectionState::Evictable(EvictionReason::Slow);
@@ -311,8 +312,8 @@
             return Some((*rank, EvictionReason::OverQuota));
         }
         // Protects clients with several requests from a flood so fast that all of it is new: new connections go first,
-        // because a client with a request to send has sent it by the time that its connection is considered. Connections
-        // that stay idle too long are evicted by their deadline anyway.
+        // because a client with a request to send has sent it by the time that its connection is considered.
+        // Connections that stay idle too long are evicted by their deadline anyway.
         self.eviction_order.first().map(|rank| (*rank, rank.reason))
     }
 }
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -38,9 +38,9 @@
 
 /// Chooses the connection for a call: one with capacity, else a new one, else the one with the fewest calls.
 ///
-/// A `non_idempotent` call gets a new connection of its own. A server may close or reset a kept connection just as a call
-/// is written; the call may have run then, and its query is lost. On a connection of its own it cannot be lost to a
-/// malformed response to another call, either.
+/// A `non_idempotent` call gets a new connection of its own. A server may close or reset a kept connection just as a
+/// call is written; the call may have run then, and its query is lost. On a connection of its own it cannot be lost to
+/// a malformed response to another call, either.
 #[must_use]
 pub fn choose_connection(
     non_idempotent: bool,
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -73,9 +73,9 @@
 }
 
 impl DescriptorBudget {
-    /// Divides `limit` descriptors, of which `baseline` (listener, signals, the log, the event queue) stay open for good.
-    /// `operators` of them are kept for operators' calls; a third of the rest is the clients' floor, a quarter the
-    /// workers'.
+    /// Divides `limit` descriptors, of which `baseline` (listener, signals, the log, the event queue) stay open for
+    /// good. `operators` of them are kept for operators' calls; a third of the rest is the clients' floor, a quarter
+    /// the workers'.
     ///
     /// # Errors
     ///
@@ -106,9 +106,9 @@
 }
 
 /// The descriptors of one process by class. A descriptor is *evictable* where it can be closed without loss (an idle
-/// connection) and *busy* where it cannot (a query is open on it). A class may acquire whatever is free, because what is
-/// evictable can be reclaimed; what is busy counts against the floor of its class and against what no floor claims. That
-/// is how each class can always have its floor, although no descriptor lies idle for it.
+/// connection) and *busy* where it cannot (a query is open on it). A class may acquire whatever is free, because what
+/// is evictable can be reclaimed; what is busy counts against the floor of its class and against what no floor claims.
+/// That is how each class can always have its floor, although no descriptor lies idle for it.
 #[derive(Clone, Debug)]
 pub struct DescriptorAllocator {
     budget: DescriptorBudget,
@@ -133,8 +133,8 @@
         self.budget = budget;
     }
 
-    /// Returns the class that has to close a descriptor where more are held than the budget has: the one that is furthest
-    /// over its floor, of those with an evictable one.
+    /// Returns the class that has to close a descriptor where more are held than the budget has: the one that is
+    /// furthest over its floor, of those with an evictable one.
     #[must_use]
     pub fn class_to_reclaim_from(&self) -> Option<DescriptorClass> {
         let can_close = |class: &DescriptorClass| self.over_floor(*class) > 0 && self.evictable(*class) > 0;
@@ -202,8 +202,8 @@
         other.or_else(|| (self.evictable(class) > 0).then_some(class))
     }
 
-    /// Whether a descriptor that a class holds, or is about to acquire, may become busy without taking what the floors of
-    /// other classes guarantee.
+    /// Whether a descriptor that a class holds, or is about to acquire, may become busy without taking what the floors
+    /// of other classes guarantee.
     #[must_use]
     pub fn can_mark_busy(&self, class: DescriptorClass) -> bool {
         let claimed = |other: DescriptorClass| {
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Limits of the process: which class may hold a descriptor, which connection is evicted first, how much is buffered, how
-//! fast connections are accepted, and which calls wait for a connection to a server.
+//! Limits of the process: which class may hold a descriptor, which connection is evicted first, how much is buffered,
+//! how fast connections are accepted, and which calls wait for a connection to a server.
 //!
 //! Plain values and times go in, decisions come out. It owns no socket, no task and no clock; `transport` carries the
 //! decisions out.
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -28,16 +28,16 @@
     pub shard: ShardId,
     /// Body of the request to the worker.
     pub payload: Bytes,
-    /// Whether the query's class is non-idempotent or keyed. The transport sends such an attempt on a connection of its own,
-    /// so that the failure of another attempt's connection cannot leave it unknown whether this one ran.
+    /// Whether the query's class is non-idempotent or keyed. The transport sends such an attempt on a connection of its
+    /// own, so that the failure of another attempt's connection cannot leave it unknown whether this one ran.
     pub at_most_once: bool,
     /// Proof that the attempt passed the invariant checks, with its deadline.
     pub permit: SendPermit,
 }
 
 impl Dispatch {
-    /// Returns the time from `now` until the attempt's deadline. The transport calls this when it writes the frame, so that
-    /// time spent waiting for a connection is already subtracted.
+    /// Returns the time from `now` until the attempt's deadline. The transport calls this when it writes the frame, so
+    /// that time spent waiting for a connection is already subtracted.
     pub fn time_left(&self, now: Time) -> Duration {
         self.permit.deadline().since(now)
     }
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -1,8 +1,8 @@
-//! Runs the [`Core`] in real time: fronts submit queries, a transport sends their attempts, and one task calls the core's
-//! step function when it is due.
+//! Runs the [`Core`] in real time: fronts submit queries, a transport sends their attempts, and one task calls the
+//! core's step function when it is due.
 //!
-//! The broker owns the process's clock and the channels on which fronts await outcomes. It makes no decisions and does no
-//! I/O of its own: the core's commands go to a [`WorkerTransport`] or to the log.
+//! The broker owns the process's clock and the channels on which fronts await outcomes. It makes no decisions and does
+//! no I/O of its own: the core's commands go to a [`WorkerTransport`] or to the log.
 
 use super::attempt::{AttemptCompletion, AttemptId, Dispatch};
 use super::clock::Clock;
@@ -31,8 +31,8 @@
     fn call(&self, worker: WorkerId, parts: Vec<Dispatch>);
     /// Cancels an attempt whose result is no longer needed. The core has already recorded its completion.
     fn cancel(&self, worker: WorkerId, attempt_id: AttemptId);
-    /// Drops an attempt whose result is no longer needed, if none of its bytes are written yet. An attempt that is partly
-    /// or wholly written may not be cancelled. Never called where the settings allow cancellation.
+    /// Drops an attempt whose result is no longer needed, if none of its bytes are written yet. An attempt that is
+    /// partly or wholly written may not be cancelled. Never called where the settings allow cancellation.
     fn cancel_if_unsent(&self, _worker: WorkerId, _attempt_id: AttemptId) {}
 }
 
@@ -94,8 +94,8 @@
         access(&mut self.0.core.borrow_mut())
     }
 
-    /// Submits a query and waits for its outcome. If the returned future is dropped earlier, the core is notified that the
-    /// client has disconnected.
+    /// Submits a query and waits for its outcome. If the returned future is dropped earlier, the core is notified that
+    /// the client has disconnected.
     pub async fn submit(&self, request: SearchRequest) -> QueryOutcome {
         let submitted = self.0.core.borrow_mut().submit(self.0.clock.now(), request);
         let query = match submitted {
@@ -140,8 +140,8 @@
         let _ = self.set_worker_disabled(worker, disabled);
     }
 
-    /// Runs the core's steps for as long as the process lives. Where a step is due at once, other ready tasks run first, so
-    /// that their reports go into the same step.
+    /// Runs the core's steps for as long as the process lives. Where a step is due at once, other ready tasks run
+    /// first, so that their reports go into the same step.
     pub async fn drive(&self, transport: &dyn WorkerTransport) {
         loop {
             let now = self.0.clock.now();
--- a/src/routing/core/completion.rs
+++ b/src/routing/core/completion.rs
@@ -1,4 +1,5 @@
-//! Completes queries: every outcome passes its check of the invariants and is counted here, once for each query.
+//! Completes queries: checks each outcome against the invariants, counts it, and queues the response. A query that has
+//! ended is not open any longer, so that none is completed twice.
 
 use super::Core;
 use crate::policy::{RequestId, Time};
@@ -9,20 +10,20 @@
 use crate::routing::query::{QueryOutcome, Rejection};
 use std::time::Duration;
 
-/// How much later than the response grace an answer may be given: the time for which a process may be held up.
+/// Time past the response grace within which an outcome is not counted as late: the process may be paused for that
+/// long.
 const LATE_SLACK: Duration = Duration::from_millis(200);
 
 /// How a query ends.
 #[derive(Clone, Copy)]
 pub(super) enum Completion {
-    Respond {
-        complete: bool,
-    },
-    Reject {
-        retry_after: Option<Duration>,
-    },
+    /// Answer the query with the values that have arrived.
+    Respond { complete: bool },
+    /// Reject the query; a retry by the client is harmless.
+    Reject { retry_after: Option<Duration> },
+    /// Fail the query, as the decision module requested.
     Fail,
-    /// The decision module had not completed the query in time.
+    /// Fail the query, because the decision module did not complete it in time.
     FailOverdue,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl Core {
-    /// Gives a query its one final outcome; does nothing if it has ended before.
+    /// Ends a query with this completion. Does nothing if the query has already ended.
     pub(super) fn complete_query(&mut self, now: Time, id: RequestId, completion: Completion) {
         let Some((query, parts)) = self.close(id) else { return };
         let completion = self.enforce_invariants(now, &query, &parts, completion);
@@ -58,7 +59,7 @@
         self.pending_commands.push(Command::Respond { query: id, outcome });
     }
 
-    /// The one guard on completing a query: returns the completion, or the nearest one that breaks no invariant.
+    /// Checks a completion against the invariants. Returns it, or the nearest completion that violates none.
     fn enforce_invariants(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         let latest = query.valid_until.after(self.contracts.settings.response_grace + LATE_SLACK);
         if now > latest {
             let late_ms = now.since(query.valid_until).as_millis();
-            let subject = format!("query {} ends {late_ms} ms late", query.label);
+            let subject = format!("query {} ended {late_ms} ms after its deadline", query.label);
             self.report_violation(Invariant::EndedInTime, &subject);
         }
         let Some(class) = self.contracts.settings.classes.get(query.labels.class) else {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The end under which a completion is counted.
+    /// Returns the kind of end that a completion is counted as.
     fn end_of(&self, query: &OpenQuery, completion: Completion, elapsed: Duration) -> QueryEnd {
         match completion {
             Completion::Respond { complete: true } if self.is_late(query, elapsed) => QueryEnd::CompleteLate,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Whether a query that took this long has missed the latency objective of its class.
+    /// Returns whether a query that took `elapsed` has missed the latency objective of its class.
     fn is_late(&self, query: &OpenQuery, elapsed: Duration) -> bool {
         let class = self.contracts.settings.classes.get(query.labels.class);
         class.is_some_and(|class| elapsed > class.latency_objective)
--- a/src/routing/core/dispatch.rs
+++ b/src/routing/core/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends attempts, cancels them, and counts why they follow one another. Every attempt passes its check of the invariants
-//! here; which worker it goes to is the decision module's choice.
+//! Sends and cancels attempts, and counts retries by their cause. Every attempt is checked against the invariants
+//! before it is sent; the decision module chooses its worker.
 
 use super::Core;
 use crate::policy::{AttemptNo, AttemptOutcome, RequestId, Time, WorkerId};
@@ -9,13 +9,13 @@
 use crate::routing::invariants::{Invariant, SendCheck, SendPermit};
 use std::time::Duration;
 
-/// The attempts that one step sends to a worker.
+/// Attempts that one step sends to one worker.
 struct PendingCall {
     worker: WorkerId,
     parts: Vec<Dispatch>,
 }
 
-/// The attempts that one step sends, by worker.
+/// Attempts that one step sends, grouped by worker in the order of their first attempts.
 #[derive(Default)]
 pub(super) struct Calls(Vec<PendingCall>);
 
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Takes back an attempt that is cancelled in the step that sends it.
+    /// Removes an attempt that is cancelled in the same step that sends it.
     fn remove(&mut self, attempt_id: AttemptId) {
         self.0.iter_mut().for_each(|call| call.parts.retain(|part| part.attempt_id != attempt_id));
     }
 
-    /// Splits the attempts for each worker into calls of at most `max_parts`.
+    /// Returns the commands for the calls, each with at most `max_parts` attempts.
     pub(super) fn into_commands(self, max_parts: usize) -> Vec<Command> {
         let mut commands = Vec::new();
         for PendingCall { worker, parts } in self.0 {
@@ -44,7 +44,8 @@
 }
 
 impl Core {
-    /// Sends an attempt. Every attempt passes here; one that would break an invariant is not sent and ends as such.
+    /// Sends the next attempt of a part. An attempt that would violate an invariant is not sent and finishes as
+    /// [`AttemptOutcome::NotSent`].
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -73,7 +74,7 @@
         calls.add(worker, Dispatch { attempt_id, label, shard, payload, at_most_once, permit });
     }
 
-    /// The right to send an attempt, or the invariant that it would break.
+    /// Returns the permit to send the next attempt of a part, or the invariant that the attempt would violate.
     fn permit(
         &mut self,
         now: Time,
@@ -100,7 +101,7 @@
         check.permit(timeout)
     }
 
-    /// Ends an attempt that would break an invariant as one that was never sent.
+    /// Reports the violation that an attempt would cause, and finishes the attempt as not sent.
     fn withhold(
         &mut self,
         now: Time,
@@ -109,7 +110,7 @@
         broken: Invariant,
         part: &str,
     ) {
-        let name = self.workers.registry.name(worker).unwrap_or("of no name");
+        let name = self.workers.registry.name(worker).unwrap_or("<unknown>");
         let subject = format!("attempt {} of part {part} to worker {name}", attempt_id.attempt.0);
         self.report_violation(broken, &subject);
         let sent = SentAttempt { worker, sent_at: now, deadline: now };
@@ -117,7 +118,7 @@
         self.finish_attempt(now, attempt_id, &sent, not_sent);
     }
 
-    /// Counts why an attempt follows another one.
+    /// Counts a retry or hedged attempt by its cause; does nothing for the first attempt of a part.
     fn count_retry(&mut self, attempt_id: AttemptId) {
         if attempt_id.attempt.0 == 0 {
             return;
@@ -131,6 +132,7 @@
         } += 1;
     }
 
+    /// Cancels an attempt. Does nothing if the attempt has already finished.
     pub(super) fn cancel(&mut self, now: Time, attempt_id: AttemptId, calls: &mut Calls) {
         let Some(sent) = self.in_flight.remove(attempt_id) else { return };
         calls.remove(attempt_id);
--- a/src/routing/core/step.rs
+++ b/src/routing/core/step.rs
@@ -1,4 +1,4 @@
-//! The step: everything that has happened goes to the decision module at once, and its actions become commands.
+//! The step of the core: passes all pending events to the decision module at once, and turns its actions into commands.
 
 use super::Core;
 use super::completion::Completion;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Core {
-    /// When [`Core::step`] is due if nothing is reported before.
+    /// Returns when [`Core::step`] is due if no event arrives before, or `None` if nothing is scheduled.
     #[must_use]
     pub fn next_step_at(&self, now: Time) -> Option<Time> {
         if !self.pending_events.is_empty() || !self.pending_commands.is_empty() {
@@ -21,12 +21,12 @@
         [timer, attempt, query].into_iter().flatten().min()
     }
 
-    /// How long after its client's deadline the decision module may still complete a query.
+    /// Time past a query's deadline after which the core fails it: half of the response grace.
     fn overdue_grace(&self) -> Duration {
         self.contracts.settings.response_grace / 2
     }
 
-    /// Hands everything that has happened to the decision module in one step, and returns what is to be carried out.
+    /// Passes all events since the last step to the decision module and returns the commands for the host.
     pub fn step(&mut self, now: Time) -> Vec<Command> {
         self.fire_timers(now);
         self.time_out_attempts(now);
@@ -59,12 +59,14 @@
         }
     }
 
-    /// Fails the queries that the decision module has left open past their client's deadline, so that none is lost.
+    /// Fails queries that the decision module has not completed in time, so that every query gets an outcome.
     fn fail_overdue(&mut self, now: Time) {
         for query in self.open_queries.overdue(now, self.overdue_grace()) {
             self.pending_events.push(Event::ClientDisconnected { id: query });
-            self.pending_commands
-                .push(Command::Log(format!("query is overdue and fails: query={}", query.0)));
+            self.pending_commands.push(Command::Log(format!(
+                "query failed: the decision module did not complete it in time: query_id={}",
+                query.0
+            )));
             self.complete_query(now, query, Completion::FailOverdue);
         }
     }
@@ -84,8 +86,8 @@
                 let number = self.next_number();
                 self.timers.insert((now.after(after), number), timer);
             }
-            // The endpoint list arrives without a subscription here, and health checks are not allowed by the settings: the
-            // module requests neither.
+            // Never requested here: the endpoint list arrives without a subscription, and the settings do not allow
+            // health checks.
             Action::SubscribeToEndpoints | Action::SendHealthCheck { .. } => {}
             Action::Log { text } => self.pending_commands.push(Command::Log(text)),
         }
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -1,5 +1,5 @@
-//! What the core learns of workers and of other gatherers: discovery's lists, operators' commands, load reports, and the
-//! state of the gatherer's other process. It passes to the records what changes by it.
+//! Events of the core about workers and other gatherers: endpoint lists, operators' requests, load reports, the fleet's
+//! size, and the state taken over from the gatherer's other process. Changes of workers' states go to the records.
 
 use super::Core;
 use crate::policy::{
@@ -14,50 +14,50 @@
 use std::time::Duration;
 
 impl Core {
-    /// Whether any worker is listed.
+    /// Returns whether any worker is listed.
     #[must_use]
     pub fn has_workers(&self) -> bool {
         self.workers.len() > 0
     }
 
-    /// The number of listed workers.
+    /// Returns the number of listed workers.
     #[must_use]
     pub fn listed_workers(&self) -> usize {
         self.workers.len()
     }
 
-    /// The number of listed workers that are disabled or ejected.
+    /// Returns the number of listed workers that are disabled or ejected.
     #[must_use]
     pub fn avoided_workers(&self) -> usize {
         let ejected = self.policy.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_disabled() + ejected.count()
     }
 
-    /// The name of a worker that was listed before.
+    /// Returns the name of a worker, if its id is registered.
     #[must_use]
     pub fn worker_name(&self, worker: WorkerId) -> Option<&str> {
         self.workers.registry.name(worker)
     }
 
-    /// The list as discovery last sent it.
+    /// Returns the current endpoint list, in the order of names.
     #[must_use]
     pub fn endpoint_list(&self) -> WorkerListUpdate {
         self.workers.to_update()
     }
 
-    /// Whether discovery itself has sent a list, as opposed to a cached one.
+    /// Returns whether discovery has sent an endpoint list; a cached list does not count.
     #[must_use]
     pub fn has_discovery_list(&self) -> bool {
         self.has_discovery_list
     }
 
-    /// The workers that operators have disabled.
+    /// Returns the workers that operators have disabled.
     #[must_use]
     pub fn disabled_workers(&self) -> &DisabledWorkers {
         &self.workers.disabled
     }
 
-    /// Applies what discovery sent; `cached` where it is the list of an earlier process.
+    /// Applies an endpoint list or a change of it; `cached` if it comes from an earlier process instead of discovery.
     pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, cached: bool) {
         self.counters.listings += 1;
         self.has_discovery_list |= !cached;
@@ -73,7 +73,7 @@
         }));
     }
 
-    /// A load report that arrived by itself, not with a response. Returns whether its worker was ever listed.
+    /// Passes on a load report that did not come with a response. Returns whether the worker is known.
     pub fn on_load_report(&mut self, worker: &str, report: LoadReport) -> bool {
         let Some(worker) = self.workers.registry.get(worker) else { return false };
         self.pending_events.push(Event::HealthCheckFinished {
@@ -85,13 +85,13 @@
         true
     }
 
-    /// Disables a worker until [`Core::enable_worker`], whatever discovery sends meanwhile. Returns whether any list ever
-    /// named it; where none did, nothing changes.
+    /// Disables a worker until [`Core::enable_worker`]; endpoint updates don't enable it. Returns false, and changes
+    /// nothing, if the worker is not known.
     pub fn disable_worker(&mut self, now: Time, name: &str) -> bool {
         self.change_disabled(now, name, |disabled| disabled.disable(name))
     }
 
-    /// Enables a worker that was disabled. Returns whether any list ever named it.
+    /// Enables a worker that was disabled. Returns false if the worker is not known.
     pub fn enable_worker(&mut self, now: Time, name: &str) -> bool {
         self.change_disabled(now, name, |disabled| disabled.enable(now, name))
     }
@@ -117,39 +117,39 @@
         true
     }
 
-    /// Sets how many processes are this one gatherer and share its limits and its slow-start budget.
+    /// Sets how many processes run this gatherer and share its limits and its slow-start budget.
     pub fn set_process_count(&mut self, processes: u32) {
         self.process_count = processes.max(1);
         let gatherer_factor = self.contracts.settings.slow_start_budget_factor;
         self.policy.set_slow_start_budget_factor(gatherer_factor / f64::from(self.process_count));
     }
 
-    /// Sets how many gatherers share the fleet, in place of the settings' number. Slow-start budgets, half-open attempts,
-    /// tenants' quotas and polls of discovery are divided by it.
+    /// Sets how many gatherers share the fleet of workers, in place of the configured number. Slow-start budgets,
+    /// half-open attempts, tenants' quotas and the rate of discovery polls are divided by it.
     pub fn set_fleet_size(&mut self, gatherers: u32) {
         self.contracts.settings.fleet_size = gatherers.max(1);
         self.policy.set_fleet_size(gatherers);
     }
 
-    /// How many gatherers share the fleet.
+    /// Returns how many gatherers share the fleet of workers.
     #[must_use]
     pub fn fleet_size(&self) -> u32 {
         self.contracts.settings.fleet_size
     }
 
-    /// What the decision module knows of workers, for the process that takes over.
+    /// Returns the decision module's state about workers, for the process that takes over.
     #[must_use]
     pub fn policy_snapshot(&self) -> PolicySnapshot {
         self.policy.snapshot(|worker| self.workers.registry.name(worker))
     }
 
-    /// Assigns an id to a worker that a list named to the gatherer's other process.
+    /// Assigns an id to a worker that only the gatherer's other process knows from an endpoint list.
     pub fn register_worker(&mut self, name: &str) {
         self.workers.registry.get_or_insert(name);
     }
 
-    /// Takes over the state of the gatherer's other process: its list, the disabled workers, and the snapshot of its
-    /// decision module.
+    /// Restores the state of the gatherer's other process: its endpoint list, the disabled workers, and the snapshot of
+    /// its decision module.
     pub fn take_over(
         &mut self,
         now: Time,
@@ -161,13 +161,13 @@
         names.take(MAX_REMEMBERED_WORKERS).for_each(|name| self.register_worker(name));
         self.workers.disabled = disabled;
         self.apply_endpoint_update(now, list, true);
-        // The module has to know the workers before it can restore what the snapshot says of them.
+        // The decision module has to process the endpoint list before it can restore the workers' state.
         let commands = self.step(now);
         self.policy.restore(snapshot, |name| self.workers.registry.get(name));
         self.pending_commands.extend(commands);
     }
 
-    /// Records what an update of the list has changed.
+    /// Records an update of the endpoint list and the changed states of workers.
     fn record_list(&mut self, now: Time, update: &WorkerListUpdate, endpoints: &[Endpoint]) {
         if self.metrics.is_none() {
             return;
@@ -178,7 +178,7 @@
         self.record_states(now, endpoints, removed);
     }
 
-    /// Records the states of these workers where they have changed, and the removed ones.
+    /// Records the changed states of these workers, and the removal of others.
     fn record_states(&mut self, now: Time, endpoints: &[Endpoint], removed: Vec<WorkerId>) {
         if self.metrics.is_none() {
             return;
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -1,4 +1,4 @@
-//! Counts what the broker received, sent and answered since its start. They only ever grow; nothing is decided by them.
+//! Counters of queries and attempts since the start. They never decrease, and no decision depends on them.
 
 use crate::policy::AttemptOutcome;
 use crate::records::metrics;
@@ -6,7 +6,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start. The fields are named as the metrics of `GET /_counters`, whose names stay.
+        /// Counters since the start. Their field names are the outer names in `GET /_counters` and must not change.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64,)* }
 
@@ -33,9 +33,9 @@
     answered_part,
     /// Queries that the decision module rejected.
     refused,
-    /// Queries rejected because as many as may be were open.
+    /// Queries rejected because the limit of open queries and parts was reached.
     refused_full,
-    /// Queries rejected because the process was stopping.
+    /// Queries rejected because the process was shutting down.
     refused_stopping,
     /// Queries that failed.
     failed,
@@ -43,13 +43,13 @@
     left,
     /// Attempts handed to the transport.
     sent,
-    /// Of these, retries and hedged requests: attempts beyond a part's first.
+    /// Retries and hedged attempts among `sent`: all attempts except the first of each part.
     resent,
-    /// Of these, attempts while another one was in flight.
+    /// Hedged attempts among `resent`: another attempt of the part was in flight.
     resent_hedged,
-    /// Of these, attempts after one that proved not to have run: rejected, without a connection, or never sent.
+    /// Retries among `resent` after an attempt that certainly did not run: rejected, not connected, or never sent.
     resent_unrun,
-    /// Of these, attempts after one that failed and may have run.
+    /// Other retries among `resent`: the previous attempt failed and may have run.
     resent_failed,
     /// Attempts whose last byte was written.
     written,
@@ -69,14 +69,14 @@
     ended_cancelled,
     /// Attempts that were never sent.
     ended_skipped,
-    /// Lists and changes that discovery sent.
+    /// Endpoint lists and changes that were applied, cached ones included.
     listings,
 }
 
-/// The queries of one class by their end. A query that is counted in none of the ends is open.
+/// Numbers of queries of one class, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueryCounts {
-    /// Queries that were submitted, and those that were rejected before they could be.
+    /// Queries that were received, including those rejected before submission.
     pub received: u64,
     /// Queries with a complete or partial answer.
     pub succeeded: u64,
@@ -89,35 +89,35 @@
 }
 
 impl QueryCounts {
-    /// Queries that have not ended.
+    /// Returns the number of queries that have not ended.
     #[must_use]
     pub fn open(&self) -> u64 {
         self.received - self.succeeded - self.rejected - self.failed - self.client_disconnected
     }
 }
 
-/// The queries of all classes, in the order of the contracts. A class that has no contract is not counted.
+/// Query counts of all classes, in the order of the contracts. Queries of unknown classes are not counted.
 pub(super) struct ClassCounts(Vec<QueryCounts>);
 
 impl ClassCounts {
-    /// Counts of zero for this many classes.
+    /// Creates counts of zero for this many classes.
     pub fn new(classes: usize) -> ClassCounts {
         ClassCounts(vec![QueryCounts::default(); classes])
     }
 
-    /// All classes.
+    /// Returns the counts of all classes.
     pub fn all(&self) -> &[QueryCounts] {
         &self.0
     }
 
-    /// A query of this class was received.
+    /// Counts a received query.
     pub fn record_received(&mut self, class: usize) {
         if let Some(ends) = self.0.get_mut(class) {
             ends.received += 1;
         }
     }
 
-    /// A query of this class ended. Every query that ends is counted here exactly once.
+    /// Counts the end of a query. Called exactly once for each query that ends.
     pub fn record_end(&mut self, class: usize, end: metrics::QueryEnd) {
         use metrics::QueryEnd;
         let Some(ends) = self.0.get_mut(class) else { return };
@@ -132,7 +132,7 @@
     }
 }
 
-/// The name of an outcome in the records.
+/// Returns the name of an outcome in the records. These names are stored and must not change.
 pub(super) fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Succeeded => metrics::ATTEMPT_DONE,
@@ -147,7 +147,7 @@
 }
 
 impl Counters {
-    /// Counts an attempt that finished.
+    /// Counts a finished attempt by its outcome.
     pub fn record_attempt(&mut self, outcome: AttemptOutcome) {
         *match outcome {
             AttemptOutcome::Succeeded => &mut self.ended_done,
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -1,8 +1,9 @@
-//! Idempotency keys of queries that must not run twice: which request runs, which ones await its response, and which
-//! responses are cached.
+//! Idempotency keys for queries that must not run twice. The store decides whether a request runs, waits for the
+//! response of one that runs, or receives a cached response.
 //!
-//! Only a key that this incarnation issued and still holds ever runs, and it runs once. A request with an unknown key
-//! (issued before a restart, by another gatherer, or past its retention) is answered so and never runs.
+//! A request runs only with a key that this incarnation issued and still holds. An unknown key (issued before a
+//! restart, by another gatherer, or past its retention) is reported as [`KeyClaim::Unknown`] and its request never
+//! runs.
 
 use crate::policy::Time;
 use std::collections::HashMap;
@@ -12,74 +13,77 @@
 /// Bounds of an [`IdempotencyStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct IdempotencyLimits {
-    /// Keys held at once.
+    /// Maximum number of keys held at once.
     pub max_keys: usize,
-    /// Bytes of cached responses.
+    /// Maximum size of all cached responses, in bytes.
     pub max_bytes: usize,
-    /// Time from a key's issue, or from its response, until the key is forgotten.
+    /// Time from a key's issue, or from its response, until the key expires. A running key does not expire.
     pub retention: Duration,
 }
 
 enum KeyState<T> {
+    /// No request has run with the key yet.
     Issued,
+    /// A request runs; `digest` identifies its content.
     Running { digest: u64, sender: watch::Sender<Option<T>> },
+    /// The response is cached.
     Recorded { digest: u64, response: T, size: usize },
 }
 
 struct Entry<T> {
     owner: String,
     state: KeyState<T>,
-    /// When the key was issued or, once there is a response, when that was recorded.
+    /// Time of the key's issue or, after a run, of its response.
     updated_at: Time,
 }
 
-/// What a request with a key is to do.
+/// Result of a claim: how the request with the key is to be handled.
 #[derive(Debug)]
 pub enum KeyClaim<T> {
-    /// Run, and report the response by [`IdempotencyStore::finish`]; the receiver yields it as to those who join.
+    /// Run the request and pass its response to [`IdempotencyStore::finish`]; the receiver yields it too.
     Run(watch::Receiver<Option<T>>),
-    /// Wait for the response of the request that runs.
+    /// Wait for the response of the request that already runs with the key.
     Join(watch::Receiver<Option<T>>),
     /// Return this cached response.
     Recorded(T),
-    /// The key belongs to another request.
+    /// The key was claimed for a request with another digest.
     Mismatch,
-    /// The key is unknown: do not run.
+    /// The key is unknown or belongs to another owner: do not run.
     Unknown,
 }
 
-/// No further key can be issued now.
+/// The limit of [`IdempotencyLimits::max_keys`] is reached. The message goes out in an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many idempotency keys as may be are held")]
 pub struct KeyLimitReached;
 
-/// The keys of one incarnation of a gatherer, with the responses of type `T`.
+/// Idempotency keys of one incarnation of a gatherer, with responses of type `T`.
 pub struct IdempotencyStore<T> {
     incarnation: String,
     random: fastrand::Rng,
     limits: IdempotencyLimits,
     entries: HashMap<String, Entry<T>>,
-    /// Bytes of cached responses.
+    /// Size of all cached responses, in bytes.
     cached_bytes: usize,
 }
 
 impl<T: Clone> IdempotencyStore<T> {
-    /// A store without keys. `incarnation` names this incarnation of the gatherer and never any other.
+    /// Creates a store without keys. `incarnation` must be unique among all gatherers and restarts.
     #[must_use]
     pub fn new(incarnation: String, random: fastrand::Rng, limits: IdempotencyLimits) -> IdempotencyStore<T> {
         IdempotencyStore { incarnation, random, limits, entries: HashMap::new(), cached_bytes: 0 }
     }
 
-    /// The incarnation that its keys name.
+    /// Returns the incarnation, which is the prefix of every key that the store issues.
     #[must_use]
     pub fn incarnation(&self) -> &str {
         &self.incarnation
     }
 
-    /// Issues a key to its owner.
+    /// Issues a key that only `owner` can claim.
     ///
     /// # Errors
-    /// [`KeyLimitReached`] where as many keys as may be are held.
+    /// [`KeyLimitReached`] if the store holds `max_keys` keys that have not expired.
     pub fn issue(&mut self, now: Time, owner: &str) -> Result<String, KeyLimitReached> {
         self.expire(now);
         if self.entries.len() >= self.limits.max_keys {
@@ -91,7 +95,7 @@
         Ok(key)
     }
 
-    /// Claims a key for a request of this owner and digest.
+    /// Claims a key for a request of `owner`; `digest` identifies the request's content.
     pub fn claim(&mut self, now: Time, key: &str, owner: &str, digest: u64) -> KeyClaim<T> {
         self.expire(now);
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.owner == owner) else {
@@ -113,8 +117,9 @@
         }
     }
 
-    /// Ends the run of a key: its response goes to all that joined. Where `may_have_run`, the response is cached and the
-    /// key never runs again; otherwise the key may be claimed to run once more.
+    /// Ends the run of a key and sends the response to all requests that joined it. If the request `may_have_run`, the
+    /// response is cached and the key never runs again; otherwise the key can be claimed for another run. Where the
+    /// cached responses exceed `max_bytes`, the oldest are dropped together with their keys.
     pub fn finish(&mut self, now: Time, key: &str, response: T, size: usize, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let KeyState::Running { digest, sender } = &entry.state else { return };
--- a/src/routing/idempotency/tests.rs
+++ b/src/routing/idempotency/tests.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys with times as arguments.
+//! Tests of the idempotency store with explicit times.
 
 use super::{IdempotencyLimits, IdempotencyStore, KeyClaim, KeyLimitReached};
 use crate::policy::Time;
@@ -16,7 +16,9 @@
     assert!(matches!(store.claim(Time(0), &key, "notary", 1), KeyClaim::Unknown));
     assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
     assert!(matches!(store.claim(Time(0), &key, "bank", 2), KeyClaim::Mismatch));
-    let KeyClaim::Join(receiver) = store.claim(Time(0), &key, "bank", 1) else { panic!("it runs") };
+    let KeyClaim::Join(receiver) = store.claim(Time(0), &key, "bank", 1) else {
+        panic!("the key is running, so a second claim joins it")
+    };
     store.finish(Time(0), &key, "sealed", 6, true);
     assert_eq!(*receiver.borrow(), Some("sealed"));
     assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Recorded("sealed")));
@@ -24,7 +26,8 @@
 
 #[test]
 fn an_unknown_key_never_runs() {
-    // Guards against a second run after a restart, at another gatherer, past its retention, or after its response was evicted.
+    // A key must not run a second time after a restart, at another gatherer, past its retention, or after the eviction
+    // of its response.
     let (mut before, mut after) = (store("a"), store("b"));
     let key = before.issue(Time(0), "bank").expect("the limit is not reached");
     assert!(matches!(after.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -1,9 +1,9 @@
 //! The rules that no path may break. Each is checked in the one function that every path takes, and counted where it is
 //! broken.
 //!
-//! The decision module chooses; the checks here know nothing of its choices. They see each attempt before it is sent and
-//! each answer before it is given, and prevent whatever would break a promise to a client or a worker. A count over zero
-//! is a fault of the program, whatever the traffic.
+//! The decision module chooses; the checks here know nothing of its choices. They see each attempt before it is sent
+//! and each answer before it is given, and prevent whatever would break a promise to a client or a worker. A count over
+//! zero is a fault of the program, whatever the traffic.
 
 use super::open_queries::OpenPart;
 use crate::policy::{Class, Idempotency, Time};
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -1,5 +1,5 @@
-//! Scroll contexts: results that are held for further pages, bounded in number and bytes, each until it expires. It knows
-//! nothing of how a result is made or paged.
+//! Scroll contexts: results that are held for further pages, bounded in number and bytes, each until it expires. It
+//! knows nothing of how a result is made or paged.
 
 use crate::policy::Time;
 use std::collections::HashMap;
@@ -34,7 +34,8 @@
         ScrollContexts { random, max_contexts, max_bytes, bytes: 0, entries: HashMap::new() }
     }
 
-    /// Holds a result for its owner and returns the id of its context. An existing context is never evicted for a new one.
+    /// Holds a result for its owner and returns the id of its context. An existing context is never evicted for a new
+    /// one.
     ///
     /// # Errors
     /// [`ScrollLimitReached`] where the number of contexts or their bytes would exceed the limits.
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -1,8 +1,8 @@
 //! Corrects start times of workers that lie in the future.
 //!
-//! Discovery gives start times in Unix time. A wall clock that was stepped back, either here before this process read it
-//! or at the worker, places them after now. Such a start counts as having happened when discovery first sent it, so that
-//! the worker's warm-up begins and ends in its time.
+//! Discovery gives start times in Unix time. A wall clock that was stepped back, either here before this process read
+//! it or at the worker, places them after now. Such a start counts as having happened when discovery first sent it, so
+//! that the worker's warm-up begins and ends in its time.
 
 use crate::policy::{Time, WorkerId};
 use std::collections::HashMap;
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -1,5 +1,5 @@
-//! The workers that discovery lists, and which of them operators have disabled. It turns changes of either into commands
-//! for the transport and endpoints for the decision module.
+//! The workers that discovery lists, and which of them operators have disabled. It turns changes of either into
+//! commands for the transport and endpoints for the decision module.
 
 use super::command::Command;
 use super::contracts::Contracts;
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -47,8 +47,8 @@
 }
 
 impl WorkerRegistry {
-    /// The id of this worker, which is assigned on first use. Where two names hash alike, the later one gets the next free
-    /// id.
+    /// The id of this worker, which is assigned on first use. Where two names hash alike, the later one gets the next
+    /// free id.
     pub fn get_or_insert(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -32,8 +32,8 @@
         self.0.keys().copied().filter(|worker| !is_listed(*worker)).collect()
     }
 
-    /// Notes the state of a worker and returns whether it changed. The removal of a worker that was never recorded is no
-    /// change.
+    /// Notes the state of a worker and returns whether it changed. The removal of a worker that was never recorded is
+    /// no change.
     pub fn update(&mut self, worker: WorkerId, state: RecordedWorkerState) -> bool {
         match state {
             RecordedWorkerState::Removed => self.0.remove(&worker).is_some(),
--- a/src/service/disabled_workers.rs
+++ b/src/service/disabled_workers.rs
@@ -1,5 +1,5 @@
-//! The workers that operators have disabled. It stands beside discovery's list, and nothing that discovery sends changes
-//! it. It owns names only: which workers exist, and what is sent to them, is decided elsewhere.
+//! The workers that operators have disabled. It stands beside discovery's list, and nothing that discovery sends
+//! changes it. It owns names only: which workers exist, and what is sent to them, is decided elsewhere.
 
 use crate::policy::{EndpointStatus, Time};
 use serde::{Deserialize, Serialize};
@@ -47,9 +47,9 @@
             listed => listed,
         }
     }
-    /// The start time that counts for a worker that discovery lists with `listed`: not before it was last enabled. It may
-    /// have been restarted while it was disabled; discovery lists that seconds late, and until then the worker would count
-    /// as warm.
+    /// The start time that counts for a worker that discovery lists with `listed`: not before it was last enabled. It
+    /// may have been restarted while it was disabled; discovery lists that seconds late, and until then the worker
+    /// would count as warm.
     #[must_use]
     pub fn effective_start(&self, name: &str, listed: Option<Time>) -> Option<Time> {
         listed.max(self.enabled_at.get(name).copied())
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -1,13 +1,14 @@
-//! The lifecycle of a gatherer's process: serving, draining, and the graceful shutdown. Requests of operators, SIGTERM, a
-//! successor and time move it on. It decides what each state permits; connections and the process's end are the callers'.
+//! The lifecycle of a gatherer's process: serving, draining, and the graceful shutdown. Requests of operators, SIGTERM,
+//! a successor and time move it on. It decides what each state permits; connections and the process's end are the
+//! callers'.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// How long the process still serves as before after its health check has first failed, because the front layer may send
-/// clients here until it notices. After SIGTERM it has to be under 0.7 s: what arrives later and is unanswered at SIGKILL
-/// is lost, and SIGKILL may follow after the longest deadline (or 3 s where that is longer) and 0.7 s. What arrives within
-/// it may have its whole deadline.
+/// How long the process still serves as before after its health check has first failed, because the front layer may
+/// send clients here until it notices. After SIGTERM it has to be under 0.7 s: what arrives later and is unanswered at
+/// SIGKILL is lost, and SIGKILL may follow after the longest deadline (or 3 s where that is longer) and 0.7 s. What
+/// arrives within it may have its whole deadline.
 pub const GRACE_PERIOD: Duration = Duration::from_millis(600);
 
 /// A state of the lifecycle.
@@ -21,8 +22,9 @@
     Drained,
     /// SIGTERM was received: it is no longer healthy, but serves whoever still comes.
     Stopping,
-    /// SIGTERM was received while a successor serves, which continues the gatherer. It accepts no connection, is healthy
-    /// for whoever checks on an open one (unless it was drained), and closes each connection after its response.
+    /// SIGTERM was received while a successor serves, which continues the gatherer. It accepts no connection, is
+    /// healthy for whoever checks on an open one (unless it was drained), and closes each connection after its
+    /// response.
     HandedOver {
         /// An operator had drained it.
         drained: bool,
--- a/src/service/takeover.rs
+++ b/src/service/takeover.rs
@@ -1,6 +1,6 @@
 //! The two processes of a hot restart, as one of them sees it: whether another one may join, how many share the
-//! gatherer's limits, and what SIGTERM means. It owns that knowledge only; the messages between the two and their sockets
-//! are the callers'.
+//! gatherer's limits, and what SIGTERM means. It owns that knowledge only; the messages between the two and their
+//! sockets are the callers'.
 
 use super::lifecycle::LifecycleRequest;
 
@@ -57,8 +57,8 @@
     /// A further process has started and asks to join.
     ///
     /// # Errors
-    /// [`TakeoverInProgress`] where this process does not serve yet or there is another one already: a third would share
-    /// limits that are halved as it is.
+    /// [`TakeoverInProgress`] where this process does not serve yet or there is another one already: a third would
+    /// share limits that are halved as it is.
     pub fn admit_successor(&mut self) -> Result<(), TakeoverInProgress> {
         if !self.is_serving || self.predecessor != PeerState::None || self.successor != PeerState::None {
             return Err(TakeoverInProgress);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Proves of each invariant that its check can fail: what breaks it is detected, counted, and prevented where it can be.
+//! Proves of each invariant that its check can fail: what breaks it is detected, counted, and prevented where
+//! it can be.
 
 mod common;
 
@@ -111,8 +112,8 @@
     }
 }
 
-/// Serves one connection on which a request arrives, until the client disconnects or this side closes it. Returns the
-/// violations.
+/// Serves one connection on which a request arrives, until the client disconnects or this side closes it.
+/// Returns the violations.
 async fn violations_on_close(client_disconnects: bool) -> Vec<Invariant> {
     let descriptors = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
     let connections = ConnectionManager::new(descriptors.clone());
