--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -1,48 +1,47 @@
-//! The rules that no path may break. Each is checked in the one function that every path takes, and counted where it is
-//! broken.
+//! Invariants of sending, answering and serving, with their checks and the counts of their violations.
 //!
-//! The decision module chooses; the checks here know nothing of its choices. They see each attempt before it is sent
-//! and each answer before it is given, and prevent whatever would break a promise to a client or a worker. A count over
-//! zero is a fault of the program, whatever the traffic.
+//! The checks do not depend on the decision module. They run on each attempt before it is sent and on each outcome
+//! before it is delivered, and prevent whatever would break a promise to a client or a worker. A count over zero is a
+//! bug in this program, whatever the traffic.
 
 use super::open_queries::OpenPart;
 use crate::policy::{Class, Idempotency, Time};
 use std::fmt;
 use std::time::Duration;
 
-/// How much a sum of weights may fall short by rounding.
+/// Tolerance for rounding errors in a sum of weights.
 const COVERAGE_EPSILON: f64 = 1e-4;
 
-/// A rule that holds for each attempt, answer and connection.
+/// A rule that every attempt, outcome, connection or process has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// An attempt goes only to a worker that is listed as active and not disabled.
     SentToActiveWorker,
     /// An attempt is sent only before its client's deadline.
     SentBeforeDeadline,
-    /// A non-idempotent part is retried only where no attempt before can have run.
+    /// A non-idempotent part is retried only if no previous attempt can have run.
     RetriedSafely,
-    /// A keyed part is retried only within its repeat window.
+    /// A keyed part is retried only within the repeat window of its class.
     RetriedInWindow,
-    /// Two attempts of a part are in flight at once only where hedging is allowed.
+    /// Two attempts of a part are in flight at once only if hedging is allowed.
     HedgedWhereAllowed,
-    /// A part has at most as many attempts as its limit.
+    /// A part has at most `max_attempts` attempts.
     AttemptsBounded,
     /// An answer has at least the coverage that its class requires.
     MinCoverageMet,
-    /// An answer that is marked complete has the coverage of a complete one.
+    /// An answer that is marked complete has the coverage that its class requires for that.
     CompleteMarkedTruly,
-    /// A rejection promises that a retry is harmless: nothing can have run that must not run twice.
+    /// A query is rejected only if a retry by the client is harmless: nothing can have run that must not run twice.
     RejectedUnexecuted,
-    /// A query ends within the grace period after its client's deadline.
+    /// A query ends within the response grace after its client's deadline.
     EndedInTime,
-    /// A request that was read is answered before its connection is closed, unless its client has disconnected.
+    /// A request that was read gets a response before its connection is closed, unless its client has disconnected.
     ClosedAfterResponse,
-    /// One process listens for a gatherer's clients, or two that know of each other.
+    /// A gatherer's clients are served by one process, or by two of a hot restart that know of each other.
     SingleListeningProcess,
 }
 
-/// All invariants, in the order in which they are counted.
+/// Every invariant, in the order of the counts in [`Violations`].
 pub const INVARIANTS: [Invariant; 12] = [
     Invariant::SentToActiveWorker,
     Invariant::SentBeforeDeadline,
@@ -59,7 +58,7 @@
 ];
 
 impl Invariant {
-    /// Its name in the metrics and the log. These are outer names, which stay where a variant is renamed.
+    /// Returns the name in metrics and logs. These are outer names: they must not change when a variant is renamed.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -78,14 +77,14 @@
         }
     }
 
-    /// The line of the log for a violation; `subject` names what broke it.
+    /// Returns the log line for a violation; `subject` names the query, attempt, connection or process concerned.
     #[must_use]
     pub fn violation_message(self, subject: &str) -> String {
-        format!("invariant {} is broken: {subject}", self.name())
+        format!("invariant {} violated: {subject}", self.name())
     }
 }
 
-/// How often each invariant was broken since the start.
+/// Number of violations of each invariant since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Violations([u64; INVARIANTS.len()]);
 
@@ -95,13 +94,13 @@
         self.0[broken as usize] += 1;
     }
 
-    /// How often this invariant was broken.
+    /// Returns the number of violations of this invariant.
     #[must_use]
     pub fn count_of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize]
     }
 
-    /// How often any invariant was broken.
+    /// Returns the number of violations of all invariants.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
@@ -118,30 +117,31 @@
     }
 }
 
-/// What is known of an attempt before it is sent: the input of the check that permits it.
+/// Input of the check that an attempt has to pass before it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck<'a> {
-    /// The time.
+    /// Current time.
     pub now: Time,
-    /// The contract of its class.
+    /// Class of the query.
     pub class: &'a Class,
-    /// Its client waits until then.
+    /// Deadline of the query's client.
     pub valid_until: Time,
-    /// The worker is listed as active and not disabled.
+    /// Whether the worker is listed as active and not disabled.
     pub worker_accepts_work: bool,
-    /// How many attempts its part had before.
+    /// Number of earlier attempts of the part.
     pub previous_attempts: u32,
-    /// When the first of them was sent that has run or may still run.
+    /// Send time of the first earlier attempt that has run or may still run.
     pub first_possible_run: Option<Time>,
-    /// Any of them is in flight.
+    /// Whether any earlier attempt is in flight.
     pub has_attempt_in_flight: bool,
-    /// Two attempts of a part may be in flight at once.
+    /// Whether hedging is allowed: two attempts of a part may be in flight at once.
     pub may_hedge: bool,
-    /// The limit of attempts of a part; `None` where there is none.
+    /// Limit of attempts for each part; `None` if there is no limit.
     pub max_attempts: Option<u32>,
 }
 
-/// The right to send one attempt. Only [`SendCheck::permit`] gives it, and an attempt cannot be made without.
+/// Proof that an attempt may be sent. Only [`SendCheck::permit`] creates it, and every [`super::Dispatch`] contains
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
     deadline: Time,
@@ -149,13 +149,14 @@
 }
 
 impl SendPermit {
-    /// The attempt counts as timed out from then on, which is never later than its client's deadline.
+    /// Returns the time from which the attempt counts as timed out. It is never later than the client's deadline.
     #[must_use]
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Time from the permit within which the last byte of the frame has to be written, where the class bounds it.
+    /// Returns the time after the permit was issued by which the last byte of the frame has to be written, or `None` if
+    /// there is no limit.
     #[must_use]
     pub fn write_window(&self) -> Option<Duration> {
         self.window
@@ -163,10 +164,11 @@
 }
 
 impl SendCheck<'_> {
-    /// The one guard on sending and retrying: a permit to send the attempt and to wait for it for at most `timeout`.
+    /// Checks the attempt against all invariants of sending and retrying. The permit's deadline is `timeout` from now,
+    /// or the client's deadline if that is earlier.
     ///
     /// # Errors
-    /// The invariant that the attempt would break.
+    /// The invariant that the attempt would violate.
     pub fn permit(&self, timeout: Duration) -> Result<SendPermit, Invariant> {
         if !self.worker_accepts_work {
             return Err(Invariant::SentToActiveWorker);
@@ -185,7 +187,7 @@
         Ok(SendPermit { deadline, window })
     }
 
-    /// What is left of the window within which the part may be retried; `None` where it is not bounded.
+    /// Returns the rest of the class's repeat window, or `None` if the attempt has no such limit.
     fn window(&self) -> Result<Option<Duration>, Invariant> {
         match (self.class.idempotency, self.first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => Ok(None),
@@ -198,10 +200,11 @@
     }
 }
 
-/// Checks whether an answer of this coverage may be given, and marked complete.
+/// Checks whether an answer with this coverage may be given, and whether it may be marked complete if `complete` is
+/// set.
 ///
 /// # Errors
-/// The invariant that it would break.
+/// The invariant that the answer would violate.
 pub fn check_answer(class: &Class, coverage: f64, complete: bool) -> Result<(), Invariant> {
     if coverage < class.min_coverage.min(class.complete_coverage) - COVERAGE_EPSILON {
         return Err(Invariant::MinCoverageMet);
@@ -212,16 +215,16 @@
     Ok(())
 }
 
-/// Checks whether a rejection may be given, which promises that a retry is harmless.
+/// Checks whether a query may be rejected, which promises the client that a retry is harmless.
 ///
 /// # Errors
-/// The invariant that it would break.
+/// The invariant that the rejection would violate.
 pub fn check_rejection(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
     let harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
     if harmless { Ok(()) } else { Err(Invariant::RejectedUnexecuted) }
 }
 
-/// The fraction of a query's weight for which there are values.
+/// Returns the sum of the weights of all parts that have a value.
 pub(super) fn coverage(parts: &[OpenPart]) -> f64 {
     parts.iter().filter(|part| part.value.is_some()).map(|part| part.weight).sum()
 }
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -1,5 +1,5 @@
-//! The queries that wait for their outcome, with their parts and the values that have arrived for them. It owns no
-//! attempt: those are in [`super::in_flight`].
+//! Open queries: those that wait for their outcome, with their parts and the values received so far. Attempts in flight
+//! are in [`super::in_flight`].
 
 use crate::policy::{AttemptNo, AttemptOutcome, RequestId, ShardId, Time};
 use crate::records::metrics::QueryLabels;
@@ -10,42 +10,42 @@
 
 /// A query that waits for its outcome.
 pub(super) struct OpenQuery {
-    /// Names it to the workers.
+    /// Label that identifies the query to workers.
     pub label: Arc<str>,
-    /// The body of the request to each worker.
+    /// Body of the request to each worker.
     pub payload: Bytes,
-    /// It may not run a second time.
+    /// Whether the class is non-idempotent or keyed. See [`super::attempt::Dispatch::at_most_once`].
     pub at_most_once: bool,
-    /// Its client waits until then.
+    /// Deadline of the query's client.
     pub valid_until: Time,
-    /// Its parts.
+    /// Ids of the query's parts.
     pub parts: Vec<RequestId>,
-    /// The class and tenant under which it is counted.
+    /// Class and tenant under which the query is counted.
     pub labels: QueryLabels,
-    /// When it was accepted.
+    /// Time at which the query was accepted.
     pub accepted_at: Time,
 }
 
 /// One part of an open query.
 pub(super) struct OpenPart {
-    /// The query.
+    /// Id of the part's query.
     pub query: RequestId,
-    /// The shard that it needs.
+    /// Shard that answers the part.
     pub shard: ShardId,
-    /// Its fraction of the complete answer.
+    /// Fraction of the complete answer that the part contributes.
     pub weight: f64,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// When those of its attempts were sent that have run or may still run.
+    /// Send times of the attempts that have run or may still run.
     pub possible_runs: BTreeMap<AttemptNo, Time>,
-    /// The outcome of the attempt that finished last.
+    /// Outcome of the attempt that finished last.
     pub last_outcome: Option<AttemptOutcome>,
-    /// The value of the first attempt that succeeded.
+    /// Value of the first attempt that succeeded.
     pub value: Option<Bytes>,
 }
 
 impl OpenPart {
-    /// A part that was never sent.
+    /// Creates a part without attempts.
     pub fn new(query: RequestId, shard: ShardId, weight: f64) -> OpenPart {
         OpenPart {
             query,
@@ -67,17 +67,17 @@
 }
 
 impl OpenQueries {
-    /// The number of queries.
+    /// Returns the number of queries.
     pub fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// The number of queries and parts together, which the broker's limits bound.
+    /// Returns the number of queries and parts, added up, to which the limit `max_open_requests` applies.
     pub fn size(&self) -> usize {
         self.queries.len() + self.parts.len()
     }
 
-    /// Whether a query of this label is open.
+    /// Returns whether a query with this label is open.
     pub fn has_label(&self, label: &str) -> bool {
         self.queries.values().any(|query| &*query.label == label)
     }
@@ -90,31 +90,31 @@
         self.parts.insert(id, part);
     }
 
-    /// A part of an open query.
+    /// Returns a part of an open query.
     pub fn part(&mut self, id: RequestId) -> Option<&mut OpenPart> {
         self.parts.get_mut(&id)
     }
 
-    /// A part and its query, where both are open.
+    /// Returns a part with its query, or `None` if the query is not open.
     pub fn part_with_query(&mut self, id: RequestId) -> Option<(&mut OpenPart, &OpenQuery)> {
         let part = self.parts.get_mut(&id)?;
         let query = self.queries.get(&part.query)?;
         Some((part, query))
     }
 
-    /// Removes a query and its parts; `None` if it has ended before.
+    /// Removes a query with its parts. Returns `None` if the query is not open.
     pub fn remove(&mut self, id: RequestId) -> Option<(OpenQuery, Vec<OpenPart>)> {
         let query = self.queries.remove(&id)?;
         let parts = query.parts.iter().filter_map(|part| self.parts.remove(part)).collect();
         Some((query, parts))
     }
 
-    /// When the next query is [overdue](OpenQueries::overdue).
+    /// Returns the time at which the next query becomes [overdue](OpenQueries::overdue).
     pub fn next_overdue(&self, grace: Duration) -> Option<Time> {
         self.queries.values().map(|query| query.valid_until.after(grace)).min()
     }
 
-    /// The queries that are still open `grace` after their client's deadline.
+    /// Returns the queries that are still open `grace` after their client's deadline.
     pub fn overdue(&self, now: Time, grace: Duration) -> Vec<RequestId> {
         let overdue = self.queries.iter().filter(|(_, query)| query.valid_until.after(grace) <= now);
         overdue.map(|(id, _)| *id).collect()
--- a/src/routing/query.rs
+++ b/src/routing/query.rs
@@ -1,4 +1,4 @@
-//! A query as a front submits it, and its one final outcome. Plain values, which hold no state of the broker.
+//! A query as a front submits it, and its outcome. These are plain values that hold no state of the broker.
 
 use crate::policy::{ClassId, ShardId, TenantId};
 use bytes::Bytes;
@@ -8,63 +8,63 @@
 /// A query as a front submits it.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
-    /// Names the query to the workers.
+    /// Label that identifies the query to workers.
     pub label: Arc<str>,
-    /// Its class.
+    /// Class of the query.
     pub class: ClassId,
-    /// The tenant whose quota it counts against, where it names one.
+    /// Tenant whose quota the query counts against, if the client names one.
     pub tenant: Option<TenantId>,
-    /// How long its client waits from now on.
+    /// Time until the client's deadline.
     pub time_left: Duration,
-    /// The client says that it sent the same query before.
+    /// Whether the client marked the query as a retry.
     pub retry: bool,
-    /// The body of the request to each worker.
+    /// Body of the request to each worker.
     pub payload: Bytes,
-    /// Its parts, one for each shard.
+    /// Parts of the query, one for each shard.
     pub parts: Vec<QueryPart>,
 }
 
 /// One part of a [`SearchRequest`].
 #[derive(Clone, Debug)]
 pub struct QueryPart {
-    /// The shard that it needs.
+    /// Shard that answers the part.
     pub shard: ShardId,
-    /// Its fraction of the complete answer.
+    /// Fraction of the complete answer that the part contributes.
     pub weight: f64,
-    /// The expected time of work, roughly, where the client gives one.
+    /// Rough estimate of the worker's processing time, if the client gives one.
     pub cost_hint: Option<Duration>,
-    /// The key by which a preferred replica is chosen.
+    /// Key that selects the preferred replica; parts with the same key prefer the same one.
     pub key: Option<Arc<str>>,
 }
 
-/// Why a query is rejected.
+/// Reason for rejecting a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The decision module does not expect that it can be served in time.
+    /// The decision module rejected the query, because it does not expect an answer in time.
     Declined,
-    /// The broker holds as many queries and parts as it may.
+    /// The broker's limit of open queries and parts is reached.
     AtCapacity,
-    /// The process is stopping.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
-/// The one final outcome of a query.
+/// Outcome of a query, which it gets exactly once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryOutcome {
-    /// It is answered, completely or in part.
+    /// The query has a complete or partial answer.
     Answered {
-        /// The answer is marked complete.
+        /// Whether the answer is marked complete.
         complete: bool,
-        /// The value of each part that has one.
+        /// Values of the parts that succeeded, by shard.
         values: Vec<(ShardId, Bytes)>,
     },
-    /// It is rejected, and a retry by the client is harmless.
+    /// The query was rejected. A retry by the client is harmless.
     Rejected {
-        /// The reason.
+        /// Reason for the rejection.
         reason: Rejection,
-        /// How long the client should wait before it retries.
+        /// Time that the client should wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// It failed; parts of it may have run.
+    /// The query failed. Some of its parts may have run.
     Failed,
 }
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -1,5 +1,5 @@
-//! Scroll contexts: results that are held for further pages, bounded in number and bytes, each until it expires. It
-//! knows nothing of how a result is made or paged.
+//! Scroll contexts: search results that are kept for further pages, each until it expires. Their number and total size
+//! are bounded. This module neither creates nor pages the results.
 
 use crate::policy::Time;
 use std::collections::HashMap;
@@ -22,23 +22,23 @@
     entries: HashMap<String, Entry<T>>,
 }
 
-/// No further scroll context can be created now.
+/// The limit of the contexts' number or total size is reached. The message goes out in an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many results as may be are held")]
 pub struct ScrollLimitReached;
 
 impl<T> ScrollContexts<T> {
-    /// No contexts, and the limits of their number and their bytes.
+    /// Creates an empty store for at most `max_contexts` contexts and `max_bytes` bytes of results.
     #[must_use]
     pub fn new(random: fastrand::Rng, max_contexts: usize, max_bytes: usize) -> ScrollContexts<T> {
         ScrollContexts { random, max_contexts, max_bytes, bytes: 0, entries: HashMap::new() }
     }
 
-    /// Holds a result for its owner and returns the id of its context. An existing context is never evicted for a new
-    /// one.
+    /// Stores a result of `size` bytes for its owner and returns the id of the new context. No existing context is
+    /// evicted for it.
     ///
     /// # Errors
-    /// [`ScrollLimitReached`] where the number of contexts or their bytes would exceed the limits.
+    /// [`ScrollLimitReached`] if the new context would exceed `max_contexts` or `max_bytes`.
     pub fn create(
         &mut self,
         now: Time,
@@ -59,7 +59,8 @@
         Ok(id)
     }
 
-    /// The result of a context, whose expiry moves to `keep_alive` from now where that is given.
+    /// Returns the result of a context of this owner. If `keep_alive` is given, the context expires that long after
+    /// now.
     pub fn get(&mut self, now: Time, id: &str, owner: &str, keep_alive: Option<Duration>) -> Option<Rc<T>> {
         self.expire(now);
         let entry = self.entries.get_mut(id).filter(|entry| entry.owner == owner)?;
@@ -69,7 +70,7 @@
         Some(entry.value.clone())
     }
 
-    /// Drops a context; returns false if there was none of this id and owner.
+    /// Drops a context. Returns false if the owner has no context with this id.
     pub fn clear(&mut self, now: Time, id: &str, owner: &str) -> bool {
         self.expire(now);
         let is_owned = self.entries.get(id).is_some_and(|entry| entry.owner == owner);
--- a/src/routing/scroll_contexts/tests.rs
+++ b/src/routing/scroll_contexts/tests.rs
@@ -1,4 +1,4 @@
-//! Scroll contexts with times as arguments.
+//! Tests of scroll contexts with explicit times.
 
 use super::{ScrollContexts, ScrollLimitReached};
 use crate::policy::Time;
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -1,25 +1,26 @@
 //! Corrects start times of workers that lie in the future.
 //!
-//! Discovery gives start times in Unix time. A wall clock that was stepped back, either here before this process read
-//! it or at the worker, places them after now. Such a start counts as having happened when discovery first sent it, so
-//! that the worker's warm-up begins and ends in its time.
+//! Discovery gives start times in Unix time. If a wall clock was stepped back, either on this machine before this
+//! process read it or on the worker's, a start time can be later than now. Such a start counts as having happened when
+//! discovery first sent it, so that the worker's warm-up begins and ends on time.
 
 use crate::policy::{Time, WorkerId};
 use std::collections::HashMap;
 
-/// A start time that lay in the future when discovery sent it.
+/// A start time that was in the future when discovery sent it.
 #[derive(Clone, Copy)]
 struct FutureStart {
     listed: Time,
     received_at: Time,
 }
 
-/// The start times that lay in the future, by worker.
+/// Start times that were in the future when discovery sent them, by worker.
 #[derive(Default)]
 pub(super) struct StartTimes(HashMap<WorkerId, FutureStart>);
 
 impl StartTimes {
-    /// Applies the start time that discovery lists for a worker.
+    /// Applies the start time that discovery lists for a worker. A future start that is already known keeps the time at
+    /// which it was first received.
     pub fn update(&mut self, now: Time, worker: WorkerId, listed: Option<Time>) {
         let is_known = self.0.get(&worker).is_some_and(|start| Some(start.listed) == listed);
         match listed.filter(|listed| *listed > now) {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The start time that counts for a worker that discovery lists with `listed`.
+    /// Returns the start time to use for a worker whose listed start time is `listed`.
     pub fn effective(&self, worker: WorkerId, listed: Option<Time>) -> Option<Time> {
         match self.0.get(&worker) {
             Some(start) if Some(start.listed) == listed => Some(start.received_at),
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -1,5 +1,5 @@
-//! The workers that discovery lists, and which of them operators have disabled. It turns changes of either into
-//! commands for the transport and endpoints for the decision module.
+//! The endpoint list, and which of its workers operators have disabled. Changes of either become commands for the
+//! transport and endpoints for the decision module.
 
 use super::command::Command;
 use super::contracts::Contracts;
@@ -10,69 +10,70 @@
 use crate::service::DisabledWorkers;
 use std::collections::{HashMap, HashSet};
 
-/// Names of workers that are remembered, listed or not. It is far more than a day of replacements adds.
+/// Number of registered workers, listed or not, above which unlisted ones are forgotten. A day of replacements adds far
+/// fewer names.
 pub(super) const MAX_REMEMBERED_WORKERS: usize = 4096;
 
-/// What a change of the list leads to.
+/// Consequences of an update of the endpoint list.
 pub(super) struct WorkerListChange {
-    /// An endpoint for each worker that the update names, for the decision module.
+    /// Endpoints for the decision module, one for each worker that the update names.
     pub endpoints: Vec<Endpoint>,
-    /// What the transport is to carry out.
+    /// Commands for the transport.
     pub commands: Vec<Command>,
 }
 
-/// The list as discovery sent it, and which workers are disabled.
+/// The endpoint list, and which workers are disabled.
 #[derive(Default)]
 pub(super) struct WorkerList {
-    /// The ids of all workers that were ever listed.
+    /// Ids of the workers that are or were listed, until they are forgotten.
     pub registry: WorkerRegistry,
-    /// The workers that operators have disabled.
+    /// Workers that operators have disabled.
     pub disabled: DisabledWorkers,
     listed: HashMap<WorkerId, ListedWorker>,
     start_times: StartTimes,
 }
 
 impl WorkerList {
-    /// The number of listed workers.
+    /// Returns the number of listed workers.
     pub fn len(&self) -> usize {
         self.listed.len()
     }
 
-    /// Whether the list names this worker.
+    /// Returns whether the worker is listed.
     pub fn contains(&self, worker: WorkerId) -> bool {
         self.listed.contains_key(&worker)
     }
 
-    /// A listed worker.
+    /// Returns the list entry of a worker.
     pub fn get(&self, worker: WorkerId) -> Option<&ListedWorker> {
         self.listed.get(&worker)
     }
 
-    /// Whether new attempts may go to a worker: it is listed as active and not disabled.
+    /// Returns whether a worker may receive new attempts: it is listed as active and not disabled.
     pub fn accepts_work(&self, worker: WorkerId) -> bool {
         self.listed.get(&worker).is_some_and(|listed| {
             self.disabled.effective_status(&listed.name, listed.status) == EndpointStatus::Active
         })
     }
 
-    /// Whether a worker is listed and disabled.
+    /// Returns whether a worker is listed and disabled.
     pub fn is_disabled(&self, worker: WorkerId) -> bool {
         self.listed.get(&worker).is_some_and(|listed| self.disabled.is_disabled(&listed.name))
     }
 
-    /// The number of listed workers that are disabled.
+    /// Returns the number of listed workers that are disabled.
     pub fn count_disabled(&self) -> usize {
         self.listed.values().filter(|listed| self.disabled.is_disabled(&listed.name)).count()
     }
 
-    /// The whole list, in the order of names.
+    /// Returns the complete list as an update, in the order of names.
     pub fn to_update(&self) -> WorkerListUpdate {
         let mut workers: Vec<ListedWorker> = self.listed.values().cloned().collect();
         workers.sort_by(|a, b| a.name.cmp(&b.name));
         WorkerListUpdate { revision: 0, complete: true, workers }
     }
 
-    /// Applies what discovery sent.
+    /// Applies an update of the list.
     pub fn apply(&mut self, now: Time, contracts: &Contracts, update: &WorkerListUpdate) -> WorkerListChange {
         let mut endpoints = Vec::new();
         let mut commands = Vec::new();
@@ -99,7 +100,7 @@
         WorkerListChange { endpoints, commands }
     }
 
-    /// A worker as the decision module sees it.
+    /// Returns the endpoint of a worker for the decision module.
     pub fn endpoint(&self, contracts: &Contracts, worker: WorkerId, listed: &ListedWorker) -> Endpoint {
         let started_at = self.start_times.effective(worker, listed.started_at);
         Endpoint {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A listed worker as the transport sees it.
+    /// Returns the transport's command that adds or updates a worker.
     pub fn upsert_command(endpoint: &Endpoint, listed: &ListedWorker) -> Command {
         Command::UpsertWorker {
             worker: endpoint.worker,
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Forgets the workers that are no longer listed and have no attempt in flight, once more than
-    /// [`MAX_REMEMBERED_WORKERS`] are remembered.
+    /// Removes workers from the registry that are not listed and have no attempt in flight, if it contains more than
+    /// [`MAX_REMEMBERED_WORKERS`].
     pub fn forget_removed(&mut self, in_flight: &InFlight) {
         let known: Vec<WorkerId> = self.registry.ids().collect();
         if known.len() <= MAX_REMEMBERED_WORKERS {
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -1,4 +1,4 @@
-//! Workers by name, as discovery lists them, and the ids under which the decision module knows them.
+//! Workers as discovery lists them, and the registry that maps their names to the decision module's ids.
 
 use crate::policy::{EndpointStatus, Time, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -8,38 +8,39 @@
 /// A worker as discovery lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedWorker {
-    /// Its name, the same at every gatherer.
+    /// Name of the worker, the same at every gatherer.
     pub name: String,
-    /// The address at which it listens.
+    /// Address on which the worker listens.
     pub address: String,
-    /// The name of its zone.
+    /// Name of the worker's zone.
     pub zone: String,
-    /// Its cell in the layout of shards.
+    /// Cell of the worker in the shard layout.
     pub cell: u32,
-    /// Whether it accepts work.
+    /// Status that discovery lists: active, draining or gone.
     pub status: EndpointStatus,
-    /// Its listed size, relative to that of others.
+    /// Capacity of the worker, relative to other workers.
     pub units: f64,
-    /// Its last start in Unix time; `None` for long ago.
+    /// Last start in Unix time; `None` if the start was long ago.
     // Outer name: the hand-over message of an upgrade keeps the field's first name.
     #[serde(rename = "since")]
     pub started_at: Option<Time>,
 }
 
-/// What discovery sends: the complete list, or the entries that changed.
+/// An update of the endpoint list: all entries, or those that changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerListUpdate {
-    /// The list's version.
+    /// Version of the list.
     pub revision: u64,
     /// Whether `workers` is the complete list.
     pub complete: bool,
-    /// The entries.
+    /// Entries of the update.
     // Outer name: the hand-over message of an upgrade keeps the field's first name.
     #[serde(rename = "members")]
     pub workers: Vec<ListedWorker>,
 }
 
-/// The ids of workers by name. An id is a hash of the name, so that all gatherers prefer the same replica for a key.
+/// Maps worker names to ids and back. An id is a hash of the name, so that all gatherers prefer the same replica for a
+/// key.
 #[derive(Debug, Default)]
 pub struct WorkerRegistry {
     ids: HashMap<String, WorkerId>,
@@ -47,8 +48,8 @@
 }
 
 impl WorkerRegistry {
-    /// The id of this worker, which is assigned on first use. Where two names hash alike, the later one gets the next
-    /// free id.
+    /// Returns the id of a worker, which is assigned on first use. If the hash of the name is taken, the next free id
+    /// is assigned.
     pub fn get_or_insert(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -62,23 +63,23 @@
         id
     }
 
-    /// The id of a worker that was listed before.
+    /// Returns the id of a worker, if its name is registered.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a worker.
+    /// Returns the name of a worker, if its id is registered.
     pub fn name(&self, worker: WorkerId) -> Option<&str> {
         self.names.get(&worker).map(String::as_str)
     }
 
-    /// All ids that are assigned.
+    /// Returns all assigned ids, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.names.keys().copied()
     }
 
-    /// Forgets these workers.
+    /// Removes these workers; their ids can be assigned again.
     pub fn forget(&mut self, workers: impl Iterator<Item = WorkerId>) {
         for id in workers {
             if let Some(name) = self.names.remove(&id) {
--- a/src/routing/worker_states.rs
+++ b/src/routing/worker_states.rs
@@ -1,16 +1,16 @@
-//! The state of each worker as the records have it, so that only changes are recorded.
+//! The last recorded state of each worker, so that the records contain only changes.
 
 use crate::policy::{Endpoint, EndpointStatus, Time, WorkerId};
 use crate::records::record::RecordedWorkerState;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The state in which each worker was last recorded.
+/// Last recorded state of each worker.
 #[derive(Default)]
 pub(super) struct WorkerStates(HashMap<WorkerId, RecordedWorkerState>);
 
 impl WorkerStates {
-    /// The state of a listed worker. `warm_up` is how long a worker counts as warming up after its start.
+    /// Returns the state of a worker. It counts as warming up for `warm_up` after its start.
     pub fn classify(
         endpoint: &Endpoint,
         is_disabled: bool,
@@ -27,13 +27,13 @@
         }
     }
 
-    /// The recorded workers that are no longer listed.
+    /// Returns the recorded workers that are no longer listed.
     pub fn removed(&self, is_listed: impl Fn(WorkerId) -> bool) -> Vec<WorkerId> {
         self.0.keys().copied().filter(|worker| !is_listed(*worker)).collect()
     }
 
-    /// Notes the state of a worker and returns whether it changed. The removal of a worker that was never recorded is
-    /// no change.
+    /// Stores the state of a worker and returns whether it changed. The removal of a worker that was never recorded is
+    /// not a change.
     pub fn update(&mut self, worker: WorkerId, state: RecordedWorkerState) -> bool {
         match state {
             RecordedWorkerState::Removed => self.0.remove(&worker).is_some(),
