--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -44,7 +44,7 @@
     in_flight: InFlight,
     workers: WorkerList,
     /// Last number assigned to a query, a part or a timer.
-    last_number: u64,
+    last_sequence_number: u64,
     /// Number of processes that run this gatherer and share its limits: two during a hot restart, else one.
     process_count: u32,
     /// Whether discovery has sent an endpoint list; a cached list does not count.
@@ -75,7 +75,7 @@
             open_queries: OpenQueries::default(),
             in_flight: InFlight::default(),
             workers: WorkerList::default(),
-            last_number: 1,
+            last_sequence_number: 1,
             process_count: 1,
             has_discovery_list: false,
             counters: Counters::default(),
@@ -127,9 +127,9 @@
         self.pending_commands.push(Command::LogViolation(invariant.violation_message(subject)));
     }
 
-    fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_sequence_number(&mut self) -> u64 {
+        self.last_sequence_number += 1;
+        self.last_sequence_number
     }
 
     /// Accepts a query. A later step returns its outcome as [`Command::Respond`].
@@ -154,13 +154,14 @@
 
     /// Returns whether this process's share of `max_open_requests` is used up.
     fn is_at_capacity(&self) -> bool {
-        self.open_queries.size() >= self.contracts.limits.max_open_requests / self.process_count as usize
+        self.open_queries.request_count()
+            >= self.contracts.limits.max_open_requests / self.process_count as usize
     }
 
     /// Opens a query with its parts, and queues their events for the decision module.
     fn open_query(&mut self, now: Time, labels: QueryLabels, request: SearchRequest) -> RequestId {
         let SearchRequest { label, class, tenant, time_left, retry, payload, parts } = request;
-        let number = self.next_number();
+        let number = self.next_sequence_number();
         let (id, job) = (RequestId(number), JobId(number));
         let valid_until = now.after(time_left);
         self.pending_events.push(Event::QueryReceived(NewQuery {
@@ -180,7 +181,7 @@
     }
 
     fn open_part(&mut self, query: RequestId, job: JobId, part: QueryPart) -> RequestId {
-        let id = RequestId(self.next_number());
+        let id = RequestId(self.next_sequence_number());
         let QueryPart { shard, weight, cost_hint, key } = part;
         self.pending_events.push(Event::PartReceived(NewPart { id, key, cost_hint, job, shard, weight }));
         self.open_queries.insert_part(id, OpenPart::new(query, shard, weight));
@@ -189,7 +190,7 @@
 
     /// Closes a query because its client has disconnected. Does nothing if the query has already ended.
     pub fn disconnect_client(&mut self, now: Time, id: RequestId) {
-        if let Some((query, _)) = self.close(id) {
+        if let Some((query, _)) = self.close_query(id) {
             self.counters.left += 1;
             self.record_end(query.labels, QueryEnd::ClientDisconnected, now.since(query.accepted_at));
             self.pending_events.push(Event::ClientDisconnected { id });
@@ -267,12 +268,12 @@
     }
 
     /// Removes a query with its parts. Returns `None` if the query has already ended.
-    fn close(&mut self, id: RequestId) -> Option<(OpenQuery, Vec<OpenPart>)> {
+    fn close_query(&mut self, id: RequestId) -> Option<(OpenQuery, Vec<OpenPart>)> {
         let (query, parts) = self.open_queries.remove(id)?;
         if !self.contracts.settings.may_cancel {
             // The settings forbid the decision module to cancel attempts. Attempts that are not written yet are dropped
             // all the same, because nobody waits for the query any longer.
-            let attempts = query.parts.iter().flat_map(|part| self.in_flight.of_part(*part));
+            let attempts = query.parts.iter().flat_map(|part| self.in_flight.attempts_of_part(*part));
             self.pending_commands.extend(attempts.map(|(attempt_id, sent)| Command::CancelIfUnsent {
                 worker: sent.worker,
                 attempt_id: *attempt_id,
--- a/src/routing/core/completion.rs
+++ b/src/routing/core/completion.rs
@@ -45,10 +45,10 @@
 impl Core {
     /// Ends a query with this completion. Does nothing if the query has already ended.
     pub(super) fn complete_query(&mut self, now: Time, id: RequestId, completion: Completion) {
-        let Some((query, parts)) = self.close(id) else { return };
+        let Some((query, parts)) = self.close_query(id) else { return };
         let completion = self.enforce_invariants(now, &query, &parts, completion);
         let elapsed = now.since(query.accepted_at);
-        self.record_end(query.labels, self.end_of(&query, completion, elapsed), elapsed);
+        self.record_end(query.labels, self.query_end(&query, completion, elapsed), elapsed);
         *match completion {
             Completion::Respond { complete: true } => &mut self.counters.answered_whole,
             Completion::Respond { complete: false } => &mut self.counters.answered_part,
@@ -67,8 +67,8 @@
         parts: &[OpenPart],
         completion: Completion,
     ) -> Completion {
-        let latest = query.valid_until.after(self.contracts.settings.response_grace + LATE_SLACK);
-        if now > latest {
+        let latest_end = query.valid_until.after(self.contracts.settings.response_grace + LATE_SLACK);
+        if now > latest_end {
             let late_ms = now.since(query.valid_until).as_millis();
             let subject = format!("query {} ended {late_ms} ms after its deadline", query.label);
             self.report_violation(Invariant::EndedInTime, &subject);
@@ -76,23 +76,23 @@
         let Some(class) = self.contracts.settings.classes.get(query.labels.class) else {
             return Completion::Fail;
         };
-        let checked = match completion {
+        let check = match completion {
             Completion::Respond { complete } => check_answer(class, coverage(parts), complete),
             Completion::Reject { .. } => {
                 check_rejection(class, parts.iter().any(|part| !part.possible_runs.is_empty()))
             }
             Completion::Fail | Completion::FailOverdue => Ok(()),
         };
-        let Err(broken) = checked else { return completion };
-        self.report_violation(broken, &format!("query {}", query.label));
-        match broken {
+        let Err(violated) = check else { return completion };
+        self.report_violation(violated, &format!("query {}", query.label));
+        match violated {
             Invariant::CompleteMarkedTruly => Completion::Respond { complete: false },
             _ => Completion::Fail,
         }
     }
 
     /// Returns the kind of end that a completion is counted as.
-    fn end_of(&self, query: &OpenQuery, completion: Completion, elapsed: Duration) -> QueryEnd {
+    fn query_end(&self, query: &OpenQuery, completion: Completion, elapsed: Duration) -> QueryEnd {
         match completion {
             Completion::Respond { complete: true } if self.is_late(query, elapsed) => QueryEnd::CompleteLate,
             Completion::Respond { complete: true } => QueryEnd::CompleteInTime,
--- a/src/routing/core/dispatch.rs
+++ b/src/routing/core/dispatch.rs
@@ -17,9 +17,9 @@
 
 /// Attempts that one step sends, grouped by worker in the order of their first attempts.
 #[derive(Default)]
-pub(super) struct Calls(Vec<PendingCall>);
+pub(super) struct PendingCalls(Vec<PendingCall>);
 
-impl Calls {
+impl PendingCalls {
     fn add(&mut self, worker: WorkerId, dispatch: Dispatch) {
         match self.0.iter_mut().find(|call| call.worker == worker) {
             Some(call) => call.parts.push(dispatch),
@@ -52,9 +52,9 @@
         id: RequestId,
         worker: WorkerId,
         timeout: Duration,
-        calls: &mut Calls,
+        calls: &mut PendingCalls,
     ) {
-        let permit = self.permit(now, id, worker, timeout);
+        let permit = self.send_permit(now, id, worker, timeout);
         let Some((part, query)) = self.open_queries.part_with_query(id) else { return };
         let attempt_id = AttemptId { part: id, attempt: AttemptNo(part.attempts) };
         part.attempts += 1;
@@ -64,8 +64,14 @@
         let (label, shard) = (query.label.clone(), part.shard);
         let permit = match permit {
             Ok(permit) => permit,
-            Err(broken) => {
-                return self.withhold(now, attempt_id, worker, broken, &format!("{label}.{}", shard.0));
+            Err(violated) => {
+                return self.finish_unsent(
+                    now,
+                    attempt_id,
+                    worker,
+                    violated,
+                    &format!("{label}.{}", shard.0),
+                );
             }
         };
         let (payload, at_most_once) = (query.payload.clone(), query.at_most_once);
@@ -75,7 +81,7 @@
     }
 
     /// Returns the permit to send the next attempt of a part, or the invariant that the attempt would violate.
-    fn permit(
+    fn send_permit(
         &mut self,
         now: Time,
         id: RequestId,
@@ -83,7 +89,7 @@
         timeout: Duration,
     ) -> Result<SendPermit, Invariant> {
         let worker_accepts_work = self.workers.accepts_work(worker);
-        let has_attempt_in_flight = self.in_flight.has_part(id);
+        let has_attempt_in_flight = self.in_flight.has_attempt_of_part(id);
         let settings = &self.contracts.settings;
         let (part, query) = self.open_queries.part_with_query(id).ok_or(Invariant::SentBeforeDeadline)?;
         let class = settings.classes.get(query.labels.class).ok_or(Invariant::SentBeforeDeadline)?;
@@ -102,17 +108,17 @@
     }
 
     /// Reports the violation that an attempt would cause, and finishes the attempt as not sent.
-    fn withhold(
+    fn finish_unsent(
         &mut self,
         now: Time,
         attempt_id: AttemptId,
         worker: WorkerId,
-        broken: Invariant,
-        part: &str,
+        violated: Invariant,
+        part_name: &str,
     ) {
         let name = self.workers.registry.name(worker).unwrap_or("<unknown>");
-        let subject = format!("attempt {} of part {part} to worker {name}", attempt_id.attempt.0);
-        self.report_violation(broken, &subject);
+        let subject = format!("attempt {} of part {part_name} to worker {name}", attempt_id.attempt.0);
+        self.report_violation(violated, &subject);
         let sent = SentAttempt { worker, sent_at: now, deadline: now };
         let not_sent = AttemptCompletion::without_value(AttemptOutcome::NotSent);
         self.finish_attempt(now, attempt_id, &sent, not_sent);
@@ -123,7 +129,7 @@
         if attempt_id.attempt.0 == 0 {
             return;
         }
-        let is_hedged = self.in_flight.has_part(attempt_id.part);
+        let is_hedged = self.in_flight.has_attempt_of_part(attempt_id.part);
         let last_outcome = self.open_queries.part(attempt_id.part).and_then(|part| part.last_outcome);
         *match last_outcome {
             _ if is_hedged => &mut self.counters.resent_hedged,
@@ -133,7 +139,7 @@
     }
 
     /// Cancels an attempt. Does nothing if the attempt has already finished.
-    pub(super) fn cancel(&mut self, now: Time, attempt_id: AttemptId, calls: &mut Calls) {
+    pub(super) fn cancel(&mut self, now: Time, attempt_id: AttemptId, calls: &mut PendingCalls) {
         let Some(sent) = self.in_flight.remove(attempt_id) else { return };
         calls.remove(attempt_id);
         self.pending_commands.push(Command::Cancel { worker: sent.worker, attempt_id });
--- a/src/routing/core/step.rs
+++ b/src/routing/core/step.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::completion::Completion;
-use super::dispatch::Calls;
+use super::dispatch::PendingCalls;
 use crate::policy::{Action, AttemptOutcome, Event, Time};
 use crate::routing::attempt::{AttemptCompletion, AttemptId};
 use crate::routing::command::Command;
@@ -34,7 +34,7 @@
         if !self.pending_events.is_empty() {
             self.policy.step(now, self.pending_events.drain(..), &mut actions);
         }
-        let mut calls = Calls::default();
+        let mut calls = PendingCalls::default();
         for action in actions {
             self.apply_action(now, action, &mut calls);
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    fn apply_action(&mut self, now: Time, action: Action, calls: &mut Calls) {
+    fn apply_action(&mut self, now: Time, action: Action, calls: &mut PendingCalls) {
         match action {
             Action::Send { id, worker, timeout } => self.send(now, id, worker, timeout, calls),
             Action::Cancel { id, attempt } => self.cancel(now, AttemptId { part: id, attempt }, calls),
@@ -83,7 +83,7 @@
             }
             Action::Fail { id } => self.complete_query(now, id, Completion::Fail),
             Action::SetTimer { after, timer } => {
-                let number = self.next_number();
+                let number = self.next_sequence_number();
                 self.timers.insert((now.after(after), number), timer);
             }
             // Never requested here: the endpoint list arrives without a subscription, and the settings do not allow
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -63,8 +63,8 @@
         self.has_discovery_list |= !cached;
         let change = self.workers.apply(now, &self.contracts, update);
         self.pending_commands.extend(change.commands);
-        self.record_list(now, update, &change.endpoints);
-        self.workers.forget_removed(&self.in_flight);
+        self.record_list_update(now, update, &change.endpoints);
+        self.workers.forget_unlisted(&self.in_flight);
         let endpoints = change.endpoints.into();
         self.pending_events.push(Event::EndpointUpdate(match (cached, update.complete) {
             (true, _) => EndpointUpdate::Cached(endpoints),
@@ -88,22 +88,22 @@
     /// Disables a worker until [`Core::enable_worker`]; endpoint updates don't enable it. Returns false, and changes
     /// nothing, if the worker is not known.
     pub fn disable_worker(&mut self, now: Time, name: &str) -> bool {
-        self.change_disabled(now, name, |disabled| disabled.disable(name))
+        self.update_disabled(now, name, |disabled| disabled.disable(name))
     }
 
     /// Enables a worker that was disabled. Returns false if the worker is not known.
     pub fn enable_worker(&mut self, now: Time, name: &str) -> bool {
-        self.change_disabled(now, name, |disabled| disabled.enable(now, name))
+        self.update_disabled(now, name, |disabled| disabled.enable(now, name))
     }
 
-    fn change_disabled(
+    fn update_disabled(
         &mut self,
         now: Time,
         name: &str,
-        change: impl FnOnce(&mut DisabledWorkers) -> bool,
+        update: impl FnOnce(&mut DisabledWorkers) -> bool,
     ) -> bool {
         let Some(worker) = self.workers.registry.get(name) else { return false };
-        if !change(&mut self.workers.disabled) {
+        if !update(&mut self.workers.disabled) {
             return true;
         }
         let state = if self.workers.disabled.is_disabled(name) { "disabled" } else { "enabled" };
@@ -168,7 +168,7 @@
     }
 
     /// Records an update of the endpoint list and the changed states of workers.
-    fn record_list(&mut self, now: Time, update: &WorkerListUpdate, endpoints: &[Endpoint]) {
+    fn record_list_update(&mut self, now: Time, update: &WorkerListUpdate, endpoints: &[Endpoint]) {
         if self.metrics.is_none() {
             return;
         }
--- a/src/routing/counters.rs
+++ b/src/routing/counters.rs
@@ -12,8 +12,8 @@
 
         impl fmt::Display for Counters {
             fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-                let all = [$((stringify!($name), self.$name)),*];
-                for (index, (name, count)) in all.iter().enumerate() {
+                let counters = [$((stringify!($name), self.$name)),*];
+                for (index, (name, count)) in counters.iter().enumerate() {
                     write!(out, "{}{name}={count}", if index == 0 { "" } else { " " })?;
                 }
                 Ok(())
@@ -112,22 +112,22 @@
 
     /// Counts a received query.
     pub fn record_received(&mut self, class: usize) {
-        if let Some(ends) = self.0.get_mut(class) {
-            ends.received += 1;
+        if let Some(counts) = self.0.get_mut(class) {
+            counts.received += 1;
         }
     }
 
     /// Counts the end of a query. Called exactly once for each query that ends.
     pub fn record_end(&mut self, class: usize, end: metrics::QueryEnd) {
         use metrics::QueryEnd;
-        let Some(ends) = self.0.get_mut(class) else { return };
+        let Some(counts) = self.0.get_mut(class) else { return };
         *match end {
-            QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial => &mut ends.succeeded,
+            QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial => &mut counts.succeeded,
             QueryEnd::RejectedByPolicy | QueryEnd::RejectedAtCapacity | QueryEnd::RejectedShuttingDown => {
-                &mut ends.rejected
+                &mut counts.rejected
             }
-            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut ends.failed,
-            QueryEnd::ClientDisconnected => &mut ends.client_disconnected,
+            QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut counts.failed,
+            QueryEnd::ClientDisconnected => &mut counts.client_disconnected,
         } += 1;
     }
 }
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -107,8 +107,9 @@
                 entry.state = KeyState::Running { digest, sender };
                 KeyClaim::Run(receiver)
             }
-            KeyState::Running { digest: first, .. } | KeyState::Recorded { digest: first, .. }
-                if *first != digest =>
+            KeyState::Running { digest: first_digest, .. }
+            | KeyState::Recorded { digest: first_digest, .. }
+                if *first_digest != digest =>
             {
                 KeyClaim::Mismatch
             }
--- a/src/routing/idempotency/tests.rs
+++ b/src/routing/idempotency/tests.rs
@@ -28,20 +28,20 @@
 fn an_unknown_key_never_runs() {
     // A key must not run a second time after a restart, at another gatherer, past its retention, or after the eviction
     // of its response.
-    let (mut before, mut after) = (store("a"), store("b"));
-    let key = before.issue(Time(0), "bank").expect("the limit is not reached");
-    assert!(matches!(after.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
-    assert!(matches!(before.claim(Time(60_000_000_000), &key, "bank", 1), KeyClaim::Unknown));
+    let (mut first, mut restarted) = (store("a"), store("b"));
+    let key = first.issue(Time(0), "bank").expect("the limit is not reached");
+    assert!(matches!(restarted.claim(Time(0), &key, "bank", 1), KeyClaim::Unknown));
+    assert!(matches!(first.claim(Time(60_000_000_000), &key, "bank", 1), KeyClaim::Unknown));
     let now = Time(70_000_000_000);
-    let keys = [before.issue(now, "bank"), before.issue(now, "bank")]
+    let keys = [first.issue(now, "bank"), first.issue(now, "bank")]
         .map(|key| key.expect("the limit is not reached"));
-    assert_eq!(before.issue(now, "bank"), Err(KeyLimitReached));
-    for (at, key) in keys.iter().enumerate() {
-        assert!(matches!(before.claim(now, key, "bank", 1), KeyClaim::Run(_)));
-        before.finish(Time(now.0 + at as u64), key, "sealed", 6, true);
+    assert_eq!(first.issue(now, "bank"), Err(KeyLimitReached));
+    for (offset, key) in keys.iter().enumerate() {
+        assert!(matches!(first.claim(now, key, "bank", 1), KeyClaim::Run(_)));
+        first.finish(Time(now.0 + offset as u64), key, "sealed", 6, true);
     }
-    assert!(matches!(before.claim(now, &keys[0], "bank", 1), KeyClaim::Unknown));
-    assert!(matches!(before.claim(now, &keys[1], "bank", 1), KeyClaim::Recorded("sealed")));
+    assert!(matches!(first.claim(now, &keys[0], "bank", 1), KeyClaim::Unknown));
+    assert!(matches!(first.claim(now, &keys[1], "bank", 1), KeyClaim::Recorded("sealed")));
 }
 
 #[test]
--- a/src/routing/in_flight.rs
+++ b/src/routing/in_flight.rs
@@ -39,15 +39,15 @@
     }
 
     /// Returns the attempts of one part, in the order of their numbers.
-    pub fn of_part(&self, part: RequestId) -> impl Iterator<Item = (&AttemptId, &SentAttempt)> {
+    pub fn attempts_of_part(&self, part: RequestId) -> impl Iterator<Item = (&AttemptId, &SentAttempt)> {
         let first = AttemptId { part, attempt: AttemptNo(0) };
         let last = AttemptId { part, attempt: AttemptNo(u32::MAX) };
         self.0.range(first..=last)
     }
 
     /// Returns whether any attempt of this part is in flight.
-    pub fn has_part(&self, part: RequestId) -> bool {
-        self.of_part(part).next().is_some()
+    pub fn has_attempt_of_part(&self, part: RequestId) -> bool {
+        self.attempts_of_part(part).next().is_some()
     }
 
     /// Returns the workers with at least one attempt in flight.
--- a/src/routing/invariants.rs
+++ b/src/routing/invariants.rs
@@ -90,8 +90,8 @@
 
 impl Violations {
     /// Counts one violation.
-    pub fn record(&mut self, broken: Invariant) {
-        self.0[broken as usize] += 1;
+    pub fn record(&mut self, violated: Invariant) {
+        self.0[violated as usize] += 1;
     }
 
     /// Returns the number of violations of this invariant.
@@ -145,7 +145,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendPermit {
     deadline: Time,
-    window: Option<Duration>,
+    write_window: Option<Duration>,
 }
 
 impl SendPermit {
@@ -159,7 +159,7 @@
     /// there is no limit.
     #[must_use]
     pub fn write_window(&self) -> Option<Duration> {
-        self.window
+        self.write_window
     }
 }
 
@@ -179,22 +179,22 @@
         if self.has_attempt_in_flight && !self.may_hedge {
             return Err(Invariant::HedgedWhereAllowed);
         }
-        if self.max_attempts.is_some_and(|most| self.previous_attempts >= most) {
+        if self.max_attempts.is_some_and(|limit| self.previous_attempts >= limit) {
             return Err(Invariant::AttemptsBounded);
         }
-        let window = self.window()?;
+        let write_window = self.remaining_repeat_window()?;
         let deadline = self.now.after(timeout).min(self.valid_until);
-        Ok(SendPermit { deadline, window })
+        Ok(SendPermit { deadline, write_window })
     }
 
     /// Returns the rest of the class's repeat window, or `None` if the attempt has no such limit.
-    fn window(&self) -> Result<Option<Duration>, Invariant> {
+    fn remaining_repeat_window(&self) -> Result<Option<Duration>, Invariant> {
         match (self.class.idempotency, self.first_possible_run) {
             (Idempotency::Idempotent, _) | (_, None) => Ok(None),
             (Idempotency::NonIdempotent, Some(_)) => Err(Invariant::RetriedSafely),
-            (Idempotency::Keyed, Some(first)) => {
-                let left = self.class.repeat_window.saturating_sub(self.now.since(first));
-                if left.is_zero() { Err(Invariant::RetriedInWindow) } else { Ok(Some(left)) }
+            (Idempotency::Keyed, Some(first_possible_run)) => {
+                let remaining = self.class.repeat_window.saturating_sub(self.now.since(first_possible_run));
+                if remaining.is_zero() { Err(Invariant::RetriedInWindow) } else { Ok(Some(remaining)) }
             }
         }
     }
@@ -220,8 +220,8 @@
 /// # Errors
 /// The invariant that the rejection would violate.
 pub fn check_rejection(class: &Class, any_possible_run: bool) -> Result<(), Invariant> {
-    let harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
-    if harmless { Ok(()) } else { Err(Invariant::RejectedUnexecuted) }
+    let is_retry_harmless = class.idempotency == Idempotency::Idempotent || !any_possible_run;
+    if is_retry_harmless { Ok(()) } else { Err(Invariant::RejectedUnexecuted) }
 }
 
 /// Returns the sum of the weights of all parts that have a value.
--- a/src/routing/open_queries.rs
+++ b/src/routing/open_queries.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the number of queries and parts, added up, to which the limit `max_open_requests` applies.
-    pub fn size(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.queries.len() + self.parts.len()
     }
 
--- a/src/routing/scroll_contexts.rs
+++ b/src/routing/scroll_contexts.rs
@@ -18,7 +18,7 @@
     random: fastrand::Rng,
     max_contexts: usize,
     max_bytes: usize,
-    bytes: usize,
+    total_bytes: usize,
     entries: HashMap<String, Entry<T>>,
 }
 
@@ -31,7 +31,7 @@
     /// Creates an empty store for at most `max_contexts` contexts and `max_bytes` bytes of results.
     #[must_use]
     pub fn new(random: fastrand::Rng, max_contexts: usize, max_bytes: usize) -> ScrollContexts<T> {
-        ScrollContexts { random, max_contexts, max_bytes, bytes: 0, entries: HashMap::new() }
+        ScrollContexts { random, max_contexts, max_bytes, total_bytes: 0, entries: HashMap::new() }
     }
 
     /// Stores a result of `size` bytes for its owner and returns the id of the new context. No existing context is
@@ -48,13 +48,13 @@
         size: usize,
     ) -> Result<String, ScrollLimitReached> {
         self.expire(now);
-        if self.entries.len() >= self.max_contexts || self.bytes + size > self.max_bytes {
+        if self.entries.len() >= self.max_contexts || self.total_bytes + size > self.max_bytes {
             return Err(ScrollLimitReached);
         }
         let id = format!("{:032x}", self.random.u128(..));
         let entry =
             Entry { owner: owner.to_owned(), value: Rc::new(value), size, expires_at: now.after(keep_alive) };
-        self.bytes += size;
+        self.total_bytes += size;
         self.entries.insert(id.clone(), entry);
         Ok(id)
     }
@@ -75,7 +75,7 @@
         self.expire(now);
         let is_owned = self.entries.get(id).is_some_and(|entry| entry.owner == owner);
         if is_owned && let Some(entry) = self.entries.remove(id) {
-            self.bytes -= entry.size;
+            self.total_bytes -= entry.size;
         }
         is_owned
     }
@@ -83,7 +83,7 @@
     fn expire(&mut self, now: Time) {
         self.entries.retain(|_, entry| {
             let is_alive = entry.expires_at > now;
-            self.bytes -= if is_alive { 0 } else { entry.size };
+            self.total_bytes -= if is_alive { 0 } else { entry.size };
             is_alive
         });
     }
--- a/src/routing/start_times.rs
+++ b/src/routing/start_times.rs
@@ -10,7 +10,7 @@
 /// A start time that was in the future when discovery sent it.
 #[derive(Clone, Copy)]
 struct FutureStart {
-    listed: Time,
+    listed_start: Time,
     received_at: Time,
 }
 
@@ -21,20 +21,20 @@
 impl StartTimes {
     /// Applies the start time that discovery lists for a worker. A future start that is already known keeps the time at
     /// which it was first received.
-    pub fn update(&mut self, now: Time, worker: WorkerId, listed: Option<Time>) {
-        let is_known = self.0.get(&worker).is_some_and(|start| Some(start.listed) == listed);
-        match listed.filter(|listed| *listed > now) {
+    pub fn update(&mut self, now: Time, worker: WorkerId, listed_start: Option<Time>) {
+        let is_known = self.0.get(&worker).is_some_and(|start| Some(start.listed_start) == listed_start);
+        match listed_start.filter(|start| *start > now) {
             _ if is_known => {}
-            Some(listed) => drop(self.0.insert(worker, FutureStart { listed, received_at: now })),
+            Some(listed_start) => drop(self.0.insert(worker, FutureStart { listed_start, received_at: now })),
             None => drop(self.0.remove(&worker)),
         }
     }
 
-    /// Returns the start time to use for a worker whose listed start time is `listed`.
-    pub fn effective(&self, worker: WorkerId, listed: Option<Time>) -> Option<Time> {
+    /// Returns the start time to use for a worker whose listed start time is `listed_start`.
+    pub fn effective(&self, worker: WorkerId, listed_start: Option<Time>) -> Option<Time> {
         match self.0.get(&worker) {
-            Some(start) if Some(start.listed) == listed => Some(start.received_at),
-            _ => listed,
+            Some(start) if Some(start.listed_start) == listed_start => Some(start.received_at),
+            _ => listed_start,
         }
     }
 
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -77,10 +77,10 @@
     pub fn apply(&mut self, now: Time, contracts: &Contracts, update: &WorkerListUpdate) -> WorkerListChange {
         let mut endpoints = Vec::new();
         let mut commands = Vec::new();
-        let mut named = HashSet::new();
+        let mut named_workers = HashSet::new();
         for listed in &update.workers {
             let worker = self.registry.get_or_insert(&listed.name);
-            named.insert(worker);
+            named_workers.insert(worker);
             self.start_times.update(now, worker, listed.started_at);
             let endpoint = self.endpoint(contracts, worker, listed);
             if listed.status == EndpointStatus::Gone {
@@ -93,7 +93,7 @@
             endpoints.push(endpoint);
         }
         if update.complete {
-            let removed = self.listed.extract_if(|worker, _| !named.contains(worker));
+            let removed = self.listed.extract_if(|worker, _| !named_workers.contains(worker));
             commands.extend(removed.map(|(worker, _)| Command::RemoveWorker { worker }));
         }
         self.start_times.retain(|worker| self.listed.contains_key(&worker));
@@ -125,14 +125,15 @@
 
     /// Removes workers from the registry that are not listed and have no attempt in flight, if it contains more than
     /// [`MAX_REMEMBERED_WORKERS`].
-    pub fn forget_removed(&mut self, in_flight: &InFlight) {
-        let known: Vec<WorkerId> = self.registry.ids().collect();
-        if known.len() <= MAX_REMEMBERED_WORKERS {
+    pub fn forget_unlisted(&mut self, in_flight: &InFlight) {
+        let registered: Vec<WorkerId> = self.registry.ids().collect();
+        if registered.len() <= MAX_REMEMBERED_WORKERS {
             return;
         }
-        let busy = in_flight.workers();
-        let is_unused = |worker: &WorkerId| !self.listed.contains_key(worker) && !busy.contains(worker);
-        self.registry.forget(known.into_iter().filter(is_unused));
+        let workers_in_flight = in_flight.workers();
+        let is_unused =
+            |worker: &WorkerId| !self.listed.contains_key(worker) && !workers_in_flight.contains(worker);
+        self.registry.forget(registered.into_iter().filter(is_unused));
         self.disabled.retain_start_times(|name| self.registry.get(name).is_some());
     }
 }
