--- a/src/service/disabled_workers.rs
+++ b/src/service/disabled_workers.rs
@@ -1,11 +1,12 @@
-//! The workers that operators have disabled. It stands beside discovery's list, and nothing that discovery sends
-//! changes it. It owns names only: which workers exist, and what is sent to them, is decided elsewhere.
+//! The set of workers that operators have disabled. Updates from discovery never change it.
+//!
+//! The set contains names only. `routing` decides which workers exist and what is sent to them.
 
 use crate::policy::{EndpointStatus, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names of the disabled workers, and when others were last enabled again.
+/// Names of the disabled workers, and the times at which other workers were last enabled again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DisabledWorkers {
     // Outer name: the hand-over message of an upgrade keeps the field's first name.
@@ -17,12 +18,12 @@
 }
 
 impl DisabledWorkers {
-    /// Disables a worker; returns false if it is disabled already.
+    /// Disables a worker. Returns false if the worker is disabled already.
     pub fn disable(&mut self, name: &str) -> bool {
         self.enabled_at.remove(name);
         self.disabled.insert(name.to_owned())
     }
-    /// Enables a worker, however often it was disabled; returns false if it was not.
+    /// Enables a worker, however often it was disabled. Returns false if the worker was not disabled.
     pub fn enable(&mut self, now: Time, name: &str) -> bool {
         let was_disabled = self.disabled.remove(name);
         if was_disabled {
@@ -30,16 +31,17 @@
         }
         was_disabled
     }
-    /// Whether a worker is disabled.
+    /// Returns whether a worker is disabled.
     #[must_use]
     pub fn is_disabled(&self, name: &str) -> bool {
         self.disabled.contains(name)
     }
-    /// The names of the disabled workers, in order.
+    /// Returns the names of the disabled workers, in alphabetical order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.disabled.iter().map(String::as_str)
     }
-    /// The status that counts for a worker that discovery lists with `listed`: a disabled one counts as draining.
+    /// Returns the status to use for a worker whose listed status is `listed`: a disabled active worker counts as
+    /// draining.
     #[must_use]
     pub fn effective_status(&self, name: &str, listed: EndpointStatus) -> EndpointStatus {
         match listed {
@@ -47,14 +49,14 @@
             listed => listed,
         }
     }
-    /// The start time that counts for a worker that discovery lists with `listed`: not before it was last enabled. It
-    /// may have been restarted while it was disabled; discovery lists that seconds late, and until then the worker
-    /// would count as warm.
+    /// Returns the start time to use for a worker whose listed start time is `listed`: not before it was last enabled.
+    /// The worker may have been restarted while it was disabled; discovery lists that start seconds late, and until
+    /// then the worker would not count as warming up.
     #[must_use]
     pub fn effective_start(&self, name: &str, listed: Option<Time>) -> Option<Time> {
         listed.max(self.enabled_at.get(name).copied())
     }
-    /// Drops the times at which workers were enabled that are no longer known.
+    /// Drops the times at which workers were enabled, for workers that are not known any longer.
     pub fn retain_start_times(&mut self, is_known: impl Fn(&str) -> bool) {
         self.enabled_at.retain(|name, _| is_known(name));
     }
--- a/src/service/lifecycle.rs
+++ b/src/service/lifecycle.rs
@@ -1,70 +1,74 @@
-//! The lifecycle of a gatherer's process: serving, draining, and the graceful shutdown. Requests of operators, SIGTERM,
-//! a successor and time move it on. It decides what each state permits; connections and the process's end are the
-//! callers'.
+//! The lifecycle of a gatherer process: serving, draining, and graceful shutdown.
+//!
+//! Operators' requests, SIGTERM, a successor that serves, and time change its state. The state determines what is
+//! permitted; the callers close connections and end the process.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// How long the process still serves as before after its health check has first failed, because the front layer may
-/// send clients here until it notices. After SIGTERM it has to be under 0.7 s: what arrives later and is unanswered at
-/// SIGKILL is lost, and SIGKILL may follow after the longest deadline (or 3 s where that is longer) and 0.7 s. What
-/// arrives within it may have its whole deadline.
+/// Time for which the process serves as before after its health check has first failed, because the front layer may
+/// send clients to it until it notices. After SIGTERM this has to be below 0.7 s: SIGKILL may follow after the longest
+/// query deadline (or 3 s if that is longer) plus 0.7 s, and a request that is unanswered then is lost. A request that
+/// arrives within the grace period can have its whole deadline.
 pub const GRACE_PERIOD: Duration = Duration::from_millis(600);
 
-/// A state of the lifecycle.
+/// State of the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It serves.
+    /// The process serves clients.
     Serving,
-    /// An operator drains it: it is no longer healthy, but serves as before until the front layer has noticed.
+    /// An operator drains the process. Its health check fails, but it serves as before until the front layer has
+    /// noticed.
     Draining,
-    /// It is drained: it serves whoever still calls, and closes each connection after its response or once it is idle.
+    /// The process is drained. It serves clients that still connect, and closes each connection after its response or
+    /// when it is idle.
     Drained,
-    /// SIGTERM was received: it is no longer healthy, but serves whoever still comes.
+    /// SIGTERM was received. The health check fails, but the process still serves clients.
     Stopping,
-    /// SIGTERM was received while a successor serves, which continues the gatherer. It accepts no connection, is
-    /// healthy for whoever checks on an open one (unless it was drained), and closes each connection after its
-    /// response.
+    /// SIGTERM was received while a successor serves for the same gatherer. The process accepts no connections and
+    /// closes each one after its response. Its health check on an open connection succeeds, unless it was drained
+    /// before.
     HandedOver {
-        /// An operator had drained it.
+        /// Whether an operator had drained the process.
         drained: bool,
     },
-    /// The last state: it accepts no query, closes idle connections, and others after their responses.
+    /// Last state: the process accepts no queries, closes idle connections, and closes the others after their
+    /// responses.
     Closing,
 }
 
 impl LifecycleState {
-    /// Clients are to be sent here.
+    /// Returns whether the health check succeeds, so that the front layer sends clients to this process.
     #[must_use]
     pub fn is_healthy(self) -> bool {
         matches!(self, LifecycleState::Serving | LifecycleState::HandedOver { drained: false })
     }
-    /// New connections are accepted.
+    /// Returns whether new connections are accepted.
     #[must_use]
     pub fn accepts_connections(self) -> bool {
         !matches!(self, LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// Each connection is closed after its next response.
+    /// Returns whether each connection is closed after its next response.
     #[must_use]
     pub fn closes_after_response(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// Connections without a pending response are closed.
+    /// Returns whether connections without a pending response are closed.
     #[must_use]
     pub fn closes_idle_connections(self) -> bool {
         matches!(self, LifecycleState::Drained | LifecycleState::Closing)
     }
-    /// SIGTERM was received.
+    /// Returns whether SIGTERM was received.
     #[must_use]
     pub fn is_stopping(self) -> bool {
         matches!(self, LifecycleState::Stopping | LifecycleState::HandedOver { .. } | LifecycleState::Closing)
     }
-    /// New queries are accepted.
+    /// Returns whether new queries are accepted.
     #[must_use]
     pub fn accepts_queries(self) -> bool {
         self != LifecycleState::Closing
     }
-    /// Its name in responses to operators. These are outer names, of which several states share one.
+    /// Returns the state's name in responses to operators. These are outer names, and several states share one.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -77,12 +81,12 @@
     }
 }
 
-/// What is requested of the process from outside.
+/// A request to change the lifecycle's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleRequest {
-    /// An operator drains it.
+    /// An operator drains the process.
     Drain,
-    /// An operator lets it serve again.
+    /// An operator ends a drain.
     Resume,
     /// SIGTERM or SIGINT was received.
     Stop,
@@ -90,16 +94,16 @@
     HandOver,
 }
 
-/// Why a request is rejected.
+/// Reason for rejecting a request. The message goes out in an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LifecycleError {
-    /// A process that has received SIGTERM neither drains nor resumes.
+    /// The process has received SIGTERM and can neither be drained nor resumed.
     #[error("this process is stopping")]
     ShuttingDown,
 }
 
-/// The lifecycle of one process. Requests are idempotent: a second drain does not restart the first one's grace period.
-/// SIGTERM during a drain starts a grace period of its own.
+/// State machine of one process's lifecycle. Requests are idempotent: a second drain does not restart the grace period
+/// of the first. SIGTERM during a drain starts a grace period of its own.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     state: LifecycleState,
@@ -107,12 +111,12 @@
 }
 
 impl Lifecycle {
-    /// The lifecycle of a process that serves.
+    /// Creates the lifecycle of a process that serves.
     #[must_use]
     pub fn new(now: Time) -> Lifecycle {
         Lifecycle { state: LifecycleState::Serving, entered_at: now }
     }
-    /// The current state.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> LifecycleState {
         self.state
@@ -121,11 +125,12 @@
     /// Applies a request.
     ///
     /// # Errors
-    /// [`LifecycleError::ShuttingDown`] for a drain or a resume after SIGTERM; nothing changes then.
+    /// [`LifecycleError::ShuttingDown`] for a drain or a resume after SIGTERM; the state does not change then.
     pub fn apply(&mut self, now: Time, request: LifecycleRequest) -> Result<(), LifecycleError> {
         self.advance(now);
         let next = match (request, self.state) {
-            // A successor that serves only now still takes over new connections. The grace period goes on as it began.
+            // A successor that began to serve after SIGTERM takes over new connections too. The grace period is not
+            // restarted.
             (LifecycleRequest::HandOver, LifecycleState::Stopping) => {
                 self.state = LifecycleState::HandedOver { drained: false };
                 return Ok(());
@@ -146,7 +151,7 @@
         Ok(())
     }
 
-    /// When the grace period of the current state ends, where it has one.
+    /// Returns when the grace period of the current state ends, or `None` if the state has none.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Time> {
         match self.state {
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Moves to the next state where the grace period is over; returns whether it did.
+    /// Moves to the next state if the grace period has ended. Returns whether the state changed.
     pub fn advance(&mut self, now: Time) -> bool {
         let next = match (self.next_deadline(), self.state) {
             (Some(deadline), LifecycleState::Draining) if deadline <= now => LifecycleState::Drained,
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The lifecycle alone, with times as arguments.
+//! Tests of the lifecycle with explicit times.
 
 use super::{Lifecycle, LifecycleRequest, LifecycleState};
 use crate::policy::Time;
@@ -10,7 +10,7 @@
 fn a_drain_serves_on_for_its_grace_period_and_resume_ends_it_at_once() {
     let mut lifecycle = Lifecycle::new(Time(0));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
-    // A second request does not restart the grace period: it counts from the first.
+    // A second drain does not restart the grace period, which counts from the first.
     assert_eq!(lifecycle.apply(Time(500 * MS), LifecycleRequest::Drain), Ok(()));
     assert_eq!(
         (lifecycle.state(), lifecycle.next_deadline()),
@@ -27,7 +27,7 @@
     let mut lifecycle = Lifecycle::new(Time(0));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
     assert_eq!(lifecycle.apply(Time(1000 * MS), LifecycleRequest::Stop), Ok(()));
-    // What arrives 0.7 s after SIGTERM or later may be unanswered at SIGKILL, and would be lost.
+    // SIGKILL may come before a request is answered that arrives 0.7 s or more after SIGTERM.
     assert_eq!(lifecycle.next_deadline(), Some(Time(1600 * MS)));
     assert!(lifecycle.advance(Time(1600 * MS)) && lifecycle.state() == LifecycleState::Closing);
 }
@@ -48,7 +48,7 @@
     );
     assert_eq!(lifecycle.next_deadline(), Some(Time(600 * MS)));
     assert!(lifecycle.advance(Time(600 * MS)) && !lifecycle.state().accepts_queries());
-    // One that is drained does not become healthy by a hand-over.
+    // A drained process does not become healthy by a hand-over.
     let mut lifecycle = Lifecycle::new(Time(0));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::Drain), Ok(()));
     assert_eq!(lifecycle.apply(Time(0), LifecycleRequest::HandOver), Ok(()));
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,8 +1,7 @@
-//! What operators decide about a gatherer that serves: draining it, disabling workers, and upgrading it by a hot
-//! restart.
+//! Operators' control over a gatherer: draining it, disabling workers, and upgrading it by a hot restart.
 //!
-//! It owns the lifecycle of the process, the set of disabled workers, and what one process of an upgrade knows of the
-//! other. Times and plain values go in, decisions come out: it has no socket, no task and no clock.
+//! This module owns the lifecycle of the process, the set of disabled workers, and the state of the other process of a
+//! hot restart. Its types take times and plain values as arguments; they use no socket, no task and no clock.
 
 pub mod disabled_workers;
 pub mod lifecycle;
--- a/src/service/takeover.rs
+++ b/src/service/takeover.rs
@@ -1,24 +1,25 @@
-//! The two processes of a hot restart, as one of them sees it: whether another one may join, how many share the
-//! gatherer's limits, and what SIGTERM means. It owns that knowledge only; the messages between the two and their
-//! sockets are the callers'.
+//! The state of a hot restart, as one of its two processes sees it: whether another process may join, how many
+//! processes share the gatherer's limits, and whether SIGTERM hands over or ends the gatherer.
+//!
+//! The callers own the messages between the processes and their sockets.
 
 use super::lifecycle::LifecycleRequest;
 
-/// The state of the gatherer's other process.
+/// State of the gatherer's other process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum PeerState {
     /// There is no other process.
     #[default]
     None,
-    /// It has started and serves nobody yet.
+    /// The other process has started and does not serve clients yet.
     Joining,
-    /// It serves.
+    /// The other process serves clients.
     Serving,
-    /// It has received SIGTERM.
+    /// The other process has received SIGTERM.
     Stopping,
 }
 
-/// What one process of a gatherer knows of the other.
+/// State of a hot restart, as one process of the gatherer knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Takeover {
     predecessor: PeerState,
@@ -26,39 +27,39 @@
     is_serving: bool,
 }
 
-/// Why a further process may not join now.
+/// A further process may not join, because a hot restart is in progress or this process does not serve yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("another upgrade is under way")]
+#[error("another hot restart is in progress, or this process does not serve yet")]
 pub struct TakeoverInProgress;
 
 impl Takeover {
-    /// Another process hands over to this one.
+    /// Records that this process is the successor of one that serves.
     pub fn begin_as_successor(&mut self) {
         self.predecessor = PeerState::Serving;
     }
-    /// The predecessor has exited.
+    /// Records that the predecessor has exited.
     pub fn on_predecessor_exited(&mut self) {
         self.predecessor = PeerState::None;
     }
-    /// This process begins to accept clients.
+    /// Records that this process serves clients from now on.
     pub fn start_serving(&mut self) {
         self.is_serving = true;
     }
-    /// Whether this process accepts clients.
+    /// Returns whether this process serves clients.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.is_serving
     }
-    /// Whether another process still hands over to this one.
+    /// Returns whether this process has a predecessor that has not exited.
     #[must_use]
     pub fn has_predecessor(&self) -> bool {
         self.predecessor != PeerState::None
     }
-    /// A further process has started and asks to join.
+    /// Admits a further process as the successor.
     ///
     /// # Errors
-    /// [`TakeoverInProgress`] where this process does not serve yet or there is another one already: a third would
-    /// share limits that are halved as it is.
+    /// [`TakeoverInProgress`] if this process does not serve yet or another one exists already: the limits are halved
+    /// for two processes, and a third would have to share them too.
     pub fn admit_successor(&mut self) -> Result<(), TakeoverInProgress> {
         if !self.is_serving || self.predecessor != PeerState::None || self.successor != PeerState::None {
             return Err(TakeoverInProgress);
@@ -66,7 +67,7 @@
         self.successor = PeerState::Joining;
         Ok(())
     }
-    /// The other process has received SIGTERM, so the gatherer does not continue in that one.
+    /// Records that the other process has received SIGTERM, so that it does not continue the gatherer.
     pub fn on_peer_stopping(&mut self) {
         for peer in [&mut self.predecessor, &mut self.successor] {
             if *peer != PeerState::None {
@@ -74,22 +75,23 @@
             }
         }
     }
-    /// The successor accepts clients.
+    /// Records that the successor serves clients.
     pub fn on_successor_serving(&mut self) {
         if self.successor == PeerState::Joining {
             self.successor = PeerState::Serving;
         }
     }
-    /// The successor has exited; this process continues alone.
+    /// Records that the successor has exited and this process continues alone.
     pub fn on_successor_exited(&mut self) {
         self.successor = PeerState::None;
     }
-    /// The number of processes that share the gatherer's limits.
+    /// Returns the number of processes that share the gatherer's limits.
     #[must_use]
     pub fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor != PeerState::None) + u32::from(self.successor != PeerState::None)
     }
-    /// What SIGTERM means now: the end of the gatherer, or that it continues in the other process.
+    /// Returns the lifecycle request that SIGTERM means now: hand over if the other process serves, else stop the
+    /// gatherer.
     #[must_use]
     pub fn stop_signal_request(&self) -> LifecycleRequest {
         let continues_in_peer = [self.predecessor, self.successor].contains(&PeerState::Serving);
--- a/src/service/takeover/tests.rs
+++ b/src/service/takeover/tests.rs
@@ -1,4 +1,4 @@
-//! Both processes of a hot restart, without sockets.
+//! Tests of both processes of a hot restart, without sockets.
 
 use super::{Takeover, TakeoverInProgress};
 use crate::service::lifecycle::LifecycleRequest;
@@ -7,20 +7,20 @@
 #[test]
 fn sigterm_hands_over_only_to_a_serving_process_and_a_failed_upgrade_changes_nothing() {
     let (mut first, mut second) = (Takeover::default(), Takeover::default());
-    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "it does not serve itself yet");
+    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "the first process does not serve yet");
     first.start_serving();
     assert_eq!(first.admit_successor(), Ok(()));
     second.begin_as_successor();
     assert_eq!((first.process_count(), second.process_count()), (2, 2));
-    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "a third start while two run");
-    // SIGTERM before the successor serves ends the gatherer; a successor that exits changes nothing.
+    assert_eq!(first.admit_successor(), Err(TakeoverInProgress), "a third process starts while two run");
+    // SIGTERM before the successor serves stops the gatherer; the exit of a successor changes nothing.
     assert_eq!(first.stop_signal_request(), LifecycleRequest::Stop);
     first.on_successor_exited();
     assert_eq!(
         (first.process_count(), first.stop_signal_request(), first.admit_successor()),
         (1, LifecycleRequest::Stop, Ok(()))
     );
-    // SIGTERM may go to the second instead: the gatherer continues in the first.
+    // SIGTERM at the second process: the gatherer continues in the first.
     assert_eq!(second.stop_signal_request(), LifecycleRequest::HandOver);
     second.start_serving();
     first.on_successor_serving();
@@ -30,10 +30,10 @@
     assert_eq!(
         (both.stop_signal_request(), other.stop_signal_request()),
         (LifecycleRequest::Stop, LifecycleRequest::Stop),
-        "neither continues"
+        "both processes are stopping"
     );
     assert_eq!(first.stop_signal_request(), LifecycleRequest::HandOver);
-    assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first has not exited");
+    assert_eq!(second.admit_successor(), Err(TakeoverInProgress), "the first process has not exited");
     second.on_predecessor_exited();
     assert_eq!((second.process_count(), second.admit_successor()), (1, Ok(())));
 }
