--- a/src/service/takeover/tests.rs
+++ b/src/service/takeover/tests.rs
@@ -24,11 +24,11 @@
     assert_eq!(second.stop_signal_request(), LifecycleRequest::HandOver);
     second.start_serving();
     first.on_successor_serving();
-    let (mut both, mut other) = (first.clone(), second.clone());
-    both.on_peer_stopping();
-    other.on_peer_stopping();
+    let (mut first_stopping, mut second_stopping) = (first.clone(), second.clone());
+    first_stopping.on_peer_stopping();
+    second_stopping.on_peer_stopping();
     assert_eq!(
-        (both.stop_signal_request(), other.stop_signal_request()),
+        (first_stopping.stop_signal_request(), second_stopping.stop_signal_request()),
         (LifecycleRequest::Stop, LifecycleRequest::Stop),
         "both processes are stopping"
     );
