--- a/src/limits/accept_pacer.rs
+++ b/src/limits/accept_pacer.rs
@@ -1,25 +1,25 @@
 //! Paces the accept loop, so that a flood of new connections takes a bounded share of the processor's time.
 //!
-//! Owns the burst that is under way. It accepts nothing and never sleeps: the caller carries out the pauses.
+//! [`AcceptPacer`] owns the state of the current burst of accepts. The caller accepts connections and sleeps.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// Connections accepted in one burst, between two pauses.
+/// Number of connections accepted in one burst, between two pauses.
 const ACCEPTS_PER_BURST: u32 = 16;
-/// Share of the time that accepting may take while further connections wait.
+/// Largest share of the time that the accept loop may use while connections wait to be accepted.
 const MAX_TIME_SHARE: f64 = 0.25;
-/// The longest pause between two bursts.
+/// Longest pause between two bursts.
 const MAX_PAUSE: Duration = Duration::from_millis(10);
 
-/// A run of accepts without a wait between them.
+/// Accepts that follow one another without waiting for a connection.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
     began_at: Time,
     accepts: u32,
 }
 
-/// Paces the accept loop. It counts the wall time that the loop spends without waiting; on a single thread, this is the
+/// Computes the pauses of the accept loop. A burst is measured in wall time, which on a single thread is the accept
 /// loop's own processor time.
 #[derive(Debug, Default)]
 pub struct AcceptPacer {
@@ -27,13 +27,13 @@
 }
 
 impl AcceptPacer {
-    /// Ends the burst, because no connection waits to be accepted.
+    /// Ends the current burst. Called when no connection waits to be accepted.
     pub fn reset(&mut self) {
         self.burst = None;
     }
 
-    /// Counts a connection whose accept began at `began_at` and ended at `now`. After a full burst, it returns how long
-    /// the loop has to pause so that everything else runs.
+    /// Counts an accept that began at `began_at` and ended at `now`. After a full burst, returns the time for which the
+    /// accept loop has to pause so that other tasks run.
     #[must_use]
     pub fn record_accept(&mut self, began_at: Time, now: Time) -> Option<Duration> {
         let mut burst = self.burst.unwrap_or(Burst { began_at, accepts: 0 });
--- a/src/limits/accept_pacer/tests.rs
+++ b/src/limits/accept_pacer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pace at which connections are accepted.
+//! Tests of the pauses between bursts of accepts.
 
 use super::{ACCEPTS_PER_BURST, AcceptPacer, MAX_PAUSE};
 use crate::policy::Time;
--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -1,82 +1,86 @@
-//! Backoff of calls to a service that many gatherers call: when the next call is made, and how long it may wait.
+//! Backoff with jitter for calls to a service that many gatherers share: the delay before the next call, and the
+//! time-out of a long poll.
 //!
-//! Delays are drawn at random. Their bound grows with each failure and with the number of callers, so that all callers
-//! together stay within what the service bears, and never call in step. A [`Backoff`] owns one caller's state; it
-//! makes no call and never sleeps.
+//! Delays are random. Their upper bound grows with the number of failures and of callers, so that all callers together
+//! stay within the service's capacity and do not call at the same times. A [`Backoff`] owns the state of one caller; it
+//! makes no calls and never sleeps.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Calls per second that all callers together may make.
+/// Calls per second that all callers together may make to the service.
 const MAX_CALLS_PER_SECOND: u32 = 5;
-/// Bound of the first delay after a failure that is no sign of overload: the agent is on the same machine.
+/// Upper bound of the first delay after a failure that is not a sign of overload. It is short because the agent runs on
+/// the same machine.
 const BASE_DELAY: Duration = Duration::from_millis(100);
-/// Least bound of the longest delay, however short the time within which the caller has to poll.
+/// Lower limit of the bound of all delays, however short `poll_within` is.
 const MIN_LONGEST_DELAY: Duration = Duration::from_secs(1);
-/// Bound of the longest delay for callers that are so few that the service bears them all within it. A change counts as
-/// received 6 s after the service becomes reachable again, however earlier calls ended; of these 6 s, a call may wait
-/// 2 s for its turn.
+/// Upper bound of all delays if the callers are so few that the service can serve them all within it. A change has to
+/// be received 6 s after the service becomes reachable again, however earlier calls ended; of these 6 s, a call may
+/// wait 2 s for its turn.
 const RECOVERY_DELAY: Duration = Duration::from_secs(3);
-/// Share of the time within which the caller has to poll that a delay may take.
+/// Share of the time `poll_within` that a delay may take.
 const POLL_TIME_SHARE: f64 = 0.8;
-/// A call for the complete list costs the service at least as much as this number of calls for changes.
+/// Cost to the service of a call for the complete list, in calls for changes. This is a lower estimate.
 const COMPLETE_LIST_COST: u32 = 2;
-/// Fraction of the time to react to a change that one delay takes at most, where calls cost nothing: the response has
-/// to arrive within that time.
+/// Divisor of the reaction time that gives the longest delay of a caller whose calls cost nothing. The rest of the time
+/// is for the response to arrive.
 const REACTION_TIME_FRACTION: u32 = 5;
-/// Largest number of times that the bound of a delay doubles.
+/// Maximum number of times that the bound of a delay doubles.
 const MAX_DOUBLINGS: u32 = 3;
-/// Bounds of the time that one call may wait for a change.
+/// Range of the long-poll time-out.
 const LONG_POLL_TIMEOUT: RangeInclusive<Duration> = Duration::from_secs(5)..=Duration::from_secs(50);
 
-/// The delays of one of many callers.
+/// Backoff state of one of many callers.
 #[derive(Debug)]
 pub struct Backoff {
     random: fastrand::Rng,
     callers: u32,
     poll_within: Duration,
     failures: u32,
-    /// Bound of every delay of a caller whose calls cost the service nothing; `None` where calls are limited.
+    /// Upper bound of every delay of a caller whose calls cost the service nothing; `None` if the rate of calls is
+    /// limited.
     unlimited_delay: Option<Duration>,
 }
 
 impl Backoff {
-    /// Returns the delays of one of `callers`; each caller needs a seed of its own. A caller that has not polled for
-    /// `poll_within`, or for four times as long after a failed call, is assumed to know what it would have received.
+    /// Creates the backoff of one of `callers`; each caller needs a seed of its own. A caller has to poll within
+    /// `poll_within`, or within four times as long after a failed call: after that time, others assume that it knows
+    /// every earlier change.
     #[must_use]
     pub fn new(seed: u64, callers: u32, poll_within: Duration) -> Backoff {
         let random = fastrand::Rng::with_seed(seed);
         Backoff { random, callers: callers.max(1), poll_within, failures: 0, unlimited_delay: None }
     }
 
-    /// Returns the delays of a caller whose calls cost the service nothing, because an agent on the same machine
-    /// responds. What the agent has counts as received at once, and after `reaction_time` nothing may be sent to a
-    /// draining worker: delays leave most of that time.
+    /// Creates the backoff of a caller of an agent on the same machine, whose calls cost the service nothing. A change
+    /// counts as received as soon as the agent has it, and `reaction_time` later nothing may be sent to a draining
+    /// worker, so the delays leave most of that time.
     #[must_use]
     pub fn for_local_agent(seed: u64, reaction_time: Duration) -> Backoff {
         let delay = (reaction_time / REACTION_TIME_FRACTION).min(BASE_DELAY);
         Backoff { unlimited_delay: Some(delay), ..Backoff::new(seed, 1, Duration::ZERO) }
     }
 
-    /// Sets the number of callers. It has no effect on a caller of a local agent, which shares the agent with nobody.
+    /// Sets the number of callers. This has no effect on a caller of a local agent, which no other caller shares.
     pub fn set_callers(&mut self, callers: u32) {
         if self.unlimited_delay.is_none() {
             self.callers = callers.max(1);
         }
     }
 
-    /// Resets the delays, because the service has responded.
+    /// Resets the delays after a successful call.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Time in which each caller may make one call.
+    /// Time in which each caller may make one call, given [`MAX_CALLS_PER_SECOND`].
     fn round(&self) -> Duration {
         Duration::from_secs(1) * self.callers / MAX_CALLS_PER_SECOND
     }
 
-    /// Returns the delay before the next call, after one that failed. Where the service is `overloaded`, delays are so
-    /// long that all callers together stay within what it bears.
+    /// Returns the delay before the next call after a failed one. If the service is `overloaded`, the delays are long
+    /// enough to keep all callers together within the rate that it can serve.
     #[must_use]
     pub fn next_delay(&mut self, overloaded: bool) -> Duration {
         if let Some(longest) = self.unlimited_delay {
@@ -88,26 +92,27 @@
         bound.mul_f64(self.random.f64())
     }
 
-    /// Bound of the first delay after a failure that is a sign of overload.
+    /// Upper bound of the first delay after a failure that is a sign of overload.
     fn first_delay_when_overloaded(&self) -> Duration {
         BASE_DELAY + self.round()
     }
 
-    /// Bound of all delays: with delays of up to twice a round, all callers together make the calls that they may.
+    /// Upper bound of all delays. Delays of up to two rounds are one round on average, at which all callers together
+    /// reach [`MAX_CALLS_PER_SECOND`].
     fn longest_delay(&self) -> Duration {
         let bearable = RECOVERY_DELAY.max(self.first_delay_when_overloaded() * 2);
         bearable.min((self.poll_within * 4).mul_f64(POLL_TIME_SHARE)).max(MIN_LONGEST_DELAY)
     }
 
-    /// Returns the delay before the first call, which polls for changes of a list that is already cached. It keeps
-    /// callers that start together from calling together.
+    /// Returns the delay before the first call, for a caller that has a cached list and polls for changes. The delay
+    /// spreads callers that start at the same time.
     #[must_use]
     pub fn initial_delay(&mut self) -> Duration {
         let bound = (self.round() / COMPLETE_LIST_COST).min(self.poll_within.mul_f64(POLL_TIME_SHARE));
         bound.mul_f64(self.random.f64())
     }
 
-    /// Returns how long a call may wait for a change. The next call follows at its end.
+    /// Returns the time for which one call may wait for a change before it ends without one and the next call follows.
     #[must_use]
     pub fn long_poll_timeout(&self) -> Duration {
         (self.round() + self.round() / 2).clamp(*LONG_POLL_TIMEOUT.start(), *LONG_POLL_TIMEOUT.end())
--- a/src/limits/buffer_budget.rs
+++ b/src/limits/buffer_budget.rs
@@ -1,10 +1,11 @@
-//! The budget of bytes buffered for peers: a bound on the sum, and one for each holder that shrinks as the sum fills.
+//! The budget of bytes that are buffered for peers. It bounds the sum of all buffers and the size of each, which
+//! shrinks as the budget fills.
 //!
-//! Owns the sums, not the buffers: holders book what they hold.
+//! [`BufferBudget`] owns the sums, not the buffers: each holder reports the bytes that it holds.
 
-/// A budget of buffered bytes. What one holder may keep is a share of what is free (dynamic thresholds: Choudhury and
-/// Hahne, "Dynamic queue length thresholds for shared-memory packet switches", 1998). One greedy peer takes half of the
-/// budget at most, many peers share it, and some of it stays free for new holders.
+/// A budget of buffered bytes. Each holder may keep a share of the free bytes (dynamic thresholds: Choudhury and Hahne,
+/// "Dynamic queue length thresholds for shared-memory packet switches", 1998). A single large holder gets at most half
+/// of the budget, many holders share it, and some of it stays free for new holders.
 #[derive(Clone, Debug)]
 pub struct BufferBudget {
     total: usize,
@@ -13,44 +14,45 @@
 }
 
 impl BufferBudget {
-    /// Creates a budget of `total` bytes for at most `holders`. Each holder can always have half of an even share.
+    /// Creates a budget of `total` bytes for at most `holders` holders. Each holder can always have half of an even
+    /// share.
     #[must_use]
     pub fn new(total: usize, holders: usize) -> BufferBudget {
         BufferBudget { total, min_per_holder: half_share(total, holders), used: 0 }
     }
 
-    /// Changes the sum, as when another process begins or ceases to share the memory.
+    /// Changes the size of the budget. Used when another process begins or ceases to share the memory.
     pub fn resize(&mut self, total: usize, holders: usize) {
         (self.total, self.min_per_holder) = (total, half_share(total, holders));
     }
 
-    /// Bytes that each holder can always have.
+    /// Returns the bytes that each holder can always have.
     #[must_use]
     pub fn min_per_holder(&self) -> usize {
         self.min_per_holder
     }
-    /// Bytes that are held.
+    /// Returns the bytes that all holders together hold.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used
     }
-    /// Bytes that may be held.
+    /// Returns the size of the budget in bytes.
     #[must_use]
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// Returns how many bytes a holder of `held` bytes may hold now. A holder never has to give back what it holds:
-    /// where the budget has filled up, it may only hold no more.
+    /// Returns the number of bytes that a holder of `held` bytes may hold now. This is never less than `held`: if the
+    /// budget has filled up, the holder may not grow, but does not have to shrink.
     #[must_use]
     pub fn allowance(&self, held: usize) -> usize {
         let free = self.total.saturating_sub(self.used);
-        // The half shares of all holders make up half of the budget; holders compete for the other half.
+        // The guaranteed half shares of all holders make up half of the budget; holders compete for the other half.
         let contested = free.saturating_sub(self.total / 2);
         held.max(self.min_per_holder.max(held + contested.saturating_sub(held) / 2)).min(held + free)
     }
 
-    /// Books the change of one holder's bytes from `before` to `after`.
+    /// Records that the bytes of one holder changed from `before` to `after`.
     pub fn update(&mut self, before: usize, after: usize) {
         self.used = (self.used + after).saturating_sub(before);
     }
--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -1,21 +1,21 @@
-//! The clients' connections as plain values: how long each may stay as it is, and which one is evicted first.
+//! State of clients' connections: the deadline of each, and the order in which they are evicted.
 //!
-//! Owns each connection's state and the eviction order; sockets report what happened and carry out evictions. It
-//! never closes a socket and never reads a clock.
+//! [`ClientConnections`] owns the state of each connection and the eviction order. Its callers report events of sockets
+//! and close the connections that it evicts.
 //!
-//! A connection is *busy* while a query is open on it: it then stands in no order and is never evicted. All others
-//! are *evictable* and stand in this order, the first to evict in front:
+//! A connection is *busy* while a query is open on it, and is then never evicted. All others are *evictable*, in this
+//! order of reasons:
 //!
-//! 1. silent: it never sent a byte. Nothing of value is lost with it.
-//! 2. slow: its request is behind the minimum receive rate. The bytes of a request extend its time limit, so that a
-//!    client gains nothing by dribbling.
-//! 3. single request: it got one response and stays. Few such clients come back late, and one that does only has to
-//!    connect again.
-//! 4. penalised: what it last sent was malformed.
-//! 5. idle: it has sent several requests. The one that exceeds its usual idle interval most goes first.
+//! 1. silent: the connection never sent a byte. No work is lost with it.
+//! 2. slow: the request on it arrives below the minimum receive rate. Received bytes extend its deadline, so that a
+//!    client gains nothing by sending a few bytes at a time.
+//! 3. single request: the connection had one response and stays open. Few such clients send another request much
+//!    later, and one that does only has to connect again.
+//! 4. penalised: the last request on the connection was malformed or is not served by this process.
+//! 5. idle: the connection has sent several requests. The one that exceeds its usual idle interval most goes first.
 //!
-//! Connections within their minimum residence are passed over in 1 to 3. Where sources can be distinguished, a
-//! well-behaved connection of a source over its quota goes before one of another source.
+//! For reasons 1 to 3, connections within their minimum residence are skipped. If sources can be distinguished, a
+//! well-behaved connection of a source over its quota is evicted before those of other sources.
 
 mod eviction;
 
@@ -27,87 +27,87 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The client that a connection belongs to, as far as that can be known: a hash of its address, or of the name that it
-/// gives.
+/// Client of a connection, as far as it can be identified: a hash of its address, or of the caller name in its
+/// requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source(pub u64);
 
-/// What a connection sent, as far as its own record is concerned.
+/// Whether a request counts against its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestValidity {
-    /// A request, whatever came of it.
+    /// A request that this process serves, whatever its response.
     Valid,
-    /// No request, or none that this process serves.
+    /// Malformed input, or a request that this process does not serve.
     Invalid,
 }
 
-/// A request received at this rate is not slow: one of 64 kB has one second more.
+/// Minimum receive rate of a request: 64 kB extend its deadline by one second.
 const MIN_RECEIVE_BYTES_PER_SECOND: f64 = 64_000.0;
-/// An idle connection is expected to be used again within this multiple of its usual idle interval...
+/// Multiple of its usual idle interval within which an idle connection is expected to be used again.
 const IDLE_INTERVAL_FACTOR: u32 = 4;
-/// ...but no later than this.
+/// Upper limit of the time within which an idle connection is expected to be used again.
 const MAX_EXPECTED_IDLE: Duration = Duration::from_secs(4);
-/// The usual idle interval is a moving average in which the last interval has the weight of one in this number.
+/// Weight of the moving average of idle intervals: the last interval counts for one part in this number.
 const IDLE_AVERAGE_INTERVALS: u32 = 4;
-/// Sources of malformed input that are remembered after they disconnected.
+/// Maximum number of sources whose malformed input is remembered.
 const MAX_PENALISED_SOURCES: usize = 1024;
-/// How long such a source is remembered.
+/// Time for which a source of malformed input is remembered.
 const PENALTY_TIME: Duration = Duration::from_secs(10);
 
-/// The clients' connections, in the order in which they would be evicted.
+/// Clients' connections with their eviction order.
 #[derive(Debug, Default)]
 pub struct ClientConnections {
     connections: HashMap<u64, Connection>,
     eviction_order: BTreeSet<EvictionRank>,
     eviction_order_by_source: HashMap<Source, BTreeSet<EvictionRank>>,
     open_by_source: HashMap<Source, usize>,
-    /// Sources by the number of their connections.
+    /// Sources ordered by the number of their connections.
     sources_by_size: BTreeSet<(usize, Source)>,
-    /// When sources last sent malformed input, for those that did so lately.
+    /// Time of the last malformed input of each source that sent any lately.
     penalised_sources: HashMap<Source, Time>,
     last_id: u64,
 }
 
 impl ClientConnections {
-    /// Number of connections, including busy and closing ones.
+    /// Returns the number of connections, including busy and closing ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.connections.len()
     }
-    /// Whether there is none.
+    /// Returns whether there are no connections.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
-    /// Whether any connection may be evicted.
+    /// Returns whether any connection is evictable.
     #[must_use]
     pub fn has_evictable(&self) -> bool {
         !self.eviction_order.is_empty()
     }
-    /// Whether a query is open on this connection.
+    /// Returns whether a query is open on this connection.
     #[must_use]
     pub fn is_busy(&self, id: u64) -> bool {
         self.connections.get(&id).is_some_and(|connection| connection.state == ConnectionState::Busy)
     }
-    /// Whether no query is open on it and it is not about to be closed.
+    /// Returns whether this connection is neither busy nor about to be closed.
     #[must_use]
     pub fn is_evictable(&self, id: u64) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| matches!(connection.state, ConnectionState::Evictable(_)))
     }
-    /// Number of connections of a source.
+    /// Returns the number of connections of a source.
     #[must_use]
     pub fn open_from(&self, source: Source) -> usize {
         self.open_by_source.get(&source).copied().unwrap_or(0)
     }
 
-    /// Adds a connection that was accepted, and returns its id.
+    /// Adds an accepted connection and returns its id.
     pub fn accept(&mut self, now: Time, source: Source) -> u64 {
         self.last_id += 1;
         let id = self.last_id;
-        // A source that sends malformed input, is closed and reconnects at once keeps its penalty. Where all
-        // connections come from one address, clients cannot be distinguished, and none is penalised for another.
+        // A source that reconnects at once after its malformed input was rejected keeps its penalty. If all connections
+        // come from one address, clients cannot be distinguished, and none is penalised for another's input.
         let penalised = self.penalised_sources.get(&source).is_some_and(|at| now.since(*at) < PENALTY_TIME)
             && self.open_by_source.keys().any(|other| *other != source);
         let state = ConnectionState::Evictable(EvictionReason::Silent);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Moves a connection to another state, and so to another position in the eviction order.
+    /// Moves a connection to another state, and to its new position in the eviction order.
     fn set_state(&mut self, id: u64, state: ConnectionState, state_since: Time, counted_from: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let of_source = self.eviction_order_by_source.entry(connection.source).or_default();
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Records bytes of a request that is not complete. A connection that is about to be closed becomes evictable
+    /// Records received bytes of an incomplete request. A connection that is about to be closed becomes evictable
     /// again.
     pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -175,7 +175,8 @@
             connection.usual_idle = (before * (IDLE_AVERAGE_INTERVALS - 1) + idle) / IDLE_AVERAGE_INTERVALS;
         }
         connection.request_bytes = if receiving { connection.request_bytes + bytes } else { bytes };
-        // The time of the first request runs from the accept, so that sending its first byte late gains nothing.
+        // The deadline of the first request counts from the accept, so that a client gains no time by sending its first
+        // byte late.
         let began_at = if receiving || connection.responses == 0 { connection.state_since } else { now };
         let extension =
             Duration::from_secs_f64(connection.request_bytes as f64 / MIN_RECEIVE_BYTES_PER_SECOND);
@@ -183,12 +184,12 @@
         self.set_state(id, state, began_at, began_at.after(extension));
     }
 
-    /// Records that the request is complete: the connection is busy from now on.
+    /// Records that a request is complete; the connection is busy from now on.
     pub fn start_query(&mut self, now: Time, id: u64) {
         self.set_state(id, ConnectionState::Busy, now, now);
     }
 
-    /// Records that the response was sent.
+    /// Records that the response to a request was sent; the connection is evictable from now on.
     pub fn finish_query(&mut self, now: Time, id: u64, validity: RequestValidity) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.responses = connection.responses.saturating_add(1);
@@ -207,7 +208,7 @@
         self.set_state(id, ConnectionState::Evictable(reason), now, counted_from);
     }
 
-    /// Records malformed input: the connection gets an error response and is closed.
+    /// Records malformed input; the connection gets an error response and is closed.
     pub fn reject_malformed(&mut self, now: Time, id: u64) {
         let Some(connection) = self.connections.get(&id) else { return };
         let source = connection.source;
@@ -219,13 +220,13 @@
         if self.penalised_sources.len() >= MAX_PENALISED_SOURCES {
             self.penalised_sources.retain(|_, at| now.since(*at) < PENALTY_TIME);
         }
-        // Bounds the memory that a flood from many addresses can fill.
+        // The limit bounds the memory that a flood from many addresses can use.
         if self.penalised_sources.len() < MAX_PENALISED_SOURCES {
             self.penalised_sources.insert(source, now);
         }
     }
 
-    /// Counts a connection as of this source from now on, because it says whose it is.
+    /// Assigns a connection to another source, because a request on it names its caller.
     pub fn set_source(&mut self, id: u64, source: Source) {
         let Some(connection) = self.connections.get(&id) else { return };
         let (before, state) = (connection.source, connection.state);
@@ -233,7 +234,8 @@
         if before == source {
             return;
         }
-        // Out of the old source's order and into the new one's.
+        // Leaving the evictable state removes the connection from the old source's order; the last call adds it to the
+        // new one's.
         self.set_state(id, ConnectionState::Closing, state_since, counted_from);
         self.count_for_source(before, false);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -243,7 +245,7 @@
         self.set_state(id, state, state_since, counted_from);
     }
 
-    /// Removes a connection that is closed.
+    /// Removes a connection that was closed.
     pub fn close(&mut self, id: u64) {
         let Some(connection) = self.connections.get(&id) else { return };
         let source = connection.source;
@@ -252,7 +254,7 @@
         self.count_for_source(source, false);
     }
 
-    /// Evicts the connections whose deadline under this pressure has passed.
+    /// Evicts all connections whose deadline under this pressure has passed, and returns them with their reasons.
     #[must_use]
     pub fn evict_expired(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, EvictionReason)> {
         let expired = |rank: &&EvictionRank| {
@@ -267,13 +269,13 @@
         expired
     }
 
-    /// Returns the earliest deadline under this pressure.
+    /// Returns the earliest deadline of all connections under this pressure.
     #[must_use]
     pub fn next_deadline(&self, pressure: ResourcePressure) -> Option<Time> {
         self.eviction_order.iter().filter_map(|rank| self.connections.get(&rank.id)?.deadline(pressure)).min()
     }
 
-    /// Evicts the first connection of the eviction order, because another needs its descriptor.
+    /// Evicts the first connection of the eviction order, because its descriptor is needed for another connection.
     #[must_use]
     pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
         let (rank, reason) = self.first_to_evict(now)?;
@@ -281,8 +283,9 @@
         Some((rank.id, reason))
     }
 
-    /// Evicts like [`ClientConnections::evict`], but only a connection that is past its minimum residence: where nobody
-    /// waits for this very descriptor, a new connection is not closed while its first request may be on its way.
+    /// Evicts like [`ClientConnections::evict`], but only a connection that is past its minimum residence. Used if
+    /// nobody waits for the descriptor, so that a new connection is not closed while its first request may be on its
+    /// way.
     #[must_use]
     pub fn evict_past_min_residence(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
         let (first, _) = self.first_to_evict(now)?;
@@ -304,16 +307,17 @@
                 return Some((*rank, reason));
             }
         }
-        // All others behave well. Protects sources with few connections from one that opens more and more.
+        // The remaining connections are well-behaved. This protects sources with few connections from one that opens
+        // many.
         if let Some((most, source)) = self.sources_by_size.last()
             && most * self.open_by_source.len() > self.connections.len()
             && let Some(rank) = self.eviction_order_by_source.get(source).and_then(BTreeSet::first)
         {
             return Some((*rank, EvictionReason::OverQuota));
         }
-        // Protects clients with several requests from a flood so fast that all of it is new: new connections go first,
-        // because a client with a request to send has sent it by the time that its connection is considered.
-        // Connections that stay idle too long are evicted by their deadline anyway.
+        // This protects clients with several requests from a flood so fast that all of its connections are new. New
+        // connections are evicted first, because a client with a request to send has sent it by the time that its
+        // connection is considered. Connections that are idle for too long are evicted at their deadline anyway.
         self.eviction_order.first().map(|rank| (*rank, rank.reason))
     }
 }
--- a/src/limits/client_connections/eviction.rs
+++ b/src/limits/client_connections/eviction.rs
@@ -1,6 +1,6 @@
-//! The eviction order: its reasons, the time limits of each, and a connection's position and deadline.
+//! The eviction order: its reasons, the time limits of each, and the rank and deadline of a connection.
 //!
-//! Owns the state of one connection. It changes no state: [`super::ClientConnections`] does.
+//! [`Connection`] holds the state of one connection, which only [`super::ClientConnections`] changes.
 
 use super::Source;
 use crate::limits::resource_pressure::ResourcePressure;
@@ -8,24 +8,24 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why a connection is evicted. The order is that of eviction.
+/// Reason for evicting a connection. The variants are in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EvictionReason {
-    /// It never sent a byte.
+    /// The connection never sent a byte.
     Silent,
-    /// Its request is not received in time.
+    /// The request on it was not received in time.
     Slow,
-    /// It sent one request, and stays.
+    /// The connection sent one request and stays open.
     SingleRequest,
-    /// It sent malformed input before.
+    /// The last request on it was malformed or not served by this process.
     Penalised,
-    /// It has not sent another request.
+    /// The connection sent several requests and is idle.
     Idle,
-    /// Its source holds more connections than its quota.
+    /// The source of the connection holds more connections than its quota.
     OverQuota,
 }
 
-/// All reasons, in the order in which they are counted.
+/// Every eviction reason, in the order of the counters by reason.
 pub const EVICTION_REASONS: [EvictionReason; 6] = [
     EvictionReason::Silent,
     EvictionReason::Slow,
@@ -36,7 +36,7 @@
 ];
 
 impl fmt::Display for EvictionReason {
-    /// Writes the reason as it stands in names of counters, which operators' tools match: these words stay as they are.
+    /// Writes the reason as used in names of counters. Operators' tools match these names; they must not change.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             EvictionReason::Silent => "silent",
@@ -49,13 +49,13 @@
     }
 }
 
-/// Time limits of an evictable connection.
+/// Time limits of an evictable connection, by reason.
 pub(super) struct TimeLimits {
-    /// The limit without pressure.
+    /// Limit without resource pressure.
     pub relaxed: Duration,
-    /// The limit under full pressure.
+    /// Limit under full resource pressure.
     pub tight: Duration,
-    /// For this long, the connection is passed over when another needs its descriptor.
+    /// Minimum residence: time for which the connection is skipped when another one needs its descriptor.
     pub min_residence: Duration,
 }
 
@@ -64,10 +64,10 @@
     TimeLimits { relaxed: ms(relaxed), tight: ms(tight), min_residence: ms(min_residence) }
 }
 
-/// Time limits by [`EvictionReason`], in its order. The relaxed limits are those that clients always had; 2.5 s gets
-/// the response to a bad client out within 3 s. The tight limits are a multiple of what a well-behaved client needs on
-/// a loaded machine: a request follows its connection at once, and on a kept connection of a busy client the next
-/// request follows the last response in well under 150 ms.
+/// Time limits by [`EvictionReason`], in its order. The relaxed limits are those that have always applied to clients;
+/// 2.5 s gets the response to a bad client out within 3 s. The tight limits are a multiple of what a well-behaved
+/// client needs on a loaded machine: its first request follows the connect at once, and on a connection that is in
+/// regular use the next request follows the last response in well under 150 ms.
 pub(super) const TIME_LIMITS: [TimeLimits; 5] = [
     time_limits_ms(2500, 200, 100),
     time_limits_ms(2500, 300, 200),
@@ -75,58 +75,66 @@
     time_limits_ms(2000, 50, 0),
     time_limits_ms(10_000, 1000, 0),
 ];
-/// The longest time in which a request may be received, at whatever rate.
+/// Longest time for receiving a request, at whatever rate.
 const MAX_RECEIVE_TIME: Duration = Duration::from_millis(2500);
+
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It may be evicted, for this reason.
+    /// The connection may be evicted for this reason.
     Evictable(EvictionReason),
-    /// A query is open on it.
+    /// A query is open on the connection.
     Busy,
-    /// It is about to be closed.
+    /// The connection is about to be closed.
     Closing,
 }
 
-/// The position of a connection in the eviction order.
+/// Position of a connection in the eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     pub reason: EvictionReason,
-    /// The moment that counts against the connection: the earlier, the sooner it is evicted.
+    /// Sort key among connections of one reason: the earliest is evicted first. The minimum residence counts from this
+    /// time.
     pub counted_from: Time,
     pub id: u64,
 }
 
 impl EvictionRank {
-    /// Whether the connection has had the time for which it is passed over.
+    /// Returns whether the connection is past the minimum residence of its reason.
     pub fn is_past_min_residence(&self, now: Time) -> bool {
         now.since(self.counted_from) >= TIME_LIMITS[self.reason as usize].min_residence
     }
 }
 
+/// A client's connection.
 #[derive(Debug)]
 pub(super) struct Connection {
+    /// Source that the connection counts for.
     pub source: Source,
+    /// Current state.
     pub state: ConnectionState,
-    /// When its state began.
+    /// Time at which the current state began.
     pub state_since: Time,
-    /// See [`EvictionRank::counted_from`].
+    /// Time used in the eviction order; see [`EvictionRank::counted_from`].
     pub counted_from: Time,
-    /// Bytes of the request that is being received.
+    /// Bytes received so far of the current request.
     pub request_bytes: usize,
-    /// Responses sent on it.
+    /// Number of responses sent on the connection.
     pub responses: u32,
-    /// Average time between a response and the next request.
+    /// Moving average of the time between a response and the next request.
     pub usual_idle: Duration,
+    /// Whether malformed input of this connection or, lately, of its source counts against it.
     pub penalised: bool,
 }
 
 impl Connection {
+    /// Returns the connection's position in the eviction order, or `None` if the connection is not evictable.
     pub fn rank(&self, id: u64) -> Option<EvictionRank> {
         let ConnectionState::Evictable(reason) = self.state else { return None };
         Some(EvictionRank { reason, counted_from: self.counted_from, id })
     }
 
-    /// Returns until when it may stay as it is under this pressure. A busy connection has no deadline.
+    /// Returns the time at which the connection is evicted under this pressure, or `None` if it is busy or closing.
     pub fn deadline(&self, pressure: ResourcePressure) -> Option<Time> {
         let ConnectionState::Evictable(reason) = self.state else { return None };
         let limit = |reason: EvictionReason| {
@@ -137,7 +145,7 @@
             EvictionReason::Slow => {
                 self.counted_from.after(limit(reason)).min(self.state_since.after(MAX_RECEIVE_TIME))
             }
-            // Its usual idle interval applies where that is longer.
+            // The expected time of the next request applies if that is later.
             EvictionReason::Idle => self.counted_from.max(self.state_since.after(limit(reason))),
             // A source that reconnects after malformed input gets the time limit of malformed input.
             EvictionReason::Silent if self.penalised => {
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,8 +1,8 @@
-//! Limits of the process: which class may hold a descriptor, which connection is evicted first, how much is buffered,
-//! how fast connections are accepted, and which calls wait for a connection to a server.
+//! Limits of the process: descriptors by class, eviction of clients' connections, buffered bytes, the rate of accepts,
+//! the connections toward servers, and backoff of calls to shared services.
 //!
-//! Plain values and times go in, decisions come out. It owns no socket, no task and no clock; `transport` carries the
-//! decisions out.
+//! The types take times and plain values as arguments and return decisions. They own no socket, no task and no clock;
+//! `transport` carries the decisions out.
 
 pub mod accept_pacer;
 pub mod backoff;
