--- a/src/limits/connection_counters.rs
+++ b/src/limits/connection_counters.rs
@@ -1,6 +1,7 @@
-//! Counters of connections since the start: accepted, rejected, evicted and lost, and the peaks of what was held.
+//! Counters of connections since the start: accepted, rejected, evicted and closed ones, and the peaks of descriptors
+//! and buffered bytes.
 //!
-//! Owns the counts and their outer names; it decides nothing.
+//! [`ConnectionCounters`] owns the counts and their outer names. No decision depends on it.
 
 use super::client_connections::{EVICTION_REASONS, EvictionReason};
 use super::descriptors::{DESCRIPTOR_CLASSES, DescriptorClass};
@@ -11,15 +12,15 @@
 pub struct ConnectionCounters {
     /// Clients' connections accepted.
     pub admitted: u64,
-    /// Clients' connections rejected at once, because every descriptor was busy.
+    /// Clients' connections rejected on accept, because every descriptor was busy.
     pub rejected: u64,
     /// Clients' connections evicted, by reason.
     pub evicted: [u64; EVICTION_REASONS.len()],
-    /// Evicted before their deadline, because another connection needed the descriptor.
+    /// Clients' connections evicted before their deadline, because another connection needed the descriptor.
     pub evicted_early: u64,
-    /// Evictions cancelled, because a request arrived just before the close.
+    /// Evictions of clients' connections cancelled, because a request arrived just before the close.
     pub eviction_cancelled: u64,
-    /// Evictions whose close crossed a request all the same.
+    /// Requests whose bytes arrived after this side had closed the evicted connection.
     pub close_races: u64,
     /// Clients that closed their connection while a query was open on it.
     pub client_closed_waiting: u64,
@@ -29,46 +30,47 @@
     pub client_closed_idle: u64,
     /// Responses that could not be written, because the connection was broken.
     pub response_write_failed: u64,
-    /// Responses that the client did not take in time.
+    /// Responses that the client did not receive in full before the write time-out.
     pub response_write_timed_out: u64,
-    /// Queries rejected because a busy descriptor would have taken what another class is guaranteed.
+    /// Queries rejected because one more busy descriptor would have violated the floor of another class.
     pub rejected_no_descriptor: u64,
-    /// Connections to servers that were begun.
+    /// Connects to servers that were started.
     pub worker_connects_started: u64,
-    /// Calls that waited for a new connection and got none: removed from the queue, or timed out.
+    /// Calls that waited for a new connection and did not get one: removed from the queue, or timed out.
     pub worker_connect_waits_failed: u64,
     /// Connections to servers evicted, because another class or another server needed the descriptor.
     pub worker_connections_evicted: u64,
-    /// Connections to servers that ended: closed by either side, closed for what was received on them, or never opened.
+    /// Connections to workers that were closed by either side or failed to connect, except those counted in the next
+    /// two.
     pub worker_connections_closed: u64,
-    /// Of these, closed because what was received on them was malformed.
+    /// Connections to workers closed because malformed input was received on them.
     pub worker_connections_untrusted: u64,
-    /// Connections to servers that were never opened, because no descriptor or no time was left.
+    /// Connections to workers that were never opened: no connect permit, a local error, or no time left to write.
     pub worker_connections_unopened: u64,
-    /// Accepts that failed.
+    /// Failed accept calls.
     pub accept_failed: u64,
-    /// Peak of the descriptors that each class held.
+    /// Highest number of descriptors that each class held at once.
     pub peak_held: [usize; DESCRIPTOR_CLASSES.len()],
-    /// Peak of the descriptors that all classes held together.
+    /// Highest number of descriptors that all classes together held at once.
     pub peak_descriptors: usize,
-    /// Peak of the buffered bytes.
+    /// Highest number of bytes buffered at once.
     pub peak_buffered_bytes: usize,
 }
 
 impl ConnectionCounters {
-    /// Counts an eviction.
+    /// Counts an eviction of a client's connection.
     pub fn count_eviction(&mut self, reason: EvictionReason) {
         self.evicted[reason as usize] += 1;
     }
 
-    /// Raises the peaks to the descriptors that a class and all classes hold now.
+    /// Updates the peaks with the numbers of descriptors that a class and all classes hold now.
     pub fn record_held(&mut self, class: DescriptorClass, held: usize, held_by_all: usize) {
         let peak = &mut self.peak_held[class as usize];
         *peak = held.max(*peak);
         self.peak_descriptors = held_by_all.max(self.peak_descriptors);
     }
 
-    /// All evictions, whatever their reason.
+    /// Returns the number of evictions for all reasons.
     #[must_use]
     pub fn total_evicted(&self) -> u64 {
         self.evicted.iter().sum()
@@ -76,8 +78,8 @@
 }
 
 impl fmt::Display for ConnectionCounters {
-    /// Writes `name=value` pairs as operators read them in `GET /_counters` and in the log. This is the one table from
-    /// fields to outer names, which stay as they are because dashboards match them.
+    /// Writes `name=value` pairs for `GET /_counters` and the log. This is the only table from fields to outer names,
+    /// which must not change because dashboards match them.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "admitted={} turned_away={}", self.admitted, self.rejected)?;
         for reason in EVICTION_REASONS {
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -1,46 +1,47 @@
-//! Sizing of the connection pools toward servers: which open connection takes a call, and which call may open the next
-//! connection.
+//! Sizing of the connection pools toward servers: which open connection takes a call, and which waiting call may open
+//! the next connection.
 //!
-//! Owns the queue of calls that wait for a new connection, and the count of those that are connecting. It opens nothing
-//! and sends nothing.
+//! [`ConnectQueue`] owns the queue of calls that wait for a new connection, and the counts of connects in progress. It
+//! opens no connection and sends nothing.
 
 use crate::policy::{Time, WorkerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call waits for a connection for this fraction of its time at most; the rest is for the response, or for another
-/// server.
+/// Divisor of a call's remaining time that gives its longest wait for a connection. The rest of the time is for the
+/// response, or for another server.
 const CONNECT_WAIT_FRACTION: u32 = 4;
-/// One server's connections may make up this fraction of all that are connecting...
+/// Divisor of the limit of concurrent connects that gives the limit for one server.
 const CONNECTING_FRACTION_PER_WORKER: usize = 4;
-/// ...but this number in any case.
+/// Lower bound of the limit of concurrent connects to one server.
 const MIN_CONNECTING_PER_WORKER: usize = 2;
 
-/// An open connection of a pool.
+/// State of one open connection of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PooledConnection {
-    /// Calls in flight on it.
+    /// Number of calls in flight on the connection.
     pub in_flight: usize,
-    /// Whether it can take another call: its server responds, and it carries fewer calls than it may.
+    /// Whether the connection can take another call now: its server responds, and it carries fewer calls than its
+    /// limit.
     pub has_capacity: bool,
-    /// Whether it takes new calls at all.
+    /// Whether the connection takes new calls at all.
     pub accepts_calls: bool,
 }
 
-/// The connection for a call.
+/// Choice of the connection for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// The open connection with this index.
+    /// Send the call on the open connection with this index.
     Reuse(usize),
-    /// A new connection, as soon as there is a descriptor for it.
+    /// Open a new connection as soon as a descriptor is free.
     OpenNew,
 }
 
 /// Chooses the connection for a call: one with capacity, else a new one, else the one with the fewest calls.
 ///
 /// A `non_idempotent` call gets a new connection of its own. A server may close or reset a kept connection just as a
-/// call is written; the call may have run then, and its query is lost. On a connection of its own it cannot be lost to
-/// a malformed response to another call, either.
+/// call is written; it is then unknown whether the call ran, and its query is lost. On a connection of its own, the
+/// call cannot be lost to a malformed response to another call either.
 #[must_use]
 pub fn choose_connection(
     non_idempotent: bool,
@@ -61,33 +62,32 @@
     least_loaded.map_or(ConnectionChoice::OpenNew, |(index, _)| ConnectionChoice::Reuse(index))
 }
 
-/// Returns how long a call with so much time left may wait for a connection.
+/// Returns how long a call with this remaining time may wait for a connection.
 #[must_use]
 pub fn connect_wait_limit(time_left: Duration) -> Duration {
     time_left / CONNECT_WAIT_FRACTION
 }
 
-/// Why a call got no connection. Nothing of the call was sent.
+/// Reason why a call got no connection. Nothing of the call was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectWaitError {
-    /// Calls with an earlier deadline fill the queue.
-    #[error("too many calls wait for a connection")]
+    /// The queue is full, and this call was removed from it.
+    #[error("call removed from the connect queue: the queue is full")]
     QueueFull,
-    /// It waited for as long as it may.
-    #[error("no connection could be had in time")]
+    /// The wait reached [`connect_wait_limit`].
+    #[error("no connection within a quarter of the call's remaining time")]
     TimedOut,
 }
 
-/// Identifies a call in the queue. Tickets are ordered by deadline, the earliest first.
+/// Id of a call in the queue. Tickets are ordered by deadline, the earliest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectTicket {
     deadline: Time,
     number: u64,
 }
 
-/// The queue of calls that need a new connection, the earliest deadline first. It is bounded, and so is each server's
-/// share of the connections that are connecting: a server that cannot be reached takes neither all of the queue nor all
-/// of these connections.
+/// Queue of calls that need a new connection, in the order of their deadlines. The queue and the number of concurrent
+/// connects to each server are bounded, so that an unreachable server takes neither the whole queue nor all connects.
 #[derive(Debug)]
 pub struct ConnectQueue {
     max_waiting: usize,
@@ -100,7 +100,7 @@
 }
 
 impl ConnectQueue {
-    /// Creates a queue of at most `max_waiting` calls that lets `max_connecting` connections connect at once.
+    /// Creates a queue of at most `max_waiting` calls that permits `max_connecting` concurrent connects.
     #[must_use]
     pub fn new(max_waiting: usize, max_connecting: usize) -> ConnectQueue {
         let per_worker = max_connecting / CONNECTING_FRACTION_PER_WORKER;
@@ -115,19 +115,19 @@
         }
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
-    /// Connections that are connecting.
+    /// Returns the number of connects in progress.
     #[must_use]
     pub fn connecting(&self) -> usize {
         self.connecting_by_worker.values().sum()
     }
 
-    /// Adds a call with so much time left. Where the queue is full, one call is removed, and its ticket returned as the
-    /// second value: of the server with the most waiting calls the one with the latest deadline, which may be the call
+    /// Adds a call with this remaining time. If the queue is full, one call is removed and its ticket returned as the
+    /// second value: the call with the latest deadline of the server with the most waiting calls. This may be the call
     /// just added.
     pub fn enqueue(
         &mut self,
@@ -152,14 +152,14 @@
         (ticket, removed)
     }
 
-    /// Removes a call from the queue. Returns false if it was not there.
+    /// Removes a call from the queue. Returns false if the call is not in the queue.
     pub fn cancel(&mut self, ticket: ConnectTicket) -> bool {
         let Some(worker) = self.waiting.remove(&ticket) else { return false };
         decrement(&mut self.waiting_by_worker, worker);
         true
     }
 
-    /// Removes the first call that may open a connection now, and counts its connection as connecting.
+    /// Removes the first call that may open a connection now, and counts a connect to its server as in progress.
     pub fn start_next(&mut self) -> Option<(ConnectTicket, WorkerId)> {
         let (ticket, worker) = self.next_to_start()?;
         self.cancel(ticket);
@@ -167,7 +167,7 @@
         Some((ticket, worker))
     }
 
-    /// Whether [`ConnectQueue::start_next`] would find a call.
+    /// Returns whether [`ConnectQueue::start_next`] would return a call.
     #[must_use]
     pub fn can_start_next(&self) -> bool {
         self.next_to_start().is_some()
@@ -183,13 +183,13 @@
         next.map(|(ticket, worker)| (*ticket, *worker))
     }
 
-    /// Counts a connection as no longer connecting: it is open, or will not be.
+    /// Counts a connect as finished, whether it succeeded or failed.
     pub fn finish_connect(&mut self, worker: WorkerId) {
         decrement(&mut self.connecting_by_worker, worker);
     }
 }
 
-/// Lowers a count and drops it at zero, so that the maps hold no worker without calls.
+/// Decrements a count and removes it at zero, so that the maps contain only workers with calls or connects.
 fn decrement(counts: &mut BTreeMap<WorkerId, usize>, worker: WorkerId) {
     if let Some(count) = counts.get_mut(&worker) {
         *count -= 1;
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -1,11 +1,12 @@
-//! One budget of file descriptors for all of the process: guaranteed floors, and loans that can be reclaimed.
+//! The budget of file descriptors of the process, divided by class. Each class has a guaranteed floor, and may use free
+//! descriptors beyond it until they are reclaimed.
 //!
-//! Owns the counts by class, not the descriptors: whoever opens one acquires it here first. It closes nothing; it says
-//! which class has to close one.
+//! [`DescriptorAllocator`] owns the counts by class, not the descriptors: a descriptor has to be acquired here before
+//! it is opened. The allocator closes nothing; it names the class that has to close one.
 
 use std::fmt;
 
-/// What descriptors are used for.
+/// Use of a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DescriptorClass {
     /// Clients' connections.
@@ -16,11 +17,11 @@
     Discovery,
     /// Files.
     Files,
-    /// Operators' calls.
+    /// Connections of operators.
     Operators,
 }
 
-/// All classes, in the order of the arrays that are indexed by class.
+/// Every class, in the order of the arrays that are indexed by class.
 pub const DESCRIPTOR_CLASSES: [DescriptorClass; 5] = [
     DescriptorClass::Clients,
     DescriptorClass::Workers,
@@ -30,7 +31,7 @@
 ];
 
 impl fmt::Display for DescriptorClass {
-    /// Writes the class as it stands in names of counters.
+    /// Writes the class as used in names of counters, which must not change.
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             DescriptorClass::Clients => "clients",
@@ -42,44 +43,49 @@
     }
 }
 
-/// The lowest limit of descriptors that a process can serve with.
+/// Lowest descriptor limit with which a process can serve.
 pub const MIN_DESCRIPTORS: usize = 64;
-/// Descriptors of the discovery watch: one, and a second while it moves to another connection.
+/// Descriptors for the discovery watch: one, and a second while it moves to another connection.
 const DISCOVERY_DESCRIPTORS: usize = 2;
-/// Descriptors of files: the configuration while it is reloaded, and what is written beside serving.
+/// Descriptors for files: the configuration while it is reloaded, and files written while the process serves.
 const FILE_DESCRIPTORS: usize = 4;
-/// Descriptors of operators' calls, where operators may call.
+/// Descriptors for operators' connections, if operators may connect.
 pub const OPERATOR_DESCRIPTORS: usize = 8;
 
-/// How a process divides its descriptors.
+/// Division of a process's descriptors among the classes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Descriptors that can be divided.
+    /// Number of descriptors that the classes share.
     pub usable: usize,
-    /// Descriptors that each class can always have.
+    /// Number of descriptors guaranteed to each class.
     pub floors: [usize; DESCRIPTOR_CLASSES.len()],
-    /// Descriptors kept free where that is possible, so that a new connection gets one before another has closed.
+    /// Number of descriptors to keep free if possible, so that a new connection need not wait until another one has
+    /// closed.
     pub headroom: usize,
 }
 
-/// The limit of descriptors is too low to serve with.
+/// The process's descriptor limit is too low to serve with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{limit} descriptors, of which {baseline} are in use at the start: {} at least are needed", MIN_DESCRIPTORS.max(baseline + MIN_DESCRIPTORS / 2))]
+#[error(
+    "file descriptor limit is too low: {limit} descriptors, of which {baseline} are in use at startup; \
+     {} at least are needed",
+    MIN_DESCRIPTORS.max(baseline + MIN_DESCRIPTORS / 2)
+)]
 pub struct DescriptorLimitTooLow {
-    /// Descriptors that the process may open.
+    /// Descriptor limit of the process.
     pub limit: usize,
-    /// Descriptors that were open before any connection.
+    /// Descriptors that were open before the first connection.
     pub baseline: usize,
 }
 
 impl DescriptorBudget {
     /// Divides `limit` descriptors, of which `baseline` (listener, signals, the log, the event queue) stay open for
-    /// good. `operators` of them are kept for operators' calls; a third of the rest is the clients' floor, a quarter
-    /// the workers'.
+    /// good. Up to `operators` of the others are reserved for operators' connections. A third of the rest is the floor
+    /// of clients, a quarter that of workers.
     ///
     /// # Errors
     ///
-    /// Fails where the limit, or what is left of it, is too low to serve with.
+    /// [`DescriptorLimitTooLow`] if `limit`, or what remains of it without `baseline`, is too low to serve with.
     pub fn new(
         limit: usize,
         baseline: usize,
@@ -96,19 +102,21 @@
     }
 }
 
-/// Why no descriptor can be acquired.
+/// Reason why no descriptor can be acquired now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorDenied {
-    /// One becomes free as soon as this class closes an evictable one, which it can do at once.
+    /// A descriptor becomes free when this class closes an evictable one, which it can do at once.
     Reclaim(DescriptorClass),
-    /// All are in use and none can be reclaimed; the caller has to wait for the next free one.
+    /// All descriptors are in use and none can be reclaimed; the caller has to wait until one is released.
     Exhausted,
 }
 
-/// The descriptors of one process by class. A descriptor is *evictable* where it can be closed without loss (an idle
-/// connection) and *busy* where it cannot (a query is open on it). A class may acquire whatever is free, because what
-/// is evictable can be reclaimed; what is busy counts against the floor of its class and against what no floor claims.
-/// That is how each class can always have its floor, although no descriptor lies idle for it.
+/// Counts of the process's descriptors by class. A descriptor is *evictable* if it can be closed without loss (an idle
+/// connection) and *busy* if not (a query is open on it).
+///
+/// A class may acquire any free descriptor, because evictable ones can be reclaimed. Busy descriptors count against the
+/// floor of their class, and beyond it against the descriptors that are in no floor. This guarantees each class its
+/// floor without keeping descriptors unused.
 #[derive(Clone, Debug)]
 pub struct DescriptorAllocator {
     budget: DescriptorBudget,
@@ -127,41 +135,41 @@
         }
     }
 
-    /// Replaces the budget, as when another process begins or ceases to share the descriptors. What is held beyond the
-    /// new budget is to be reclaimed.
+    /// Replaces the budget. Used when another process begins or ceases to share the descriptors. Descriptors held
+    /// beyond the new budget have to be reclaimed; see [`DescriptorAllocator::excess`].
     pub fn set_budget(&mut self, budget: DescriptorBudget) {
         self.budget = budget;
     }
 
-    /// Returns the class that has to close a descriptor where more are held than the budget has: the one that is
-    /// furthest over its floor, of those with an evictable one.
+    /// Returns the class that has to close a descriptor when more are held than the budget permits: of the classes over
+    /// their floor with an evictable descriptor, the one that is furthest over it.
     #[must_use]
     pub fn class_to_reclaim_from(&self) -> Option<DescriptorClass> {
         let can_close = |class: &DescriptorClass| self.over_floor(*class) > 0 && self.evictable(*class) > 0;
         DESCRIPTOR_CLASSES.into_iter().filter(can_close).max_by_key(|class| self.over_floor(*class))
     }
 
-    /// Descriptors held beyond the budget.
+    /// Returns the number of descriptors held beyond the budget.
     #[must_use]
     pub fn excess(&self) -> usize {
         self.held.iter().sum::<usize>().saturating_sub(self.budget.usable)
     }
-    /// The budget.
+    /// Returns the current budget.
     #[must_use]
     pub fn budget(&self) -> &DescriptorBudget {
         &self.budget
     }
-    /// Descriptors that a class holds.
+    /// Returns the number of descriptors that a class holds.
     #[must_use]
     pub fn held(&self, class: DescriptorClass) -> usize {
         self.held[class as usize]
     }
-    /// Descriptors of a class that are busy.
+    /// Returns the number of busy descriptors of a class.
     #[must_use]
     pub fn busy(&self, class: DescriptorClass) -> usize {
         self.busy[class as usize]
     }
-    /// Descriptors that no class holds.
+    /// Returns the number of free descriptors.
     #[must_use]
     pub fn free(&self) -> usize {
         self.budget.usable.saturating_sub(self.held.iter().sum())
@@ -173,11 +181,11 @@
         self.held(class).saturating_sub(self.budget.floors[class as usize])
     }
 
-    /// Acquires a descriptor, which is evictable at first.
+    /// Acquires a descriptor for a class. The descriptor is evictable at first.
     ///
     /// # Errors
     ///
-    /// Fails where none is free; [`DescriptorDenied`] says how one may become free.
+    /// [`DescriptorDenied`] if no descriptor is free, with the way in which one may become free.
     pub fn acquire(&mut self, class: DescriptorClass) -> Result<(), DescriptorDenied> {
         if self.free() == 0 {
             return Err(self.lender(class).map_or(DescriptorDenied::Exhausted, DescriptorDenied::Reclaim));
@@ -187,7 +195,7 @@
     }
 
     /// Returns the class that has to close an evictable descriptor for this class: the one that is furthest over its
-    /// floor. This class itself comes before any other, unless it is below its own floor.
+    /// floor. This class itself comes first, unless it is below its own floor.
     #[must_use]
     pub fn lender(&self, class: DescriptorClass) -> Option<DescriptorClass> {
         let below_floor = self.held(class) < self.budget.floors[class as usize];
@@ -197,13 +205,13 @@
         let others =
             DESCRIPTOR_CLASSES.into_iter().filter(|other| *other != class && self.evictable(*other) > 0);
         let other = others.max_by_key(|other| self.over_floor(*other));
-        // Protects a class that holds no more than its floor from one that has its own floor already.
+        // A class within its floor keeps its descriptors, because the requesting class has its own floor.
         let other = other.filter(|other| self.over_floor(*other) > 0);
         other.or_else(|| (self.evictable(class) > 0).then_some(class))
     }
 
-    /// Whether a descriptor that a class holds, or is about to acquire, may become busy without taking what the floors
-    /// of other classes guarantee.
+    /// Returns whether a descriptor that a class holds or is about to acquire may become busy without violating the
+    /// floors of other classes.
     #[must_use]
     pub fn can_mark_busy(&self, class: DescriptorClass) -> bool {
         let claimed = |other: DescriptorClass| {
@@ -212,14 +220,15 @@
         DESCRIPTOR_CLASSES.into_iter().map(claimed).sum::<usize>() <= self.budget.usable
     }
 
-    /// Makes an evictable descriptor of this class busy. Returns false, and changes nothing, where floors forbid it.
+    /// Marks an evictable descriptor of this class as busy. Returns false, and changes nothing, if the class has none
+    /// or the floors of other classes forbid it.
     pub fn mark_busy(&mut self, class: DescriptorClass) -> bool {
         let may = self.evictable(class) > 0 && self.can_mark_busy(class);
         self.busy[class as usize] += usize::from(may);
         may
     }
 
-    /// Makes a busy descriptor of this class evictable.
+    /// Marks a busy descriptor of this class as evictable.
     pub fn mark_evictable(&mut self, class: DescriptorClass) {
         self.busy[class as usize] = self.busy[class as usize].saturating_sub(1);
     }
