--- a/src/limits/accept_pacer.rs
+++ b/src/limits/accept_pacer.rs
@@ -43,8 +43,8 @@
             return None;
         }
         self.burst = None;
-        let busy = now.since(burst.began_at);
-        Some(busy.mul_f64(1.0 / MAX_TIME_SHARE - 1.0).min(MAX_PAUSE))
+        let busy_time = now.since(burst.began_at);
+        Some(busy_time.mul_f64(1.0 / MAX_TIME_SHARE - 1.0).min(MAX_PAUSE))
     }
 }
 
--- a/src/limits/accept_pacer/tests.rs
+++ b/src/limits/accept_pacer/tests.rs
@@ -6,19 +6,19 @@
 
 #[test]
 fn a_flood_takes_a_quarter_of_the_time_and_a_trickle_is_never_paused() {
-    let (mut pacer, mut now, mut working, mut resting) =
+    let (mut pacer, mut now, mut accept_time, mut pause_time) =
         (AcceptPacer::default(), Time(0), Duration::ZERO, Duration::ZERO);
     let one_accept = Duration::from_micros(20);
     for _ in 0..1600 {
         let began_at = now;
         now = now.after(one_accept);
-        working += one_accept;
+        accept_time += one_accept;
         if let Some(pause) = pacer.record_accept(began_at, now) {
             now = now.after(pause);
-            resting += pause;
+            pause_time += pause;
         }
     }
-    assert_eq!(resting, working * 3);
+    assert_eq!(pause_time, accept_time * 3);
     for _ in 0..1600 {
         pacer.reset();
         assert_eq!(pacer.record_accept(now, now.after(one_accept)), None);
--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -25,7 +25,7 @@
 const COMPLETE_LIST_COST: u32 = 2;
 /// Divisor of the reaction time that gives the longest delay of a caller whose calls cost nothing. The rest of the time
 /// is for the response to arrive.
-const REACTION_TIME_FRACTION: u32 = 5;
+const REACTION_TIME_DIVISOR: u32 = 5;
 /// Maximum number of times that the bound of a delay doubles.
 const MAX_DOUBLINGS: u32 = 3;
 /// Range of the long-poll time-out.
@@ -40,7 +40,7 @@
     failures: u32,
     /// Upper bound of every delay of a caller whose calls cost the service nothing; `None` if the rate of calls is
     /// limited.
-    unlimited_delay: Option<Duration>,
+    local_agent_delay: Option<Duration>,
 }
 
 impl Backoff {
@@ -50,7 +50,7 @@
     #[must_use]
     pub fn new(seed: u64, callers: u32, poll_within: Duration) -> Backoff {
         let random = fastrand::Rng::with_seed(seed);
-        Backoff { random, callers: callers.max(1), poll_within, failures: 0, unlimited_delay: None }
+        Backoff { random, callers: callers.max(1), poll_within, failures: 0, local_agent_delay: None }
     }
 
     /// Creates the backoff of a caller of an agent on the same machine, whose calls cost the service nothing. A change
@@ -58,13 +58,13 @@
     /// worker, so the delays leave most of that time.
     #[must_use]
     pub fn for_local_agent(seed: u64, reaction_time: Duration) -> Backoff {
-        let delay = (reaction_time / REACTION_TIME_FRACTION).min(BASE_DELAY);
-        Backoff { unlimited_delay: Some(delay), ..Backoff::new(seed, 1, Duration::ZERO) }
+        let delay = (reaction_time / REACTION_TIME_DIVISOR).min(BASE_DELAY);
+        Backoff { local_agent_delay: Some(delay), ..Backoff::new(seed, 1, Duration::ZERO) }
     }
 
     /// Sets the number of callers. This has no effect on a caller of a local agent, which no other caller shares.
     pub fn set_callers(&mut self, callers: u32) {
-        if self.unlimited_delay.is_none() {
+        if self.local_agent_delay.is_none() {
             self.callers = callers.max(1);
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// Time in which each caller may make one call, given [`MAX_CALLS_PER_SECOND`].
-    fn round(&self) -> Duration {
+    fn round_time(&self) -> Duration {
         Duration::from_secs(1) * self.callers / MAX_CALLS_PER_SECOND
     }
 
@@ -83,38 +83,39 @@
     /// enough to keep all callers together within the rate that it can serve.
     #[must_use]
     pub fn next_delay(&mut self, overloaded: bool) -> Duration {
-        if let Some(longest) = self.unlimited_delay {
-            return longest.mul_f64(self.random.f64());
+        if let Some(bound) = self.local_agent_delay {
+            return bound.mul_f64(self.random.f64());
         }
-        let first = if overloaded { self.first_delay_when_overloaded() } else { BASE_DELAY };
-        let bound = (first * (1 << self.failures.min(MAX_DOUBLINGS))).min(self.longest_delay());
+        let first_bound = if overloaded { self.first_delay_when_overloaded() } else { BASE_DELAY };
+        let bound = (first_bound * (1 << self.failures.min(MAX_DOUBLINGS))).min(self.longest_delay());
         self.failures += 1;
         bound.mul_f64(self.random.f64())
     }
 
     /// Upper bound of the first delay after a failure that is a sign of overload.
     fn first_delay_when_overloaded(&self) -> Duration {
-        BASE_DELAY + self.round()
+        BASE_DELAY + self.round_time()
     }
 
     /// Upper bound of all delays. Delays of up to two rounds are one round on average, at which all callers together
     /// reach [`MAX_CALLS_PER_SECOND`].
     fn longest_delay(&self) -> Duration {
-        let bearable = RECOVERY_DELAY.max(self.first_delay_when_overloaded() * 2);
-        bearable.min((self.poll_within * 4).mul_f64(POLL_TIME_SHARE)).max(MIN_LONGEST_DELAY)
+        let capacity_bound = RECOVERY_DELAY.max(self.first_delay_when_overloaded() * 2);
+        capacity_bound.min((self.poll_within * 4).mul_f64(POLL_TIME_SHARE)).max(MIN_LONGEST_DELAY)
     }
 
     /// Returns the delay before the first call, for a caller that has a cached list and polls for changes. The delay
     /// spreads callers that start at the same time.
     #[must_use]
     pub fn initial_delay(&mut self) -> Duration {
-        let bound = (self.round() / COMPLETE_LIST_COST).min(self.poll_within.mul_f64(POLL_TIME_SHARE));
+        let bound = (self.round_time() / COMPLETE_LIST_COST).min(self.poll_within.mul_f64(POLL_TIME_SHARE));
         bound.mul_f64(self.random.f64())
     }
 
     /// Returns the time for which one call may wait for a change before it ends without one and the next call follows.
     #[must_use]
     pub fn long_poll_timeout(&self) -> Duration {
-        (self.round() + self.round() / 2).clamp(*LONG_POLL_TIMEOUT.start(), *LONG_POLL_TIMEOUT.end())
+        (self.round_time() + self.round_time() / 2)
+            .clamp(*LONG_POLL_TIMEOUT.start(), *LONG_POLL_TIMEOUT.end())
     }
 }
--- a/src/limits/buffer_budget.rs
+++ b/src/limits/buffer_budget.rs
@@ -48,8 +48,8 @@
     pub fn allowance(&self, held: usize) -> usize {
         let free = self.total.saturating_sub(self.used);
         // The guaranteed half shares of all holders make up half of the budget; holders compete for the other half.
-        let contested = free.saturating_sub(self.total / 2);
-        held.max(self.min_per_holder.max(held + contested.saturating_sub(held) / 2)).min(held + free)
+        let shared_free = free.saturating_sub(self.total / 2);
+        held.max(self.min_per_holder.max(held + shared_free.saturating_sub(held) / 2)).min(held + free)
     }
 
     /// Records that the bytes of one holder changed from `before` to `after`.
--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -121,20 +121,29 @@
             usual_idle: Duration::ZERO,
             penalised,
         };
-        self.count_for_source(source, true);
+        self.add_to_source(source);
         self.connections.insert(id, connection);
         self.set_state(id, state, now, now);
         id
     }
 
-    /// Adds a connection to the counts of a source, or removes it.
-    fn count_for_source(&mut self, source: Source, added: bool) {
-        let open = self.open_by_source.entry(source).or_default();
-        let before = *open;
-        *open = if added { before + 1 } else { before - 1 };
-        let after = *open;
+    /// Increments the number of a source's connections.
+    fn add_to_source(&mut self, source: Source) {
+        let before = self.open_from(source);
+        self.set_source_count(source, before, before + 1);
+    }
+
+    /// Decrements the number of a source's connections.
+    fn remove_from_source(&mut self, source: Source) {
+        let before = self.open_from(source);
+        self.set_source_count(source, before, before - 1);
+    }
+
+    /// Sets the number of a source's connections, which was `before`. A source without connections is removed.
+    fn set_source_count(&mut self, source: Source, before: usize, after: usize) {
         self.sources_by_size.remove(&(before, source));
         if after > 0 {
+            self.open_by_source.insert(source, after);
             self.sources_by_size.insert((after, source));
         } else {
             self.open_by_source.remove(&source);
@@ -144,19 +153,19 @@
     /// Moves a connection to another state, and to its new position in the eviction order.
     fn set_state(&mut self, id: u64, state: ConnectionState, state_since: Time, counted_from: Time) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let of_source = self.eviction_order_by_source.entry(connection.source).or_default();
+        let source_order = self.eviction_order_by_source.entry(connection.source).or_default();
         if let Some(rank) = connection.rank(id) {
             self.eviction_order.remove(&rank);
-            of_source.remove(&rank);
+            source_order.remove(&rank);
         }
         connection.state = state;
         connection.state_since = state_since;
         connection.counted_from = counted_from;
         if let Some(rank) = connection.rank(id) {
             self.eviction_order.insert(rank);
-            of_source.insert(rank);
+            source_order.insert(rank);
         }
-        if of_source.is_empty() {
+        if source_order.is_empty() {
             self.eviction_order_by_source.remove(&connection.source);
         }
     }
@@ -165,19 +174,20 @@
     /// again.
     pub fn receive_bytes(&mut self, now: Time, id: u64, bytes: usize) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let receiving = connection.state == ConnectionState::Evictable(EvictionReason::Slow);
+        let is_receiving = connection.state == ConnectionState::Evictable(EvictionReason::Slow);
         if connection.state == ConnectionState::Busy {
             return;
         }
-        if !receiving && connection.responses > 0 {
+        if !is_receiving && connection.responses > 0 {
             let idle = now.since(connection.state_since);
-            let before = if connection.responses == 1 { idle } else { connection.usual_idle };
-            connection.usual_idle = (before * (IDLE_AVERAGE_INTERVALS - 1) + idle) / IDLE_AVERAGE_INTERVALS;
+            let previous_average = if connection.responses == 1 { idle } else { connection.usual_idle };
+            connection.usual_idle =
+                (previous_average * (IDLE_AVERAGE_INTERVALS - 1) + idle) / IDLE_AVERAGE_INTERVALS;
         }
-        connection.request_bytes = if receiving { connection.request_bytes + bytes } else { bytes };
+        connection.request_bytes = if is_receiving { connection.request_bytes + bytes } else { bytes };
         // The deadline of the first request counts from the accept, so that a client gains no time by sending its first
         // byte late.
-        let began_at = if receiving || connection.responses == 0 { connection.state_since } else { now };
+        let began_at = if is_receiving || connection.responses == 0 { connection.state_since } else { now };
         let extension =
             Duration::from_secs_f64(connection.request_bytes as f64 / MIN_RECEIVE_BYTES_PER_SECOND);
         let state = ConnectionState::Evictable(EvictionReason::Slow);
@@ -229,19 +239,19 @@
     /// Assigns a connection to another source, because a request on it names its caller.
     pub fn set_source(&mut self, id: u64, source: Source) {
         let Some(connection) = self.connections.get(&id) else { return };
-        let (before, state) = (connection.source, connection.state);
+        let (old_source, state) = (connection.source, connection.state);
         let (state_since, counted_from) = (connection.state_since, connection.counted_from);
-        if before == source {
+        if old_source == source {
             return;
         }
         // Leaving the evictable state removes the connection from the old source's order; the last call adds it to the
         // new one's.
         self.set_state(id, ConnectionState::Closing, state_since, counted_from);
-        self.count_for_source(before, false);
+        self.remove_from_source(old_source);
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.source = source;
         }
-        self.count_for_source(source, true);
+        self.add_to_source(source);
         self.set_state(id, state, state_since, counted_from);
     }
 
@@ -251,18 +261,20 @@
         let source = connection.source;
         self.set_state(id, ConnectionState::Closing, connection.state_since, connection.counted_from);
         self.connections.remove(&id);
-        self.count_for_source(source, false);
+        self.remove_from_source(source);
     }
 
     /// Evicts all connections whose deadline under this pressure has passed, and returns them with their reasons.
     #[must_use]
     pub fn evict_expired(&mut self, now: Time, pressure: ResourcePressure) -> Vec<(u64, EvictionReason)> {
-        let expired = |rank: &&EvictionRank| {
+        let is_expired = |rank: &&EvictionRank| {
             let connection = self.connections.get(&rank.id);
-            connection.and_then(|connection| connection.deadline(pressure)).is_some_and(|due| due <= now)
+            connection
+                .and_then(|connection| connection.deadline(pressure))
+                .is_some_and(|deadline| deadline <= now)
         };
         let expired: Vec<(u64, EvictionReason)> =
-            self.eviction_order.iter().filter(expired).map(|rank| (rank.id, rank.reason)).collect();
+            self.eviction_order.iter().filter(is_expired).map(|rank| (rank.id, rank.reason)).collect();
         for (id, _) in &expired {
             self.set_state(*id, ConnectionState::Closing, now, now);
         }
@@ -278,7 +290,7 @@
     /// Evicts the first connection of the eviction order, because its descriptor is needed for another connection.
     #[must_use]
     pub fn evict(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
-        let (rank, reason) = self.first_to_evict(now)?;
+        let (rank, reason) = self.next_to_evict(now)?;
         self.set_state(rank.id, ConnectionState::Closing, now, now);
         Some((rank.id, reason))
     }
@@ -288,19 +300,20 @@
     /// way.
     #[must_use]
     pub fn evict_past_min_residence(&mut self, now: Time) -> Option<(u64, EvictionReason)> {
-        let (first, _) = self.first_to_evict(now)?;
+        let (first, _) = self.next_to_evict(now)?;
         if first.is_past_min_residence(now) { self.evict(now) } else { None }
     }
 
-    fn first_to_evict(&self, now: Time) -> Option<(EvictionRank, EvictionReason)> {
+    fn next_to_evict(&self, now: Time) -> Option<(EvictionRank, EvictionReason)> {
         for reason in [
             EvictionReason::Silent,
             EvictionReason::Slow,
             EvictionReason::SingleRequest,
             EvictionReason::Penalised,
         ] {
-            let from = EvictionRank { reason, counted_from: Time(0), id: 0 };
-            let first = self.eviction_order.range(from..).next().filter(|first| first.reason == reason);
+            let lowest_rank = EvictionRank { reason, counted_from: Time(0), id: 0 };
+            let first =
+                self.eviction_order.range(lowest_rank..).next().filter(|first| first.reason == reason);
             if let Some(rank) = first
                 && rank.is_past_min_residence(now)
             {
@@ -309,8 +322,8 @@
         }
         // The remaining connections are well-behaved. This protects sources with few connections from one that opens
         // many.
-        if let Some((most, source)) = self.sources_by_size.last()
-            && most * self.open_by_source.len() > self.connections.len()
+        if let Some((connection_count, source)) = self.sources_by_size.last()
+            && connection_count * self.open_by_source.len() > self.connections.len()
             && let Some(rank) = self.eviction_order_by_source.get(source).and_then(BTreeSet::first)
         {
             return Some((*rank, EvictionReason::OverQuota));
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -10,9 +10,9 @@
 
 /// Divisor of a call's remaining time that gives its longest wait for a connection. The rest of the time is for the
 /// response, or for another server.
-const CONNECT_WAIT_FRACTION: u32 = 4;
+const CONNECT_WAIT_DIVISOR: u32 = 4;
 /// Divisor of the limit of concurrent connects that gives the limit for one server.
-const CONNECTING_FRACTION_PER_WORKER: usize = 4;
+const CONNECTING_DIVISOR_PER_WORKER: usize = 4;
 /// Lower bound of the limit of concurrent connects to one server.
 const MIN_CONNECTING_PER_WORKER: usize = 2;
 
@@ -65,7 +65,7 @@
 /// Returns how long a call with this remaining time may wait for a connection.
 #[must_use]
 pub fn connect_wait_limit(time_left: Duration) -> Duration {
-    time_left / CONNECT_WAIT_FRACTION
+    time_left / CONNECT_WAIT_DIVISOR
 }
 
 /// Reason why a call got no connection. Nothing of the call was sent.
@@ -103,11 +103,11 @@
     /// Creates a queue of at most `max_waiting` calls that permits `max_connecting` concurrent connects.
     #[must_use]
     pub fn new(max_waiting: usize, max_connecting: usize) -> ConnectQueue {
-        let per_worker = max_connecting / CONNECTING_FRACTION_PER_WORKER;
+        let share_per_worker = max_connecting / CONNECTING_DIVISOR_PER_WORKER;
         ConnectQueue {
             max_waiting,
             max_connecting,
-            max_connecting_per_worker: per_worker.max(MIN_CONNECTING_PER_WORKER),
+            max_connecting_per_worker: share_per_worker.max(MIN_CONNECTING_PER_WORKER),
             waiting: BTreeMap::new(),
             waiting_by_worker: BTreeMap::new(),
             connecting_by_worker: BTreeMap::new(),
@@ -142,10 +142,10 @@
         if self.waiting.len() <= self.max_waiting {
             return (ticket, None);
         }
-        let busiest =
+        let busiest_worker =
             self.waiting_by_worker.iter().max_by_key(|(_, count)| **count).map(|(worker, _)| *worker);
-        let latest = self.waiting.iter().rev().find(|(_, worker)| Some(**worker) == busiest);
-        let removed = latest.map(|(ticket, _)| *ticket);
+        let latest_call = self.waiting.iter().rev().find(|(_, worker)| Some(**worker) == busiest_worker);
+        let removed = latest_call.map(|(ticket, _)| *ticket);
         if let Some(removed) = removed {
             self.cancel(removed);
         }
@@ -177,9 +177,9 @@
         if self.connecting() >= self.max_connecting {
             return None;
         }
-        let connecting_to = |worker: &WorkerId| self.connecting_by_worker.get(worker).copied().unwrap_or(0);
+        let connects_to = |worker: &WorkerId| self.connecting_by_worker.get(worker).copied().unwrap_or(0);
         let mut waiting = self.waiting.iter();
-        let next = waiting.find(|(_, worker)| connecting_to(worker) < self.max_connecting_per_worker);
+        let next = waiting.find(|(_, worker)| connects_to(worker) < self.max_connecting_per_worker);
         next.map(|(ticket, worker)| (*ticket, *worker))
     }
 
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -145,8 +145,9 @@
     /// their floor with an evictable descriptor, the one that is furthest over it.
     #[must_use]
     pub fn class_to_reclaim_from(&self) -> Option<DescriptorClass> {
-        let can_close = |class: &DescriptorClass| self.over_floor(*class) > 0 && self.evictable(*class) > 0;
-        DESCRIPTOR_CLASSES.into_iter().filter(can_close).max_by_key(|class| self.over_floor(*class))
+        let can_close =
+            |class: &DescriptorClass| self.excess_over_floor(*class) > 0 && self.evictable_count(*class) > 0;
+        DESCRIPTOR_CLASSES.into_iter().filter(can_close).max_by_key(|class| self.excess_over_floor(*class))
     }
 
     /// Returns the number of descriptors held beyond the budget.
@@ -174,10 +175,10 @@
     pub fn free(&self) -> usize {
         self.budget.usable.saturating_sub(self.held.iter().sum())
     }
-    fn evictable(&self, class: DescriptorClass) -> usize {
+    fn evictable_count(&self, class: DescriptorClass) -> usize {
         self.held(class) - self.busy(class)
     }
-    fn over_floor(&self, class: DescriptorClass) -> usize {
+    fn excess_over_floor(&self, class: DescriptorClass) -> usize {
         self.held(class).saturating_sub(self.budget.floors[class as usize])
     }
 
@@ -198,16 +199,17 @@
     /// floor. This class itself comes first, unless it is below its own floor.
     #[must_use]
     pub fn lender(&self, class: DescriptorClass) -> Option<DescriptorClass> {
-        let below_floor = self.held(class) < self.budget.floors[class as usize];
-        if !below_floor && self.evictable(class) > 0 {
+        let is_below_floor = self.held(class) < self.budget.floors[class as usize];
+        if !is_below_floor && self.evictable_count(class) > 0 {
             return Some(class);
         }
-        let others =
-            DESCRIPTOR_CLASSES.into_iter().filter(|other| *other != class && self.evictable(*other) > 0);
-        let other = others.max_by_key(|other| self.over_floor(*other));
+        let others = DESCRIPTOR_CLASSES
+            .into_iter()
+            .filter(|other| *other != class && self.evictable_count(*other) > 0);
+        let furthest_over = others.max_by_key(|other| self.excess_over_floor(*other));
         // A class within its floor keeps its descriptors, because the requesting class has its own floor.
-        let other = other.filter(|other| self.over_floor(*other) > 0);
-        other.or_else(|| (self.evictable(class) > 0).then_some(class))
+        let other = furthest_over.filter(|other| self.excess_over_floor(*other) > 0);
+        other.or_else(|| (self.evictable_count(class) > 0).then_some(class))
     }
 
     /// Returns whether a descriptor that a class holds or is about to acquire may become busy without violating the
@@ -223,9 +225,9 @@
     /// Marks an evictable descriptor of this class as busy. Returns false, and changes nothing, if the class has none
     /// or the floors of other classes forbid it.
     pub fn mark_busy(&mut self, class: DescriptorClass) -> bool {
-        let may = self.evictable(class) > 0 && self.can_mark_busy(class);
-        self.busy[class as usize] += usize::from(may);
-        may
+        let is_permitted = self.evictable_count(class) > 0 && self.can_mark_busy(class);
+        self.busy[class as usize] += usize::from(is_permitted);
+        is_permitted
     }
 
     /// Marks a busy descriptor of this class as evictable.
@@ -235,7 +237,7 @@
 
     /// Releases an evictable descriptor of this class.
     pub fn release(&mut self, class: DescriptorClass) {
-        debug_assert!(self.evictable(class) > 0, "a busy descriptor was released");
+        debug_assert!(self.evictable_count(class) > 0, "a busy descriptor was released");
         self.held[class as usize] = self.held[class as usize].saturating_sub(1);
     }
 }
