--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -1,5 +1,5 @@
-//! Disabled workers at the core: they receive nothing new, and count as warming up once they are enabled
-//! again.
+//! Tests of disabled workers at the core: they receive no new attempts, and count as warming up after they
+//! are enabled.
 
 mod common;
 
@@ -12,16 +12,20 @@
 
 const START: Time = Time(1_700_000_000_000_000_000);
 
-/// A core that has the list of both workers.
+/// Returns a core with an endpoint list of the workers w1 and w2.
 fn core() -> Core {
     let config = platform_config();
     let mut core = Core::new(config.contracts);
-    core.apply_endpoint_update(START, &config.initial_workers.expect("a list"), true);
+    core.apply_endpoint_update(
+        START,
+        &config.initial_workers.expect("the configuration lists workers"),
+        true,
+    );
     core.step(START);
     core
 }
 
-/// Applies an update of one worker, as from discovery.
+/// Applies an update from discovery that changes one worker.
 fn apply_status(core: &mut Core, now: Time, name: &str, status: EndpointStatus, started_at: Option<Time>) {
     let (address, zone) = (name.to_owned(), String::new());
     let worker =
@@ -33,12 +37,12 @@
     );
 }
 
-/// Submits a query with one part of 0.2 s and completes it at once. Returns the names of the workers that
-/// received it.
+/// Submits a query whose one part has a cost hint of 0.2 s, and completes it at once. Returns the names of
+/// the workers that received an attempt.
 fn submit(core: &mut Core, now: Time) -> Vec<String> {
     let part = single_part(Some(Duration::from_millis(200)));
     let request = search_request(ClassId(0), vec![part]);
-    core.submit(now, request).expect("it is accepted");
+    core.submit(now, request).expect("the query is accepted");
     let mut sent = Vec::new();
     for command in core.step(now) {
         if let Command::Call { worker, parts } = command {
@@ -53,12 +57,15 @@
         }
     }
     core.step(now);
-    sent.iter().map(|worker| core.worker_name(*worker).expect("a name").to_owned()).collect()
+    sent.iter()
+        .map(|worker| core.worker_name(*worker).expect("the worker is registered").to_owned())
+        .collect()
 }
 
 #[test]
 fn an_enabled_worker_counts_as_just_started() {
-    // A worker may have been restarted while it was disabled, which discovery lists only seconds later.
+    // A worker may have been restarted while it was disabled, and discovery lists the new start time only
+    // seconds later.
     let mut core = core();
     let warm = (0..200)
         .filter(|number| submit(&mut core, START.after(Duration::from_millis(number * 20))) == ["w1"])
@@ -70,11 +77,12 @@
     let enabled = (0..50_u64)
         .filter(|number| submit(&mut core, now.after(Duration::from_millis(number * 20))) == ["w1"])
         .count();
-    // The module assumes four cores at most, of which a worker that warms up carries a fifth to a fourth; 0.6
-    // x 2.5 times that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker receives 27.
+    // The decision module assumes four cores at most for a worker, and a worker that warms up gets a fifth to
+    // a fourth of their capacity. 0.6 x 2.5 times that for 1.5 s is 2.3 s of work, or 11 parts. A warm worker
+    // receives 27.
     assert!(
         warm > 60 && (1..=11).contains(&enabled),
-        "{warm} of 200 while warm, {enabled} of 50 in the first second after it was enabled"
+        "w1 received {warm} of 200 queries while warm, {enabled} of 50 in the second after it was enabled"
     );
 }
 
@@ -94,9 +102,9 @@
     assert_eq!(
         recorded(&mut core),
         only_w1(RecordedWorkerState::Disabled),
-        "once, however often it is requested"
+        "a repeated request is recorded once"
     );
-    // What discovery sends meanwhile changes nothing.
+    // An update from discovery does not enable the worker.
     apply_status(&mut core, START, "w1", EndpointStatus::Active, Some(START));
     assert_eq!(recorded(&mut core), []);
     assert!(core.enable_worker(START, "w1"));
@@ -130,7 +138,7 @@
             let sent = submit(&mut core, now);
             prop_assert!(
                 sent.iter().all(|name| !disabled[usize::from(name == "w2")]),
-                "{sent:?}, disabled: {disabled:?}"
+                "sent to {sent:?} while disabled is {disabled:?}"
             );
             let listed: Vec<&str> = ["w1", "w2"]
                 .into_iter()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A hundred aggregators in one process, each with a part of the traffic: what they do together.
+//! Tests of a hundred aggregators in one process, each with a part of the traffic: effects that only the
+//! fleet shows.
 
 mod common;
 
@@ -15,14 +16,18 @@
         fleet.advance(3000, in_lost_zone);
         fleet.set_behavior(in_lost_zone, WorkerBehavior::Unreachable);
         let (first, later) = (fleet.advance(1000, in_lost_zone).0, fleet.advance(2000, in_lost_zone).0);
-        // Each on its own: 900 sends in the first second, and 800 in the next two.
-        assert!(first < 700 && later < 250, "seed {seed}: {first}, then {later} sends to a lost zone");
-        // Healed without a restart, so that no endpoint update shows it. Each on its own: 1,190 sends in
-        // three seconds.
+        // If the workers of the zone were ejected one by one, 900 attempts would be sent to it in the first
+        // second, and 800 in the next two.
+        assert!(
+            first < 700 && later < 250,
+            "seed {seed}: {first}, then {later} attempts sent to the lost zone"
+        );
+        // The workers respond again without a restart, so that no endpoint update announces it. If they were
+        // reinstated one by one, the zone would get 1,190 attempts in three seconds.
         fleet.set_behavior(in_lost_zone, WorkerBehavior::Answers);
         fleet.advance(1000, in_lost_zone);
-        let back = fleet.advance(3000, in_lost_zone).0;
-        assert!(back > 1600, "seed {seed}: {back} sends to the zone when it was back");
+        let recovered = fleet.advance(3000, in_lost_zone).0;
+        assert!(recovered > 1600, "seed {seed}: {recovered} attempts sent to the zone after its recovery");
     }
 }
 
@@ -35,8 +40,12 @@
         fleet.set_behavior(is_failing, WorkerBehavior::Failing);
         fleet.advance(4000, is_failing);
         let (to_failing, total) = fleet.advance(4000, is_failing);
-        // A tenth of the workers, and a tenth of the sends where errors are no losses.
-        assert!(to_failing * 50 < total, "seed {seed}: {to_failing} of {total} sends to failing workers");
+        // A tenth of the workers fail. They would get a tenth of the attempts if replica selection did not
+        // weigh in the cost of a failed attempt.
+        assert!(
+            to_failing * 50 < total,
+            "seed {seed}: {to_failing} of {total} attempts sent to failing workers"
+        );
     }
 }
 
@@ -45,7 +54,7 @@
     let all = AGGREGATORS as usize;
     assert!(
         simulate_discovery_polls(vec![0; all], |_| 100).0 < all / 4,
-        "a constant backoff keeps it overloaded"
+        "a constant backoff of 100 ms keeps discovery overloaded"
     );
     for seed in [1, 2] {
         let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), AGGREGATORS, ms(10_000));
@@ -55,7 +64,7 @@
             simulate_discovery_polls(starts, |id| callers[id].next_delay(true).as_millis() as u64);
         assert!(
             served == all && max_polls < 20,
-            "seed {seed}: {served} served, up to {max_polls} polls in a second"
+            "seed {seed}: {served} of {all} callers served, up to {max_polls} polls in a second"
         );
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,4 @@
-//! Proves of each invariant that its check can fail: what breaks it is detected, counted, and prevented where
-//! it can be.
+//! Tests that the check of each invariant detects and counts a violation, and prevents it where possible.
 
 mod common;
 
@@ -19,7 +18,7 @@
 
 const NOW: Time = Time(1 << 40);
 
-/// An attempt that breaks no invariant.
+/// Returns the check of an attempt that violates no invariant.
 fn valid(class: &Class) -> SendCheck<'_> {
     SendCheck {
         now: NOW,
@@ -39,9 +38,9 @@
     let (search, seal, stamp) =
         (class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(Idempotency::Keyed));
     let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
-    let permit = valid(&search).permit(ms(900)).expect("it breaks no invariant");
-    assert_eq!(permit.deadline(), NOW.after(ms(500)), "never longer than the client waits");
-    let broken = |check: SendCheck<'_>| check.permit(ms(100)).expect_err("it breaks an invariant");
+    let permit = valid(&search).permit(ms(900)).expect("the attempt violates no invariant");
+    assert_eq!(permit.deadline(), NOW.after(ms(500)), "the deadline is never later than the client's");
+    let broken = |check: SendCheck<'_>| check.permit(ms(100)).expect_err("the attempt violates an invariant");
     let not_active = SendCheck { worker_accepts_work: false, ..valid(&search) };
     assert_eq!(broken(not_active), Invariant::SentToActiveWorker);
     let over = SendCheck { valid_until: NOW, ..valid(&search) };
@@ -87,7 +86,7 @@
     assert!(text.starts_with(&format!("total={} ", INVARIANTS.len())));
 }
 
-/// A front that never responds and keeps the violations that are reported to it.
+/// A front that never responds and collects the violations reported to it.
 #[derive(Default)]
 struct SilentFront(RefCell<Vec<Invariant>>);
 
@@ -112,17 +111,18 @@
     }
 }
 
-/// Serves one connection on which a request arrives, until the client disconnects or this side closes it.
-/// Returns the violations.
+/// Serves a connection that has received the start of a request, and closes it: by the client, or else by
+/// dropping the server's side. Returns the reported violations.
 async fn violations_on_close(client_disconnects: bool) -> Vec<Invariant> {
-    let descriptors = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+    let descriptors =
+        DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("64 descriptors are enough"), 1 << 20);
     let connections = ConnectionManager::new(descriptors.clone());
     let source = gatherer::limits::client_connections::Source(1);
-    let permit = connections.admit(source, Duration::ZERO).await.expect("a permit");
+    let permit = connections.admit(source, Duration::ZERO).await.expect("a descriptor is free");
     let (near, mut far) = tokio::io::duplex(1 << 12);
     let front = Rc::new(SilentFront::default());
-    far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("written");
-    let from = "127.0.0.1:1".parse().expect("an address");
+    far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("the request is written");
+    let from = "127.0.0.1:1".parse().expect("a valid address");
     let serving = serve_connection(near, from, &*front, permit);
     let closing = async move {
         tokio::time::sleep(ms(10)).await;
@@ -142,8 +142,8 @@
 #[test]
 fn closing_a_connection_over_an_unanswered_request_is_counted() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime starts").block_on(async {
         assert_eq!(violations_on_close(false).await, [Invariant::ClosedAfterResponse]);
-        assert_eq!(violations_on_close(true).await, [], "its client has disconnected");
+        assert_eq!(violations_on_close(true).await, [], "no violation if the client has disconnected");
     });
 }
--- a/tests/machine_usage.rs
+++ b/tests/machine_usage.rs
@@ -1,4 +1,5 @@
-//! A machine-usage table drives the core: its rows move a key off its busy preferred replica.
+//! Tests of machine-usage tables: their rows become load reports, which move a key off its busy preferred
+//! replica.
 
 mod common;
 
@@ -10,38 +11,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Two machines, a row each second: `busy` is at 95%, the other at 5%.
+/// Returns a table of two machines with a row for each second: `busy` is at 95% CPU, the other at 5%.
 fn usage_table(busy: &str) -> String {
     let mut table = "machine_id,time_stamp,cpu_util_percent,mem_util_percent\n".to_owned();
     for second in 0..30 {
         for machine in ["w1", "w2"] {
             let percent = if machine == busy { 95 } else { 5 };
             let written = writeln!(table, "{machine},{second},{percent},40");
-            assert!(written.is_ok());
+            assert!(written.is_ok(), "a row cannot be written");
         }
     }
     table
 }
 
-/// The worker that a part of this key is sent to once the rows of the table have been reported.
+/// Reports the rows of the table to a core. Returns the worker that a part with this key is then sent to.
 fn chosen_worker(table: &str, key: &str) -> String {
     let config = platform_config();
     let start = Time(1_700_000_000_000_000_000);
     let mut core = Core::new(config.contracts);
-    core.apply_endpoint_update(Time(0), &config.initial_workers.expect("a list"), true);
+    core.apply_endpoint_update(
+        Time(0),
+        &config.initial_workers.expect("the configuration lists workers"),
+        true,
+    );
     let mut now = start;
     let mut commands = core.step(now);
     for usage in machine_usage::read(table.as_bytes()) {
-        let usage = usage.expect("a row");
+        let usage = usage.expect("the row is valid");
         now = start.after(usage.at);
         let report = usage.load_report(&core.contracts().settings.report_fields);
-        assert!(core.on_load_report(&usage.machine, report), "{} is known", usage.machine);
+        assert!(core.on_load_report(&usage.machine, report), "worker {} is not registered", usage.machine);
         commands.extend(core.step(now));
     }
     let part = QueryPart { key: Some(Arc::from(key)), ..single_part(None) };
     let request =
         SearchRequest { time_left: Duration::from_secs(4), ..search_request(ClassId(0), vec![part]) };
-    core.submit(now, request).expect("there is room");
+    core.submit(now, request).expect("the query is accepted");
     commands.extend(core.step(now));
     let mut names = Vec::new();
     let mut sent_to = None;
@@ -81,8 +86,9 @@
         let error: TableError = machine_usage::read(table.as_bytes()).find_map(Result::err).expect(message);
         assert_eq!(error.to_string(), message);
     }
-    // A row without a share is no error, and no report.
-    let rows: Vec<_> =
-        machine_usage::read("m1,1,\nm1, 2 ,7.5,3\n".as_bytes()).collect::<Result<_, _>>().expect("rows");
+    // A row without a CPU share is skipped; it is not an error.
+    let rows: Vec<_> = machine_usage::read("m1,1,\nm1, 2 ,7.5,3\n".as_bytes())
+        .collect::<Result<_, _>>()
+        .expect("the rows are valid");
     assert_eq!((rows.len(), rows[0].at, rows[0].utilization), (1, Duration::from_secs(2), 0.075));
 }
