--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -140,11 +140,11 @@
                 sent.iter().all(|name| !disabled[usize::from(name == "w2")]),
                 "sent to {sent:?} while disabled is {disabled:?}"
             );
-            let listed: Vec<&str> = ["w1", "w2"]
+            let disabled_names: Vec<&str> = ["w1", "w2"]
                 .into_iter()
                 .filter(|name| core.disabled_workers().is_disabled(name))
                 .collect();
-            prop_assert_eq!(listed.len(), disabled.iter().filter(|disabled| **disabled).count());
+            prop_assert_eq!(disabled_names.len(), disabled.iter().filter(|disabled| **disabled).count());
         }
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,12 +15,13 @@
         let mut fleet = SimulatedFleet::new(seed, Idempotency::Idempotent);
         fleet.advance(3000, in_lost_zone);
         fleet.set_behavior(in_lost_zone, WorkerBehavior::Unreachable);
-        let (first, later) = (fleet.advance(1000, in_lost_zone).0, fleet.advance(2000, in_lost_zone).0);
+        let (first_second, next_two_seconds) =
+            (fleet.advance(1000, in_lost_zone).0, fleet.advance(2000, in_lost_zone).0);
         // If the workers of the zone were ejected one by one, 900 attempts would be sent to it in the first
         // second, and 800 in the next two.
         assert!(
-            first < 700 && later < 250,
-            "seed {seed}: {first}, then {later} attempts sent to the lost zone"
+            first_second < 700 && next_two_seconds < 250,
+            "seed {seed}: {first_second}, then {next_two_seconds} attempts sent to the lost zone"
         );
         // The workers respond again without a restart, so that no endpoint update announces it. If they were
         // reinstated one by one, the zone would get 1,190 attempts in three seconds.
@@ -57,8 +58,8 @@
         "a constant backoff of 100 ms keeps discovery overloaded"
     );
     for seed in [1, 2] {
-        let caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), AGGREGATORS, ms(10_000));
-        let mut callers: Vec<Backoff> = (0..AGGREGATORS).map(caller).collect();
+        let new_caller = |id: u32| Backoff::new(seed << 32 | u64::from(id), AGGREGATORS, ms(10_000));
+        let mut callers: Vec<Backoff> = (0..AGGREGATORS).map(new_caller).collect();
         let starts = callers.iter_mut().map(|caller| caller.initial_delay().as_millis() as u64).collect();
         let (served, max_polls) =
             simulate_discovery_polls(starts, |id| callers[id].next_delay(true).as_millis() as u64);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -19,7 +19,7 @@
 const NOW: Time = Time(1 << 40);
 
 /// Returns the check of an attempt that violates no invariant.
-fn valid(class: &Class) -> SendCheck<'_> {
+fn valid_check(class: &Class) -> SendCheck<'_> {
     SendCheck {
         now: NOW,
         class,
@@ -35,39 +35,49 @@
 
 #[test]
 fn each_invariant_of_sending_rejects_what_breaks_it() {
-    let (search, seal, stamp) =
+    let (idempotent, non_idempotent, keyed) =
         (class(Idempotency::Idempotent), class(Idempotency::NonIdempotent), class(Idempotency::Keyed));
-    let after = |span| Some(Time(NOW.0 - ms(span).as_nanos() as u64));
-    let permit = valid(&search).permit(ms(900)).expect("the attempt violates no invariant");
+    let ms_ago = |elapsed| Some(Time(NOW.0 - ms(elapsed).as_nanos() as u64));
+    let permit = valid_check(&idempotent).permit(ms(900)).expect("the attempt violates no invariant");
     assert_eq!(permit.deadline(), NOW.after(ms(500)), "the deadline is never later than the client's");
-    let broken = |check: SendCheck<'_>| check.permit(ms(100)).expect_err("the attempt violates an invariant");
-    let not_active = SendCheck { worker_accepts_work: false, ..valid(&search) };
-    assert_eq!(broken(not_active), Invariant::SentToActiveWorker);
-    let over = SendCheck { valid_until: NOW, ..valid(&search) };
-    assert_eq!(broken(over), Invariant::SentBeforeDeadline);
-    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..valid(&search) };
-    assert_eq!(broken(hedged), Invariant::HedgedWhereAllowed);
-    let many = SendCheck { previous_attempts: 3, ..valid(&search) };
-    assert_eq!(broken(many), Invariant::AttemptsBounded);
-    let twice = SendCheck { previous_attempts: 1, first_possible_run: after(10), ..valid(&seal) };
-    assert_eq!(broken(twice), Invariant::RetriedSafely);
-    let late = SendCheck { previous_attempts: 1, first_possible_run: after(1000), ..valid(&stamp) };
-    assert_eq!(broken(late), Invariant::RetriedInWindow);
-    let inside = SendCheck { previous_attempts: 1, first_possible_run: after(400), ..valid(&stamp) };
-    assert_eq!(inside.permit(ms(100)).map(|permit| permit.write_window()), Ok(Some(ms(600))));
-    let unrun = SendCheck { previous_attempts: 1, ..valid(&seal) };
-    assert!(unrun.permit(ms(100)).is_ok(), "no previous attempt can have run");
+    let violated_by =
+        |check: SendCheck<'_>| check.permit(ms(100)).expect_err("the attempt violates an invariant");
+    let not_active = SendCheck { worker_accepts_work: false, ..valid_check(&idempotent) };
+    assert_eq!(violated_by(not_active), Invariant::SentToActiveWorker);
+    let past_deadline = SendCheck { valid_until: NOW, ..valid_check(&idempotent) };
+    assert_eq!(violated_by(past_deadline), Invariant::SentBeforeDeadline);
+    let hedged = SendCheck { has_attempt_in_flight: true, may_hedge: false, ..valid_check(&idempotent) };
+    assert_eq!(violated_by(hedged), Invariant::HedgedWhereAllowed);
+    let too_many_attempts = SendCheck { previous_attempts: 3, ..valid_check(&idempotent) };
+    assert_eq!(violated_by(too_many_attempts), Invariant::AttemptsBounded);
+    let possible_second_run =
+        SendCheck { previous_attempts: 1, first_possible_run: ms_ago(10), ..valid_check(&non_idempotent) };
+    assert_eq!(violated_by(possible_second_run), Invariant::RetriedSafely);
+    let past_window =
+        SendCheck { previous_attempts: 1, first_possible_run: ms_ago(1000), ..valid_check(&keyed) };
+    assert_eq!(violated_by(past_window), Invariant::RetriedInWindow);
+    let within_window =
+        SendCheck { previous_attempts: 1, first_possible_run: ms_ago(400), ..valid_check(&keyed) };
+    assert_eq!(within_window.permit(ms(100)).map(|permit| permit.write_window()), Ok(Some(ms(600))));
+    let never_run = SendCheck { previous_attempts: 1, ..valid_check(&non_idempotent) };
+    assert!(never_run.permit(ms(100)).is_ok(), "no previous attempt can have run");
 }
 
 #[test]
 fn each_invariant_of_completion_rejects_what_breaks_it() {
-    let half = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
-    assert_eq!(check_answer(&half, 0.49, false), Err(Invariant::MinCoverageMet));
-    assert_eq!(check_answer(&half, 0.9, true), Err(Invariant::CompleteMarkedTruly));
-    assert_eq!((check_answer(&half, 0.5, false), check_answer(&half, 0.99995, true)), (Ok(()), Ok(())));
-    let seal = class(Idempotency::NonIdempotent);
-    assert_eq!(check_rejection(&seal, true), Err(Invariant::RejectedUnexecuted));
-    assert_eq!((check_rejection(&seal, false), check_rejection(&half, true)), (Ok(()), Ok(())));
+    let half_required = Class { min_coverage: 0.5, ..class(Idempotency::Idempotent) };
+    assert_eq!(check_answer(&half_required, 0.49, false), Err(Invariant::MinCoverageMet));
+    assert_eq!(check_answer(&half_required, 0.9, true), Err(Invariant::CompleteMarkedTruly));
+    assert_eq!(
+        (check_answer(&half_required, 0.5, false), check_answer(&half_required, 0.99995, true)),
+        (Ok(()), Ok(()))
+    );
+    let non_idempotent = class(Idempotency::NonIdempotent);
+    assert_eq!(check_rejection(&non_idempotent, true), Err(Invariant::RejectedUnexecuted));
+    assert_eq!(
+        (check_rejection(&non_idempotent, false), check_rejection(&half_required, true)),
+        (Ok(()), Ok(()))
+    );
 }
 
 #[test]
@@ -111,23 +121,23 @@
     }
 }
 
-/// Serves a connection that has received the start of a request, and closes it: by the client, or else by
-/// dropping the server's side. Returns the reported violations.
+/// Serves a connection on which a request has arrived, and closes it before the response: by the client, or
+/// else by dropping the server's side. Returns the reported violations.
 async fn violations_on_close(client_disconnects: bool) -> Vec<Invariant> {
     let descriptors =
         DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("64 descriptors are enough"), 1 << 20);
     let connections = ConnectionManager::new(descriptors.clone());
     let source = gatherer::limits::client_connections::Source(1);
     let permit = connections.admit(source, Duration::ZERO).await.expect("a descriptor is free");
-    let (near, mut far) = tokio::io::duplex(1 << 12);
+    let (server_stream, mut client_stream) = tokio::io::duplex(1 << 12);
     let front = Rc::new(SilentFront::default());
-    far.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("the request is written");
-    let from = "127.0.0.1:1".parse().expect("a valid address");
-    let serving = serve_connection(near, from, &*front, permit);
+    client_stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await.expect("the request is written");
+    let client_address = "127.0.0.1:1".parse().expect("a valid address");
+    let serving = serve_connection(server_stream, client_address, &*front, permit);
     let closing = async move {
         tokio::time::sleep(ms(10)).await;
         if client_disconnects {
-            drop(far);
+            drop(client_stream);
             std::future::pending::<()>().await;
         }
     };
