--- a/src/limits/client_connections.rs
+++ b/src/limits/client_connections.rs
@@ -43,7 +43,7 @@
 
 /// Minimum receive rate of a request: 64 kB extend its deadline by one second.
 const MIN_RECEIVE_BYTES_PER_SECOND: f64 = 64_000.0;
-/// Multiple of its usual idle interval within which an idle connection is expected to be used again.
+/// An idle connection is expected to be used again within this multiple of its usual idle interval.
 const IDLE_INTERVAL_FACTOR: u32 = 4;
 /// Upper limit of the time within which an idle connection is expected to be used again.
 const MAX_EXPECTED_IDLE: Duration = Duration::from_secs(4);
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -32,7 +32,7 @@
     /// Cancels an attempt whose result is no longer needed. The core has already recorded its completion.
     fn cancel(&self, worker: WorkerId, attempt_id: AttemptId);
     /// Drops an attempt whose result is no longer needed, if none of its bytes are written yet. An attempt that is
-    /// partly or wholly written may not be cancelled. Never called where the settings allow cancellation.
+    /// partly or wholly written may not be cancelled. Never called if the settings allow cancellation.
     fn cancel_if_unsent(&self, _worker: WorkerId, _attempt_id: AttemptId) {}
 }
 
@@ -133,10 +133,11 @@
         is_known
     }
 
-    /// Applies a request that an operator made to the gatherer's other process, where the worker was known.
+    /// Applies an operator's request that the gatherer's other process received. Registers the worker first, because
+    /// this process may not know it.
     pub fn set_worker_disabled_by_peer(&self, worker: &str, disabled: bool) {
         self.with_core(|core| core.register_worker(worker));
-        // The worker was registered just above, so it is always known.
+        // The result is always true, because the worker was registered above.
         let _ = self.set_worker_disabled(worker, disabled);
     }
 
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -1,7 +1,7 @@
 //! The broker's state machine, without I/O or a clock: events go in, commands come out, and the time is an argument.
 //!
 //! [`Core`] owns the open queries, the attempts in flight, the worker list, the counters, and the decision module. This
-//! file takes reports of fronts and transports, and `core/workers.rs` those about workers and other gatherers.
+//! file handles queries and reports of attempts, `core/workers.rs` events about workers and other gatherers.
 //! `core/step.rs` passes them to the decision module as events; `core/dispatch.rs` and `core/completion.rs` apply its
 //! actions.
 
@@ -30,7 +30,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The state of one broker.
+/// State machine of one broker.
 pub struct Core {
     contracts: Contracts,
     policy: Aggregator,
@@ -205,7 +205,8 @@
         self.record_end(labels, QueryEnd::RejectedShuttingDown, Duration::ZERO);
     }
 
-    /// Counts a query that was rejected before it was parsed, because no descriptor could be kept busy for it.
+    /// Counts a query that was rejected before it was parsed, because its connection's descriptor could not become
+    /// busy.
     pub fn reject_unread(&mut self, class: ClassId) {
         self.class_counts.record_received(class.0);
         self.class_counts.record_end(class.0, QueryEnd::RejectedAtCapacity);
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Bounds of an [`IdempotencyStore`].
+/// Limits of an [`IdempotencyStore`].
 #[derive(Clone, Copy, Debug)]
 pub struct IdempotencyLimits {
     /// Maximum number of keys held at once.
@@ -119,7 +119,7 @@
     }
 
     /// Ends the run of a key and sends the response to all requests that joined it. If the request `may_have_run`, the
-    /// response is cached and the key never runs again; otherwise the key can be claimed for another run. Where the
+    /// response is cached and the key never runs again; otherwise the key can be claimed for another run. If the
     /// cached responses exceed `max_bytes`, the oldest are dropped together with their keys.
     pub fn finish(&mut self, now: Time, key: &str, response: T, size: usize, may_have_run: bool) {
         let Some(entry) = self.entries.get_mut(key) else { return };
