--- a/src/limits/backoff.rs
+++ b/src/limits/backoff.rs
@@ -15,8 +15,8 @@
 const BASE_DELAY: Duration = Duration::from_millis(100);
 /// Lower limit of the bound of all delays, however short `poll_within` is.
 const MIN_LONGEST_DELAY: Duration = Duration::from_secs(1);
-/// Upper bound of all delays if the callers are so few that the service can serve them all within it. A change has to
-/// be received 6 s after the service becomes reachable again, however earlier calls ended; of these 6 s, a call may
+/// Upper bound of all delays if the callers are so few that the service can serve them all within it. A change counts
+/// as received 6 s after the service becomes reachable again, however earlier calls ended; of these 6 s, a call may
 /// wait 2 s for its turn.
 const RECOVERY_DELAY: Duration = Duration::from_secs(3);
 /// Share of the time `poll_within` that a delay may take.
--- a/src/limits/client_connections/eviction.rs
+++ b/src/limits/client_connections/eviction.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Time limits of an evictable connection, by reason.
+/// Time limits of an evictable connection. Each eviction reason has its own.
 pub(super) struct TimeLimits {
     /// Limit without resource pressure.
     pub relaxed: Duration,
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -7,7 +7,7 @@
 };
 use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::command::Command;
-use crate::routing::worker_list::{MAX_REMEMBERED_WORKERS, WorkerList};
+use crate::routing::worker_list::{MAX_REGISTERED_WORKERS, WorkerList};
 use crate::routing::worker_registry::WorkerListUpdate;
 use crate::routing::worker_states::WorkerStates;
 use crate::service::DisabledWorkers;
@@ -158,7 +158,7 @@
         snapshot: PolicySnapshot,
     ) {
         let names = snapshot.worker_names().chain(disabled.names());
-        names.take(MAX_REMEMBERED_WORKERS).for_each(|name| self.register_worker(name));
+        names.take(MAX_REGISTERED_WORKERS).for_each(|name| self.register_worker(name));
         self.workers.disabled = disabled;
         self.apply_endpoint_update(now, list, true);
         // The decision module has to process the endpoint list before it can restore the workers' state.
--- a/src/routing/worker_list.rs
+++ b/src/routing/worker_list.rs
@@ -12,7 +12,7 @@
 
 /// Number of registered workers, listed or not, above which unlisted ones are forgotten. A day of replacements adds far
 /// fewer names.
-pub(super) const MAX_REMEMBERED_WORKERS: usize = 4096;
+pub(super) const MAX_REGISTERED_WORKERS: usize = 4096;
 
 /// Consequences of an update of the endpoint list.
 pub(super) struct WorkerListChange {
@@ -124,10 +124,10 @@
     }
 
     /// Removes workers from the registry that are not listed and have no attempt in flight, if it contains more than
-    /// [`MAX_REMEMBERED_WORKERS`].
+    /// [`MAX_REGISTERED_WORKERS`].
     pub fn forget_unlisted(&mut self, in_flight: &InFlight) {
         let registered: Vec<WorkerId> = self.registry.ids().collect();
-        if registered.len() <= MAX_REMEMBERED_WORKERS {
+        if registered.len() <= MAX_REGISTERED_WORKERS {
             return;
         }
         let workers_in_flight = in_flight.workers();
--- a/src/service/lifecycle/tests.rs
+++ b/src/service/lifecycle/tests.rs
@@ -61,13 +61,21 @@
         let (mut lifecycle, mut now, mut stopped) = (Lifecycle::new(Time(0)), 0, false);
         for (request, gap) in requests {
             now += gap * MS;
-            let request = [LifecycleRequest::Drain, LifecycleRequest::Resume, LifecycleRequest::Stop, LifecycleRequest::HandOver][usize::from(request)];
+            let request = [
+                LifecycleRequest::Drain,
+                LifecycleRequest::Resume,
+                LifecycleRequest::Stop,
+                LifecycleRequest::HandOver,
+            ][usize::from(request)];
             let result = lifecycle.apply(Time(now), request);
             let is_stop = matches!(request, LifecycleRequest::Stop | LifecycleRequest::HandOver);
             prop_assert_eq!(result.is_err(), stopped && !is_stop);
             stopped |= is_stop;
             prop_assert_eq!(stopped, lifecycle.state().is_stopping());
-            prop_assert_eq!(lifecycle.state() == LifecycleState::Serving, !stopped && request == LifecycleRequest::Resume);
+            prop_assert_eq!(
+                lifecycle.state() == LifecycleState::Serving,
+                !stopped && request == LifecycleRequest::Resume
+            );
         }
     }
 }
