--- a/src/routing/core/dispatch.rs
+++ b/src/routing/core/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends attempts, cancels them, and counts why they follow one another. Every attempt passes its check of the invariants
-//! here; which worker it goes to is the decision module's choice.
+//! Sends and cancels attempts, and counts retries by their cause. Every attempt is checked against the invariants
+//! before it is sent; the decision module chooses its worker.
 
 use super::Core;
 use crate::policy::{AttemptNo, AttemptOutcome, RequestId, Time, WorkerId};
@@ -9,17 +9,17 @@
 use crate::routing::invariants::{Invariant, SendCheck, SendPermit};
 use std::time::Duration;
 
-/// The attempts that one step sends to a worker.
+/// Attempts that one step sends to one worker.
 struct PendingCall {
     worker: WorkerId,
     parts: Vec<Dispatch>,
 }
 
-/// The attempts that one step sends, by worker.
+/// Attempts that one step sends, grouped by worker in the order of their first attempts.
 #[derive(Default)]
-pub(super) struct Calls(Vec<PendingCall>);
+pub(super) struct PendingCalls(Vec<PendingCall>);
 
-impl Calls {
+impl PendingCalls {
     fn add(&mut self, worker: WorkerId, dispatch: Dispatch) {
         match self.0.iter_mut().find(|call| call.worker == worker) {
             Some(call) => call.parts.push(dispatch),
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Takes back an attempt that is cancelled in the step that sends it.
+    /// Removes an attempt that is cancelled in the same step that sends it.
     fn remove(&mut self, attempt_id: AttemptId) {
         self.0.iter_mut().for_each(|call| call.parts.retain(|part| part.attempt_id != attempt_id));
     }
 
-    /// Splits the attempts for each worker into calls of at most `max_parts`.
+    /// Returns the commands for the calls, each with at most `max_parts` attempts.
     pub(super) fn into_commands(self, max_parts: usize) -> Vec<Command> {
         let mut commands = Vec::new();
         for PendingCall { worker, parts } in self.0 {
@@ -44,16 +44,17 @@
 }
 
 impl Core {
-    /// Sends an attempt. Every attempt passes here; one that would break an invariant is not sent and ends as such.
+    /// Sends the next attempt of a part. An attempt that would violate an invariant is not sent and finishes as
+    /// [`AttemptOutcome::NotSent`].
     pub(super) fn send(
         &mut self,
         now: Time,
         id: RequestId,
         worker: WorkerId,
         timeout: Duration,
-        calls: &mut Calls,
+        calls: &mut PendingCalls,
     ) {
-        let permit = self.permit(now, id, worker, timeout);
+        let permit = self.send_permit(now, id, worker, timeout);
         let Some((part, query)) = self.open_queries.part_with_query(id) else { return };
         let attempt_id = AttemptId { part: id, attempt: AttemptNo(part.attempts) };
         part.attempts += 1;
@@ -63,8 +64,14 @@
         let (label, shard) = (query.label.clone(), part.shard);
         let permit = match permit {
             Ok(permit) => permit,
-            Err(broken) => {
-                return self.withhold(now, attempt_id, worker, broken, &format!("{label}.{}", shard.0));
+            Err(violated) => {
+                return self.finish_unsent(
+                    now,
+                    attempt_id,
+                    worker,
+                    violated,
+                    &format!("{label}.{}", shard.0),
+                );
             }
         };
         let (payload, at_most_once) = (query.payload.clone(), query.at_most_once);
@@ -73,8 +80,8 @@
         calls.add(worker, Dispatch { attempt_id, label, shard, payload, at_most_once, permit });
     }
 
-    /// The right to send an attempt, or the invariant that it would break.
-    fn permit(
+    /// Returns the permit to send the next attempt of a part, or the invariant that the attempt would violate.
+    fn send_permit(
         &mut self,
         now: Time,
         id: RequestId,
@@ -82,7 +89,7 @@
         timeout: Duration,
     ) -> Result<SendPermit, Invariant> {
         let worker_accepts_work = self.workers.accepts_work(worker);
-        let has_attempt_in_flight = self.in_flight.has_part(id);
+        let has_attempt_in_flight = self.in_flight.has_attempt_of_part(id);
         let settings = &self.contracts.settings;
         let (part, query) = self.open_queries.part_with_query(id).ok_or(Invariant::SentBeforeDeadline)?;
         let class = settings.classes.get(query.labels.class).ok_or(Invariant::SentBeforeDeadline)?;
@@ -100,29 +107,29 @@
         check.permit(timeout)
     }
 
-    /// Ends an attempt that would break an invariant as one that was never sent.
-    fn withhold(
+    /// Reports the violation that an attempt would cause, and finishes the attempt as not sent.
+    fn finish_unsent(
         &mut self,
         now: Time,
         attempt_id: AttemptId,
         worker: WorkerId,
-        broken: Invariant,
-        part: &str,
+        violated: Invariant,
+        part_name: &str,
     ) {
-        let name = self.workers.registry.name(worker).unwrap_or("of no name");
-        let subject = format!("attempt {} of part {part} to worker {name}", attempt_id.attempt.0);
-        self.report_violation(broken, &subject);
+        let name = self.workers.registry.name(worker).unwrap_or("<unknown>");
+        let subject = format!("attempt {} of part {part_name} to worker {name}", attempt_id.attempt.0);
+        self.report_violation(violated, &subject);
         let sent = SentAttempt { worker, sent_at: now, deadline: now };
         let not_sent = AttemptCompletion::without_value(AttemptOutcome::NotSent);
         self.finish_attempt(now, attempt_id, &sent, not_sent);
     }
 
-    /// Counts why an attempt follows another one.
+    /// Counts a retry or hedged attempt by its cause; does nothing for the first attempt of a part.
     fn count_retry(&mut self, attempt_id: AttemptId) {
         if attempt_id.attempt.0 == 0 {
             return;
         }
-        let is_hedged = self.in_flight.has_part(attempt_id.part);
+        let is_hedged = self.in_flight.has_attempt_of_part(attempt_id.part);
         let last_outcome = self.open_queries.part(attempt_id.part).and_then(|part| part.last_outcome);
         *match last_outcome {
             _ if is_hedged => &mut self.counters.resent_hedged,
@@ -131,7 +138,8 @@
         } += 1;
     }
 
-    pub(super) fn cancel(&mut self, now: Time, attempt_id: AttemptId, calls: &mut Calls) {
+    /// Cancels an attempt. Does nothing if the attempt has already finished.
+    pub(super) fn cancel(&mut self, now: Time, attempt_id: AttemptId, calls: &mut PendingCalls) {
         let Some(sent) = self.in_flight.remove(attempt_id) else { return };
         calls.remove(attempt_id);
         self.pending_commands.push(Command::Cancel { worker: sent.worker, attempt_id });
