--- a/src/transport/clients/closing.rs
+++ b/src/transport/clients/closing.rs
@@ -27,8 +27,9 @@
     bytes: &[u8],
     manager: &ConnectionManager,
 ) -> bool {
-    let end = async { write.write_all(bytes).await.is_ok() && write.shutdown().await.is_ok() };
-    let written = tokio::time::timeout(final_write_timeout(manager), end).await == Ok(true);
+    let write_and_shut_down =
+        async { write.write_all(bytes).await.is_ok() && write.shutdown().await.is_ok() };
+    let written = tokio::time::timeout(final_write_timeout(manager), write_and_shut_down).await == Ok(true);
     if written {
         linger(read, final_write_timeout(manager)).await;
     }
@@ -39,7 +40,7 @@
 /// the connection, and the reset could take the last response with it. True if any bytes arrived.
 pub(in crate::transport) async fn linger(read: &mut (impl AsyncRead + Unpin), limit: Duration) -> bool {
     let (mut discarded, mut received) = ([0; READ_CHUNK_BYTES], false);
-    let rest = async {
+    let drain = async {
         for _ in 0..MAX_PIPELINED_BYTES / READ_CHUNK_BYTES {
             if !matches!(read.read(&mut discarded).await, Ok(1..)) {
                 return;
@@ -48,7 +49,7 @@
         }
     };
     // The connection ends here whether the client has closed its side or not.
-    let _ = tokio::time::timeout(limit, rest).await;
+    let _ = tokio::time::timeout(limit, drain).await;
     received
 }
 
--- a/src/transport/clients/connection.rs
+++ b/src/transport/clients/connection.rs
@@ -95,21 +95,21 @@
         let response = tokio::select! {
             biased;
             response = self.front.respond(request) => response,
-            () = client_closed(&mut self.read, &mut self.buffer, &self.permit, body_bytes, &mut pipelining_overflowed) => {
+            () = wait_for_client_close(&mut self.read, &mut self.buffer, &self.permit, body_bytes, &mut pipelining_overflowed) => {
                 self.permit.update_counters(|counters| counters.client_closed_waiting += 1);
                 guard.mark_client_gone();
                 return ControlFlow::Break(());
             }
         };
-        let close = !keep_alive
+        let closes = !keep_alive
             || pipelining_overflowed
             || self.permit.connection_manager().lifecycle_state().closes_after_response();
-        let mut bytes = response.encode(close);
+        let mut bytes = response.encode(closes);
         if is_head {
             bytes.truncate(bytes.len() - response.body.len());
         }
         self.write_response(&bytes, guard).await?;
-        if close {
+        if closes {
             if self.write.shutdown().await.is_ok() {
                 linger(&mut self.read, final_write_timeout(self.permit.connection_manager())).await;
             }
@@ -166,8 +166,8 @@
                     return NextStep::Close;
                 }
             }
-            if let Some(end) = self.read_more().await {
-                return end;
+            if let Some(next_step) = self.read_more().await {
+                return next_step;
             }
         }
     }
@@ -188,11 +188,11 @@
             () = self.permit.buffer_reservation.wait_for_space(), if !may_read => return None,
             reason = self.permit.evicted() => {
                 if !self.buffer.is_empty() {
-                    return Some(request_timeout(reason));
+                    return Some(evicted_mid_request(reason));
                 }
             }
             // A new connection to a drained process still gets the response to its first request.
-            () = idle_close_due(&self.permit, self.responses), if closes_when_idle => {}
+            () = wait_until_idle_close_is_due(&self.permit, self.responses), if closes_when_idle => {}
         }
         self.close_if_idle().await
     }
@@ -261,7 +261,7 @@
 }
 
 /// The end of a connection that is evicted in the middle of a request.
-fn request_timeout(reason: EvictionReason) -> NextStep {
+fn evicted_mid_request(reason: EvictionReason) -> NextStep {
     let reason = match reason {
         EvictionReason::Slow => "the request did not end in time",
         _ => "no room",
@@ -271,7 +271,7 @@
 
 /// Waits until idle connections are to be closed. A connection without a response so far gets some time more: its first
 /// request may be on its way, and a close without a response says nothing to its client.
-async fn idle_close_due(permit: &ConnectionPermit, responses: u64) {
+async fn wait_until_idle_close_is_due(permit: &ConnectionPermit, responses: u64) {
     permit.connection_manager().wait_for_idle_close().await;
     if responses == 0 {
         tokio::time::sleep(final_write_timeout(permit.connection_manager())).await;
@@ -281,7 +281,7 @@
 /// Returns when the client has closed its connection. Bytes that it sends ahead are kept up to a limit; past that they
 /// are discarded, `overflowed` is set and the connection ends after its response. Without these reads, a client that
 /// left behind unread bytes would not be noticed.
-async fn client_closed(
+async fn wait_for_client_close(
     read: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
     permit: &ConnectionPermit,
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -18,7 +18,7 @@
 const EVICTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often other tasks get a turn, after the wait for a descriptor has taken its whole time, before a new connection is
 /// rejected: an evicted connection needs a turn to notice it, one to see what has arrived, and some to write and close.
-const TURNS_AFTER_PAUSE: usize = 8;
+const YIELDS_BEFORE_REJECTION: usize = 8;
 /// The least time between two log lines about early evictions.
 const EVICTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -75,25 +75,25 @@
     fn publish_lifecycle_state(&self) {
         let state = self.lifecycle.borrow().state();
         self.lifecycle_state.send_if_modified(|published| {
-            let before = std::mem::replace(published, state);
-            if before != state {
+            let previous = std::mem::replace(published, state);
+            if previous != state {
                 log::info!(
-                    "lifecycle state changed: from={before:?} to={state:?} open_connections={}",
+                    "lifecycle state changed: from={previous:?} to={state:?} open_connections={}",
                     self.open_connections()
                 );
             }
-            before != state
+            previous != state
         });
     }
     /// Advances the lifecycle whenever a deadline of it passes, for as long as the process lives.
     pub async fn run_lifecycle_timers(&self) {
         let mut state = self.lifecycle_state.subscribe();
         loop {
-            let due = self.lifecycle.borrow().next_deadline();
+            let deadline = self.lifecycle.borrow().next_deadline();
             tokio::select! {
                 // The sender lives as long as the manager, so waiting cannot fail.
                 _ = state.changed() => {}
-                () = tokio::time::sleep_until(self.descriptor_pool.instant_at(due.unwrap_or_default())), if due.is_some() => {
+                () = tokio::time::sleep_until(self.descriptor_pool.instant_at(deadline.unwrap_or_default())), if deadline.is_some() => {
                     self.advance_lifecycle();
                 }
             }
@@ -128,8 +128,9 @@
     /// How scarce descriptors are for clients. The clients' own level counts beside that of the process: their guaranteed
     /// part is less than the whole, and clients that stay after a single request take it from those that come back.
     pub fn pressure(&self) -> ResourcePressure {
-        let guaranteed =
-            self.descriptor_pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+        let guaranteed = self
+            .descriptor_pool
+            .descriptors(|allocator| allocator.budget().floors[DescriptorClass::Clients as usize]);
         ResourcePressure::from_usage(self.open_connections(), guaranteed / 3, guaranteed * 3 / 4)
             .max(self.descriptor_pool.pressure())
     }
@@ -147,9 +148,11 @@
         let permit = ConnectionPermit::new(self.clone(), id, descriptor, eviction);
         // The next connection is to find a free descriptor. It is freed only now, so that nobody is evicted before it is
         // needed, and so that the new connection is compared with the others.
-        let (free, headroom) = self.descriptor_pool.descriptors(|all| (all.free(), all.budget().headroom));
+        let (free, headroom) =
+            self.descriptor_pool.descriptors(|allocator| (allocator.free(), allocator.budget().headroom));
         if free < headroom
-            && let Some(lender) = self.descriptor_pool.descriptors(|all| all.lender(DescriptorClass::Clients))
+            && let Some(lender) =
+                self.descriptor_pool.descriptors(|allocator| allocator.lender(DescriptorClass::Clients))
         {
             match lender {
                 DescriptorClass::Clients => self.evict_one(),
@@ -171,7 +174,7 @@
             if tokio::time::timeout(timeout, released).await.is_err() {
                 // After a pause of the whole process the limit passes before the evicted connections have had a turn to
                 // close: the yields let them.
-                for _ in 0..TURNS_AFTER_PAUSE {
+                for _ in 0..YIELDS_BEFORE_REJECTION {
                     tokio::task::yield_now().await;
                 }
                 return self.descriptor_pool.try_acquire(DescriptorClass::Clients).ok();
@@ -186,19 +189,19 @@
     }
 
     fn evict_one(&self) {
-        let chosen = self.connections.borrow_mut().evict(self.descriptor_pool.now());
-        self.carry_out_early_eviction(chosen);
+        let victim = self.connections.borrow_mut().evict(self.descriptor_pool.now());
+        self.evict_early(victim);
     }
 
     /// Evicts a connection because accepts fail for want of descriptors outside the budget. New connections are spared:
     /// another accept is tried soon in any case.
     pub(super) fn evict_after_accept_error(&self) {
-        let chosen = self.connections.borrow_mut().evict_past_min_residence(self.descriptor_pool.now());
-        self.carry_out_early_eviction(chosen);
+        let victim = self.connections.borrow_mut().evict_past_min_residence(self.descriptor_pool.now());
+        self.evict_early(victim);
     }
 
-    fn carry_out_early_eviction(&self, chosen: Option<(u64, EvictionReason)>) {
-        if let Some((id, reason)) = chosen {
+    fn evict_early(&self, victim: Option<(u64, EvictionReason)>) {
+        if let Some((id, reason)) = victim {
             self.descriptor_pool.counters.borrow_mut().evicted_early += 1;
             self.notify_evicted(id, reason);
         }
@@ -215,7 +218,7 @@
     /// Evicts connections whose time limit has passed, and one for each descriptor that another class reclaims, for as
     /// long as the process lives.
     pub async fn run_evictions(&self) {
-        let (mut logged, mut logged_at) = (0, self.descriptor_pool.now());
+        let (mut logged_count, mut logged_at) = (0, self.descriptor_pool.now());
         loop {
             if !self.connections.borrow().has_evictable() {
                 tokio::select! {
@@ -224,9 +227,11 @@
                 }
             }
             let pressure = self.pressure();
-            let due = self.connections.borrow().next_deadline(pressure);
+            let deadline = self.connections.borrow().next_deadline(pressure);
             let now = self.descriptor_pool.now();
-            let wait = due.map_or(EVICTION_CHECK_INTERVAL, |due| due.since(now)).min(EVICTION_CHECK_INTERVAL);
+            let wait = deadline
+                .map_or(EVICTION_CHECK_INTERVAL, |deadline| deadline.since(now))
+                .min(EVICTION_CHECK_INTERVAL);
             tokio::select! {
                 () = self.descriptor_pool.wait_for_reclaim(DescriptorClass::Clients) => self.evict_one(),
                 () = tokio::time::sleep_until(self.descriptor_pool.instant_at(now.after(wait))) => {}
@@ -235,15 +240,15 @@
             let expired = self.connections.borrow_mut().evict_expired(self.descriptor_pool.now(), pressure);
             expired.into_iter().for_each(|(id, reason)| self.notify_evicted(id, reason));
             let now = self.descriptor_pool.now();
-            let early = self.descriptor_pool.counters.borrow().evicted_early;
-            if early > logged && now.since(logged_at) >= EVICTION_LOG_INTERVAL {
+            let early_evictions = self.descriptor_pool.counters.borrow().evicted_early;
+            if early_evictions > logged_count && now.since(logged_at) >= EVICTION_LOG_INTERVAL {
                 let by_reason = self.evictions_by_reason();
                 log::warn!(
                     "connections evicted early: open_connections={} evicted_early={} since_start: {by_reason}",
                     self.open_connections(),
-                    early - logged
+                    early_evictions - logged_count
                 );
-                (logged, logged_at) = (early, now);
+                (logged_count, logged_at) = (early_evictions, now);
             }
         }
     }
--- a/src/transport/clients/connection_permit.rs
+++ b/src/transport/clients/connection_permit.rs
@@ -70,11 +70,13 @@
         if self.eviction.reason.take().is_some() {
             self.update_counters(|counters| counters.eviction_cancelled += 1);
         }
-        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes));
+        self.with_connections(|connections| {
+            connections.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes)
+        });
     }
     /// The client has said who it is.
     pub fn set_source(&self, source: Source) {
-        self.with_connections(|all| all.set_source(self.id, source));
+        self.with_connections(|connections| connections.set_source(self.id, source));
     }
     /// A request is complete: makes the connection busy. False where that would take a descriptor that another class is
     /// guaranteed; the request is then to be rejected.
@@ -83,18 +85,22 @@
         let marked = self.descriptor.try_mark_busy();
         if marked {
             self.eviction.reason.take();
-            self.with_connections(|all| all.start_query(self.manager.descriptor_pool().now(), self.id));
+            self.with_connections(|connections| {
+                connections.start_query(self.manager.descriptor_pool().now(), self.id)
+            });
         } else {
             self.update_counters(|counters| counters.rejected_no_descriptor += 1);
-            self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool().now(), self.id));
+            self.with_connections(|connections| {
+                connections.reject_malformed(self.manager.descriptor_pool().now(), self.id)
+            });
         }
         marked
     }
     /// The response was written: the connection is idle again.
     pub fn on_response_sent(&self, validity: RequestValidity) {
         self.descriptor.mark_idle();
-        self.with_connections(|all| {
-            all.finish_query(self.manager.descriptor_pool().now(), self.id, validity)
+        self.with_connections(|connections| {
+            connections.finish_query(self.manager.descriptor_pool().now(), self.id, validity)
         });
         self.manager.evictable.notify_one();
     }
@@ -104,12 +110,16 @@
     }
     /// The bytes that arrived are not a valid request.
     pub fn on_malformed_input(&self) {
-        self.with_connections(|all| all.reject_malformed(self.manager.descriptor_pool().now(), self.id));
+        self.with_connections(|connections| {
+            connections.reject_malformed(self.manager.descriptor_pool().now(), self.id)
+        });
     }
     /// Bytes of a request arrived as the connection was about to be closed: it stays open.
     pub fn cancel_eviction(&self, bytes: usize) {
         self.update_counters(|counters| counters.eviction_cancelled += 1);
-        self.with_connections(|all| all.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes));
+        self.with_connections(|connections| {
+            connections.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes)
+        });
     }
     /// Bytes arrived after the connection was closed from this side.
     pub fn on_request_after_close(&self) {
@@ -119,7 +129,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.with_connections(|all| all.close(self.id));
+        self.with_connections(|connections| connections.close(self.id));
         self.manager.evictions.borrow_mut().remove(&self.id);
     }
 }
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -158,9 +158,9 @@
 async fn reject_connection(mut stream: Box<dyn Stream>, response: &Response, manager: &ConnectionManager) {
     manager.descriptor_pool().counters.borrow_mut().rejected += 1;
     let bytes = response.encode(true);
-    let written = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
+    let write_rejection = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
     // The connection is closed whether its client has read the rejection or not.
-    if tokio::time::timeout(ADMISSION_TIMEOUT, written).await == Ok(true) {
+    if tokio::time::timeout(ADMISSION_TIMEOUT, write_rejection).await == Ok(true) {
         linger(&mut stream, ADMISSION_TIMEOUT).await;
     }
 }
--- a/src/transport/clients/response_guard.rs
+++ b/src/transport/clients/response_guard.rs
@@ -11,30 +11,30 @@
 pub struct ResponseGuard<'a, F: Front> {
     front: &'a F,
     label: String,
-    released: bool,
+    settled: bool,
 }
 
 impl<'a, F: Front> ResponseGuard<'a, F> {
     /// Starts guarding the response to this request.
     pub fn new(front: &'a F, request: &Request) -> ResponseGuard<'a, F> {
         let label = front.label(request).unwrap_or(&request.path).to_owned();
-        ResponseGuard { front, label, released: false }
+        ResponseGuard { front, label, settled: false }
     }
 
     /// The last byte of the response was written.
     pub fn mark_sent(mut self) {
-        self.released = true;
+        self.settled = true;
     }
 
     /// The client closed the connection before its response.
     pub fn mark_client_gone(mut self) {
-        self.released = true;
+        self.settled = true;
     }
 }
 
 impl<F: Front> Drop for ResponseGuard<'_, F> {
     fn drop(&mut self) {
-        if !self.released {
+        if !self.settled {
             let concerns = format!("request {} is closed without its response", self.label);
             self.front.on_invariant_violated(Invariant::ClosedAfterResponse, &concerns);
         }
--- a/src/transport/connector.rs
+++ b/src/transport/connector.rs
@@ -50,8 +50,8 @@
     let started_at = Instant::now();
     errors::retry(limit, errors::is_local, async || {
         let time_left = limit.saturating_sub(started_at.elapsed());
-        let connected = tokio::time::timeout(time_left, connector.connect(address)).await;
-        connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+        let result = tokio::time::timeout(time_left, connector.connect(address)).await;
+        result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     })
     .await
 }
--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -18,7 +18,7 @@
     DescriptorDenied, ResourcePressure,
 };
 use crate::policy::Time;
-use connect_permit::ConnectWaits;
+use connect_permit::PendingConnects;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     start: Instant,
     descriptors: RefCell<DescriptorAllocator>,
     buffers: RefCell<BufferBudget>,
-    connect_waits: RefCell<ConnectWaits>,
+    connect_queue: RefCell<PendingConnects>,
     reclaims: [ReclaimRequest; DESCRIPTOR_CLASSES.len()],
     /// Notified when a descriptor is released.
     released: Notify,
@@ -57,7 +57,7 @@
         Rc::new(DescriptorPool {
             start: Instant::now(),
             buffers: RefCell::new(BufferBudget::new(max_buffered_bytes, budget.usable)),
-            connect_waits: RefCell::new(ConnectWaits::new(&budget)),
+            connect_queue: RefCell::new(PendingConnects::new(&budget)),
             descriptors: RefCell::new(DescriptorAllocator::new(budget)),
             reclaims: Default::default(),
             released: Notify::new(),
@@ -106,7 +106,8 @@
             }
             return Err(denied);
         }
-        let (held, in_use) = self.descriptors(|all| (all.held(class), all.budget().usable - all.free()));
+        let (held, in_use) = self
+            .descriptors(|allocator| (allocator.held(class), allocator.budget().usable - allocator.free()));
         self.counters.borrow_mut().record_held(class, held, in_use);
         Ok(DescriptorPermit::new(self, class))
     }
@@ -127,9 +128,11 @@
         self.buffers.borrow_mut().resize(max_buffered_bytes, budget.usable);
         self.descriptors.borrow_mut().set_budget(budget);
         self.released.notify_waiters();
-        for _ in 0..self.descriptors(|all| all.excess()) {
+        for _ in 0..self.descriptors(|allocator| allocator.excess()) {
             let released = self.wait_for_release();
-            let class = self.descriptors(|all| all.class_to_reclaim_from().filter(|_| all.excess() > 0));
+            let class = self.descriptors(|allocator| {
+                allocator.class_to_reclaim_from().filter(|_| allocator.excess() > 0)
+            });
             let Some(class) = class else { return };
             self.reclaim(class);
             // The class may have no idle one left to release, so the wait is short.
--- a/src/transport/descriptor_pool/buffer_reservation.rs
+++ b/src/transport/descriptor_pool/buffer_reservation.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl DescriptorPool {
-    fn update_buffered(&self, before: usize, after: usize) {
+    fn update_buffered_bytes(&self, before: usize, after: usize) {
         let mut buffers = self.buffers.borrow_mut();
         buffers.update(before, after);
         let mut counters = self.counters.borrow_mut();
@@ -21,24 +21,24 @@
 /// The bytes buffered for one peer, counted against the budget until they are dropped.
 pub struct BufferReservation {
     pool: Rc<DescriptorPool>,
-    held: Cell<usize>,
+    held_bytes: Cell<usize>,
 }
 
 impl BufferReservation {
     /// Creates a reservation of no bytes.
     pub fn new(pool: &Rc<DescriptorPool>) -> BufferReservation {
-        BufferReservation { pool: pool.clone(), held: Cell::new(0) }
+        BufferReservation { pool: pool.clone(), held_bytes: Cell::new(0) }
     }
     /// Sets the number of bytes that are held now.
-    pub fn set(&self, held: usize) {
-        let before = self.held.replace(held);
-        if before != held {
-            self.pool.update_buffered(before, held);
+    pub fn set(&self, bytes: usize) {
+        let before = self.held_bytes.replace(bytes);
+        if before != bytes {
+            self.pool.update_buffered_bytes(before, bytes);
         }
     }
     /// The number of bytes that may be held now.
     pub fn allowance(&self) -> usize {
-        self.pool.buffers.borrow().allowance(self.held.get())
+        self.pool.buffers.borrow().allowance(self.held_bytes.get())
     }
     /// Waits until another reservation has become smaller.
     pub async fn wait_for_space(&self) {
--- a/src/transport/descriptor_pool/connect_permit.rs
+++ b/src/transport/descriptor_pool/connect_permit.rs
@@ -30,9 +30,9 @@
         time_left: Duration,
     ) -> Result<ConnectPermit, ConnectWaitError> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = self.connect_waits.borrow_mut().enqueue(self.now(), worker, time_left, sender);
+        let ticket = self.connect_queue.borrow_mut().enqueue(self.now(), worker, time_left, sender);
         let _queued = QueuedConnect { pool: self, ticket };
-        self.start_waiting_connects();
+        self.grant_connect_permits();
         let limit = connection_pool::connect_wait_limit(time_left);
         let error = match tokio::time::timeout(limit, receiver).await {
             Ok(Ok(permit)) => return Ok(permit),
@@ -44,14 +44,14 @@
     }
 
     /// Gives connect permits to waiting calls, as far as descriptors allow.
-    pub(super) fn start_waiting_connects(self: &Rc<Self>) {
-        while self.connect_waits.borrow().queue.can_start_next()
-            && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
+    pub(super) fn grant_connect_permits(self: &Rc<Self>) {
+        while self.connect_queue.borrow().queue.can_start_next()
+            && self.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers))
         {
             let Ok(descriptor) = self.try_acquire(DescriptorClass::Workers) else { return };
             descriptor.try_mark_busy();
-            let next = self.connect_waits.borrow_mut().start_next();
-            let Some(StartedConnect { worker, waiter }) = next else { return };
+            let next = self.connect_queue.borrow_mut().start_next();
+            let Some(GrantedConnect { worker, waiter }) = next else { return };
             self.counters.borrow_mut().worker_connects_started += 1;
             let connecting = ConnectingSlot { pool: self.clone(), worker };
             let permit = ConnectPermit { descriptor, _connecting: connecting };
@@ -67,25 +67,25 @@
 type ConnectWaiter = oneshot::Sender<ConnectPermit>;
 
 /// The calls that wait for a connect permit.
-pub(super) struct ConnectWaits {
+pub(super) struct PendingConnects {
     queue: ConnectQueue,
     waiters: BTreeMap<ConnectTicket, ConnectWaiter>,
 }
 
 /// A call whose turn to connect has come.
-struct StartedConnect {
+struct GrantedConnect {
     worker: WorkerId,
     /// `None` where the call no longer waits.
     waiter: Option<ConnectWaiter>,
 }
 
-impl ConnectWaits {
+impl PendingConnects {
     /// Creates an empty queue, with limits in proportion to this budget.
-    pub fn new(budget: &DescriptorBudget) -> ConnectWaits {
+    pub fn new(budget: &DescriptorBudget) -> PendingConnects {
         let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         let max_waiting = budget.usable * CONNECT_WAITS_PER_DESCRIPTOR;
         let max_connecting = (guaranteed / CONNECTING_DIVISOR).max(MIN_CONNECTING);
-        ConnectWaits { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
+        PendingConnects { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
     }
 
     /// Queues a call. Where the queue is full, the call that is displaced learns of it as its channel closes.
@@ -104,9 +104,9 @@
         ticket
     }
 
-    fn start_next(&mut self) -> Option<StartedConnect> {
+    fn start_next(&mut self) -> Option<GrantedConnect> {
         let (ticket, worker) = self.queue.start_next()?;
-        Some(StartedConnect { worker, waiter: self.waiters.remove(&ticket) })
+        Some(GrantedConnect { worker, waiter: self.waiters.remove(&ticket) })
     }
 
     fn cancel(&mut self, ticket: ConnectTicket) {
@@ -123,7 +123,7 @@
 
 impl Drop for QueuedConnect<'_> {
     fn drop(&mut self) {
-        self.pool.connect_waits.borrow_mut().cancel(self.ticket);
+        self.pool.connect_queue.borrow_mut().cancel(self.ticket);
     }
 }
 
@@ -149,7 +149,7 @@
 
 impl Drop for ConnectingSlot {
     fn drop(&mut self) {
-        self.pool.connect_waits.borrow_mut().queue.finish_connect(self.worker);
-        self.pool.start_waiting_connects();
+        self.pool.connect_queue.borrow_mut().queue.finish_connect(self.worker);
+        self.pool.grant_connect_permits();
     }
 }
--- a/src/transport/descriptor_pool/descriptor_permit.rs
+++ b/src/transport/descriptor_pool/descriptor_permit.rs
@@ -31,7 +31,7 @@
     pub fn mark_idle(&self) {
         if self.busy.replace(false) {
             self.pool.descriptors.borrow_mut().mark_evictable(self.class);
-            self.pool.start_waiting_connects();
+            self.pool.grant_connect_permits();
         }
     }
 }
@@ -45,6 +45,6 @@
         descriptors.release(self.class);
         drop(descriptors);
         self.pool.released.notify_waiters();
-        self.pool.start_waiting_connects();
+        self.pool.grant_connect_permits();
     }
 }
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -34,7 +34,7 @@
     descriptor_pool: &Rc<DescriptorPool>,
     mut backoff: Backoff,
 ) {
-    let mut agent = address.borrow_and_update().clone();
+    let mut agent_address = address.borrow_and_update().clone();
     let mut revision = held_revision;
     let mut logged_reason = String::new();
     // A process with a list serves with it meanwhile, so its first poll may wait.
@@ -47,10 +47,10 @@
         }
         delay = Duration::ZERO;
         let configured = address.borrow_and_update().clone();
-        if configured != agent {
+        if configured != agent_address {
             // Another agent counts its own revisions, and changes between the two could be missed: it is polled for its
             // complete list.
-            agent = configured;
+            agent_address = configured;
             revision = None;
             logged_reason.clear();
             backoff.record_success();
@@ -60,11 +60,11 @@
         let PollFailure { reason, overloaded } = tokio::select! {
             biased;
             Ok(()) = address.changed() => continue,
-            failure = session(connector, &agent, broker, &mut revision, &mut backoff) => failure,
+            failure = poll_until_failure(connector, &agent_address, broker, &mut revision, &mut backoff) => failure,
         };
         // An agent that is down is logged once, not at each poll.
         if reason != logged_reason {
-            log::warn!("discovery at {agent}: {reason}; serving goes on with the last list");
+            log::warn!("discovery at {agent_address}: {reason}; serving goes on with the last list");
             logged_reason = reason;
         }
         backoff.set_callers(broker.with_core(|core| core.fleet_size()));
@@ -87,7 +87,7 @@
 }
 
 /// Polls on one connection until that fails; returns why it did.
-async fn session(
+async fn poll_until_failure(
     connector: &dyn Connector,
     address: &str,
     broker: &Broker,
@@ -155,8 +155,12 @@
     backoff: &mut Backoff,
 ) -> bool {
     if revision.is_none() || !broker.with_core(|core| core.has_discovery_list()) {
-        let what = if update.complete { "workers" } else { "changes" };
-        log::info!("discovery at {address}: list {} with {} {what}", update.revision, update.workers.len());
+        let entries = if update.complete { "workers" } else { "changes" };
+        log::info!(
+            "discovery at {address}: list {} with {} {entries}",
+            update.revision,
+            update.workers.len()
+        );
     }
     // An agent that counts from the beginning again: its changes do not apply to the list that is held here.
     if revision.is_some_and(|held| update.revision < held) && !update.complete {
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -48,11 +48,11 @@
 /// Whether a call may succeed in a moment: local errors, a network that is not up yet, a disk that fails or is full.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
-    let other = matches!(
+    let is_network_or_disk = matches!(
         Errno::from_io_error(error),
         Some(Errno::CONNABORTED | Errno::NETUNREACH | Errno::NETDOWN | Errno::IO | Errno::NOSPC)
     );
-    other || is_local(error)
+    is_network_or_disk || is_local(error)
 }
 
 /// The delays between retries of a call: each is twice the one before, up to a limit.
@@ -85,13 +85,13 @@
     is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let (since, mut delays) = (std::time::Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (std::time::Instant::now(), RetryDelays::default());
     loop {
         match call() {
-            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+            Err(error) if is_transient(&error) && started_at.elapsed() < limit => {
                 std::thread::sleep(delays.next_delay());
             }
-            done => return done,
+            result => return result,
         }
     }
 }
@@ -105,14 +105,14 @@
     is_transient: impl Fn(&io::Error) -> bool,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let (since, mut delays) = (Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (Instant::now(), RetryDelays::default());
     loop {
         match call().await {
-            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+            Err(error) if is_transient(&error) && started_at.elapsed() < limit => {
                 RETRIED_CALLS.set(RETRIED_CALLS.get() + 1);
                 sleep(delays.next_delay()).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -87,11 +87,11 @@
         connection.descriptor.mark_idle();
         server.idle.borrow_mut().push(IdleConnection { connection, since: Instant::now() });
         let server = server.clone();
-        let limit = self.0.limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
+        let idle_limit = self.0.limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
         spawn_local(async move {
-            tokio::time::sleep(limit).await;
+            tokio::time::sleep(idle_limit).await;
             let expired =
-                server.idle.borrow_mut().extract_if(.., |idle| idle.since.elapsed() >= limit).collect();
+                server.idle.borrow_mut().extract_if(.., |idle| idle.since.elapsed() >= idle_limit).collect();
             close(expired);
         });
     }
@@ -126,7 +126,7 @@
         if !server.accepts_searches.get() {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         }
-        let mut connection = match self.connection(worker, server, part).await {
+        let mut connection = match self.take_or_connect(worker, server, part).await {
             Ok(connection) => connection,
             Err(outcome) => return AttemptCompletion::without_value(outcome),
         };
@@ -147,7 +147,7 @@
                 if response.keep_alive && buffer.is_empty() {
                     self.keep_idle(server, connection);
                 }
-                completion(server, response)
+                completion_of(server, response)
             }
             Err(error) => {
                 log::warn!("index server at {}: {error}", server.address);
@@ -161,7 +161,7 @@
     }
 
     /// Takes an idle connection or opens one. Where there is none the search was not sent, with this outcome.
-    async fn connection(
+    async fn take_or_connect(
         &self,
         worker: WorkerId,
         server: &Server,
@@ -195,8 +195,8 @@
     /// Takes an idle connection that the server has not closed meanwhile, and makes its descriptor busy.
     async fn take_idle(&self, server: &Server) -> Option<Connection> {
         loop {
-            let latest = server.idle.borrow_mut().pop();
-            let mut connection = latest?.connection;
+            let most_recent = server.idle.borrow_mut().pop();
+            let mut connection = most_recent?.connection;
             let mut discarded = [0; 1];
             let is_open = tokio::select! {
                 biased;
@@ -212,7 +212,7 @@
 }
 
 /// What a response says of the attempt.
-fn completion(server: &Server, response: ReceivedResponse) -> AttemptCompletion {
+fn completion_of(server: &Server, response: ReceivedResponse) -> AttemptCompletion {
     match response.status {
         200 if opensearch::is_complete_result(&response.body) => {
             AttemptCompletion { outcome: AttemptOutcome::Succeeded, value: response.body, load_report: None }
@@ -230,8 +230,8 @@
 }
 
 /// Closes connections. Their descriptors go to calls that wait, so the caller may hold no borrow.
-fn close(idle: Vec<IdleConnection>) {
-    drop(idle);
+fn close(connections: Vec<IdleConnection>) {
+    drop(connections);
 }
 
 impl WorkerTransport for IndexServers {
@@ -239,8 +239,8 @@
         let mut servers = self.0.servers.borrow_mut();
         // A server at a new address is another server: what waits for the old one is not sent, and what is in flight
         // there goes on.
-        let moved = servers.get(&worker).is_some_and(|server| server.address != address);
-        let previous = if moved { servers.remove(&worker) } else { None };
+        let address_changed = servers.get(&worker).is_some_and(|server| server.address != address);
+        let previous = if address_changed { servers.remove(&worker) } else { None };
         if let Some(previous) = &previous {
             previous.accepts_searches.set(false);
         }
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -46,14 +46,14 @@
 
 /// Sends a datagram without waiting. An interrupted send is retried a few times.
 fn send_datagram(socket: &UdpSocket, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-    let mut sent = socket.try_send_to(bytes, to);
+    let mut result = socket.try_send_to(bytes, to);
     for _ in 0..MAX_SEND_RETRIES {
-        if !matches!(&sent, Err(error) if error.kind() == io::ErrorKind::Interrupted) {
+        if !matches!(&result, Err(error) if error.kind() == io::ErrorKind::Interrupted) {
             break;
         }
-        sent = socket.try_send_to(bytes, to);
+        result = socket.try_send_to(bytes, to);
     }
-    sent
+    result
 }
 
 /// Tries to connect to a process, to find out whether it accepts connections.
@@ -186,8 +186,8 @@
             let now = self.clock.now();
             self.node.borrow_mut().tick(now);
             self.execute_commands();
-            let due = self.node.borrow().next_due();
-            let wait = due.since(self.clock.now()).max(Duration::from_millis(1));
+            let deadline = self.node.borrow().next_due();
+            let wait = deadline.since(self.clock.now()).max(Duration::from_millis(1));
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
                 () = self.deadline_changed.notified() => {}
@@ -204,7 +204,7 @@
                         self.node.borrow_mut().receive(self.clock.now(), message);
                         self.on_input();
                     }
-                    Err(error) => self.count_discarded(error),
+                    Err(error) => self.record_discarded(error),
                 },
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 // The error reports that a peer's machine refused an earlier datagram; the next receive is unaffected.
@@ -213,7 +213,7 @@
         }
     }
 
-    fn count_discarded(&self, error: GossipError) {
+    fn record_discarded(&self, error: GossipError) {
         *self.discarded.borrow_mut().entry(error.to_string()).or_default() += 1;
     }
 
@@ -230,7 +230,7 @@
         match command {
             Command::Send { to, message } => self.send(to, &message),
             Command::ProbeConnection { name, start, address } => {
-                spawn_local(self.clone().probe_connection(name, start, address));
+                spawn_local(self.clone().run_connection_probe(name, start, address));
             }
             Command::ExchangeTables { with } => {
                 spawn_local(self.clone().exchange_tables(with));
@@ -268,7 +268,12 @@
     }
 
     /// Finds out whether a process accepts connections. Without a permit for one more connection there is no result.
-    async fn probe_connection(self: Rc<MembershipTransport>, name: String, start: u64, address: SocketAddr) {
+    async fn run_connection_probe(
+        self: Rc<MembershipTransport>,
+        name: String,
+        start: u64,
+        address: SocketAddr,
+    ) {
         let result = match self.outgoing.try_acquire() {
             Err(_) => ConnectionProbeResult::NoResponse,
             Ok(_permit) => probe(address).await,
@@ -338,13 +343,13 @@
         // A connection probe ends here: it is closed without a byte.
         let length = stream.read_u32_le().await.ok()? as usize;
         if length > self.max_table_bytes {
-            self.count_discarded(GossipError::Length);
+            self.record_discarded(GossipError::Length);
             return None;
         }
         // The buffer grows as bytes arrive, so a length that promises more than is sent takes no memory.
         let mut bytes = Vec::new();
         stream.take(length as u64).read_to_end(&mut bytes).await.ok()?;
-        self.cluster_key.decode(&bytes).map_err(|error| self.count_discarded(error)).ok()
+        self.cluster_key.decode(&bytes).map_err(|error| self.record_discarded(error)).ok()
     }
 
     /// Describes all known members, as JSON.
--- a/src/transport/membership/status.rs
+++ b/src/transport/membership/status.rs
@@ -36,7 +36,7 @@
 }
 
 impl MemberStatus {
-    fn of_member(member: &KnownMember, now: Time) -> MemberStatus {
+    fn from_known_member(member: &KnownMember, now: Time) -> MemberStatus {
         MemberStatus {
             name: member.update.name.clone(),
             zone: member.update.zone.clone(),
@@ -49,7 +49,7 @@
         }
     }
 
-    fn of_this_process(node: &Node, now: Time) -> MemberStatus {
+    fn from_own_node(node: &Node, now: Time) -> MemberStatus {
         let own = node.own();
         MemberStatus {
             name: own.name.clone(),
@@ -69,8 +69,8 @@
     let membership = MembershipStatus {
         fleet_size: node.gatherers(now),
         is_isolated: node.is_isolated(now),
-        own: MemberStatus::of_this_process(node, now),
-        members: node.table().iter().map(|member| MemberStatus::of_member(member, now)).collect(),
+        own: MemberStatus::from_own_node(node, now),
+        members: node.table().iter().map(|member| MemberStatus::from_known_member(member, now)).collect(),
         discarded: discarded.clone(),
     };
     // Plain structs and maps with text keys always serialise.
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -37,9 +37,9 @@
 
 /// Serves calls for as long as the process lives. Callers that connect and send nothing cannot block others, however many
 /// they are: the one that came first is closed for the next.
-pub async fn serve<D: OperatorApi + 'static>(
+pub async fn serve<A: OperatorApi + 'static>(
     listener: TcpListener,
-    api: Rc<D>,
+    api: Rc<A>,
     descriptor_pool: Rc<DescriptorPool>,
 ) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
@@ -54,9 +54,9 @@
         };
         callers.retain(|caller| !caller.is_finished());
         if callers.len() >= MAX_CALLERS
-            && let Some(first) = callers.pop_front()
+            && let Some(oldest) = callers.pop_front()
         {
-            first.abort();
+            oldest.abort();
         }
         let descriptor = descriptor_pool.acquire(DescriptorClass::Operators).await;
         let api = api.clone();
@@ -67,7 +67,7 @@
 /// Reads one call, writes its response and closes the connection.
 async fn serve_call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _descriptor: DescriptorPermit) {
     let mut buffer = BytesMut::new();
-    let request = async {
+    let read_request = async {
         loop {
             match http::take_request(&mut buffer) {
                 Ok(Some(request)) => return Some(Ok(request)),
@@ -80,15 +80,15 @@
             }
         }
     };
-    let response = match tokio::time::timeout(REQUEST_TIMEOUT, request).await {
+    let response = match tokio::time::timeout(REQUEST_TIMEOUT, read_request).await {
         Ok(Some(Ok(request))) => api.respond(&request),
         Ok(Some(Err(error))) => Response::text(error.status(), error.to_string()),
         Ok(None) => return,
         Err(_) => Response::text(408, "the call did not end in time"),
     };
     let bytes = response.encode(true);
-    let written = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
-    if tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, written).await == Ok(true) {
+    let write_response = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
+    if tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, write_response).await == Ok(true) {
         linger(&mut stream, LINGER_TIMEOUT).await;
     }
 }
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -105,7 +105,7 @@
                     return Poll::Pending;
                 }
             }
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -51,11 +51,11 @@
     #[must_use]
     pub fn new(folder: &Path, listen: &str) -> TakeoverSocket {
         // Other versions of the program look for this name.
-        let name =
+        let abstract_name =
             format!("clayshore-{}-{}", rustix::process::geteuid().as_raw(), listen.replace([':', '/'], "-"));
         TakeoverSocket {
-            path: folder.join(format!("{name}.sock")),
-            abstract_name: name,
+            path: folder.join(format!("{abstract_name}.sock")),
+            abstract_name,
             own_inode: Cell::new(None),
         }
     }
@@ -69,16 +69,16 @@
     /// # Errors
     /// Neither the file nor the abstract name can be bound.
     pub fn listen(&self) -> io::Result<UnixListener> {
-        let new_path = self.path.with_extension(std::process::id().to_string());
-        let listen_at_file = || {
+        let temporary_path = self.path.with_extension(std::process::id().to_string());
+        let listen_at_path = || {
             // An earlier process with this id may have left its file behind.
-            let _ = std::fs::remove_file(&new_path);
-            let listener = UnixListener::bind(&new_path)?;
-            self.own_inode.set(Some(std::fs::metadata(&new_path)?.ino()));
-            std::fs::rename(&new_path, &self.path)?;
+            let _ = std::fs::remove_file(&temporary_path);
+            let listener = UnixListener::bind(&temporary_path)?;
+            self.own_inode.set(Some(std::fs::metadata(&temporary_path)?.ino()));
+            std::fs::rename(&temporary_path, &self.path)?;
             Ok(listener)
         };
-        listen_at_file().or_else(|error: io::Error| {
+        listen_at_path().or_else(|error: io::Error| {
             let listener = std::os::unix::net::UnixListener::bind_addr(&self.abstract_address()?)?;
             listener.set_nonblocking(true)?;
             log::warn!("{}: {error}; further starts find this one by name", self.path.display());
@@ -93,9 +93,9 @@
     pub async fn connect(&self) -> io::Result<Option<TakeoverChannel>> {
         let stream = match UnixStream::connect(&self.path).await {
             Ok(stream) => stream,
-            Err(error) if is_absent(&error) => match self.connect_abstract() {
+            Err(error) if means_no_listener(&error) => match self.connect_abstract() {
                 Ok(stream) => stream,
-                Err(error) if is_absent(&error) => return Ok(None),
+                Err(error) if means_no_listener(&error) => return Ok(None),
                 Err(error) => return Err(error),
             },
             Err(error) => return Err(error),
@@ -127,7 +127,7 @@
 }
 
 /// Whether the error says that no process listens.
-fn is_absent(error: &io::Error) -> bool {
+fn means_no_listener(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
@@ -142,9 +142,9 @@
     /// Wraps a connection whose other end belongs to the same user. Another user's process that took the name gets
     /// nothing, and nothing of what it sends is read: `None`.
     pub fn new(stream: UnixStream) -> Option<TakeoverChannel> {
-        let is_own_user = |user: u32| user == rustix::process::geteuid().as_raw();
-        let peer = stream.peer_cred().ok().filter(|peer| is_own_user(peer.uid()));
-        peer.is_some().then(|| TakeoverChannel { stream: Socket::new(stream), buffer: BytesMut::new() })
+        let is_own_user = |uid: u32| uid == rustix::process::geteuid().as_raw();
+        let own_peer = stream.peer_cred().ok().filter(|peer| is_own_user(peer.uid()));
+        own_peer.is_some().then(|| TakeoverChannel { stream: Socket::new(stream), buffer: BytesMut::new() })
     }
 
     /// Sends a message.
@@ -169,8 +169,8 @@
         let raw = self.stream.raw();
         let sent = raw
             .async_io(Interest::WRITABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut ancillary = SendAncillaryBuffer::new(&mut space);
+                let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+                let mut ancillary = SendAncillaryBuffer::new(&mut control_buffer);
                 let sockets = [socket];
                 if !ancillary.push(SendAncillaryMessage::ScmRights(&sockets)) {
                     return Err(io::ErrorKind::OutOfMemory.into());
@@ -222,8 +222,8 @@
         let raw = self.stream.raw();
         let (count, received) = raw
             .async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+                let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+                let mut ancillary = RecvAncillaryBuffer::new(&mut control_buffer);
                 let mut slices = [IoSliceMut::new(&mut bytes)];
                 let receive =
                     || rustix::net::recvmsg(raw, &mut slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC);
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -57,7 +57,7 @@
         Workers(Rc::new(Pool { shared, unresponsive_after, may_cancel, workers }))
     }
 
-    fn finish_all(&self, attempts: Vec<AttemptId>, outcome: AttemptOutcome) {
+    fn report_outcomes(&self, attempts: Vec<AttemptId>, outcome: AttemptOutcome) {
         attempts.into_iter().for_each(|attempt_id| {
             let completion = AttemptCompletion::without_value(outcome);
             self.0.shared.broker.on_attempt_finished(attempt_id, completion);
@@ -65,7 +65,7 @@
     }
 
     /// The connection for a call, where the worker accepts any.
-    fn connection(&self, id: WorkerId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
+    fn connection_for(&self, id: WorkerId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.get_mut(&id).filter(|worker| worker.accepts_calls)?;
@@ -80,13 +80,14 @@
     fn pooled_connections(&self, worker: &Worker, parts: &[Dispatch]) -> Vec<PooledConnection> {
         let Shared { descriptor_pool, limits, .. } = &self.0.shared;
         // An idle connection's descriptor is idle too, and has to be made busy again.
-        let can_mark_busy = descriptor_pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers));
-        let accepts = |connection: &Connection| {
+        let can_mark_busy =
+            descriptor_pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers));
+        let accepts_parts = |connection: &Connection| {
             connection.accepts(parts, limits.max_parts_per_connection, self.0.unresponsive_after)
         };
         let pooled = worker.connections.iter().map(|connection| PooledConnection {
-            in_flight: connection.open_calls(),
-            has_capacity: accepts(connection) && (can_mark_busy || !connection.is_idle()),
+            in_flight: connection.parts_in_flight(),
+            has_capacity: accepts_parts(connection) && (can_mark_busy || !connection.is_idle()),
             accepts_calls: !connection.is_retired(),
         });
         pooled.collect()
@@ -106,16 +107,16 @@
     async fn run_connection(self, id: WorkerId, connection: Rc<Connection>, time_left: Duration) {
         let disconnect = session::run(&self.0.shared, id, &connection, time_left).await;
         connection.retire();
-        self.count(&disconnect);
+        self.count_disconnect(&disconnect);
         self.remove_connection(id, &connection, disconnect.reason());
         connection.descriptor.take();
-        for call in connection.take_calls() {
-            let completion = AttemptCompletion::without_value(disconnect.outcome_of(&call));
-            self.0.shared.broker.on_attempt_finished(call.attempt_id, completion);
+        for part in connection.take_parts() {
+            let completion = AttemptCompletion::without_value(disconnect.outcome_of(&part));
+            self.0.shared.broker.on_attempt_finished(part.attempt_id, completion);
         }
     }
 
-    fn count(&self, disconnect: &Disconnect) {
+    fn count_disconnect(&self, disconnect: &Disconnect) {
         let mut counters = self.0.shared.descriptor_pool.counters.borrow_mut();
         *match disconnect {
             Disconnect::Closed(_) => &mut counters.worker_connections_closed,
@@ -165,7 +166,7 @@
             worker.retire();
         }
         drop(workers);
-        self.finish_all(unsent, AttemptOutcome::NotSent);
+        self.report_outcomes(unsent, AttemptOutcome::NotSent);
     }
 
     fn remove_worker(&self, id: WorkerId) {
@@ -177,13 +178,13 @@
         worker.retire();
         workers.retain(|_, worker| worker.is_needed());
         drop(workers);
-        self.finish_all(unsent, AttemptOutcome::NotSent);
+        self.report_outcomes(unsent, AttemptOutcome::NotSent);
     }
 
     fn call(&self, id: WorkerId, parts: Vec<Dispatch>) {
-        let Some(connection) = self.connection(id, &parts) else {
+        let Some(connection) = self.connection_for(id, &parts) else {
             let attempts = parts.iter().map(|part| part.attempt_id).collect();
-            return self.finish_all(attempts, AttemptOutcome::NotSent);
+            return self.report_outcomes(attempts, AttemptOutcome::NotSent);
         };
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         connection.send(parts);
@@ -198,17 +199,17 @@
         let connections = workers.get(&id).into_iter().flat_map(|worker| &worker.connections);
         let unsent = connections.flat_map(|connection| connection.cancel_if_unsent(attempt_id)).collect();
         drop(workers);
-        self.finish_all(unsent, AttemptOutcome::NotSent);
+        self.report_outcomes(unsent, AttemptOutcome::NotSent);
     }
 
     fn cancel(&self, id: WorkerId, attempt_id: AttemptId) {
         let workers = self.0.workers.borrow();
         if let Some(worker) = workers.get(&id) {
-            let (unresponsive_after, notify) = (self.0.unresponsive_after, self.0.may_cancel);
+            let (unresponsive_after, notify_worker) = (self.0.unresponsive_after, self.0.may_cancel);
             worker
                 .connections
                 .iter()
-                .any(|connection| connection.cancel(attempt_id, unresponsive_after, notify));
+                .any(|connection| connection.cancel(attempt_id, unresponsive_after, notify_worker));
         }
     }
 }
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -24,7 +24,7 @@
     /// Where the worker listens.
     pub address: String,
     frames: RefCell<VecDeque<Frame>>,
-    calls: RefCell<HashMap<String, Call>>,
+    parts: RefCell<HashMap<String, PartInFlight>>,
     /// The ids of parts that were answered or cancelled, the latest last.
     finished: RefCell<VecDeque<String>>,
     /// When a byte was last read.
@@ -43,7 +43,7 @@
 struct Frame {
     content: Content,
     /// The parts that it carries; none where it cancels one.
-    ids: Vec<String>,
+    part_ids: Vec<String>,
     /// When it may no longer be written: its write window has ended, or it has stayed partly written for too long.
     write_deadline: Option<Instant>,
 }
@@ -60,7 +60,7 @@
 
 impl Frame {
     fn cancel(id: &str) -> Frame {
-        Frame { content: Content::Cancel(id.to_owned()), ids: Vec::new(), write_deadline: None }
+        Frame { content: Content::Cancel(id.to_owned()), part_ids: Vec::new(), write_deadline: None }
     }
 
     /// Encodes what is to be written of it at this time.
@@ -73,31 +73,32 @@
     }
 
     /// Whether it is partly written.
-    fn is_started(&self) -> bool {
+    fn is_partly_written(&self) -> bool {
         matches!(self.content, Content::Remainder(_))
     }
 
     /// Sets what is left to write of it.
     fn set_remainder(&mut self, remainder: Bytes) {
-        if !self.is_started() {
-            let limit = Instant::now() + PARTIAL_WRITE_LIMIT;
-            self.write_deadline = Some(self.write_deadline.map_or(limit, |deadline| deadline.min(limit)));
+        if !self.is_partly_written() {
+            let partial_deadline = Instant::now() + PARTIAL_WRITE_LIMIT;
+            self.write_deadline =
+                Some(self.write_deadline.map_or(partial_deadline, |deadline| deadline.min(partial_deadline)));
         }
         self.content = Content::Remainder(remainder);
     }
 
     fn carries(&self, id: &str) -> bool {
-        self.ids.iter().any(|own| own == id)
+        self.part_ids.iter().any(|part_id| part_id == id)
     }
 
     /// Whether any of its parts is still waited for.
-    fn is_needed(&self, calls: &HashMap<String, Call>) -> bool {
-        self.ids.iter().any(|id| calls.contains_key(id))
+    fn is_needed(&self, parts: &HashMap<String, PartInFlight>) -> bool {
+        self.part_ids.iter().any(|id| parts.contains_key(id))
     }
 }
 
 /// A part in flight.
-pub(super) struct Call {
+pub(super) struct PartInFlight {
     /// Its attempt.
     pub attempt_id: AttemptId,
     /// When the last byte of its frame was written.
@@ -112,7 +113,7 @@
         Connection {
             address: address.to_owned(),
             frames: RefCell::default(),
-            calls: RefCell::default(),
+            parts: RefCell::default(),
             finished: RefCell::default(),
             last_read: Cell::new(Instant::now()),
             retired: Cell::new(false),
@@ -128,14 +129,14 @@
     /// cancelled part would be taken for the response to its retry. And not while it is unresponsive: call after call
     /// would be lost with it, and the worker would look faulty.
     pub fn accepts(&self, parts: &[Dispatch], max_in_flight: usize, unresponsive_after: Duration) -> bool {
-        let (calls, finished) = (self.calls.borrow(), self.finished.borrow());
-        let mut written = calls.values().filter_map(|call| call.written_at);
+        let (in_flight, finished) = (self.parts.borrow(), self.finished.borrow());
+        let mut written = in_flight.values().filter_map(|part| part.written_at);
         if written.any(|at| self.is_unresponsive_since(at, unresponsive_after)) {
             return false;
         }
-        let unused =
+        let ids_are_unused =
             || parts.iter().all(|part| !finished.contains(&frame::part_id(&part.label, part.shard.0)));
-        !self.retired.get() && calls.len() + parts.len() <= max_in_flight && unused()
+        !self.retired.get() && in_flight.len() + parts.len() <= max_in_flight && ids_are_unused()
     }
 
     /// Whether no byte was read since `at`, and that is long enough ago.
@@ -149,13 +150,13 @@
     }
 
     /// The number of parts in flight.
-    pub fn open_calls(&self) -> usize {
-        self.calls.borrow().len()
+    pub fn parts_in_flight(&self) -> usize {
+        self.parts.borrow().len()
     }
 
     /// Whether nothing is in flight and nothing waits to be written.
     pub fn is_idle(&self) -> bool {
-        self.calls.borrow().is_empty() && self.frames.borrow().is_empty()
+        self.parts.borrow().is_empty() && self.frames.borrow().is_empty()
     }
 
     /// Whether it accepts no new calls.
@@ -189,19 +190,20 @@
 
     /// Queues these parts as one frame.
     pub fn send(&self, parts: Vec<Dispatch>) {
-        let mut calls = self.calls.borrow_mut();
-        let mut ids = Vec::with_capacity(parts.len());
+        let mut in_flight = self.parts.borrow_mut();
+        let mut part_ids = Vec::with_capacity(parts.len());
         let window = parts.iter().filter_map(Dispatch::write_window).min();
         for part in &parts {
             let id = frame::part_id(&part.label, part.shard.0);
-            let call = Call { attempt_id: part.attempt_id, written_at: None, cancelled_if_unsent: false };
-            calls.insert(id.clone(), call);
-            ids.push(id);
+            let entry =
+                PartInFlight { attempt_id: part.attempt_id, written_at: None, cancelled_if_unsent: false };
+            in_flight.insert(id.clone(), entry);
+            part_ids.push(id);
         }
-        drop(calls);
+        drop(in_flight);
         let write_deadline = window.map(|window| Instant::now() + window);
         let content = Content::Call(parts);
-        self.frames.borrow_mut().push_back(Frame { content, ids, write_deadline });
+        self.frames.borrow_mut().push_back(Frame { content, part_ids, write_deadline });
         self.update_descriptor();
         self.wake.notify_one();
     }
@@ -230,22 +232,22 @@
             return 0;
         }
         let Some(frame) = frames.pop_front() else { return 0 };
-        let mut calls = self.calls.borrow_mut();
-        for id in &frame.ids {
-            if let Some(call) = calls.get_mut(id) {
-                call.written_at = Some(Instant::now());
+        let mut parts = self.parts.borrow_mut();
+        for id in &frame.part_ids {
+            if let Some(part) = parts.get_mut(id) {
+                part.written_at = Some(Instant::now());
             }
         }
-        frame.ids.len()
+        frame.part_ids.len()
     }
 
     // ---- What ends ----
 
     /// Takes the part that a response has come for, if any waits for it.
-    pub fn take_call(&self, id: &str) -> Option<Call> {
-        let (id, call) = self.calls.borrow_mut().remove_entry(id)?;
+    pub fn take_part(&self, id: &str) -> Option<PartInFlight> {
+        let (id, part) = self.parts.borrow_mut().remove_entry(id)?;
         self.remember_finished(id);
-        Some(call)
+        Some(part)
     }
 
     /// Whether this part was answered or cancelled before.
@@ -262,39 +264,39 @@
     }
 
     /// Takes all parts in flight, when the connection has ended.
-    pub fn take_calls(&self) -> Vec<Call> {
-        self.calls.take().into_values().collect()
+    pub fn take_parts(&self) -> Vec<PartInFlight> {
+        self.parts.take().into_values().collect()
     }
 
     /// Cancels an attempt; false if it is not on this connection. A call of which no byte is written is dropped from the
     /// queue; for another the worker is notified, where `notify` allows it.
-    pub fn cancel(&self, attempt_id: AttemptId, unresponsive_after: Duration, notify: bool) -> bool {
-        let Some((id, call)) = self.remove_call(attempt_id) else { return false };
+    pub fn cancel(&self, attempt_id: AttemptId, unresponsive_after: Duration, notify_worker: bool) -> bool {
+        let Some((id, part)) = self.remove_part(attempt_id) else { return false };
         if !self.drop_unsent_frame(&id) {
             self.remember_finished(id.clone());
-            if notify {
+            if notify_worker {
                 self.frames.borrow_mut().push_back(Frame::cancel(&id));
             }
         }
         // The connection to a machine that vanished stays open and swallows what is written: it is used no further.
-        if call.written_at.is_some_and(|at| self.is_unresponsive_since(at, unresponsive_after)) {
+        if part.written_at.is_some_and(|at| self.is_unresponsive_since(at, unresponsive_after)) {
             self.retire();
         }
         self.wake.notify_one();
         true
     }
 
-    fn remove_call(&self, attempt_id: AttemptId) -> Option<(String, Call)> {
-        let mut calls = self.calls.borrow_mut();
-        let id = calls.iter().find(|(_, call)| call.attempt_id == attempt_id).map(|(id, _)| id.clone())?;
-        calls.remove_entry(&id)
+    fn remove_part(&self, attempt_id: AttemptId) -> Option<(String, PartInFlight)> {
+        let mut parts = self.parts.borrow_mut();
+        let id = parts.iter().find(|(_, part)| part.attempt_id == attempt_id).map(|(id, _)| id.clone())?;
+        parts.remove_entry(&id)
     }
 
     /// Drops the frame of this part, if no byte of it is written and nobody waits for any of its parts. True if it did.
     fn drop_unsent_frame(&self, id: &str) -> bool {
-        let (calls, mut frames) = (self.calls.borrow(), self.frames.borrow_mut());
+        let (parts, mut frames) = (self.parts.borrow(), self.frames.borrow_mut());
         let before = frames.len();
-        frames.retain(|frame| frame.is_started() || !frame.carries(id) || frame.is_needed(&calls));
+        frames.retain(|frame| frame.is_partly_written() || !frame.carries(id) || frame.is_needed(&parts));
         frames.len() < before
     }
 
@@ -306,24 +308,26 @@
     /// Marks an attempt as no longer needed, and takes back frames of which no byte is written and no part is needed: all
     /// calls of a frame, or none of them.
     pub fn cancel_if_unsent(&self, attempt_id: AttemptId) -> Vec<AttemptId> {
-        let mut calls = self.calls.borrow_mut();
-        let Some(call) = calls.values_mut().find(|call| call.attempt_id == attempt_id) else {
+        let mut parts = self.parts.borrow_mut();
+        let Some(part) = parts.values_mut().find(|part| part.attempt_id == attempt_id) else {
             return Vec::new();
         };
-        call.cancelled_if_unsent = true;
-        drop(calls);
-        self.take_unsent_where(|call| call.cancelled_if_unsent)
+        part.cancelled_if_unsent = true;
+        drop(parts);
+        self.take_unsent_where(|part| part.cancelled_if_unsent)
     }
 
-    fn take_unsent_where(&self, may_take: impl Fn(&Call) -> bool) -> Vec<AttemptId> {
-        let mut calls = self.calls.borrow_mut();
+    fn take_unsent_where(&self, may_take: impl Fn(&PartInFlight) -> bool) -> Vec<AttemptId> {
+        let mut parts = self.parts.borrow_mut();
         let mut attempts = Vec::new();
         self.frames.borrow_mut().retain(|frame| {
-            let stays = |id: &String| calls.get(id).is_some_and(|call| !may_take(call));
-            if frame.is_started() || frame.ids.is_empty() || frame.ids.iter().any(stays) {
+            let must_stay = |id: &String| parts.get(id).is_some_and(|part| !may_take(part));
+            if frame.is_partly_written() || frame.part_ids.is_empty() || frame.part_ids.iter().any(must_stay)
+            {
                 return true;
             }
-            attempts.extend(frame.ids.iter().filter_map(|id| calls.remove(id)).map(|call| call.attempt_id));
+            attempts
+                .extend(frame.part_ids.iter().filter_map(|id| parts.remove(id)).map(|part| part.attempt_id));
             false
         });
         attempts
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -3,7 +3,7 @@
 //!
 //! It reports each response that arrives. What is still in flight at the end is reported by the pool, never here.
 
-use super::connection::{Call, Connection};
+use super::connection::{Connection, PartInFlight};
 use crate::policy::{AttemptOutcome, ReportField, WorkerId};
 use crate::protocol::frame::{self, WorkerMessage};
 use crate::routing::{AttemptCompletion, Broker, BrokerLimits};
@@ -63,8 +63,8 @@
 
     /// The outcome of a part that was still in flight. Once the last byte of its frame is written it may have run; before
     /// that it cannot have.
-    pub fn outcome_of(&self, call: &Call) -> AttemptOutcome {
-        let is_written = call.written_at.is_some();
+    pub fn outcome_of(&self, part: &PartInFlight) -> AttemptOutcome {
+        let is_written = part.written_at.is_some();
         match (self, is_written) {
             (Disconnect::Closed(_) | Disconnect::Unopened(_), true) => AttemptOutcome::ConnectionReset,
             (Disconnect::Untrusted(_), true) => AttemptOutcome::Failed,
@@ -89,12 +89,12 @@
     connection: &Connection,
     time_left: Duration,
 ) -> Disconnect {
-    let connected = connect(shared, worker, connection, time_left);
+    let connecting = connect(shared, worker, connection, time_left);
     let connected = match connection.write_deadline() {
-        Some(deadline) => tokio::time::timeout_at(deadline, connected)
+        Some(deadline) => tokio::time::timeout_at(deadline, connecting)
             .await
             .unwrap_or_else(|_| Err(Disconnect::write_timed_out())),
-        None => connected.await,
+        None => connecting.await,
     };
     match connected {
         Ok(Some(stream)) => Session::new(shared, connection).serve(stream).await,
@@ -151,8 +151,8 @@
     /// What is left of the frame.
     Written(io::Result<Bytes>),
     Wake,
-    FrameOverdue,
-    ResponseOverdue,
+    WriteTimedOut,
+    ResponseTimedOut,
     Idle,
 }
 
@@ -221,25 +221,25 @@
         read: &mut ReadHalf<Box<dyn Stream>>,
         write: &mut WriteHalf<Box<dyn Stream>>,
     ) -> SessionEvent {
-        let (has_frame, deadline) = (self.connection.has_frame(), self.connection.write_deadline());
+        let (has_frame, write_deadline) = (self.connection.has_frame(), self.connection.write_deadline());
         let limits = &self.shared.limits;
-        let idle_at = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
+        let idle_deadline = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
         // A message that never ends would hold the connection: its rest may take as long as a connect.
         let message_deadline = self.message_started_at.unwrap_or(self.last_used) + limits.connect_timeout;
         tokio::select! {
             biased;
             count = read.read_buf(&mut self.buffer) => SessionEvent::Read(count),
-            rest = write_next(write, self.connection, &self.shared.broker), if has_frame => {
-                SessionEvent::Written(rest)
+            remainder = write_next(write, self.connection, &self.shared.broker), if has_frame => {
+                SessionEvent::Written(remainder)
             }
             () = self.connection.wake.notified() => SessionEvent::Wake,
-            () = tokio::time::sleep_until(deadline.unwrap_or(self.last_used)), if deadline.is_some() => {
-                SessionEvent::FrameOverdue
+            () = tokio::time::sleep_until(write_deadline.unwrap_or(self.last_used)), if write_deadline.is_some() => {
+                SessionEvent::WriteTimedOut
             }
             () = tokio::time::sleep_until(message_deadline), if self.message_started_at.is_some() => {
-                SessionEvent::ResponseOverdue
+                SessionEvent::ResponseTimedOut
             }
-            () = tokio::time::sleep_until(idle_at), if self.connection.is_idle() => SessionEvent::Idle,
+            () = tokio::time::sleep_until(idle_deadline), if self.connection.is_idle() => SessionEvent::Idle,
         }
     }
 
@@ -247,8 +247,8 @@
         match event {
             SessionEvent::Read(Ok(0)) => Err(Disconnect::closed("closed by the worker")),
             SessionEvent::Read(Ok(_)) => self.on_read(),
-            SessionEvent::Written(Ok(rest)) => {
-                let parts = self.connection.mark_written(rest);
+            SessionEvent::Written(Ok(remainder)) => {
+                let parts = self.connection.mark_written(remainder);
                 self.shared.broker.with_core(|core| core.count_written(parts));
                 Ok(())
             }
@@ -256,8 +256,8 @@
                 Err(Disconnect::Closed(error.to_string()))
             }
             SessionEvent::Wake => Ok(()),
-            SessionEvent::FrameOverdue => Err(Disconnect::write_timed_out()),
-            SessionEvent::ResponseOverdue => {
+            SessionEvent::WriteTimedOut => Err(Disconnect::write_timed_out()),
+            SessionEvent::ResponseTimedOut => {
                 Err(Disconnect::Untrusted("a frame that does not end".to_owned()))
             }
             SessionEvent::Idle => Err(Disconnect::closed("idle")),
@@ -267,11 +267,11 @@
     /// Handles the bytes that were read.
     fn on_read(&mut self) -> Result<(), Disconnect> {
         self.connection.mark_read();
-        let before = self.buffer.len();
+        let length_before = self.buffer.len();
         self.take_messages()?;
         self.message_started_at = match self.buffer.len() {
             0 => None,
-            length if length == before => self.message_started_at.or(Some(Instant::now())),
+            length if length == length_before => self.message_started_at.or(Some(Instant::now())),
             _ => Some(Instant::now()),
         };
         Ok(())
@@ -287,7 +287,7 @@
                 Ok(Some(WorkerMessage::CallRejected(reason))) => {
                     return Err(Disconnect::Closed(format!("a frame was rejected: {reason:?}")));
                 }
-                Ok(None) if !self.buffer.is_empty() && self.connection.open_calls() == 0 => {
+                Ok(None) if !self.buffer.is_empty() && self.connection.parts_in_flight() == 0 => {
                     return Err(self.unexpected_bytes("more bytes than its responses".to_owned()));
                 }
                 Ok(None) => return Ok(()),
@@ -297,8 +297,8 @@
     }
 
     fn finish_part(&self, id: &str, completion: AttemptCompletion) -> Result<(), Disconnect> {
-        match self.connection.take_call(id) {
-            Some(call) => self.shared.broker.on_attempt_finished(call.attempt_id, completion),
+        match self.connection.take_part(id) {
+            Some(part) => self.shared.broker.on_attempt_finished(part.attempt_id, completion),
             None if self.connection.is_finished(id) => {}
             // The response may belong to a part in flight, under a wrong id: that part would be waited for in vain.
             None => return Err(self.unexpected_bytes("a response to no part in flight".to_owned())),
@@ -309,7 +309,7 @@
     /// Ends a connection on which unexpected bytes came. Where nothing is in flight they do no harm: the connection is
     /// closed before a call is lost with it, and the worker is not held at fault.
     fn unexpected_bytes(&self, reason: String) -> Disconnect {
-        if self.connection.open_calls() == 0 {
+        if self.connection.parts_in_flight() == 0 {
             Disconnect::Closed(reason)
         } else {
             Disconnect::Untrusted(reason)
