--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -1,8 +1,10 @@
-//! The process's descriptors and buffered bytes as the sockets use them: permits that release themselves when dropped,
-//! and waiting for one. It owns the one budget that all classes share. Who gets what is decided in [`crate::limits`].
+//! The process-wide pool of file descriptors and buffered bytes: permits that are released on drop, and the waits for
+//! them.
 //!
-//! This file holds the pool, `descriptor_permit.rs` the permit for one descriptor, `connect_permit.rs` the permits to
-//! connect and the queue for them, `buffer_reservation.rs` the bytes buffered for one peer.
+//! Owns the one budget that all descriptor classes share. The allocation rules are in [`crate::limits`].
+//!
+//! `descriptor_permit.rs` has the permit for one descriptor, `connect_permit.rs` the permits to connect and their
+//! queue, `buffer_reservation.rs` the bytes buffered for one peer.
 
 mod buffer_reservation;
 mod connect_permit;
@@ -25,7 +27,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long [`DescriptorPool::set_budget`] waits for each descriptor that it reclaims.
+/// How long [`DescriptorPool::set_budget`] waits for the release of each descriptor that it reclaims.
 const RECLAIM_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// The descriptors and buffered bytes of one process, shared by all classes.
@@ -39,7 +41,7 @@
     released: Notify,
     /// Notified when fewer bytes are buffered.
     buffer_space: Notify,
-    /// What was counted since the start of the process.
+    /// The connection counters since the start of the process.
     pub counters: RefCell<ConnectionCounters>,
 }
 
@@ -66,15 +68,15 @@
         })
     }
 
-    /// The time that the limits go by: it counts from the start of the process.
+    /// The time since the pool was created, which the rules in [`crate::limits`] use as their clock.
     pub fn now(&self) -> Time {
         Time(0).after(self.start.elapsed())
     }
-    /// The instant at which [`DescriptorPool::now`] shows this time.
+    /// The instant at which [`DescriptorPool::now`] returns `at`.
     pub fn instant_at(&self, at: Time) -> Instant {
         self.start + at.since(Time(0))
     }
-    /// Reads the state of the descriptors. The borrow ends with the call.
+    /// Calls `read` with the descriptor allocator, which is borrowed for the duration of the call.
     pub fn descriptors<T>(&self, read: impl FnOnce(&DescriptorAllocator) -> T) -> T {
         read(&self.descriptors.borrow())
     }
@@ -82,7 +84,8 @@
     pub fn buffered_bytes(&self) -> usize {
         self.buffers.borrow().used()
     }
-    /// How scarce descriptors and bytes are for all classes together.
+    /// The pressure on the descriptors or on the buffered bytes of all classes, whichever is greater. Descriptors count
+    /// from three quarters of the usable ones, bytes from half of the budget.
     pub fn pressure(&self) -> ResourcePressure {
         let descriptors = self.descriptors.borrow();
         let usable = descriptors.budget().usable;
@@ -91,10 +94,11 @@
             .max(ResourcePressure::from_usage(buffers.used(), buffers.total() / 2, buffers.total()))
     }
 
-    /// Acquires an idle descriptor, if one is free; else asks the class that lent one to release it.
+    /// Acquires a free descriptor; the permit starts idle. Where none is free but another class can release an idle
+    /// one, that class is asked to.
     ///
     /// # Errors
-    /// None is free.
+    /// No descriptor is free for this class.
     pub fn try_acquire(
         self: &Rc<Self>,
         class: DescriptorClass,
@@ -112,7 +116,8 @@
         Ok(DescriptorPermit::new(self, class))
     }
 
-    /// Acquires an idle descriptor for a class that never needs more than it is guaranteed, waiting until one is free.
+    /// Waits for a free descriptor; the permit starts idle. For classes that never hold more descriptors than they are
+    /// guaranteed: the wait has no time-out.
     pub async fn acquire(self: &Rc<Self>, class: DescriptorClass) -> DescriptorPermit {
         loop {
             let released = self.released.notified();
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Divides descriptors and bytes anew, and reclaims idle descriptors that are held beyond the new budget.
+    /// Replaces the budget of descriptors and buffered bytes, and reclaims idle descriptors that exceed the new budget.
     pub async fn set_budget(&self, budget: DescriptorBudget, max_buffered_bytes: usize) {
         self.buffers.borrow_mut().resize(max_buffered_bytes, budget.usable);
         self.descriptors.borrow_mut().set_budget(budget);
@@ -135,7 +140,7 @@
             });
             let Some(class) = class else { return };
             self.reclaim(class);
-            // The class may have no idle one left to release, so the wait is short.
+            // The class may have no idle descriptor left to release, so the wait is bounded.
             let _ = tokio::time::timeout(RECLAIM_TIMEOUT, released).await;
         }
     }
@@ -145,14 +150,14 @@
         self.reclaims[class as usize].pending.set(true);
         self.reclaims[class as usize].requested.notify_one();
     }
-    /// Waits until this class is asked to release an idle descriptor.
+    /// Waits until [`DescriptorPool::reclaim`] is called for this class.
     pub async fn wait_for_reclaim(&self, class: DescriptorClass) {
         let request = &self.reclaims[class as usize];
         while !request.pending.replace(false) {
             request.requested.notified().await;
         }
     }
-    /// Resolves when a descriptor has been released after this call.
+    /// Resolves when a descriptor is released after this call.
     pub fn wait_for_release(&self) -> impl Future<Output = ()> {
         self.released.notified()
     }
--- a/src/transport/descriptor_pool/buffer_reservation.rs
+++ b/src/transport/descriptor_pool/buffer_reservation.rs
@@ -1,6 +1,6 @@
-//! The bytes buffered for one peer.
+//! The reservation of buffered bytes for one peer.
 //!
-//! How many one peer may hold is decided in [`crate::limits::BufferBudget`].
+//! Reports the bytes to the process's budget; [`crate::limits::BufferBudget`] computes how many a peer may hold.
 
 use super::DescriptorPool;
 use std::cell::Cell;
@@ -18,7 +18,7 @@
     }
 }
 
-/// The bytes buffered for one peer, counted against the budget until they are dropped.
+/// The number of bytes buffered for one peer, counted against the budget until the reservation is dropped.
 pub struct BufferReservation {
     pool: Rc<DescriptorPool>,
     held_bytes: Cell<usize>,
@@ -29,18 +29,18 @@
     pub fn new(pool: &Rc<DescriptorPool>) -> BufferReservation {
         BufferReservation { pool: pool.clone(), held_bytes: Cell::new(0) }
     }
-    /// Sets the number of bytes that are held now.
+    /// Replaces the number of bytes in this reservation.
     pub fn set(&self, bytes: usize) {
         let before = self.held_bytes.replace(bytes);
         if before != bytes {
             self.pool.update_buffered_bytes(before, bytes);
         }
     }
-    /// The number of bytes that may be held now.
+    /// The number of bytes that this reservation may hold in all, including those that it already holds.
     pub fn allowance(&self) -> usize {
         self.pool.buffers.borrow().allowance(self.held_bytes.get())
     }
-    /// Waits until another reservation has become smaller.
+    /// Waits until any reservation shrinks.
     pub async fn wait_for_space(&self) {
         self.pool.buffer_space.notified().await;
     }
--- a/src/transport/descriptor_pool/connect_permit.rs
+++ b/src/transport/descriptor_pool/connect_permit.rs
@@ -1,6 +1,6 @@
 //! Permits to connect to a server, and the calls that wait for one.
 //!
-//! Which call may connect next, and for how long it waits, is decided in [`crate::limits::connection_pool`].
+//! The order of the queue and the limit of the wait are in [`crate::limits::connection_pool`].
 
 use super::{DescriptorPermit, DescriptorPool};
 use crate::limits::connection_pool::{self, ConnectQueue, ConnectTicket, ConnectWaitError};
@@ -11,19 +11,22 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How many calls may wait for a connection for each usable descriptor: the parts of a query wait one by one.
+/// How many calls may wait for a connection, for each usable descriptor. The parts of one query may wait as separate
+/// calls, so there are more calls than queries.
 const CONNECT_WAITS_PER_DESCRIPTOR: usize = 2;
-/// One in so many of the descriptors guaranteed to workers may be connecting at once...
+/// At most one quarter of the descriptors guaranteed to workers may be connecting at once, but at least
+/// [`MIN_CONNECTING`].
 const CONNECTING_DIVISOR: usize = 4;
-/// ...and so many at least.
+/// The lower bound of the number of connections that may be connecting at once.
 const MIN_CONNECTING: usize = 4;
 
 impl DescriptorPool {
-    /// Waits for the right to connect to a server, for a call with `time_left` before its deadline. A dropped wait is
-    /// removed from the queue.
+    /// Waits for a permit to connect to a server, for a call with `time_left` before its deadline. Dropping the future
+    /// removes the call from the queue.
     ///
     /// # Errors
-    /// The queue is full of calls with less time left, or the wait has taken as much of the call's time as it may.
+    /// The queue was full and this call was displaced (the latest deadline of the server with the most waiting calls),
+    /// or the wait has taken the share of `time_left` that [`connection_pool::connect_wait_limit`] allows.
     pub async fn acquire_connect_permit(
         self: &Rc<Self>,
         worker: WorkerId,
@@ -43,7 +46,7 @@
         Err(error)
     }
 
-    /// Gives connect permits to waiting calls, as far as descriptors allow.
+    /// Grants connect permits to waiting calls for as long as a descriptor and a connecting slot are available.
     pub(super) fn grant_connect_permits(self: &Rc<Self>) {
         while self.connect_queue.borrow().queue.can_start_next()
             && self.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers))
@@ -56,14 +59,14 @@
             let connecting = ConnectingSlot { pool: self.clone(), worker };
             let permit = ConnectPermit { descriptor, _connecting: connecting };
             if let Some(waiter) = waiter {
-                // A failed send means that nobody waits any longer: the permit comes back and is released here.
+                // The send fails where the receiver was dropped meanwhile: the returned permit is released here.
                 drop(waiter.send(permit));
             }
         }
     }
 }
 
-/// The end of a waiting call that receives its permit.
+/// Sends the permit to a waiting call.
 type ConnectWaiter = oneshot::Sender<ConnectPermit>;
 
 /// The calls that wait for a connect permit.
@@ -72,15 +75,15 @@
     waiters: BTreeMap<ConnectTicket, ConnectWaiter>,
 }
 
-/// A call whose turn to connect has come.
+/// A call that was taken from the queue to connect.
 struct GrantedConnect {
     worker: WorkerId,
-    /// `None` where the call no longer waits.
+    /// `None` where the call has stopped waiting.
     waiter: Option<ConnectWaiter>,
 }
 
 impl PendingConnects {
-    /// Creates an empty queue, with limits in proportion to this budget.
+    /// Creates an empty queue whose limits are in proportion to this budget.
     pub fn new(budget: &DescriptorBudget) -> PendingConnects {
         let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         let max_waiting = budget.usable * CONNECT_WAITS_PER_DESCRIPTOR;
@@ -88,7 +91,7 @@
         PendingConnects { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
     }
 
-    /// Queues a call. Where the queue is full, the call that is displaced learns of it as its channel closes.
+    /// Queues a call. Where the queue is full, the channel of the displaced call is closed, which ends its wait.
     fn enqueue(
         &mut self,
         now: Time,
@@ -115,7 +118,7 @@
     }
 }
 
-/// A call in the connect queue; dropping it removes it from the queue.
+/// Removes a call from the connect queue on drop.
 struct QueuedConnect<'a> {
     pool: &'a DescriptorPool,
     ticket: ConnectTicket,
@@ -127,7 +130,8 @@
     }
 }
 
-/// The right to connect to a server: a busy descriptor, and one of the connections that may be coming up at once.
+/// The permission to connect to a server: a busy descriptor and a slot among the connections that may be connecting at
+/// once.
 #[must_use]
 pub struct ConnectPermit {
     descriptor: DescriptorPermit,
@@ -135,13 +139,13 @@
 }
 
 impl ConnectPermit {
-    /// The connection is up: it keeps the descriptor, and another may come up.
+    /// Keeps the descriptor for the established connection, and releases the connecting slot.
     pub fn into_descriptor_permit(self) -> DescriptorPermit {
         self.descriptor
     }
 }
 
-/// One of the connections that may be coming up at once.
+/// A slot among the connections that may be connecting at once; dropping it frees the slot for a waiting call.
 struct ConnectingSlot {
     pool: Rc<DescriptorPool>,
     worker: WorkerId,
--- a/src/transport/descriptor_pool/descriptor_permit.rs
+++ b/src/transport/descriptor_pool/descriptor_permit.rs
@@ -1,13 +1,12 @@
-//! The permit for one descriptor.
-//!
-//! It counts one descriptor against the budget of its class, idle or busy, until it is dropped.
+//! The permit for one file descriptor, which counts against the budget of its class until it is dropped.
 
 use super::DescriptorPool;
 use crate::limits::DescriptorClass;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One descriptor of the budget, held until it is dropped. It is idle (it may be reclaimed) or busy (it may not).
+/// One descriptor of the budget, released on drop. An idle descriptor may be reclaimed for another class, a busy one
+/// may not.
 #[must_use]
 pub struct DescriptorPermit {
     pool: Rc<DescriptorPool>,
@@ -16,18 +15,19 @@
 }
 
 impl DescriptorPermit {
-    /// Creates the permit for a descriptor that was acquired, idle.
+    /// Creates the permit, idle, for a descriptor that the allocator has counted.
     pub(super) fn new(pool: &Rc<DescriptorPool>, class: DescriptorClass) -> DescriptorPermit {
         DescriptorPermit { pool: pool.clone(), class, busy: Cell::new(false) }
     }
-    /// Makes it busy; false where that would take a descriptor that another class is guaranteed.
+    /// Marks the descriptor as busy. Returns whether it is busy now: not where that would use a descriptor that another
+    /// class is guaranteed.
     pub fn try_mark_busy(&self) -> bool {
         if !self.busy.get() {
             self.busy.set(self.pool.descriptors.borrow_mut().mark_busy(self.class));
         }
         self.busy.get()
     }
-    /// Makes it idle.
+    /// Marks the descriptor as idle, which may let a waiting call connect.
     pub fn mark_idle(&self) {
         if self.busy.replace(false) {
             self.pool.descriptors.borrow_mut().mark_evictable(self.class);
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -1,5 +1,6 @@
-//! Errors of system calls that are this process's or machine's own and pass: which they are, and how calls are retried.
-//! It says nothing about peers, and never retries what a peer may have executed.
+//! Classifies errors of system calls that have a local or transient cause, and retries calls that failed with one.
+//!
+//! Contains no judgement about peers. Calls whose effect a peer may already have seen must not be retried here.
 
 use rustix::io::Errno;
 use std::cell::Cell;
@@ -7,9 +8,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The delay after the first failure.
+/// The delay before the first retry.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
-/// The longest delay.
+/// The longest delay between two retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 thread_local! {
@@ -39,13 +40,14 @@
     )
 }
 
-/// Whether a call that creates a descriptor failed because none is to be had.
+/// Whether a call that creates a descriptor failed for want of descriptors, buffers or memory.
 #[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether a call may succeed in a moment: local errors, a network that is not up yet, a disk that fails or is full.
+/// Whether a retry may succeed: local errors (see [`is_local`]), aborted connections, a network that is not up yet, and
+/// disk errors or a full disk.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     let is_network_or_disk = matches!(
@@ -55,7 +57,7 @@
     is_network_or_disk || is_local(error)
 }
 
-/// The delays between retries of a call: each is twice the one before, up to a limit.
+/// Exponential backoff between the retries of a call: from 2 ms, doubled each time, up to 50 ms.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryDelays {
     next: Duration,
@@ -76,7 +78,8 @@
     }
 }
 
-/// Does what [`retry`] does before there is a runtime: the thread sleeps.
+/// Like [`retry`], but blocks the thread between retries; for use before the runtime starts. Retries are not counted in
+/// [`retried_calls`].
 ///
 /// # Errors
 /// The last error of the call.
@@ -96,7 +99,7 @@
     }
 }
 
-/// Retries a call while its error is transient, but not for longer than `limit`.
+/// Retries a call while `is_transient` holds for its error and less than `limit` has passed since the first call.
 ///
 /// # Errors
 /// The last error of the call.
--- a/src/transport/http_client.rs
+++ b/src/transport/http_client.rs
@@ -1,5 +1,6 @@
-//! One HTTP exchange on a connection of this process's own: writes a request and reads its response. It neither connects
-//! nor retries.
+//! One HTTP exchange as a client: writes a request to an open connection and reads the response.
+//!
+//! Opens no connections and retries nothing.
 
 use super::connector::Stream;
 use crate::protocol::http::{self, MalformedMessage, ReceivedResponse};
@@ -7,25 +8,25 @@
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Why an exchange brought no response.
+/// Why an exchange ended without a response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection failed before the last byte of the request was written.
-    #[error("not sent: {0}")]
+    #[error("cannot write the request: {0}")]
     NotSent(io::Error),
     /// The connection failed or ended after the request was written, before the response was complete.
-    #[error("sent, not answered: {0}")]
+    #[error("no complete response to the request: {0}")]
     NoResponse(io::Error),
     /// The response is malformed.
-    #[error("unreadable response: {0}")]
+    #[error("malformed response: {0}")]
     Malformed(#[from] MalformedMessage),
 }
 
-/// Writes a request and reads its response, whose body may have `max_body_bytes` at most. Interim responses (1xx) are
-/// skipped.
+/// Writes a request and reads its response. Interim responses (1xx) are skipped. `buffer` keeps any bytes that follow
+/// the response.
 ///
 /// # Errors
-/// Says how far the exchange came: see [`ExchangeError`].
+/// The connection failed, see [`ExchangeError`], or the response is malformed or its body exceeds `max_body_bytes`.
 pub async fn exchange(
     stream: &mut dyn Stream,
     buffer: &mut BytesMut,
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Sockets: clients' connections, connections to workers and index servers, the discovery agent, membership, takeover
-//! and operators' calls.
+//! Sockets: connections of clients and operators, connections to workers, index servers and the discovery agent, the
+//! membership sockets, and the takeover channel of an upgrade.
 //!
-//! It owns every socket of the process and moves bytes between them and `protocol`. It decides nothing: who gets a
-//! descriptor is decided in `limits`, where a query goes in `policy` and `routing`.
+//! Owns every socket of the process and moves bytes between the sockets and `protocol`. Contains no policy: descriptors
+//! are allocated in `limits`, queries are routed in `policy` and `routing`.
 
 pub mod clients;
 pub mod connector;
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -1,7 +1,7 @@
-//! The channel between the two processes of an upgrade: a Unix socket, messages, and the listening socket that is passed
-//! beside one of them.
+//! The channel between the two processes of an upgrade (hot restart): messages over a Unix socket, one of which carries
+//! the listening socket.
 //!
-//! It owns the socket's file and the connection. Which message follows which is decided in `program` and `service`.
+//! Owns the file of the Unix socket and the connection. The sequence of messages is in `program` and `service`.
 
 use super::socket::Socket;
 use crate::protocol::handover::{self, HandoverError, Message};
@@ -29,28 +29,28 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TakeoverChannelError {
     /// The connection failed or ended.
-    #[error("{0}")]
+    #[error("takeover connection: {0}")]
     Closed(#[from] io::Error),
-    /// The other process sent something that is no message.
-    #[error("{0}")]
+    /// A message could not be decoded or encoded.
+    #[error("takeover message: {0}")]
     InvalidMessage(#[from] HandoverError),
 }
 
-/// The Unix socket at which a process waits for its successor: a file in a private folder, or where that cannot be
-/// written an abstract name.
+/// The Unix socket at which a process waits for its successor: a file in a private folder, or an abstract name where
+/// the file cannot be created.
 #[derive(Clone, Debug)]
 pub struct TakeoverSocket {
     path: PathBuf,
     abstract_name: String,
-    /// The inode of the file that this process created.
+    /// The inode of the socket file that this process created.
     own_inode: Cell<Option<u64>>,
 }
 
 impl TakeoverSocket {
-    /// The socket of the gatherer whose clients connect to `listen`.
+    /// Names the takeover socket of the gatherer that serves clients at `listen`.
     #[must_use]
     pub fn new(folder: &Path, listen: &str) -> TakeoverSocket {
-        // Other versions of the program look for this name.
+        // Other versions of the program connect to this name, so it must not change.
         let abstract_name =
             format!("clayshore-{}-{}", rustix::process::geteuid().as_raw(), listen.replace([':', '/'], "-"));
         TakeoverSocket {
@@ -64,14 +64,14 @@
         SocketAddr::from_abstract_name(&self.abstract_name)
     }
 
-    /// Listens for successors. The file of a process that has ended, or hands over, is replaced.
+    /// Listens for successors. An existing file, of a process that has ended or is handing over, is replaced.
     ///
     /// # Errors
     /// Neither the file nor the abstract name can be bound.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let temporary_path = self.path.with_extension(std::process::id().to_string());
         let listen_at_path = || {
-            // An earlier process with this id may have left its file behind.
+            // An earlier process with the same process id may have left its file behind.
             let _ = std::fs::remove_file(&temporary_path);
             let listener = UnixListener::bind(&temporary_path)?;
             self.own_inode.set(Some(std::fs::metadata(&temporary_path)?.ino()));
@@ -81,15 +81,20 @@
         listen_at_path().or_else(|error: io::Error| {
             let listener = std::os::unix::net::UnixListener::bind_addr(&self.abstract_address()?)?;
             listener.set_nonblocking(true)?;
-            log::warn!("{}: {error}; further starts find this one by name", self.path.display());
+            log::warn!(
+                "upgrade: cannot listen at {}: {error}; listening at abstract name {}, \
+                 further starts find this one by name",
+                self.path.display(),
+                self.abstract_name
+            );
             UnixListener::from_std(listener)
         })
     }
 
-    /// Connects to a process that listens there; `None` where none does, or it belongs to another user.
+    /// Connects to the process that listens at this socket. `None` where no process does, or it runs as another user.
     ///
     /// # Errors
-    /// A call failed that says nothing about whether a process listens.
+    /// A call failed for a reason other than a missing listener.
     pub async fn connect(&self) -> io::Result<Option<TakeoverChannel>> {
         let stream = match UnixStream::connect(&self.path).await {
             Ok(stream) => stream,
@@ -109,29 +114,28 @@
         UnixStream::from_std(stream)
     }
 
-    /// Whether the file at the path is the one that this process created.
+    /// Whether the socket file is the one that this process created, rather than a successor's.
     pub fn owns_socket_file(&self) -> bool {
-        // A file that is missing or cannot be examined does not count as this process's own.
+        // A file that is missing or whose metadata cannot be read does not count as this process's own.
         let inode = std::fs::metadata(&self.path).ok().map(|file| file.ino());
         inode.is_some() && inode == self.own_inode.get()
     }
 
-    /// Removes this process's file. That of a successor stays, which replaced it in a takeover or beside a process that
-    /// did not respond.
+    /// Removes the socket file that this process created. A file that a successor has put in its place stays.
     pub fn remove_socket_file(&self) {
         if self.owns_socket_file() {
-            // It may have been removed meanwhile.
+            // The file may have been removed meanwhile, so the error is ignored.
             let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
-/// Whether the error says that no process listens.
+/// Whether a failed connect means that no process listens.
 fn means_no_listener(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
-/// A connection to the other process.
+/// A connection to the other process of an upgrade.
 #[derive(Debug)]
 pub struct TakeoverChannel {
     stream: Socket<UnixStream>,
@@ -139,8 +143,8 @@
 }
 
 impl TakeoverChannel {
-    /// Wraps a connection whose other end belongs to the same user. Another user's process that took the name gets
-    /// nothing, and nothing of what it sends is read: `None`.
+    /// Wraps a connection; `None` where the peer runs as another user, which may have taken the abstract name. Nothing
+    /// is sent to such a peer, or read from it.
     pub fn new(stream: UnixStream) -> Option<TakeoverChannel> {
         let is_own_user = |uid: u32| uid == rustix::process::geteuid().as_raw();
         let own_peer = stream.peer_cred().ok().filter(|peer| is_own_user(peer.uid()));
@@ -156,7 +160,7 @@
         Ok(self.stream.write_all(&bytes).await?)
     }
 
-    /// Sends a message with a socket beside it.
+    /// Sends a message together with the descriptor of a socket.
     ///
     /// # Errors
     /// The message cannot be encoded, or the connection has failed.
@@ -186,7 +190,7 @@
     /// Receives the next message.
     ///
     /// # Errors
-    /// The connection has failed or ended, or what was read is no message.
+    /// The connection has failed or ended, or the message is invalid.
     pub async fn receive(&mut self) -> Result<Message, TakeoverChannelError> {
         loop {
             if let Some(message) = handover::take_message(&mut self.buffer)? {
@@ -199,7 +203,8 @@
         }
     }
 
-    /// Receives the next message and the socket beside it. The socket is returned also where the message is invalid.
+    /// Receives the next message and the socket that was sent with it. A received socket is returned even where the
+    /// message is invalid.
     pub async fn receive_with_socket(&mut self) -> (Result<Message, TakeoverChannelError>, Option<OwnedFd>) {
         let mut socket = None;
         loop {
@@ -216,7 +221,8 @@
         }
     }
 
-    /// Reads bytes into the buffer, and a socket where one comes beside them. Returns how many bytes were read.
+    /// Reads bytes into the buffer, and stores the last socket that was sent with them. Returns the number of bytes
+    /// read.
     async fn read_with_socket(&mut self, socket: &mut Option<OwnedFd>) -> io::Result<usize> {
         let mut bytes = vec![0; READ_CHUNK_BYTES];
         let raw = self.stream.raw();
