--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -1,7 +1,7 @@
-//! Connections to index servers that speak the OpenSearch-style form: one search at a time on each connection.
+//! Connections to index servers with an OpenSearch-style HTTP API: one search at a time on each connection.
 //!
-//! It owns the connections to each server, in use or idle, and reports the outcome of every attempt once. It never
-//! chooses a server and never retries: both are the decision module's.
+//! Owns the connections to each server, in use or idle, and reports the outcome of every attempt exactly once. Does not
+//! choose servers or retry; the decision module does both.
 
 use super::connector::{Connector, Stream, connect_with_timeout};
 use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
@@ -21,13 +21,13 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// The fraction of the server's idle time-out after which a connection is closed from this side, before the server can
-/// close it under a search that is being written.
+/// The fraction of the server's idle time-out after which this side closes a connection, so that the server does not
+/// close it while a search is being written.
 const IDLE_CLOSE_FRACTION: f64 = 0.6;
-/// The longest result of one shard, in bytes.
+/// The maximum size of the result of one shard, in bytes.
 const MAX_RESULT_BYTES: usize = 512 << 10;
 
-/// All connections to index servers.
+/// The connections to all index servers.
 #[derive(Clone)]
 pub struct IndexServers(Rc<Shared>);
 
@@ -41,30 +41,30 @@
     searches: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
 
-/// One server at one address.
+/// One index server, at one address.
 struct Server {
     address: String,
     accepts_searches: Cell<bool>,
-    /// One permit for each search that may be in flight at once; further ones wait.
+    /// One permit for each search that may be in flight at once; further searches wait.
     search_permits: Semaphore,
     /// Idle connections, the one idle the longest first.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
-/// A connection, and the descriptor that it takes up.
+/// A connection and its descriptor permit.
 struct Connection {
     stream: Box<dyn Stream>,
     descriptor: DescriptorPermit,
 }
 
-/// A connection that waits for its next search; its descriptor may be reclaimed.
+/// A connection kept for the next search; its descriptor is idle and may be reclaimed.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
 impl IndexServers {
-    /// Starts without connections; they are opened as searches need them and descriptors allow.
+    /// Creates the pool without connections. They are opened on demand, as descriptors allow.
     pub fn new(
         broker: Broker,
         connector: Rc<dyn Connector>,
@@ -75,7 +75,7 @@
         IndexServers(Rc::new(Shared { broker, connector, limits, descriptor_pool, servers, searches }))
     }
 
-    /// Runs one attempt and reports its outcome.
+    /// Executes one attempt and reports its outcome.
     async fn run_search(self, worker: WorkerId, server: Rc<Server>, part: Dispatch) {
         let completion = self.exchange(worker, &server, &part).await;
         self.0.searches.borrow_mut().remove(&part.attempt_id);
@@ -96,8 +96,8 @@
         });
     }
 
-    /// Closes the connection that has been idle the longest whenever its descriptor is reclaimed, for as long as the
-    /// process lives.
+    /// Closes the connection that has been idle the longest whenever a descriptor of this class is reclaimed. Runs
+    /// until the process ends.
     pub async fn close_idle_on_reclaim(self) {
         loop {
             self.0.descriptor_pool.wait_for_reclaim(DescriptorClass::Workers).await;
@@ -119,7 +119,7 @@
 
     /// Waits for a search permit, then sends the search and reads its result.
     async fn exchange(&self, worker: WorkerId, server: &Rc<Server>, part: &Dispatch) -> AttemptCompletion {
-        // The semaphore is never closed, so there is always a permit in the end.
+        // The semaphore is never closed, so acquiring a permit cannot fail.
         let Ok(_search_permit) = server.search_permits.acquire().await else {
             return AttemptCompletion::without_value(AttemptOutcome::NotSent);
         };
@@ -150,7 +150,7 @@
                 completion_of(server, response)
             }
             Err(error) => {
-                log::warn!("index server at {}: {error}", server.address);
+                log::warn!("index server at {}: search failed: {error}", server.address);
                 AttemptCompletion::without_value(match error {
                     ExchangeError::NotSent(_) => AttemptOutcome::ConnectFailed,
                     ExchangeError::NoResponse(_) => AttemptOutcome::ConnectionReset,
@@ -160,21 +160,21 @@
         }
     }
 
-    /// Takes an idle connection or opens one. Where there is none the search was not sent, with this outcome.
+    /// Takes an idle connection or opens a new one. Without a connection nothing was sent; the error is the outcome of
+    /// the attempt.
     async fn take_or_connect(
         &self,
         worker: WorkerId,
         server: &Server,
         part: &Dispatch,
     ) -> Result<Connection, AttemptOutcome> {
-        // A non-idempotent search gets a new connection: the server could close an idle one just as the search is
-        // written, and whether it ran would then be unknown.
+        // A non-idempotent search gets a new connection: the server could close an idle one while the search is being
+        // written, and it would be unknown whether the search ran.
         if !part.at_most_once
             && let Some(idle) = self.take_idle(server).await
         {
             return Ok(idle);
         }
-        // Without a connect permit nothing was sent.
         let time_left = part.time_left(self.0.broker.now());
         let permit = self.0.descriptor_pool.acquire_connect_permit(worker, time_left).await;
         let permit = permit.map_err(|_| AttemptOutcome::NotSent)?;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes an idle connection that the server has not closed meanwhile, and makes its descriptor busy.
+    /// Takes the most recently used idle connection that the server has not closed, and marks its descriptor as busy.
     async fn take_idle(&self, server: &Server) -> Option<Connection> {
         loop {
             let most_recent = server.idle.borrow_mut().pop();
@@ -203,7 +203,7 @@
                 _ = connection.stream.read(&mut discarded) => false,
                 () = std::future::ready(()) => true,
             };
-            // Where no busy descriptor may be had the connection is closed, and the search waits for a permit.
+            // Where the descriptor may not be busy, the connection is closed and the search waits for a connect permit.
             if is_open && connection.descriptor.try_mark_busy() {
                 return Some(connection);
             }
@@ -211,13 +211,13 @@
     }
 }
 
-/// What a response says of the attempt.
+/// The completion of the attempt that got this response.
 fn completion_of(server: &Server, response: ReceivedResponse) -> AttemptCompletion {
     match response.status {
         200 if opensearch::is_complete_result(&response.body) => {
             AttemptCompletion { outcome: AttemptOutcome::Succeeded, value: response.body, load_report: None }
         }
-        // The only status that says that the server rejected the search without executing it.
+        // 429 is the only status that means that the server rejected the search without executing it.
         429 => AttemptCompletion::without_value(AttemptOutcome::Rejected),
         status => {
             log::warn!(
@@ -229,7 +229,8 @@
     }
 }
 
-/// Closes connections. Their descriptors go to calls that wait, so the caller may hold no borrow.
+/// Closes connections. Releasing their descriptors may grant permits to waiting calls, so the caller must not hold a
+/// borrow of the pool's state.
 fn close(connections: Vec<IdleConnection>) {
     drop(connections);
 }
@@ -237,8 +238,8 @@
 impl WorkerTransport for IndexServers {
     fn upsert_worker(&self, worker: WorkerId, _name: &str, address: &str, accepts_work: bool) {
         let mut servers = self.0.servers.borrow_mut();
-        // A server at a new address is another server: what waits for the old one is not sent, and what is in flight
-        // there goes on.
+        // A server at a new address is treated as another server: searches that wait for the old one are not sent, and
+        // those in flight on it continue.
         let address_changed = servers.get(&worker).is_some_and(|server| server.address != address);
         let previous = if address_changed { servers.remove(&worker) } else { None };
         if let Some(previous) = &previous {
@@ -254,7 +255,7 @@
         });
         server.accepts_searches.set(accepts_work);
         drop(servers);
-        // Its idle connections release their descriptors, which borrows the pool: no borrow may be held here.
+        // Dropping the idle connections releases their descriptors, which borrows the descriptor pool.
         drop(previous);
     }
 
@@ -281,7 +282,8 @@
         }
     }
 
-    /// The form cancels a search by closing its connection, which ends as its task is aborted.
+    /// Cancels a search by closing its connection, which the API requires: the task that owns the connection is
+    /// aborted.
     fn cancel(&self, _worker: WorkerId, attempt_id: AttemptId) {
         if let Some(task) = self.0.searches.borrow_mut().remove(&attempt_id) {
             task.abort();
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -1,9 +1,9 @@
-//! The connection pool for workers: a few connections to each, many parts on a connection, and the exact outcome of every
-//! attempt.
+//! The connection pool for workers: a few connections to each worker, many parts in flight on a connection, and an
+//! exact outcome for every attempt.
 //!
-//! It gives each call a connection, takes back what is not to be sent, and reports the outcome of what is in flight on a
-//! connection that ends. It never chooses a worker; which connection carries a call, and which call may open the next, is
-//! decided in [`crate::limits::connection_pool`].
+//! Assigns each call to a connection, takes back calls that are cancelled before they are written, and reports the
+//! outcome of parts in flight on a connection that ends. Does not choose workers. The choice of a connection and the
+//! order in which new ones are opened are in [`crate::limits::connection_pool`].
 
 mod connection;
 mod session;
@@ -25,30 +25,31 @@
 
 /// The most connections to one worker.
 const MAX_CONNECTIONS_PER_WORKER: usize = 4;
-/// The fraction of the shortest latency objective without a byte read that makes a connection unresponsive: 250 ms of
-/// 2.5 s.
+/// A connection is unresponsive when no byte has been read on it for this fraction of the shortest latency objective:
+/// 250 ms where that is 2.5 s.
 const UNRESPONSIVE_FRACTION: f64 = 0.1;
 
-/// All connections to workers.
+/// The connections to all workers.
 #[derive(Clone)]
 pub struct Workers(Rc<Pool>);
 
 struct Pool {
     shared: Shared,
-    /// How long after a written call a connection may be silent: past that it gets no further calls, and is retired when
-    /// that call is cancelled.
+    /// A connection on which nothing is read for this long after a call was written is unresponsive: it gets no further
+    /// calls, and is retired when that call is cancelled.
     unresponsive_after: Duration,
-    /// Whether a worker may be sent a frame that cancels a part.
+    /// Whether workers accept frames that cancel a part.
     may_cancel: bool,
     workers: RefCell<HashMap<WorkerId, Worker>>,
 }
 
 impl Workers {
-    /// Starts without connections; they are opened as calls need them and descriptors allow.
+    /// Creates the pool without connections. They are opened on demand, as descriptors allow.
     pub fn new(broker: Broker, connector: Rc<dyn Connector>, descriptor_pool: Rc<DescriptorPool>) -> Workers {
         let contracts = broker.with_core(|core| core.contracts().clone());
         let (limits, settings) = (contracts.limits, contracts.settings);
-        // A machine that vanished keeps its connections open: how long a silence may last goes by the latency objectives.
+        // A machine that fails without closing its connections leaves them open and silent. The time after which that
+        // counts as unresponsive follows from the latency objectives.
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let unresponsive_after = objectives.min().unwrap_or_default().mul_f64(UNRESPONSIVE_FRACTION);
         let report_fields = settings.report_fields;
@@ -64,7 +65,8 @@
         });
     }
 
-    /// The connection for a call, where the worker accepts any.
+    /// Returns the connection for a call: an open one, or one that is being opened. `None` where the worker is unknown
+    /// or accepts no calls.
     fn connection_for(&self, id: WorkerId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         let mut workers = self.0.workers.borrow_mut();
@@ -76,10 +78,11 @@
         }
     }
 
-    /// Describes a worker's connections, in their order, as candidates for a call of these parts.
+    /// Lists a worker's connections, in order, as candidates for a call of these parts.
     fn pooled_connections(&self, worker: &Worker, parts: &[Dispatch]) -> Vec<PooledConnection> {
         let Shared { descriptor_pool, limits, .. } = &self.0.shared;
-        // An idle connection's descriptor is idle too, and has to be made busy again.
+        // The descriptor of an idle connection is idle too, so using the connection needs a descriptor that may be
+        // busy.
         let can_mark_busy =
             descriptor_pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers));
         let accepts_parts = |connection: &Connection| {
@@ -93,7 +96,7 @@
         pooled.collect()
     }
 
-    /// Adds a connection to a worker, and begins to open it within the time that is left for these parts.
+    /// Adds a connection to a worker and starts opening it, for the shortest time left among these parts.
     fn open_connection(&self, id: WorkerId, worker: &mut Worker, parts: &[Dispatch]) -> Rc<Connection> {
         let connection = Rc::new(Connection::new(&worker.address));
         worker.connections.push(connection.clone());
@@ -103,7 +106,7 @@
         connection
     }
 
-    /// Opens a connection, serves it to its end, and reports the outcome of what is in flight on it then.
+    /// Opens a connection, serves it until it ends, and reports the outcomes of the parts then in flight on it.
     async fn run_connection(self, id: WorkerId, connection: Rc<Connection>, time_left: Duration) {
         let disconnect = session::run(&self.0.shared, id, &connection, time_left).await;
         connection.retire();
@@ -125,20 +128,24 @@
         } += 1;
     }
 
-    /// Takes a connection that has ended out of the pool, and its worker with it where that is no longer listed.
+    /// Removes a connection that has ended from the pool, and workers that are neither listed nor connected.
     fn remove_connection(&self, id: WorkerId, connection: &Rc<Connection>, reason: &str) {
         let mut workers = self.0.workers.borrow_mut();
         if let Some(worker) = workers.get_mut(&id) {
             worker.connections.retain(|other| !Rc::ptr_eq(other, connection));
             if !connection.is_idle() {
-                log::warn!("worker {} at {}: {reason}", worker.name, connection.address);
+                log::warn!(
+                    "worker {} at {}: connection ended with parts in flight: {reason}",
+                    worker.name,
+                    connection.address
+                );
             }
         }
         workers.retain(|_, worker| worker.is_needed());
     }
 
-    /// Closes the connection that has been idle the longest whenever its descriptor is reclaimed, for as long as the
-    /// process lives.
+    /// Closes the connection that has been idle the longest whenever a descriptor of this class is reclaimed. Runs
+    /// until the process ends.
     pub async fn close_idle_on_reclaim(self) {
         let descriptor_pool = &self.0.shared.descriptor_pool;
         loop {
@@ -174,7 +181,7 @@
         let Some(worker) = workers.get_mut(&id) else { return };
         let unsent = worker.stop();
         worker.listed = false;
-        // Its connections still deliver the responses to what is in flight on them.
+        // Responses to parts in flight are still read from the retired connections.
         worker.retire();
         workers.retain(|_, worker| worker.is_needed());
         drop(workers);
@@ -188,7 +195,7 @@
         };
         let at_most_once = parts.iter().any(|part| part.at_most_once);
         connection.send(parts);
-        // A connection with a non-idempotent call carries nothing else, and ends with it.
+        // A connection that carries a non-idempotent call is not shared, and is closed once the call has finished.
         if at_most_once {
             connection.retire();
         }
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -1,6 +1,7 @@
-//! The calls of one connection: the frames that wait to be written, the parts in flight, and what is taken back unsent.
+//! The state of one connection to a worker: the frames that wait to be written, the parts in flight, and the parts that
+//! are taken back before they are written.
 //!
-//! It owns that state and does no input or output; [`super::session`] moves the bytes.
+//! Does no input or output; [`super::session`] reads and writes the bytes.
 
 use crate::policy::Time;
 use crate::protocol::frame;
@@ -14,45 +15,48 @@
 use tokio::time::Instant;
 
 /// How long a frame may stay partly written. A frame states the time that was left when its first byte was written, and
-/// a worker may be given 0.15 s more than is left; by then nobody may wait for any of its parts.
+/// the protocol lets a worker be told at most 150 ms more than is left. A frame that stays partly written for longer
+/// could exceed that, or run after its client has gone.
 const PARTIAL_WRITE_LIMIT: Duration = Duration::from_millis(100);
-/// How many ids of finished parts a connection remembers: a second response to one of them is no error.
+/// How many ids of finished parts a connection remembers. A further response to one of them is ignored.
 const MAX_FINISHED_IDS: usize = 256;
 
-/// One connection: what waits to be written, and the parts in flight on it.
+/// One connection: the frames that wait to be written, and the parts in flight.
 pub(super) struct Connection {
-    /// Where the worker listens.
+    /// The address at which the worker listens.
     pub address: String,
     frames: RefCell<VecDeque<Frame>>,
+    /// The parts in flight, by their ids on the wire.
     parts: RefCell<HashMap<String, PartInFlight>>,
     /// The ids of parts that were answered or cancelled, the latest last.
     finished: RefCell<VecDeque<String>>,
     /// When a byte was last read.
     last_read: Cell<Instant>,
-    /// It accepts no new calls.
+    /// Whether the connection is closed to new calls.
     retired: Cell<bool>,
-    /// Wakes the session.
+    /// Wakes the session after a change to this state.
     pub wake: Notify,
-    /// Its descriptor, once it is connected; busy while anything is in flight.
+    /// The descriptor of the open connection; busy while anything is in flight or waits to be written.
     pub descriptor: RefCell<Option<DescriptorPermit>>,
-    /// When anything was last in flight on it.
+    /// When anything was last in flight or waiting to be written.
     pub last_used: Cell<Instant>,
 }
 
 /// A frame that is to be written.
 struct Frame {
     content: Content,
-    /// The parts that it carries; none where it cancels one.
+    /// The ids of the parts that the frame carries; empty for a frame that cancels a part.
     part_ids: Vec<String>,
-    /// When it may no longer be written: its write window has ended, or it has stayed partly written for too long.
+    /// The time after which the frame may not be written: the end of its write window, or [`PARTIAL_WRITE_LIMIT`] after
+    /// its first byte, whichever is earlier.
     write_deadline: Option<Instant>,
 }
 
-/// What a frame consists of.
+/// The content of a frame.
 enum Content {
-    /// A call of which no byte is written. It is encoded as it is written, since it states how much time is left.
+    /// A call of which no byte is written. It is encoded at the time of the write, since it states the time left.
     Call(Vec<Dispatch>),
-    /// Cancels this part.
+    /// The cancellation of the part with this id.
     Cancel(String),
     /// The unwritten bytes of a frame that is partly written.
     Remainder(Bytes),
@@ -63,7 +67,7 @@
         Frame { content: Content::Cancel(id.to_owned()), part_ids: Vec::new(), write_deadline: None }
     }
 
-    /// Encodes what is to be written of it at this time.
+    /// Encodes the bytes that remain to be written, with the time left as of `now`.
     fn bytes(&self, now: Time) -> Bytes {
         match &self.content {
             Content::Call(parts) => frame::encode_call(parts, now),
@@ -72,12 +76,12 @@
         }
     }
 
-    /// Whether it is partly written.
+    /// Whether some bytes of the frame are written and others are not.
     fn is_partly_written(&self) -> bool {
         matches!(self.content, Content::Remainder(_))
     }
 
-    /// Sets what is left to write of it.
+    /// Sets the bytes that remain to be written. The first call limits how long the frame may stay partly written.
     fn set_remainder(&mut self, remainder: Bytes) {
         if !self.is_partly_written() {
             let partial_deadline = Instant::now() + PARTIAL_WRITE_LIMIT;
@@ -91,7 +95,7 @@
         self.part_ids.iter().any(|part_id| part_id == id)
     }
 
-    /// Whether any of its parts is still waited for.
+    /// Whether any part of the frame is still in flight.
     fn is_needed(&self, parts: &HashMap<String, PartInFlight>) -> bool {
         self.part_ids.iter().any(|id| parts.contains_key(id))
     }
@@ -99,16 +103,16 @@
 
 /// A part in flight.
 pub(super) struct PartInFlight {
-    /// Its attempt.
+    /// The attempt that this part was sent for.
     pub attempt_id: AttemptId,
-    /// When the last byte of its frame was written.
+    /// When the last byte of the part's frame was written.
     pub written_at: Option<Instant>,
-    /// Its response is no longer needed.
+    /// Whether the attempt is to be taken back if its frame is not written yet.
     cancelled_if_unsent: bool,
 }
 
 impl Connection {
-    /// Creates a connection that is to be opened to this address.
+    /// Creates the state of a connection that is yet to be opened to this address.
     pub fn new(address: &str) -> Connection {
         Connection {
             address: address.to_owned(),
@@ -123,11 +127,14 @@
         }
     }
 
-    // ---- What it may carry ----
+    // ---- Acceptance of calls ----
 
-    /// Whether these parts may go on this connection. Not if the id of one was used on it before: a late response to a
-    /// cancelled part would be taken for the response to its retry. And not while it is unresponsive: call after call
-    /// would be lost with it, and the worker would look faulty.
+    /// Whether these parts may be sent on this connection: it is not retired, carries at most
+    /// `max_in_flight` parts with them, and
+    ///
+    /// - none of the ids was finished on it before, since a late response to a cancelled part would be taken for the
+    ///   response to its retry;
+    /// - it is not unresponsive, since further calls would be lost with it and the worker would look faulty.
     pub fn accepts(&self, parts: &[Dispatch], max_in_flight: usize, unresponsive_after: Duration) -> bool {
         let (in_flight, finished) = (self.parts.borrow(), self.finished.borrow());
         let mut written = in_flight.values().filter_map(|part| part.written_at);
@@ -139,12 +146,12 @@
         !self.retired.get() && in_flight.len() + parts.len() <= max_in_flight && ids_are_unused()
     }
 
-    /// Whether no byte was read since `at`, and that is long enough ago.
+    /// Whether no byte was read after `at`, which is at least `unresponsive_after` ago.
     fn is_unresponsive_since(&self, at: Instant, unresponsive_after: Duration) -> bool {
         self.last_read.get() <= at && at.elapsed() >= unresponsive_after
     }
 
-    /// Notes that bytes were read.
+    /// Records that bytes were read now.
     pub fn mark_read(&self) {
         self.last_read.set(Instant::now());
     }
@@ -159,23 +166,23 @@
         self.parts.borrow().is_empty() && self.frames.borrow().is_empty()
     }
 
-    /// Whether it accepts no new calls.
+    /// Whether the connection is closed to new calls.
     pub fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// Gives it no new calls; it ends once nothing is in flight on it.
+    /// Closes the connection to new calls; the session ends once nothing is in flight.
     pub fn retire(&self) {
         self.retired.set(true);
         self.wake.notify_one();
     }
 
-    /// Whether it may be closed so that its descriptor can be used elsewhere.
+    /// Whether the connection may be closed so that its descriptor can be used elsewhere.
     pub fn is_evictable(&self) -> bool {
         self.is_idle() && !self.retired.get() && self.descriptor.borrow().is_some()
     }
 
-    /// Keeps its descriptor busy while anything is in flight, and idle otherwise.
+    /// Marks the descriptor as idle where the connection is, and as busy otherwise.
     pub fn update_descriptor(&self) {
         if let Some(descriptor) = &*self.descriptor.borrow() {
             if self.is_idle() {
@@ -186,9 +193,9 @@
         }
     }
 
-    // ---- What is to be written ----
+    // ---- Frames to write ----
 
-    /// Queues these parts as one frame.
+    /// Queues these parts as one call frame.
     pub fn send(&self, parts: Vec<Dispatch>) {
         let mut in_flight = self.parts.borrow_mut();
         let mut part_ids = Vec::with_capacity(parts.len());
@@ -208,22 +215,23 @@
         self.wake.notify_one();
     }
 
-    /// Whether anything waits to be written.
+    /// Whether a frame waits to be written.
     pub fn has_frame(&self) -> bool {
         !self.frames.borrow().is_empty()
     }
 
-    /// Encodes the next frame as it has to be written at this time.
+    /// Encodes the bytes of the next frame that remain to be written, with the time left as of `now`.
     pub fn next_frame(&self, now: Time) -> Bytes {
         self.frames.borrow().front().map(|frame| frame.bytes(now)).unwrap_or_default()
     }
 
-    /// When the next frame may no longer be written.
+    /// The time after which the next frame may not be written, if it has one.
     pub fn write_deadline(&self) -> Option<Instant> {
         self.frames.borrow().front().and_then(|frame| frame.write_deadline)
     }
 
-    /// Notes that all but `remainder` of the next frame is written. Returns how many parts are completely written by it.
+    /// Records that all of the next frame but `remainder` was written. Returns the number of parts whose frame is
+    /// complete with that.
     pub fn mark_written(&self, remainder: Bytes) -> usize {
         let mut frames = self.frames.borrow_mut();
         let Some(frame) = frames.front_mut() else { return 0 };
@@ -241,16 +249,16 @@
         frame.part_ids.len()
     }
 
-    // ---- What ends ----
+    // ---- Finished and cancelled parts ----
 
-    /// Takes the part that a response has come for, if any waits for it.
+    /// Removes and returns the part with this id, for which a response has arrived; `None` if it is not in flight.
     pub fn take_part(&self, id: &str) -> Option<PartInFlight> {
         let (id, part) = self.parts.borrow_mut().remove_entry(id)?;
         self.remember_finished(id);
         Some(part)
     }
 
-    /// Whether this part was answered or cancelled before.
+    /// Whether the part with this id was answered or cancelled, among the latest [`MAX_FINISHED_IDS`].
     pub fn is_finished(&self, id: &str) -> bool {
         self.finished.borrow().iter().any(|finished| finished == id)
     }
@@ -263,13 +271,13 @@
         finished.push_back(id);
     }
 
-    /// Takes all parts in flight, when the connection has ended.
+    /// Removes and returns all parts in flight, after the connection has ended.
     pub fn take_parts(&self) -> Vec<PartInFlight> {
         self.parts.take().into_values().collect()
     }
 
-    /// Cancels an attempt; false if it is not on this connection. A call of which no byte is written is dropped from the
-    /// queue; for another the worker is notified, where `notify` allows it.
+    /// Cancels an attempt; false if it is not on this connection. The frame of the part is dropped if no byte of it is
+    /// written and it carries no other part in flight. Otherwise the worker is notified, if `notify_worker` is set.
     pub fn cancel(&self, attempt_id: AttemptId, unresponsive_after: Duration, notify_worker: bool) -> bool {
         let Some((id, part)) = self.remove_part(attempt_id) else { return false };
         if !self.drop_unsent_frame(&id) {
@@ -278,7 +286,8 @@
                 self.frames.borrow_mut().push_back(Frame::cancel(&id));
             }
         }
-        // The connection to a machine that vanished stays open and swallows what is written: it is used no further.
+        // A connection to a failed machine stays open and accepts writes without effect, so no further call is sent on
+        // it.
         if part.written_at.is_some_and(|at| self.is_unresponsive_since(at, unresponsive_after)) {
             self.retire();
         }
@@ -292,7 +301,8 @@
         parts.remove_entry(&id)
     }
 
-    /// Drops the frame of this part, if no byte of it is written and nobody waits for any of its parts. True if it did.
+    /// Drops the frame of this part if no byte of it is written and none of its parts is in flight. Returns whether it
+    /// was dropped.
     fn drop_unsent_frame(&self, id: &str) -> bool {
         let (parts, mut frames) = (self.parts.borrow(), self.frames.borrow_mut());
         let before = frames.len();
@@ -300,13 +310,13 @@
         frames.len() < before
     }
 
-    /// Takes back the calls of which no byte has been written.
+    /// Takes back all calls of which no byte is written; returns their attempts.
     pub fn take_unsent(&self) -> Vec<AttemptId> {
         self.take_unsent_where(|_| true)
     }
 
-    /// Marks an attempt as no longer needed, and takes back frames of which no byte is written and no part is needed: all
-    /// calls of a frame, or none of them.
+    /// Marks an attempt to be taken back, and takes back each call of which no byte is written and all of whose parts
+    /// are marked. A call is taken back as a whole or not at all. Returns the attempts that were taken back.
     pub fn cancel_if_unsent(&self, attempt_id: AttemptId) -> Vec<AttemptId> {
         let mut parts = self.parts.borrow_mut();
         let Some(part) = parts.values_mut().find(|part| part.attempt_id == attempt_id) else {
--- a/src/transport/workers/session.rs
+++ b/src/transport/workers/session.rs
@@ -1,7 +1,8 @@
-//! The input and output of one connection: it waits for a connect permit, connects, writes the frames of its
-//! [`Connection`], reads responses, and says why the connection ended.
+//! The input and output of one connection to a worker: waits for a connect permit, connects, writes the frames of its
+//! [`Connection`], reads responses, and returns why the connection ended.
 //!
-//! It reports each response that arrives. What is still in flight at the end is reported by the pool, never here.
+//! Reports the outcome of each part that gets a response. Parts that are still in flight at the end are reported by the
+//! pool.
 
 use super::connection::{Connection, PartInFlight};
 use crate::policy::{AttemptOutcome, ReportField, WorkerId};
@@ -19,40 +20,42 @@
 use tokio::io::{AsyncReadExt, AsyncWrite, ReadHalf, WriteHalf};
 use tokio::time::Instant;
 
-/// The fraction of the worker's idle time-out after which a connection is closed from this side, before the worker can
-/// close it under a call that is being written.
+/// The fraction of the worker's idle time-out after which this side closes a connection, so that the worker does not
+/// close it while a call is being written.
 const IDLE_CLOSE_FRACTION: f64 = 0.6;
-/// The most bytes of one read.
+/// The size that the read buffer is grown to before each read, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// The least free space of the buffer before each read, in bytes.
 const MIN_READ_BYTES: usize = 1024;
 
-/// What all connections share.
+/// The resources that the connections of the pool share.
 pub(super) struct Shared {
-    /// Receives the result of each attempt.
+    /// Receives the outcome of each attempt.
     pub broker: Broker,
     /// Opens connections.
     pub connector: Rc<dyn Connector>,
-    /// The limits of a connection.
+    /// The time-outs and capacity of a connection.
     pub limits: BrokerLimits,
-    /// The process's descriptors and buffered bytes.
+    /// The descriptors and buffered bytes of the process.
     pub descriptor_pool: Rc<DescriptorPool>,
-    /// The fields of a load report.
+    /// The fields of a worker's load report.
     pub report_fields: Vec<ReportField>,
 }
 
-/// How a connection ended.
+/// Why a connection ended. The text is for the log.
 pub(super) enum Disconnect {
-    /// It ended, or was closed while nothing was in flight on it.
+    /// The connect failed, the connection ended, the worker rejected a frame, or this process closed the connection
+    /// while nothing was in flight.
     Closed(String),
-    /// The worker sent something that is no response: nothing further on the connection can be trusted.
+    /// The worker sent bytes that are not a valid response to a part in flight, so no later byte can be interpreted.
     Untrusted(String),
-    /// It had no connect permit, or no time left: no byte was sent.
+    /// This process gave up: it got no connect permit, a local error prevented the connect, or a frame was not written
+    /// before its deadline.
     Unopened(String),
 }
 
 impl Disconnect {
-    /// Why the connection ended, in words.
+    /// The reason, for the log.
     pub fn reason(&self) -> &str {
         match self {
             Disconnect::Closed(reason) | Disconnect::Untrusted(reason) | Disconnect::Unopened(reason) => {
@@ -61,8 +64,8 @@
         }
     }
 
-    /// The outcome of a part that was still in flight. Once the last byte of its frame is written it may have run; before
-    /// that it cannot have.
+    /// The outcome of a part that was in flight when the connection ended. The worker may have run the part once the
+    /// last byte of its frame was written, and cannot have run it before.
     pub fn outcome_of(&self, part: &PartInFlight) -> AttemptOutcome {
         let is_written = part.written_at.is_some();
         match (self, is_written) {
@@ -78,11 +81,11 @@
     }
 
     fn write_timed_out() -> Disconnect {
-        Disconnect::Unopened("it could not be written in time".to_owned())
+        Disconnect::Unopened("a frame was not written before its deadline".to_owned())
     }
 }
 
-/// Opens a connection within `time_left` and serves it to its end.
+/// Opens a connection for calls with `time_left` before their deadline, and serves it until it ends.
 pub(super) async fn run(
     shared: &Shared,
     worker: WorkerId,
@@ -103,7 +106,7 @@
     }
 }
 
-/// Waits for a connect permit and connects; `None` where the connection is no longer needed by then.
+/// Waits for a connect permit and connects. `None` where all calls were cancelled while waiting.
 async fn connect(
     shared: &Shared,
     worker: WorkerId,
@@ -119,15 +122,15 @@
     let stream = connect_with_timeout(&*shared.connector, &connection.address, limit).await;
     let stream = stream.map_err(|error| {
         let reason = format!("cannot connect: {error}");
-        // What fails in this process is no failure of the worker's.
+        // A local error must not count as a failure of the worker.
         if errors::is_local(&error) { Disconnect::Unopened(reason) } else { Disconnect::Closed(reason) }
     })?;
     connection.descriptor.replace(Some(permit.into_descriptor_permit()));
     Ok(Some(stream))
 }
 
-/// Writes as much of the next frame as the connection takes; returns what is left of it. Until a byte is taken, the frame
-/// is encoded anew at each try: it would state time that has passed while the connection was full.
+/// Writes as much of the next frame as the socket accepts; returns the bytes that remain. Until the first byte is
+/// accepted, each try encodes the frame again, since the time left that it states goes down while the socket is full.
 async fn write_next(
     write: &mut WriteHalf<Box<dyn Stream>>,
     connection: &Connection,
@@ -145,28 +148,32 @@
     .await
 }
 
-/// What a session waits for.
+/// An event that a session handles.
 enum SessionEvent {
     Read(io::Result<usize>),
-    /// What is left of the frame.
+    /// The bytes of the frame that remain to be written.
     Written(io::Result<Bytes>),
+    /// The state of the connection was changed.
     Wake,
+    /// The next frame was not written before its deadline.
     WriteTimedOut,
+    /// A message that was begun is still incomplete.
     ResponseTimedOut,
+    /// Nothing was in flight for too long.
     Idle,
 }
 
-/// A connection that is up.
+/// An established connection.
 struct Session<'a> {
     shared: &'a Shared,
     connection: &'a Connection,
-    /// Bytes that were read and are no complete message yet.
+    /// Bytes that were read and do not form a complete message yet.
     buffer: BytesMut,
-    /// Counts the buffer's size against the budget.
+    /// Counts the capacity of the buffer against the budget.
     buffer_reservation: BufferReservation,
-    /// When anything was last in flight.
+    /// When anything was last in flight or waiting to be written.
     last_used: Instant,
-    /// When the first byte of the message that is still incomplete was read.
+    /// When the first byte of the incomplete message in the buffer was read, if there is one.
     message_started_at: Option<Instant>,
 }
 
@@ -183,7 +190,7 @@
         }
     }
 
-    /// Writes frames and reads responses until the connection ends; says why it did.
+    /// Writes frames and reads responses until the connection ends; returns why it ended.
     async fn serve(mut self, stream: Box<dyn Stream>) -> Disconnect {
         let (mut read, mut write) = tokio::io::split(stream);
         loop {
@@ -224,7 +231,7 @@
         let (has_frame, write_deadline) = (self.connection.has_frame(), self.connection.write_deadline());
         let limits = &self.shared.limits;
         let idle_deadline = self.last_used + limits.connection_idle_timeout.mul_f64(IDLE_CLOSE_FRACTION);
-        // A message that never ends would hold the connection: its rest may take as long as a connect.
+        // A message that stays incomplete would block the connection, so it may take no longer than a connect.
         let message_deadline = self.message_started_at.unwrap_or(self.last_used) + limits.connect_timeout;
         tokio::select! {
             biased;
@@ -257,9 +264,10 @@
             }
             SessionEvent::Wake => Ok(()),
             SessionEvent::WriteTimedOut => Err(Disconnect::write_timed_out()),
-            SessionEvent::ResponseTimedOut => {
-                Err(Disconnect::Untrusted("a frame that does not end".to_owned()))
-            }
+            SessionEvent::ResponseTimedOut => Err(Disconnect::Untrusted(format!(
+                "a response was still incomplete after {} ms",
+                self.shared.limits.connect_timeout.as_millis()
+            ))),
             SessionEvent::Idle => Err(Disconnect::closed("idle")),
         }
     }
@@ -285,10 +293,10 @@
                     self.finish_part(&id, AttemptCompletion { outcome, value, load_report: report })?;
                 }
                 Ok(Some(WorkerMessage::CallRejected(reason))) => {
-                    return Err(Disconnect::Closed(format!("a frame was rejected: {reason:?}")));
+                    return Err(Disconnect::Closed(format!("the worker rejected a frame: {reason:?}")));
                 }
                 Ok(None) if !self.buffer.is_empty() && self.connection.parts_in_flight() == 0 => {
-                    return Err(self.unexpected_bytes("more bytes than its responses".to_owned()));
+                    return Err(self.unexpected_bytes("unexpected bytes after the last response".to_owned()));
                 }
                 Ok(None) => return Ok(()),
                 Err(error) => return Err(self.unexpected_bytes(error.to_string())),
@@ -300,14 +308,14 @@
         match self.connection.take_part(id) {
             Some(part) => self.shared.broker.on_attempt_finished(part.attempt_id, completion),
             None if self.connection.is_finished(id) => {}
-            // The response may belong to a part in flight, under a wrong id: that part would be waited for in vain.
-            None => return Err(self.unexpected_bytes("a response to no part in flight".to_owned())),
+            // The response may be meant for a part in flight and have a wrong id: that part would never be answered.
+            None => return Err(self.unexpected_bytes("response to a part that is not in flight".to_owned())),
         }
         Ok(())
     }
 
-    /// Ends a connection on which unexpected bytes came. Where nothing is in flight they do no harm: the connection is
-    /// closed before a call is lost with it, and the worker is not held at fault.
+    /// Returns how a connection ends on which unexpected bytes arrived. Where nothing is in flight, the connection is
+    /// closed before a call is lost with it, and this does not count as a fault of the worker.
     fn unexpected_bytes(&self, reason: String) -> Disconnect {
         if self.connection.parts_in_flight() == 0 {
             Disconnect::Closed(reason)
--- a/src/transport/workers/worker.rs
+++ b/src/transport/workers/worker.rs
@@ -1,6 +1,6 @@
-//! What the pool knows of one worker: its address, whether it accepts calls, and its connections.
+//! The pool's entry for one worker: its address, whether it accepts calls, and its connections.
 //!
-//! It opens no connection and chooses none.
+//! Does not open connections or choose among them.
 
 use super::connection::Connection;
 use crate::routing::AttemptId;
@@ -8,15 +8,15 @@
 
 /// A worker, for as long as it is listed or has a connection.
 pub(super) struct Worker {
-    /// Its name in the endpoint list.
+    /// The worker's name in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the worker listens.
     pub address: String,
-    /// Discovery lists it.
+    /// Whether the endpoint list has the worker.
     pub listed: bool,
-    /// It accepts new calls.
+    /// Whether new calls may be sent to the worker.
     pub accepts_calls: bool,
-    /// Its connections, open or being opened.
+    /// The connections to the worker, open or being opened.
     pub connections: Vec<Rc<Connection>>,
 }
 
@@ -27,18 +27,19 @@
         Worker { name, address, listed: true, accepts_calls: true, connections: Vec::new() }
     }
 
-    /// Sends no new call to this worker, and takes back the calls that wait to be written.
+    /// Stops new calls to this worker. Takes back the calls of which no byte is written, and returns their
+    /// attempts.
     pub fn stop(&mut self) -> Vec<AttemptId> {
         self.accepts_calls = false;
         self.connections.iter().flat_map(|connection| connection.take_unsent()).collect()
     }
 
-    /// Gives its connections no new calls; each ends once nothing is in flight on it.
+    /// Retires all connections: they get no new calls, and each is closed once nothing is in flight on it.
     pub fn retire(&self) {
         self.connections.iter().for_each(|connection| connection.retire());
     }
 
-    /// Whether it has to be remembered.
+    /// Whether the entry has to be kept: the worker is listed or has connections.
     pub fn is_needed(&self) -> bool {
         self.listed || !self.connections.is_empty()
     }
