--- a/src/transport/connector.rs
+++ b/src/transport/connector.rs
@@ -1,4 +1,7 @@
-//! Outgoing connections, by TCP or by what stands in for it in tests. It opens connections and never decides to whom.
+//! Outgoing connections: the trait behind which they are opened, its TCP implementation, and connecting with a
+//! time-out.
+//!
+//! Does not choose the address.
 
 use super::errors;
 use super::socket::Socket;
@@ -10,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The bytes of one connection, in both directions.
+/// A bidirectional byte stream: one connection.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// Resolves to a connection that is up.
+/// Resolves to an established connection.
 pub type ConnectFuture<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>> + 'a>>;
 
-/// Opens connections.
+/// Opens connections: by TCP, or in memory in tests.
 pub trait Connector {
     /// Opens a connection to this address.
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a>;
@@ -37,11 +40,12 @@
     }
 }
 
-/// Connects within `limit`: a machine that has vanished never answers. All connections are opened here. A failure for
-/// want of a local resource is retried until then.
+/// Connects within `limit`, since a failed machine never answers. Local errors, see [`errors::is_local`], are retried
+/// until then. Every connection to a worker, an index server or the discovery agent is opened here.
 ///
 /// # Errors
-/// The last failure. Where [`errors::is_local`] holds for it, it says nothing about the peer.
+/// The error of the last try, [`io::ErrorKind::TimedOut`] where it got no answer. A local error does not mean that the
+/// peer has failed.
 pub async fn connect_with_timeout(
     connector: &dyn Connector,
     address: &str,
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -1,7 +1,8 @@
-//! Follows the discovery agent: the complete endpoint list once, where none is held, then one long poll after the other.
+//! The client of the discovery agent: gets the complete endpoint list once, where none is held, then watches it by long
+//! polls.
 //!
-//! It owns the connection to the agent and the revision that it has seen. Serving never waits for it, and what an update
-//! means for a worker is decided in `routing`.
+//! Owns the connection to the agent and the revision of the list that is held. Queries are served from the last list
+//! meanwhile; the effect of an update on workers is decided in `routing`.
 
 use super::connector::{Connector, Stream, connect_with_timeout};
 use super::descriptor_pool::DescriptorPool;
@@ -15,17 +16,17 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a response may take beyond the time-out of its long poll.
+/// How long the response to a long poll may take beyond the wait that the poll asks for.
 const LONG_POLL_SLACK: Duration = Duration::from_secs(1);
-/// How long the response to a plain poll may take: many processes poll the agent at once, and it answers in turn.
+/// How long the response to a plain poll may take. Many processes poll the agent at once, and it answers one by one.
 const POLL_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a connection may take to come up.
+/// How long connecting to the agent may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest endpoint list, in bytes.
+/// The maximum size of an endpoint list, in bytes.
 const MAX_LIST_BYTES: usize = 4 * http::MAX_BODY_BYTES;
 
-/// Applies each update of the agent to the broker, for as long as the process lives. `held_revision` is the revision of
-/// the list that the broker has already, if the first poll is to ask only for what is newer.
+/// Polls the agent and applies each update to the broker, until the process ends. `held_revision` is the revision of
+/// the list that the broker already has; without it, the first poll asks for the complete list.
 pub async fn follow(
     connector: &dyn Connector,
     mut address: watch::Receiver<String>,
@@ -37,7 +38,7 @@
     let mut agent_address = address.borrow_and_update().clone();
     let mut revision = held_revision;
     let mut logged_reason = String::new();
-    // A process with a list serves with it meanwhile, so its first poll may wait.
+    // A process that has a list can serve, so its first poll may be delayed.
     let mut delay =
         if broker.with_core(|core| core.has_workers()) { backoff.initial_delay() } else { Duration::ZERO };
     loop {
@@ -48,8 +49,7 @@
         delay = Duration::ZERO;
         let configured = address.borrow_and_update().clone();
         if configured != agent_address {
-            // Another agent counts its own revisions, and changes between the two could be missed: it is polled for its
-            // complete list.
+            // Revisions of one agent mean nothing to another, and changes could be missed: the complete list is polled.
             agent_address = configured;
             revision = None;
             logged_reason.clear();
@@ -62,13 +62,13 @@
             Ok(()) = address.changed() => continue,
             failure = poll_until_failure(connector, &agent_address, broker, &mut revision, &mut backoff) => failure,
         };
-        // An agent that is down is logged once, not at each poll.
+        // Repeated failures for the same reason are logged once.
         if reason != logged_reason {
-            log::warn!("discovery at {agent_address}: {reason}; serving goes on with the last list");
+            log::warn!("discovery at {agent_address}: {reason}; keeping the last endpoint list");
             logged_reason = reason;
         }
         backoff.set_callers(broker.with_core(|core| core.fleet_size()));
-        // An overloaded agent never recovers while all processes poll it at a constant delay: the delay grows.
+        // An overloaded agent cannot recover while all processes poll it at a constant delay, so the delay grows.
         delay = backoff.next_delay(overloaded);
     }
 }
@@ -76,7 +76,7 @@
 /// Why polling on a connection ended.
 struct PollFailure {
     reason: String,
-    /// The agent has more to do than it can: it answered with an error status.
+    /// Whether the agent answered with an error status, which is taken as overload.
     overloaded: bool,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// Polls on one connection until that fails; returns why it did.
+/// Polls on one connection until a poll fails or the agent closes the connection; returns why polling ended.
 async fn poll_until_failure(
     connector: &dyn Connector,
     address: &str,
@@ -111,15 +111,15 @@
                     continue;
                 }
             }
-            Err(error) => return PollFailure::new(format!("unreadable list: {error}")),
+            Err(error) => return PollFailure::new(format!("invalid endpoint list: {error}")),
         }
         if !response.keep_alive {
-            return PollFailure::new("closed by the agent");
+            return PollFailure::new("the agent closed the connection");
         }
     }
 }
 
-/// Sends one poll and reads its response: a long poll for what is newer than a revision, or a plain poll for the
+/// Sends one poll and reads its response: a long poll for changes after `revision`, or without one a plain poll for the
 /// complete list.
 async fn poll(
     stream: &mut dyn Stream,
@@ -132,21 +132,22 @@
     let long_poll = revision.map(|after_revision| LongPoll { after_revision, wait_ms });
     let request = http::encode_request("GET", &discovery::endpoint_list_target(long_poll), address, None);
     let exchange = http_client::exchange(stream, buffer, &request, MAX_LIST_BYTES);
-    // An agent may stop answering: a change counts as notified up to 2 s after the end of a long poll, and up to 6 s
-    // after a plain poll.
+    // The agent may stop answering. By the protocol, a change counts as notified 2 s after the end of a long poll, or 6
+    // s after a plain poll; the limits leave time for another poll before that.
     let limit = if long_poll.is_some() { long_poll_timeout + LONG_POLL_SLACK } else { POLL_TIMEOUT };
     match tokio::time::timeout(limit, exchange).await {
         Ok(Ok(response)) if response.status == 200 => Ok(response),
-        Ok(Ok(response)) => {
-            Err(PollFailure { reason: format!("status {}", response.status), overloaded: true })
-        }
-        Ok(Err(error)) => Err(PollFailure::new(error.to_string())),
-        Err(_) => Err(PollFailure::new("no response in time")),
+        Ok(Ok(response)) => Err(PollFailure {
+            reason: format!("poll failed: response status {}", response.status),
+            overloaded: true,
+        }),
+        Ok(Err(error)) => Err(PollFailure::new(format!("poll failed: {error}"))),
+        Err(_) => Err(PollFailure::new("poll failed: no response before the time-out")),
     }
 }
 
-/// Applies an update to the broker. False where it does not apply to the list that is held: the complete list is polled
-/// next, on the same connection.
+/// Applies an update to the broker. Returns false where the update does not apply to the list that is held; the caller
+/// then polls for the complete list on the same connection.
 fn apply_update(
     update: &WorkerListUpdate,
     address: &str,
@@ -162,14 +163,14 @@
             update.workers.len()
         );
     }
-    // An agent that counts from the beginning again: its changes do not apply to the list that is held here.
+    // The agent has restarted its revisions, so its changes do not apply to the list that is held.
     if revision.is_some_and(|held| update.revision < held) && !update.complete {
         *revision = None;
         return false;
     }
     *revision = Some(update.revision);
     backoff.record_success();
-    // A partial update without entries only says that the long poll is over.
+    // A partial update without entries only ends the long poll.
     if update.complete || !update.workers.is_empty() {
         broker.apply_endpoint_update(update, false);
     }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -282,8 +282,7 @@
         }
     }
 
-    /// Cancels a search by closing its connection, which the API requires: the task that owns the connection is
-    /// aborted.
+    /// Aborts the task of a search, which closes its connection: the API cancels a search whose connection is closed.
     fn cancel(&self, _worker: WorkerId, attempt_id: AttemptId) {
         if let Some(task) = self.0.searches.borrow_mut().remove(&attempt_id) {
             task.abort();
--- a/src/transport/membership.rs
+++ b/src/transport/membership.rs
@@ -1,8 +1,7 @@
-//! The sockets of membership: datagrams, connection probes that prove whether a process is there, and exchanges of whole
-//! member tables.
+//! The sockets of membership: datagrams, connection probes that find out whether a process is alive, and exchanges of
+//! complete member tables.
 //!
-//! It owns the sockets of one member and its timers. What is sent and what is concluded is decided in
-//! [`crate::membership`].
+//! Owns the sockets and timers of one member. The protocol itself is in [`crate::membership`].
 
 mod status;
 
@@ -23,28 +22,28 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How many connections, outgoing and incoming together, membership has at once: as many descriptors are set aside for
-/// them from the start.
+/// The maximum number of membership connections, outgoing and incoming together. As many descriptors are reserved from
+/// the start of the process.
 pub const MEMBERSHIP_CONNECTIONS: usize = 6;
-/// How many of them may be incoming.
+/// The maximum number of incoming membership connections.
 const MAX_INCOMING: usize = 3;
-/// How long a connection may take to come up: a refusal takes a round trip.
+/// The time-out of a connection probe. A refusal takes one round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long an exchange of tables may take.
+/// The time-out of an exchange of member tables.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The delay between tries to bind an address that the process before still holds.
+/// The delay between attempts to bind an address that the predecessor process still holds.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often the send of a datagram is retried after an interrupt.
+/// How many times an interrupted send of a datagram is retried.
 const MAX_SEND_RETRIES: u32 = 8;
-/// The delay after an error of a socket, which may persist.
+/// The delay after a socket error, which may persist.
 const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
 
-/// Connects; local errors are retried until `limit`.
+/// Connects to an address, retrying local errors for up to `limit`.
 async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     errors::retry(limit, errors::is_local, async || TcpStream::connect(address).await).await
 }
 
-/// Sends a datagram without waiting. An interrupted send is retried a few times.
+/// Sends a datagram without waiting, retrying interrupted sends up to [`MAX_SEND_RETRIES`] times.
 fn send_datagram(socket: &UdpSocket, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
     let mut result = socket.try_send_to(bytes, to);
     for _ in 0..MAX_SEND_RETRIES {
@@ -56,9 +55,9 @@
     result
 }
 
-/// Tries to connect to a process, to find out whether it accepts connections.
+/// Connects to an address and closes the connection, to find out whether a process accepts connections there.
 async fn probe(address: SocketAddr) -> ConnectionProbeResult {
-    // A local failure says nothing about the peer: it is retried.
+    // Local errors do not mean that the peer has failed, so `connect` retries them.
     match timeout(CONNECT_TIMEOUT, connect(address, CONNECT_TIMEOUT)).await {
         Ok(Ok(_)) => ConnectionProbeResult::Connected,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => ConnectionProbeResult::Refused,
@@ -66,21 +65,21 @@
     }
 }
 
-/// Is notified of what membership finds.
+/// Receives the results of membership.
 pub trait MembershipObserver {
     /// A member's state has changed.
     fn on_member_change(&self, change: &MemberChange);
-    /// The number of gatherers that share the fleet has changed.
+    /// The estimated number of gatherers that share the fleet has changed to `count`.
     fn on_fleet_size(&self, count: u32);
 }
 
-/// The sockets that are bound to a member's address.
+/// The two sockets that are bound to a member's address.
 struct BoundSockets {
     datagrams: UdpSocket,
     listener: TcpListener,
 }
 
-/// The sockets of one member.
+/// The sockets and timers of one member.
 pub struct MembershipTransport {
     node: RefCell<Node>,
     cluster_key: ClusterKey,
@@ -90,7 +89,7 @@
     observer: Box<dyn MembershipObserver>,
     /// The fleet size that the observer was last notified of.
     notified_fleet_size: Cell<u32>,
-    /// Datagrams and tables that were discarded, by reason, and datagrams that could not be sent.
+    /// The numbers of datagrams and tables that were discarded, by reason, and of datagrams that were not sent.
     discarded: RefCell<BTreeMap<String, u64>>,
     /// Notified when the node's next deadline may have changed.
     deadline_changed: Notify,
@@ -101,7 +100,7 @@
 }
 
 impl MembershipTransport {
-    /// Creates the transport of a member that remembers `max_members` others at most.
+    /// Creates the transport of a member whose table holds at most `max_members` others.
     #[must_use]
     pub fn new(
         node: Node,
@@ -128,7 +127,7 @@
         })
     }
 
-    /// Takes part in membership until [`MembershipTransport::leave`].
+    /// Binds the sockets and runs the protocol until [`MembershipTransport::leave`].
     pub async fn run(self: Rc<MembershipTransport>) {
         let BoundSockets { datagrams, listener } = tokio::select! {
             sockets = self.bind() => sockets,
@@ -136,7 +135,11 @@
         };
         let socket = Rc::new(datagrams);
         self.socket.replace(Some(socket.clone()));
-        log::info!("members: {} takes part at {}", self.node.borrow().own().name, self.listen_address);
+        log::info!(
+            "members: {} has joined, listening at {}",
+            self.node.borrow().own().name,
+            self.listen_address
+        );
         let accepting = spawn_local(self.clone().accept(listener));
         tokio::select! {
             () = self.clone().run_timers() => {}
@@ -147,16 +150,21 @@
         self.socket.take();
     }
 
-    /// Binds the datagram socket and the listener. In an upgrade the process before holds the address until it stops.
+    /// Binds the datagram socket and the listener, retrying until the address is free: in an upgrade, the predecessor
+    /// holds it until it stops.
     async fn bind(&self) -> BoundSockets {
         let mut logged = false;
         loop {
             match self.try_bind().await {
                 Ok(sockets) => return sockets,
                 Err(error) if !std::mem::replace(&mut logged, true) => {
-                    log::info!("members: {} is not free yet: {error}", self.listen_address);
+                    log::info!(
+                        "members: cannot bind {}, retrying every {} ms: {error}",
+                        self.listen_address,
+                        BIND_RETRY_DELAY.as_millis()
+                    );
                 }
-                // Logged once: the address is tried until it is free.
+                // Only the first failure is logged.
                 Err(_) => {}
             }
             tokio::time::sleep(BIND_RETRY_DELAY).await;
@@ -169,7 +177,8 @@
         Ok(BoundSockets { datagrams, listener })
     }
 
-    /// Broadcasts that this process ends, and whether another of the same name takes over.
+    /// Tells the other members that this process leaves, and whether a successor of the same name takes over, and stops
+    /// [`MembershipTransport::run`].
     pub fn leave(&self, handing_over: bool) {
         let commands = self.node.borrow_mut().leave(handing_over);
         for command in commands {
@@ -180,7 +189,7 @@
         self.stopped.notify_one();
     }
 
-    /// Advances the node whenever a deadline of it passes.
+    /// Advances the node at each of its deadlines.
     async fn run_timers(self: Rc<MembershipTransport>) {
         loop {
             let now = self.clock.now();
@@ -207,7 +216,8 @@
                     Err(error) => self.record_discarded(error),
                 },
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // The error reports that a peer's machine refused an earlier datagram; the next receive is unaffected.
+                // The error may report that a peer's machine refused an earlier datagram; later receives are
+                // unaffected.
                 Err(_) => tokio::time::sleep(SOCKET_ERROR_DELAY).await,
             }
         }
@@ -217,7 +227,7 @@
         *self.discarded.borrow_mut().entry(error.to_string()).or_default() += 1;
     }
 
-    /// Executes the node's commands, and notifies the observer of what has changed.
+    /// Executes the node's pending commands, and notifies the observer of changes.
     fn execute_commands(self: &Rc<MembershipTransport>) {
         let commands = self.node.borrow_mut().take_commands();
         for command in commands {
@@ -237,14 +247,16 @@
             }
             Command::Notify(change) => self.observer.on_member_change(&change),
             Command::NameReclaimed => {
+                let node = self.node.borrow();
+                let (name, start) = (&node.own().name, node.own().start);
                 log::warn!(
-                    "members: another process uses this one's name; it was taken back by a later start"
+                    "members: another process uses the name {name}; this process claims it with the later start {start}"
                 );
             }
         }
     }
 
-    /// Notifies the observer of the fleet size, where that has changed since it was last notified.
+    /// Notifies the observer if the fleet size has changed since the last notification.
     fn notify_of_fleet_size(&self) {
         let fleet_size = self.node.borrow().gatherers(self.clock.now());
         if self.notified_fleet_size.replace(fleet_size) != fleet_size {
@@ -252,13 +264,15 @@
         }
     }
 
-    /// The node has received something: its commands are executed, and its next deadline may have changed.
+    /// Handles the node's reaction to an input: executes its commands, and lets the timers read its next deadline
+    /// again.
     fn on_input(self: &Rc<MembershipTransport>) {
         self.execute_commands();
         self.deadline_changed.notify_one();
     }
 
-    /// Sends a datagram, where the socket is bound. One that is not sent counts as lost, which the protocol allows for.
+    /// Sends a datagram if the socket is bound. A failed send is counted and otherwise ignored, since the protocol
+    /// tolerates lost datagrams.
     fn send(&self, to: SocketAddr, message: &Message) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let sent = self.cluster_key.encode(message).map(|bytes| send_datagram(&socket, &bytes, to));
@@ -267,7 +281,8 @@
         }
     }
 
-    /// Finds out whether a process accepts connections. Without a permit for one more connection there is no result.
+    /// Probes whether a process accepts connections, and passes the result to the node: no response where the limit of
+    /// outgoing connections is reached.
     async fn run_connection_probe(
         self: Rc<MembershipTransport>,
         name: String,
@@ -282,7 +297,7 @@
         self.on_input();
     }
 
-    /// Exchanges tables with the member at an address. Without a permit for one more connection nothing happens.
+    /// Exchanges tables with the member at an address. Does nothing where the limit of outgoing connections is reached.
     async fn exchange_tables(self: Rc<MembershipTransport>, with: SocketAddr) {
         let Ok(_permit) = self.outgoing.try_acquire() else { return };
         let exchange = async {
@@ -293,11 +308,12 @@
         self.finish_exchange(exchange).await;
     }
 
+    /// Accepts connections of other members, which exchange tables or only probe.
     async fn accept(self: Rc<MembershipTransport>, listener: TcpListener) {
         loop {
-            // The semaphore is never closed, so there is always a permit in the end.
+            // The semaphore is never closed, so acquiring a permit cannot fail.
             let Ok(permit) = self.incoming.acquire().await else { return };
-            // The error may persist, for instance where descriptors are short; a peer exchanges tables again later.
+            // The error may persist, for instance when no descriptor is left. Peers exchange tables again later.
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
@@ -307,7 +323,7 @@
         }
     }
 
-    /// Serves an incoming connection to its end, and gives back its permit.
+    /// Serves an incoming connection until it ends, and returns its permit.
     async fn answer_exchange(self: Rc<MembershipTransport>, stream: TcpStream) {
         let mut stream = Socket::new(stream);
         let exchange = async {
@@ -319,8 +335,8 @@
         self.incoming.add_permits(1);
     }
 
-    /// Waits for an exchange and applies the peer's table, where it brings one in time. One that fails needs no report:
-    /// tables are exchanged again at the next interval, with a member picked at random.
+    /// Waits for an exchange for up to [`EXCHANGE_TIMEOUT`] and applies the peer's table. Failures are ignored: tables
+    /// are exchanged again at the next interval, with a member picked at random.
     async fn finish_exchange(
         self: &Rc<MembershipTransport>,
         exchange: impl Future<Output = Option<Message>>,
@@ -331,28 +347,28 @@
         }
     }
 
-    /// Writes this member's table, behind its length in bytes; `None` where it cannot be written.
+    /// Writes this member's table, prefixed with its length in bytes. `None` if it cannot be written.
     async fn write_table(&self, stream: &mut Socket<TcpStream>) -> Option<()> {
         let bytes = self.cluster_key.encode(&self.node.borrow().table_message()).ok()?;
         let length = u32::try_from(bytes.len()).ok()?;
         stream.write_all(&[&length.to_le_bytes()[..], &bytes].concat()).await.ok()
     }
 
-    /// Reads a peer's table; `None` where none comes or it is discarded.
+    /// Reads a peer's table. `None` if the connection ends before, or the table is discarded.
     async fn read_table(&self, stream: &mut Socket<TcpStream>) -> Option<Message> {
-        // A connection probe ends here: it is closed without a byte.
+        // A connection probe ends here: its connection is closed without a byte.
         let length = stream.read_u32_le().await.ok()? as usize;
         if length > self.max_table_bytes {
             self.record_discarded(GossipError::Length);
             return None;
         }
-        // The buffer grows as bytes arrive, so a length that promises more than is sent takes no memory.
+        // The buffer grows as bytes arrive, so a false length does not allocate memory.
         let mut bytes = Vec::new();
         stream.take(length as u64).read_to_end(&mut bytes).await.ok()?;
         self.cluster_key.decode(&bytes).map_err(|error| self.record_discarded(error)).ok()
     }
 
-    /// Describes all known members, as JSON.
+    /// Returns the status of all known members, as JSON.
     pub fn status_json(&self) -> String {
         status::json(&self.node.borrow(), self.clock.now(), &self.discarded.borrow())
     }
--- a/src/transport/membership/status.rs
+++ b/src/transport/membership/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of membership, as JSON.
+//! The membership status for the operators' API, as JSON.
 
 use crate::membership::{KnownMember, Node, ObservedState};
 use crate::policy::Time;
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A member as the operators' API shows it. Operators' tools read these JSON names, so they outlive Rust names.
+/// The status of one member. Operators' tools read the JSON names, so these stay when Rust names change.
 #[derive(Serialize)]
 struct MemberStatus {
     name: String,
     zone: String,
     address: SocketAddr,
-    /// A process's start identifies it among those of one name.
+    /// The start of the process, in nanoseconds, which tells processes of the same name apart.
     start: u64,
     incarnation: u32,
     state: ObservedState,
@@ -22,7 +22,7 @@
     last_message_age_s: Option<f64>,
 }
 
-/// What the operators' API shows of membership. Operators' tools read these JSON names, so they outlive Rust names.
+/// The status of membership in one process. Operators' tools read the JSON names, so these stay when Rust names change.
 #[derive(Serialize)]
 struct MembershipStatus {
     #[serde(rename = "gatherers")]
@@ -64,7 +64,7 @@
     }
 }
 
-/// Describes all known members, and how many messages were discarded, by reason.
+/// Returns the status of this process and of all known members, with the number of discarded messages by reason.
 pub(super) fn json(node: &Node, now: Time, discarded: &BTreeMap<String, u64>) -> String {
     let membership = MembershipStatus {
         fleet_size: node.gatherers(now),
@@ -73,6 +73,6 @@
         members: node.table().iter().map(|member| MemberStatus::from_known_member(member, now)).collect(),
         discarded: discarded.clone(),
     };
-    // Plain structs and maps with text keys always serialise.
+    // Serialising plain structs and maps with string keys cannot fail.
     serde_json::to_string(&membership).unwrap_or_default()
 }
--- a/src/transport/operator_api.rs
+++ b/src/transport/operator_api.rs
@@ -1,6 +1,7 @@
-//! The operators' API: HTTP/1.1, one call to a connection, few callers at once on descriptors of their own.
+//! The server of the operators' API: HTTP/1.1, one request per connection, a few connections at once, with descriptors
+//! reserved for them.
 //!
-//! It owns the callers' connections. What a call does is decided behind [`OperatorApi`].
+//! Owns the connections. The requests are handled by an [`OperatorApi`].
 
 use super::clients::linger;
 use super::descriptor_pool::{DescriptorPermit, DescriptorPool};
@@ -16,27 +17,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// How many callers are served at once; the other descriptors are for those whose close is still under way.
+/// The maximum number of connections served at once. The other two descriptors are for connections that are still being
+/// closed.
 const MAX_CALLERS: usize = OPERATOR_DESCRIPTORS - 2;
-/// How long a call may take to arrive.
+/// How long a request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long writing the response may take.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a caller has to read the end of its response before the connection is closed.
+/// How long the connection is kept after the response, so that the caller can read it to its end.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(50);
 /// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The most bytes of one read.
+/// The buffer space reserved for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// Answers operators' calls.
+/// Handles requests of operators.
 pub trait OperatorApi {
-    /// Returns the response to a call.
+    /// Returns the response to a request.
     fn respond(&self, request: &Request) -> Response;
 }
 
-/// Serves calls for as long as the process lives. Callers that connect and send nothing cannot block others, however many
-/// they are: the one that came first is closed for the next.
+/// Serves requests until the process ends. Where `MAX_CALLERS` are connected, the oldest connection is closed for a
+/// new one, so that callers that send nothing cannot block others.
 pub async fn serve<A: OperatorApi + 'static>(
     listener: TcpListener,
     api: Rc<A>,
@@ -47,7 +49,10 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => Socket::new(stream),
             Err(error) => {
-                log::warn!("operators: accept: {error}");
+                log::warn!(
+                    "operators: cannot accept a connection, retrying after {} ms: {error}",
+                    ACCEPT_RETRY_DELAY.as_millis()
+                );
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -64,7 +69,7 @@
     }
 }
 
-/// Reads one call, writes its response and closes the connection.
+/// Reads one request, writes its response and closes the connection.
 async fn serve_call(mut stream: Socket<TcpStream>, api: &impl OperatorApi, _descriptor: DescriptorPermit) {
     let mut buffer = BytesMut::new();
     let read_request = async {
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,9 +1,12 @@
-//! The only reads and writes of stream sockets, to every peer and in both directions.
+//! Reads and writes of stream sockets, for every peer and in both directions.
 //!
-//! The runtime's own streams take a short read or write for a drained or full socket and wait for its next readiness
-//! edge. Linux may cut a call short for other reasons; then no edge comes, and the peer waits for bytes that are there.
-//! They also return EINTR as an error, which would end a sound connection. A [`Socket`] goes by readiness alone: only a
-//! call that would block ends it, and an interrupted call is made again. It never interprets bytes.
+//! The runtime's own streams take a short read or write as a sign that the socket is drained or full, and wait for the
+//! next readiness edge. Linux may return a short count for other reasons; then no edge follows, and the peer waits
+//! although bytes are available. The runtime's streams also return EINTR as an error, which would end a healthy
+//! connection.
+//!
+//! A [`Socket`] clears readiness only when a call would block, and repeats interrupted calls. It does not interpret
+//! bytes.
 
 use std::cell::Cell;
 use std::io;
@@ -12,14 +15,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// After how many interrupted calls in a row other tasks run first.
+/// The number of interrupted calls in one poll after which the task yields to others.
 const MAX_INTERRUPTS_PER_POLL: u32 = 16;
 
 thread_local! {
     static INTERRUPTED_CALLS: Cell<u64> = const { Cell::new(0) };
 }
 
-/// The number of calls that were interrupted and made again, since the start of this thread.
+/// The number of calls that were interrupted and repeated, since the start of this thread.
 #[must_use]
 pub fn interrupted_calls() -> u64 {
     INTERRUPTED_CALLS.get()
@@ -27,21 +30,21 @@
 
 /// A socket of the runtime that reports readiness and makes single calls.
 pub trait RawSocket: Unpin {
-    /// Waits until a read may succeed.
+    /// Polls until a read may succeed.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Waits until a write may succeed.
+    /// Polls until a write may succeed.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Makes one read. Readiness ends only where it would block.
+    /// Makes one read call. Read readiness is cleared only if the call would block.
     ///
     /// # Errors
-    /// The error of the call, [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`] among them.
+    /// The error of the call, including [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`].
     fn try_read(&self, buffer: &mut ReadBuf<'_>) -> io::Result<usize>;
-    /// Makes one write. Readiness ends only where it would block.
+    /// Makes one write call. Write readiness is cleared only if the call would block.
     ///
     /// # Errors
-    /// The error of the call, [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`] among them.
+    /// The error of the call, including [`io::ErrorKind::WouldBlock`] and [`io::ErrorKind::Interrupted`].
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
-    /// Shuts the sending side down.
+    /// Shuts down the write side.
     fn poll_shutdown(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
@@ -80,13 +83,13 @@
         Socket(raw)
     }
 
-    /// The socket itself, for what is neither a read nor a write of a stream.
+    /// The underlying socket, for calls other than stream reads and writes.
     pub fn raw(&self) -> &S {
         &self.0
     }
 }
 
-/// Makes a call each time the socket is ready, until it succeeds or fails.
+/// Makes a call each time the socket is ready, until the call returns anything but "would block" or "interrupted".
 fn poll_call<T>(
     cx: &mut Context<'_>,
     mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<()>>,
