--- a/src/transport/clients/closing.rs
+++ b/src/transport/clients/closing.rs
@@ -1,4 +1,4 @@
-//! How a client's connection is closed so that its client gets the last response: write, shut down, linger.
+//! Closes connections of clients such that the client receives the last response: write, shut down, linger.
 
 use super::connection_manager::ConnectionManager;
 use crate::protocol::http;
@@ -6,21 +6,22 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// How long the last write on a connection, and the wait for the client's close behind it, may take each.
+/// The time limit of the last write on a connection, and again of the wait for the client's close after it.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The same limit when descriptors or buffers are scarce.
+/// The same limit under full pressure on descriptors or buffers.
 const FINAL_WRITE_TIMEOUT_UNDER_PRESSURE: Duration = Duration::from_millis(20);
-/// How many bytes a client may send ahead of the response that it waits for.
+/// How many bytes a client may send (pipeline) before it gets the response to its request.
 pub(super) const MAX_PIPELINED_BYTES: usize = 2 * http::MAX_BODY_BYTES;
-/// The most bytes of one read.
+/// The buffer space reserved for each read, in bytes.
 pub(super) const READ_CHUNK_BYTES: usize = 4096;
 
-/// How long the last write on a connection may take, by what is scarce now.
+/// The time limit of the last write on a connection under the present pressure.
 pub(super) fn final_write_timeout(manager: &ConnectionManager) -> Duration {
     manager.pressure().limit(FINAL_WRITE_TIMEOUT, FINAL_WRITE_TIMEOUT_UNDER_PRESSURE)
 }
 
-/// Writes the last bytes of a connection and closes it, whether its client takes them or not. True if all were written.
+/// Writes the last bytes of a connection and closes it, whether or not the client reads them. Returns whether all were
+/// written.
 pub(super) async fn write_and_close(
     read: &mut (impl AsyncRead + Unpin),
     write: &mut (impl AsyncWrite + Unpin),
@@ -36,8 +37,9 @@
     written
 }
 
-/// Reads and discards for a while after a shutdown (a lingering close): closing a socket with unread bytes would reset
-/// the connection, and the reset could take the last response with it. True if any bytes arrived.
+/// Reads and discards bytes after a shutdown, until the client closes its side or `limit` has passed (a lingering
+/// close). Closing a socket with unread bytes resets the connection, and the client could then lose the last response.
+/// Returns whether any bytes arrived.
 pub(in crate::transport) async fn linger(read: &mut (impl AsyncRead + Unpin), limit: Duration) -> bool {
     let (mut discarded, mut received) = ([0; READ_CHUNK_BYTES], false);
     let drain = async {
@@ -48,12 +50,12 @@
             received = true;
         }
     };
-    // The connection ends here whether the client has closed its side or not.
+    // After the time-out the connection is closed as well.
     let _ = tokio::time::timeout(limit, drain).await;
     received
 }
 
-/// Polls a future a single time: its value, if it has one without waiting.
+/// Polls a future once. Returns its value if it is ready, and drops it otherwise.
 pub(super) async fn poll_once<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
--- a/src/transport/clients/connection.rs
+++ b/src/transport/clients/connection.rs
@@ -1,7 +1,8 @@
-//! Serves one client's connection: reads its requests and writes exactly one response to each, until it is closed.
+//! Serves one client's connection: reads requests and writes exactly one response to each, until the connection is
+//! closed.
 //!
-//! It owns the bytes of the connection from admission to close. It never decides what a response says, which is the
-//! [`Front`]'s, nor when the connection is evicted, which is the connection manager's.
+//! Owns the stream from admission to close. The content of responses comes from the [`Front`], the decision to evict
+//! the connection from the connection manager.
 
 use super::closing::{
     MAX_PIPELINED_BYTES, READ_CHUNK_BYTES, final_write_timeout, linger, poll_once, write_and_close,
@@ -40,23 +41,24 @@
     }
 }
 
-/// What a connection's next step is, once it has read what came.
+/// The next step of a connection after a read or an eviction.
 enum NextStep {
     /// A complete request was read.
     Serve(Request),
-    /// These bytes are written, then the connection is closed.
+    /// The connection is closed after these bytes are written.
     CloseAfterWriting(Bytes),
-    /// The connection is closed without a further byte.
+    /// The connection is closed without writing anything.
     Close,
 }
 
-/// One connection. Its fields are dropped in this order: the socket is closed before its descriptor is released.
+/// One client's connection. Fields are dropped in this order, so the socket is closed before its descriptor is
+/// released.
 struct ClientConnection<'a, S, F> {
     read: ReadHalf<S>,
     write: WriteHalf<S>,
-    /// Bytes that were read and are not yet part of a request.
+    /// Bytes that were read and do not form a complete request yet.
     buffer: BytesMut,
-    /// How many responses were written.
+    /// The number of responses written.
     responses: u64,
     peer: SocketAddr,
     front: &'a F,
@@ -64,7 +66,8 @@
 }
 
 impl<S: Stream, F: Front> ClientConnection<'_, S, F> {
-    /// Reads the next request. `None` where the connection ends instead, with its last bytes written.
+    /// Reads the next request. `None` if the connection has ended instead, after a rejection or error response where
+    /// one is due.
     async fn next_request(&mut self) -> Option<Request> {
         match self.next_step().await {
             NextStep::Serve(request) => Some(Request { waited: self.permit.take_queue_time(), ..request }),
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Gets the response to a request and writes it. Breaks where the connection has ended.
+    /// Gets the response to a request from the front and writes it. Breaks if the connection has ended.
     async fn respond_to(&mut self, request: Request) -> ControlFlow<()> {
         let guard = ResponseGuard::new(self.front, &request);
         if let Some(caller) = self.front.caller(&request) {
@@ -123,7 +126,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Writes a response; breaks where its client has gone or does not read it in time.
+    /// Writes a response. Breaks if the client has closed the connection or does not read the response in time.
     async fn write_response(&mut self, bytes: &[u8], guard: ResponseGuard<'_, F>) -> ControlFlow<()> {
         self.permit.buffer_reservation.set(self.buffer.capacity() + bytes.len());
         match tokio::time::timeout(RESPONSE_WRITE_TIMEOUT, self.write.write_all(bytes)).await {
@@ -132,7 +135,7 @@
                 ControlFlow::Continue(())
             }
             Ok(Err(error)) => {
-                log::debug!("client at {}: the response could not be written: {error}", self.peer);
+                log::debug!("client at {}: cannot write the response: {error}", self.peer);
                 self.permit.update_counters(|counters| counters.response_write_failed += 1);
                 guard.mark_client_gone();
                 ControlFlow::Break(())
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Reads until the next request is complete or the connection has to end. Its time limits, and those of an idle
-    /// connection, are decided in [`crate::limits::client_connections`] and arrive here as an eviction.
+    /// Reads until the next request is complete or the connection has to end. The time limits of requests and of idle
+    /// connections are set in [`crate::limits::client_connections`]; their expiry arrives here as an eviction.
     async fn next_step(&mut self) -> NextStep {
         let mut continue_sent = false;
         if !self.buffer.is_empty() {
@@ -172,9 +175,11 @@
         }
     }
 
-    /// Waits for further bytes, an eviction or the end of idle connections. Returns how the connection ends, if it does.
+    /// Waits for more bytes, an eviction or the time at which idle connections are closed. Returns how the connection
+    /// ends, if it ends.
     async fn read_more(&mut self) -> Option<NextStep> {
-        // Many incomplete requests could fill the memory together: the more is buffered in all, the less each may hold.
+        // Many incomplete requests could exhaust memory together: the more is buffered in total, the less each may
+        // hold.
         let may_read = self.permit.buffer_reservation.allowance() >= self.buffer.len() + READ_CHUNK_BYTES;
         if may_read {
             self.buffer.reserve(READ_CHUNK_BYTES);
@@ -191,13 +196,13 @@
                     return Some(evicted_mid_request(reason));
                 }
             }
-            // A new connection to a drained process still gets the response to its first request.
+            // A new connection to a drained process still gets a response to its first request.
             () = wait_until_idle_close_is_due(&self.permit, self.responses), if closes_when_idle => {}
         }
         self.close_if_idle().await
     }
 
-    /// Handles the result of a read. Returns how the connection ends, if it does.
+    /// Handles the result of a read. Returns how the connection ends, if it ends.
     fn on_read(&self, read: io::Result<usize>) -> Option<NextStep> {
         match read {
             Ok(count @ 1..) => {
@@ -205,7 +210,7 @@
                 return None;
             }
             Ok(0) => {}
-            Err(error) => log::debug!("client: {error}"),
+            Err(error) => log::debug!("client at {}: cannot read: {error}", self.peer),
         }
         let mid_request = !self.buffer.is_empty();
         self.permit.update_counters(|counters| {
@@ -218,9 +223,9 @@
         Some(NextStep::Close)
     }
 
-    /// Ends a connection on which nothing is in flight, unless a request has arrived meanwhile. A connection that never
-    /// had a response gets a rejection first: its first request may be on its way, and its client then finds that
-    /// rejection in place of a close without any response.
+    /// Closes a connection on which nothing is in flight, unless bytes of a request have arrived meanwhile. Before the
+    /// first response a rejection is written first: the first request may be in transit, and its client then reads the
+    /// rejection instead of an end of the connection without any response.
     async fn close_if_idle(&mut self) -> Option<NextStep> {
         self.buffer.reserve(READ_CHUNK_BYTES);
         if self.request_arrived().await {
@@ -233,9 +238,9 @@
         Some(NextStep::Close)
     }
 
-    /// Whether bytes of a request have arrived by now; if so, the connection is not closed.
+    /// Reads what has arrived. Returns whether there was anything, in which case the eviction is cancelled.
     async fn request_arrived(&mut self) -> bool {
-        // After the yield the runtime has polled its sockets and knows what has arrived.
+        // The runtime polls its sockets during the yield, so that bytes that have arrived can be read.
         tokio::task::yield_now().await;
         let Some(Ok(count @ 1..)) = poll_once(self.read.read_buf(&mut self.buffer)).await else {
             return false;
@@ -244,8 +249,8 @@
         true
     }
 
-    /// Closes an idle connection that has had responses. The close lingers: bytes that cross it are read and discarded,
-    /// so that no reset takes the last response with it, and the client sees an orderly end of the connection.
+    /// Closes an idle connection that has had responses. The close lingers: a request that arrives meanwhile is read
+    /// and discarded, so that the connection is not reset and the client sees an orderly end.
     async fn close_idle(&mut self) {
         if self.write.shutdown().await.is_ok()
             && linger(&mut self.read, final_write_timeout(self.permit.connection_manager())).await
@@ -254,13 +259,13 @@
         }
     }
 
-    /// Writes the last bytes of the connection and closes it. True if all were written.
+    /// Writes the last bytes of the connection and closes it. Returns whether all were written.
     async fn write_and_close(&mut self, bytes: &[u8]) -> bool {
         write_and_close(&mut self.read, &mut self.write, bytes, self.permit.connection_manager()).await
     }
 }
 
-/// The end of a connection that is evicted in the middle of a request.
+/// Returns the step that ends a connection evicted in the middle of a request: a 408 response.
 fn evicted_mid_request(reason: EvictionReason) -> NextStep {
     let reason = match reason {
         EvictionReason::Slow => "the request did not end in time",
@@ -269,8 +274,8 @@
     NextStep::CloseAfterWriting(Response::text(408, reason).encode(true))
 }
 
-/// Waits until idle connections are to be closed. A connection without a response so far gets some time more: its first
-/// request may be on its way, and a close without a response says nothing to its client.
+/// Waits until an idle connection is to be closed. Before the first response the time limit of a last write is added:
+/// the first request may be in transit, and its client could not interpret a close without a response.
 async fn wait_until_idle_close_is_due(permit: &ConnectionPermit, responses: u64) {
     permit.connection_manager().wait_for_idle_close().await;
     if responses == 0 {
@@ -278,9 +283,9 @@
     }
 }
 
-/// Returns when the client has closed its connection. Bytes that it sends ahead are kept up to a limit; past that they
-/// are discarded, `overflowed` is set and the connection ends after its response. Without these reads, a client that
-/// left behind unread bytes would not be noticed.
+/// Waits until the client closes its connection, while its request is being answered. Bytes that arrive meanwhile are
+/// kept in `buffer` up to a limit; beyond it all are discarded and `overflowed` is set, which ends the connection after
+/// its response. Without these reads, a close behind unread bytes would go unnoticed.
 async fn wait_for_client_close(
     read: &mut (impl AsyncRead + Unpin),
     buffer: &mut BytesMut,
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -1,6 +1,7 @@
-//! The clients' connections of one process: who is admitted, who is evicted, and how all of them learn that they are to
-//! end. It owns the set of open connections and the process's lifecycle. It reads and writes no bytes; the order and the
-//! time limits of evictions are decided in [`crate::limits::client_connections`].
+//! Admission and eviction of the clients' connections of one process, and their end in a shutdown.
+//!
+//! Owns the set of open connections and the lifecycle of the process. Reads and writes no bytes. The order and the time
+//! limits of evictions are in [`crate::limits::client_connections`].
 
 use super::connection_permit::ConnectionPermit;
 use crate::limits::client_connections::{EVICTION_REASONS, EvictionReason, Source};
@@ -14,26 +15,28 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How often time limits are checked while any connection could be evicted: they move with pressure.
+/// How often time limits are checked while any connection is evictable: they change with the pressure.
 const EVICTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often other tasks get a turn, after the wait for a descriptor has taken its whole time, before a new connection is
-/// rejected: an evicted connection needs a turn to notice it, one to see what has arrived, and some to write and close.
+/// How many times other tasks run, after the wait for a descriptor has timed out, before a new connection is rejected.
+/// An evicted connection needs one turn to notice its eviction, one to read what has arrived, and some to write and
+/// close.
 const YIELDS_BEFORE_REJECTION: usize = 8;
-/// The least time between two log lines about early evictions.
+/// The minimum interval between two log lines about early evictions.
 const EVICTION_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The clients' connections of one process, and what notifies them that they are to end.
+/// The clients' connections of one process, and the channels that tell them to close.
 pub struct ConnectionManager {
     descriptor_pool: Rc<DescriptorPool>,
     pub(super) connections: RefCell<ClientConnections>,
+    /// The eviction channel of each open connection, by its id.
     pub(super) evictions: RefCell<HashMap<u64, Rc<Eviction>>>,
-    /// Notified when a connection has become evictable.
+    /// Notified when a connection becomes evictable.
     pub(super) evictable: Notify,
     lifecycle: RefCell<Lifecycle>,
     lifecycle_state: watch::Sender<LifecycleState>,
 }
 
-/// Notifies one connection's task that it is to close.
+/// Tells the task of one connection to close it.
 #[derive(Default)]
 pub(super) struct Eviction {
     pub(super) reason: Cell<Option<EvictionReason>>,
@@ -41,7 +44,7 @@
 }
 
 impl ConnectionManager {
-    /// Creates the manager of a process that serves; its connections take their descriptors from this pool.
+    /// Creates the manager of a process in the state `Serving`. Connections take their descriptors from this pool.
     pub fn new(descriptor_pool: Rc<DescriptorPool>) -> Rc<ConnectionManager> {
         let lifecycle = Lifecycle::new(descriptor_pool.now());
         Rc::new(ConnectionManager {
@@ -53,8 +56,8 @@
             lifecycle: RefCell::new(lifecycle),
         })
     }
-    /// The state that the process is in now. It is advanced first: after a pause of the whole process, sockets are read
-    /// before its timers have run, and the state would be taken as if no time had passed.
+    /// The present lifecycle state. The lifecycle is advanced first: after a pause of the whole process, sockets are
+    /// read before the timers have run, and the state would be out of date.
     pub fn lifecycle_state(&self) -> LifecycleState {
         self.advance_lifecycle();
         *self.lifecycle_state.borrow()
@@ -66,7 +69,7 @@
     /// Applies a request to the lifecycle.
     ///
     /// # Errors
-    /// The request is not possible in the present state, which stays as it is.
+    /// The request is not possible in the present state. The state does not change then.
     pub fn apply_lifecycle(&self, request: LifecycleRequest) -> Result<(), LifecycleError> {
         let applied = self.lifecycle.borrow_mut().apply(self.descriptor_pool.now(), request);
         self.publish_lifecycle_state();
@@ -85,13 +88,13 @@
             previous != state
         });
     }
-    /// Advances the lifecycle whenever a deadline of it passes, for as long as the process lives.
+    /// Advances the lifecycle at each of its deadlines, until the process ends.
     pub async fn run_lifecycle_timers(&self) {
         let mut state = self.lifecycle_state.subscribe();
         loop {
             let deadline = self.lifecycle.borrow().next_deadline();
             tokio::select! {
-                // The sender lives as long as the manager, so waiting cannot fail.
+                // The sender lives as long as the manager, so this wait cannot fail.
                 _ = state.changed() => {}
                 () = tokio::time::sleep_until(self.descriptor_pool.instant_at(deadline.unwrap_or_default())), if deadline.is_some() => {
                     self.advance_lifecycle();
@@ -111,22 +114,23 @@
     pub async fn wait_for_closing(&self) {
         self.wait_for_state(|state| !state.accepts_queries()).await;
     }
-    /// Waits until connections are to close as soon as nothing is in flight on them.
+    /// Waits for a state in which connections are closed as soon as nothing is in flight on them.
     pub async fn wait_for_idle_close(&self) {
         self.wait_for_state(LifecycleState::closes_idle_connections).await;
     }
-    /// Waits until new connections are no longer accepted.
+    /// Waits for a state in which new connections are no longer accepted.
     pub async fn wait_for_accept_end(&self) {
         self.wait_for_state(|state| !state.accepts_connections()).await;
     }
     async fn wait_for_state(&self, is_reached: impl Fn(LifecycleState) -> bool) {
         let mut state = self.lifecycle_state.subscribe();
-        // The sender lives as long as the manager, so waiting cannot fail.
+        // The sender lives as long as the manager, so this wait cannot fail.
         let _ = state.wait_for(|state| is_reached(*state)).await;
     }
 
-    /// How scarce descriptors are for clients. The clients' own level counts beside that of the process: their guaranteed
-    /// part is less than the whole, and clients that stay after a single request take it from those that come back.
+    /// The pressure on clients' connections: that of the process, or that on the descriptors guaranteed to clients if
+    /// it is greater. The latter counts because the guaranteed descriptors are fewer than all, and clients that keep a
+    /// connection after a single request take them from clients that return.
     pub fn pressure(&self) -> ResourcePressure {
         let guaranteed = self
             .descriptor_pool
@@ -135,8 +139,8 @@
             .max(self.descriptor_pool.pressure())
     }
 
-    /// Admits a connection, waiting at most `timeout` for each release of a descriptor. `None` where none is to be had:
-    /// a query is in flight on every connection, or no release came in time.
+    /// Admits a connection, waiting at most `timeout` for each release of a descriptor. `None` if there is no
+    /// descriptor for it: a query is in flight on every connection, or none was released in time.
     pub async fn admit(self: &Rc<Self>, source: Source, timeout: Duration) -> Option<ConnectionPermit> {
         let descriptor = self.acquire_descriptor(timeout).await?;
         let now = self.descriptor_pool.now();
@@ -146,8 +150,8 @@
         self.descriptor_pool.counters.borrow_mut().admitted += 1;
         self.evictable.notify_one();
         let permit = ConnectionPermit::new(self.clone(), id, descriptor, eviction);
-        // The next connection is to find a free descriptor. It is freed only now, so that nobody is evicted before it is
-        // needed, and so that the new connection is compared with the others.
+        // Keep a descriptor free for the next connection. Evicting only now avoids evictions before they are needed,
+        // and includes the new connection among the candidates.
         let (free, headroom) =
             self.descriptor_pool.descriptors(|allocator| (allocator.free(), allocator.budget().headroom));
         if free < headroom
@@ -162,7 +166,7 @@
         Some(permit)
     }
 
-    /// Acquires a client's descriptor, waiting at most `timeout` for each release.
+    /// Acquires a descriptor for a client, waiting at most `timeout` for each release.
     async fn acquire_descriptor(self: &Rc<Self>, timeout: Duration) -> Option<DescriptorPermit> {
         loop {
             let released = self.descriptor_pool.wait_for_release();
@@ -172,8 +176,8 @@
                 Err(_) => {}
             }
             if tokio::time::timeout(timeout, released).await.is_err() {
-                // After a pause of the whole process the limit passes before the evicted connections have had a turn to
-                // close: the yields let them.
+                // After a pause of the whole process, the time-out passes before evicted connections have had a chance
+                // to close. The yields let their tasks run.
                 for _ in 0..YIELDS_BEFORE_REJECTION {
                     tokio::task::yield_now().await;
                 }
@@ -182,24 +186,26 @@
         }
     }
 
-    /// Whether any connection has been evicted and is not closed yet.
+    /// Whether any connection was told to close and has not closed yet.
     fn eviction_in_progress(&self) -> bool {
         let connections = self.connections.borrow();
         self.evictions.borrow().keys().any(|id| !connections.is_evictable(*id) && !connections.is_busy(*id))
     }
 
+    /// Evicts the first connection of the eviction order.
     fn evict_one(&self) {
         let victim = self.connections.borrow_mut().evict(self.descriptor_pool.now());
         self.evict_early(victim);
     }
 
-    /// Evicts a connection because accepts fail for want of descriptors outside the budget. New connections are spared:
-    /// another accept is tried soon in any case.
+    /// Evicts a connection because accepts fail for want of descriptors outside the budget. Connections within their
+    /// minimum residence are not evicted, since accepting is retried soon in any case.
     pub(super) fn evict_after_accept_error(&self) {
         let victim = self.connections.borrow_mut().evict_past_min_residence(self.descriptor_pool.now());
         self.evict_early(victim);
     }
 
+    /// Counts and notifies a connection that is evicted before its time limit has passed.
     fn evict_early(&self, victim: Option<(u64, EvictionReason)>) {
         if let Some((id, reason)) = victim {
             self.descriptor_pool.counters.borrow_mut().evicted_early += 1;
@@ -215,8 +221,8 @@
         }
     }
 
-    /// Evicts connections whose time limit has passed, and one for each descriptor that another class reclaims, for as
-    /// long as the process lives.
+    /// Evicts connections whose time limit has passed, and one for each descriptor that another class reclaims. Runs
+    /// until the process ends.
     pub async fn run_evictions(&self) {
         let (mut logged_count, mut logged_at) = (0, self.descriptor_pool.now());
         loop {
@@ -253,7 +259,7 @@
         }
     }
 
-    /// All evictions since the start of the process, as `reason=count` pairs.
+    /// Formats the evictions since the start of the process as `reason=count` pairs.
     fn evictions_by_reason(&self) -> String {
         let counters = self.descriptor_pool.counters.borrow();
         let pairs = EVICTION_REASONS.map(|reason| format!("{reason}={}", counters.evicted[reason as usize]));
--- a/src/transport/clients/connection_permit.rs
+++ b/src/transport/clients/connection_permit.rs
@@ -1,5 +1,5 @@
-//! What one client's connection holds while it is open: its descriptor, its place among the connections that may be
-//! evicted, and the bytes that are buffered for it. It decides nothing: it reports to [`crate::limits`].
+//! The resources of one client's connection while it is open: its descriptor, its entry in the eviction order, and the
+//! bytes buffered for it. Reports events of the connection to [`crate::limits`], which decides about evictions.
 
 use super::connection_manager::{ConnectionManager, Eviction};
 use crate::limits::client_connections::{EvictionReason, RequestValidity, Source};
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The right of one client's connection to exist, from its admission to its close. Dropping it releases the descriptor
-/// and forgets the connection.
+/// The admission of one client's connection. Dropping the permit releases the descriptor and removes the connection
+/// from the manager.
 pub struct ConnectionPermit {
     manager: Rc<ConnectionManager>,
     id: u64,
     descriptor: DescriptorPermit,
     eviction: Rc<Eviction>,
-    /// The bytes that are buffered for this connection.
+    /// The reservation of the bytes that are buffered for this connection.
     pub buffer_reservation: BufferReservation,
     /// How long the connection may have waited in the backlog before it was accepted.
     queue_time: Cell<Duration>,
@@ -47,16 +47,17 @@
         change(&mut self.manager.connections.borrow_mut())
     }
 
-    /// Notes how long the connection may have waited in the backlog before it was accepted.
+    /// Sets how long the connection may have waited in the backlog before it was accepted.
     pub fn set_queue_time(&self, waited: Duration) {
         self.queue_time.set(waited);
     }
-    /// How long the next request may have waited unread: zero from a connection's second request on.
+    /// How long the next request may have waited unread in the backlog: zero from the second request of a connection
+    /// on.
     pub fn take_queue_time(&self) -> Duration {
         self.queue_time.take()
     }
 
-    /// Waits until the connection is evicted; says why it is.
+    /// Waits until the connection is evicted, and returns the reason.
     pub async fn evicted(&self) -> EvictionReason {
         loop {
             match self.eviction.reason.take() {
@@ -65,7 +66,7 @@
             }
         }
     }
-    /// Bytes of a request that is not complete yet have arrived. They cancel an eviction.
+    /// Records bytes of an incomplete request. They cancel a pending eviction.
     pub fn on_bytes_received(&self, bytes: usize) {
         if self.eviction.reason.take().is_some() {
             self.update_counters(|counters| counters.eviction_cancelled += 1);
@@ -74,12 +75,12 @@
             connections.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes)
         });
     }
-    /// The client has said who it is.
+    /// Sets the source of the connection, after a request has named its caller.
     pub fn set_source(&self, source: Source) {
         self.with_connections(|connections| connections.set_source(self.id, source));
     }
-    /// A request is complete: makes the connection busy. False where that would take a descriptor that another class is
-    /// guaranteed; the request is then to be rejected.
+    /// Marks the connection as busy with a complete request, which cancels a pending eviction. Returns false if that
+    /// would use a descriptor that another class is guaranteed; the request must then be rejected.
     #[must_use]
     pub fn try_begin_request(&self) -> bool {
         let marked = self.descriptor.try_mark_busy();
@@ -96,7 +97,7 @@
         }
         marked
     }
-    /// The response was written: the connection is idle again.
+    /// Marks the connection as idle after its response was written.
     pub fn on_response_sent(&self, validity: RequestValidity) {
         self.descriptor.mark_idle();
         self.with_connections(|connections| {
@@ -104,24 +105,24 @@
         });
         self.manager.evictable.notify_one();
     }
-    /// Changes the process's counters.
+    /// Updates the connection counters of the process.
     pub fn update_counters(&self, change: impl FnOnce(&mut ConnectionCounters)) {
         change(&mut self.manager.descriptor_pool().counters.borrow_mut());
     }
-    /// The bytes that arrived are not a valid request.
+    /// Records that the input is not a valid request.
     pub fn on_malformed_input(&self) {
         self.with_connections(|connections| {
             connections.reject_malformed(self.manager.descriptor_pool().now(), self.id)
         });
     }
-    /// Bytes of a request arrived as the connection was about to be closed: it stays open.
+    /// Records bytes that arrived just before the connection was to be closed, which keep it open.
     pub fn cancel_eviction(&self, bytes: usize) {
         self.update_counters(|counters| counters.eviction_cancelled += 1);
         self.with_connections(|connections| {
             connections.receive_bytes(self.manager.descriptor_pool().now(), self.id, bytes)
         });
     }
-    /// Bytes arrived after the connection was closed from this side.
+    /// Counts bytes that arrived after this side had closed the connection.
     pub fn on_request_after_close(&self) {
         self.update_counters(|counters| counters.close_races += 1);
     }
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -1,11 +1,11 @@
-//! Accepts clients' connections and hands each to its own task, admitted or rejected.
+//! Accepts connections of clients, and serves each admitted one in a task of its own.
 //!
-//! It owns the accept loop. It never decides who is admitted, which is the [`ConnectionManager`]'s, and reads no requests.
+//! Owns the accept loop. Admission is decided by the [`ConnectionManager`]; requests are read in `connection`.
 
 use super::closing::{linger, poll_once};
 use super::connection_manager::ConnectionManager;
 use super::source::source;
-// Fronts and tests import these beside `accept`.
+// Exported for fronts and tests.
 pub use super::connection::serve_connection;
 pub use super::front::Front;
 use crate::limits::AcceptPacer;
@@ -24,10 +24,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// The longest delay after a failed accept: without a delay, a process out of descriptors would spin.
+/// The longest delay after a failed accept. Without a delay, a process that is out of descriptors would spin.
 const MAX_ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a new connection waits for a descriptor that an evicted one is about to release, and how long writing the
-/// rejection of one that got none may take.
+/// How long a new connection waits for the descriptor of an evicted one, and how long writing the rejection of a
+/// connection without a descriptor may take.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// An accepted connection and its peer's address, or why the accept failed.
@@ -36,7 +36,7 @@
 /// Resolves to an accepted connection and its peer's address.
 pub type AcceptFuture<'a> = Pin<Box<dyn Future<Output = Accepted> + 'a>>;
 
-/// A source of incoming connections: a listening socket, or what stands in for it in tests.
+/// Accepts incoming connections: a listening socket, or a test double.
 pub trait Accept {
     /// Waits for the next connection.
     fn accept(&self) -> AcceptFuture<'_>;
@@ -53,27 +53,27 @@
         Box::pin(async move {
             let (stream, peer) = TcpListener::accept(self).await?;
             if let Err(error) = stream.set_nodelay(true) {
-                log::debug!("client: {error}");
+                log::debug!("client at {peer}: cannot set TCP_NODELAY: {error}");
             }
             Ok((Box::new(Socket::new(stream)) as Box<dyn Stream>, peer))
         })
     }
 }
 
-/// Accepts connections until the lifecycle ends accepting; whoever has connected by then still gets a response. The loop
-/// never waits for a descriptor that nobody is about to release, and keeps to its share of processor time while many
-/// connections arrive at once.
+/// Accepts connections until the lifecycle ends accepting and the backlog is empty: every client that has connected by
+/// then gets a response. The loop waits for a descriptor only while an eviction may release one, and pauses during
+/// floods of connections to bound its share of processor time, see [`AcceptPacer`].
 pub async fn accept_connections<F: Front + 'static>(
     listener: impl Accept,
     front: Rc<F>,
     manager: Rc<ConnectionManager>,
 ) {
     let (mut pacer, mut delays) = (AcceptPacer::default(), RetryDelays::default());
-    // When accepts began to fail: a connection accepted afterwards has waited at most since then, until the backlog has
-    // been seen empty.
+    // The time of the first failed accept since the backlog was last empty. A connection that is accepted later may
+    // have waited in the backlog since then.
     let mut failing_since = None;
     loop {
-        // After the takeover the backlog belongs to the successor.
+        // After a takeover, the successor accepts the connections in the backlog.
         if is_handed_over(&manager) {
             return;
         }
@@ -107,21 +107,21 @@
     matches!(manager.lifecycle_state(), LifecycleState::HandedOver { .. })
 }
 
-/// Waits for a connection; `None` when accepting has ended and the backlog is empty.
+/// Waits for a connection. `None` when accepting has ended and the backlog is empty, or belongs to a successor.
 async fn wait_for_connection(listener: &impl Accept, manager: &ConnectionManager) -> Option<Accepted> {
     tokio::select! {
         biased;
         accepted = listener.accept() => Some(accepted),
         () = manager.wait_for_accept_end() => {
-            // Closing the listening socket would reset the connections in its backlog, so they are taken first. After
-            // the yield the runtime has polled its sockets and knows of all of them.
+            // Closing the listening socket would reset the connections in its backlog, so they are accepted first. The
+            // runtime polls its sockets during the yield and so learns of all of them.
             tokio::task::yield_now().await;
             poll_once(listener.accept()).await.filter(|_| !is_handed_over(manager))
         }
     }
 }
 
-/// Serves an accepted connection in a task of its own, or rejects it where it gets no descriptor.
+/// Serves an accepted connection in a new task, or rejects it if it gets no descriptor.
 async fn admit_or_reject<F: Front + 'static>(
     stream: Box<dyn Stream>,
     peer: SocketAddr,
@@ -138,28 +138,28 @@
     tokio::task::spawn_local(async move { serve_connection(stream, peer, &*front, permit).await });
 }
 
-/// Waits until another accept may succeed. Connections in the backlog wait for as long as this does.
+/// Waits until another accept may succeed. Connections in the backlog wait meanwhile.
 async fn recover_from_accept_error(manager: &ConnectionManager, error: &io::Error, delays: &mut RetryDelays) {
     manager.descriptor_pool().counters.borrow_mut().accept_failed += 1;
     if !errors::is_out_of_descriptors(error) {
-        // The error was that one connection's, or an interrupted call: the next accept may succeed at once.
-        log::debug!("accept: {error}");
+        // The error concerned one connection, or the call was interrupted: the next accept may succeed at once.
+        log::debug!("clients: accept failed: {error}");
         return tokio::task::yield_now().await;
     }
-    log::warn!("accept: {error}");
-    // Descriptors are exhausted outside the budget: closing an evictable client connection frees one.
+    log::warn!("clients: accept failed for want of descriptors or memory, retrying: {error}");
+    // Descriptors are exhausted outside the budget. Closing an evictable client connection frees one.
     let released = manager.descriptor_pool().wait_for_release();
     manager.evict_after_accept_error();
-    // The next accept is tried after the delay whether one was released or not.
+    // Accepting is retried after the delay even if no descriptor was released.
     let _ = tokio::time::timeout(delays.next_delay().min(MAX_ACCEPT_RETRY_DELAY), released).await;
 }
 
-/// Writes a rejection to a connection that got no descriptor permit: a query is in flight on every other one.
+/// Writes a rejection to a connection that got no descriptor permit, and closes it.
 async fn reject_connection(mut stream: Box<dyn Stream>, response: &Response, manager: &ConnectionManager) {
     manager.descriptor_pool().counters.borrow_mut().rejected += 1;
     let bytes = response.encode(true);
     let write_rejection = async { stream.write_all(&bytes).await.is_ok() && stream.shutdown().await.is_ok() };
-    // The connection is closed whether its client has read the rejection or not.
+    // The connection is closed even if its client does not read the rejection.
     if tokio::time::timeout(ADMISSION_TIMEOUT, write_rejection).await == Ok(true) {
         linger(&mut stream, ADMISSION_TIMEOUT).await;
     }
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -1,4 +1,5 @@
-//! The clients' side: accepting connections, admitting and evicting them, and one response to each request.
+//! The server side for clients: accepting, admitting and evicting connections, and writing one response to each
+//! request.
 
 mod closing;
 mod connection;
--- a/src/transport/clients/source.rs
+++ b/src/transport/clients/source.rs
@@ -1,9 +1,9 @@
-//! Whom a client's connection is counted under.
+//! The source that a client's connection is counted under.
 
 use crate::limits::client_connections::Source;
 use std::net::SocketAddr;
 
-/// Hashes a client's address, and what it says of itself, to the source that connections are counted by.
+/// Hashes a client's IP address, and the name that it gives in its request if any, to a source.
 pub(super) fn source(address: SocketAddr, caller: Option<&str>) -> Source {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
     match address {
