--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -16,7 +16,7 @@
 use tokio::task::LocalSet;
 
 /// How many threads open connections.
-const FLOODERS: u64 = 2;
+const FLOOD_THREADS: u64 = 2;
 /// How many source addresses each of them uses in turn: an address has a limited number of ports.
 const ADDRESSES: u64 = 100;
 
@@ -56,8 +56,8 @@
     LocalSet::new().block_on(&runtime, async {
         let (start, mut opened) = (Instant::now(), 0);
         while Instant::now() < until {
-            let due = (start.elapsed().as_secs_f64() * rate as f64) as u64;
-            while opened < due {
+            let target_count = (start.elapsed().as_secs_f64() * rate as f64) as u64;
+            while opened < target_count {
                 opened += 1;
                 let from = [127, 1 + thread as u8, 0, 1 + (opened % ADDRESSES) as u8];
                 tokio::task::spawn_local(async move {
@@ -80,31 +80,32 @@
 /// A well-behaved client: one request after the other on one connection. Returns the latencies, and how many requests were
 /// lost.
 fn well_behaved(to: SocketAddr, until: Instant) -> (Vec<Duration>, u64) {
-    let (mut kept, mut latencies, mut lost): (Option<TcpStream>, Vec<Duration>, u64) = (None, Vec::new(), 0);
+    let (mut idle_connection, mut latencies, mut lost): (Option<TcpStream>, Vec<Duration>, u64) =
+        (None, Vec::new(), 0);
     let exchange = |stream: &mut TcpStream| {
-        let mut answer = [0; 512];
+        let mut response = [0; 512];
         stream.write_all(b"GET /well-behaved HTTP/1.1\r\n\r\n").is_ok()
-            && matches!(stream.read(&mut answer), Ok(1..))
+            && matches!(stream.read(&mut response), Ok(1..))
     };
     while Instant::now() < until {
-        let begun = Instant::now();
-        let again = kept.as_mut().is_some_and(exchange);
-        if !again {
+        let started_at = Instant::now();
+        let reused = idle_connection.as_mut().is_some_and(exchange);
+        if !reused {
             let mut stream = TcpStream::connect(to).expect("connected");
             lost += u64::from(!exchange(&mut stream));
-            kept = Some(stream);
+            idle_connection = Some(stream);
         }
-        latencies.push(begun.elapsed());
+        latencies.push(started_at.elapsed());
         thread::sleep(Duration::from_millis(5));
     }
     (latencies, lost)
 }
 
 fn main() {
-    let number = |at: usize, absent: u64| {
-        std::env::args().nth(at).map_or(absent, |text| text.parse().expect("a number"))
+    let argument = |position: usize, default: u64| {
+        std::env::args().nth(position).map_or(default, |text| text.parse().expect("a number"))
     };
-    let (rate, seconds, descriptors) = (number(1, 10_000), number(2, 5), number(3, 384));
+    let (rate, seconds, descriptors) = (argument(1, 10_000), argument(2, 5), argument(3, 384));
     let _ = rlimit::increase_nofile_limit(1 << 17);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -112,35 +113,35 @@
         let to = listener.local_addr().expect("an address");
         let budget = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
         let manager = ConnectionManager::new(DescriptorPool::new(budget, 12 << 20));
-        let evicting = manager.clone();
-        tokio::task::spawn_local(async move { evicting.run_evictions().await });
+        let evicting_manager = manager.clone();
+        tokio::task::spawn_local(async move { evicting_manager.run_evictions().await });
         tokio::task::spawn_local(accept_connections(listener, Rc::new(Echo), manager.clone()));
         let until = Instant::now() + Duration::from_secs(seconds);
-        let flooders: Vec<_> = (0..FLOODERS)
-            .map(|thread| thread::spawn(move || flood(to, rate / FLOODERS, until, thread)))
+        let flood_threads: Vec<_> = (0..FLOOD_THREADS)
+            .map(|thread| thread::spawn(move || flood(to, rate / FLOOD_THREADS, until, thread)))
             .collect();
         let client = thread::spawn(move || well_behaved(to, until));
         let before = processor_time();
         while Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let used = processor_time() - before;
-        let opened: u64 = flooders.into_iter().map(|flooder| flooder.join().expect("joined")).sum();
+        let processor_time_used = processor_time() - before;
+        let opened: u64 = flood_threads.into_iter().map(|thread| thread.join().expect("joined")).sum();
         let (mut latencies, lost) = client.join().expect("joined");
         latencies.sort();
-        let share = |part: f64| latencies[((latencies.len() - 1) as f64 * part) as usize];
+        let percentile = |fraction: f64| latencies[((latencies.len() - 1) as f64 * fraction) as usize];
         let admitted = manager.descriptor_pool().counters.borrow().admitted;
         println!("tried {} a second, admitted {} a second", opened / seconds, admitted / seconds);
         println!(
             "serving thread: {:.1}% of a core, {:.1} us a connection",
-            used.as_secs_f64() / seconds as f64 * 100.0,
-            used.as_secs_f64() / admitted.max(1) as f64 * 1e6
+            processor_time_used.as_secs_f64() / seconds as f64 * 100.0,
+            processor_time_used.as_secs_f64() / admitted.max(1) as f64 * 1e6
         );
         println!(
             "well-behaved client: {} requests, {lost} lost, {:?} at the median, {:?} at the 99th percentile",
             latencies.len(),
-            share(0.5),
-            share(0.99)
+            percentile(0.5),
+            percentile(0.99)
         );
         println!("{}", manager.descriptor_pool().counters.borrow());
     });
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Nanoseconds of a millisecond.
-const MS: u64 = 1_000_000;
+const NS_PER_MS: u64 = 1_000_000;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -47,10 +47,10 @@
     removed: ConnectTicket,
 ) -> Result<(), TestCaseError> {
     let waiting_for = |worker: u32| waiting.values().filter(|other| **other == worker).count();
-    let of_removed = waiting[&removed];
-    let most = (0..6).map(waiting_for).max();
-    prop_assert_eq!(Some(waiting_for(of_removed)), most);
-    prop_assert!(waiting.iter().all(|(ticket, worker)| *worker != of_removed || *ticket <= removed));
+    let removed_worker = waiting[&removed];
+    let max_waiting = (0..6).map(waiting_for).max();
+    prop_assert_eq!(Some(waiting_for(removed_worker)), max_waiting);
+    prop_assert!(waiting.iter().all(|(ticket, worker)| *worker != removed_worker || *ticket <= removed));
     Ok(())
 }
 
@@ -120,11 +120,11 @@
             prop_assert!(budget.used() <= budget.total());
             prop_assert_eq!(budget.used(), held.iter().sum::<usize>());
         }
-        for bytes in &mut held {
-            prop_assert!(budget.allowance(*bytes) >= budget.min_per_holder());
-            if *bytes < budget.min_per_holder() {
-                budget.update(*bytes, budget.min_per_holder());
-                *bytes = budget.min_per_holder();
+        for held_bytes in &mut held {
+            prop_assert!(budget.allowance(*held_bytes) >= budget.min_per_holder());
+            if *held_bytes < budget.min_per_holder() {
+                budget.update(*held_bytes, budget.min_per_holder());
+                *held_bytes = budget.min_per_holder();
             }
         }
     }
@@ -250,7 +250,7 @@
 #[test]
 fn connections_are_evicted_in_the_documented_order() {
     let mut connections = ClientConnections::default();
-    let at = |milliseconds: u64| Time(milliseconds * MS);
+    let at = |milliseconds: u64| Time(milliseconds * NS_PER_MS);
     let accept = |connections: &mut ClientConnections| connections.accept(at(0), Source(1));
     let query = |connections: &mut ClientConnections, id: u64, when: u64, validity: RequestValidity| {
         connections.receive_bytes(at(when), id, 50);
@@ -287,11 +287,11 @@
     let many: Vec<u64> = (0..10).map(|_| connections.accept(now, Source(2))).collect();
     // All are within their minimum residence, and the oldest is the other source's.
     for _ in 0..9 {
-        let (id, reason) = connections.evict(Time(MS)).expect("an evictable connection");
+        let (id, reason) = connections.evict(Time(NS_PER_MS)).expect("an evictable connection");
         assert!(many.contains(&id) && reason == EvictionReason::OverQuota);
         connections.close(id);
     }
-    assert_eq!(connections.evict(Time(MS)).expect("an evictable connection").0, other);
+    assert_eq!(connections.evict(Time(NS_PER_MS)).expect("an evictable connection").0, other);
 }
 
 #[test]
@@ -300,13 +300,13 @@
     let dribbling = connections.accept(Time(0), Source(1));
     let uploading = connections.accept(Time(0), Source(1));
     for number in 1..=10 {
-        connections.receive_bytes(Time(number * 30 * MS), dribbling, 1);
-        connections.receive_bytes(Time(number * 30 * MS), uploading, 6_000);
+        connections.receive_bytes(Time(number * 30 * NS_PER_MS), dribbling, 1);
+        connections.receive_bytes(Time(number * 30 * NS_PER_MS), uploading, 6_000);
     }
-    let expired = connections.evict_expired(Time(310 * MS), ResourcePressure::FULL);
+    let expired = connections.evict_expired(Time(310 * NS_PER_MS), ResourcePressure::FULL);
     assert_eq!(expired, [(dribbling, EvictionReason::Slow)]);
     assert_eq!(
-        connections.evict_expired(Time(2500 * MS), ResourcePressure::NONE),
+        connections.evict_expired(Time(2500 * NS_PER_MS), ResourcePressure::NONE),
         [(uploading, EvictionReason::Slow)],
         "no request may take longer than 2.5 s"
     );
@@ -319,17 +319,17 @@
     let first = connections.accept(Time(0), Source(2));
     connections.reject_malformed(Time(0), first);
     connections.close(first);
-    let again = connections.accept(Time(MS), Source(2));
-    let expired = connections.evict_expired(Time(60 * MS), ResourcePressure::FULL);
-    assert_eq!(expired, [(again, EvictionReason::Silent)]);
+    let reconnected = connections.accept(Time(NS_PER_MS), Source(2));
+    let expired = connections.evict_expired(Time(60 * NS_PER_MS), ResourcePressure::FULL);
+    assert_eq!(expired, [(reconnected, EvictionReason::Silent)]);
     assert!(connections.is_evictable(other));
     // Where all clients share one address, none is penalised for another.
     connections.close(other);
-    connections.close(again);
+    connections.close(reconnected);
     let sender = connections.accept(Time(0), Source(2));
     let bystander = connections.accept(Time(0), Source(2));
     connections.reject_malformed(Time(0), sender);
-    assert!(connections.evict_expired(Time(60 * MS), ResourcePressure::FULL).is_empty());
+    assert!(connections.evict_expired(Time(60 * NS_PER_MS), ResourcePressure::FULL).is_empty());
     assert!(connections.is_evictable(bystander));
 }
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -92,13 +92,13 @@
     /// The response to a poll; `None` where the connection ends without one.
     async fn respond(&self, request: &Request) -> Option<Response> {
         self.polls.borrow_mut().push(Instant::now());
-        let failed = || Response::text(503, "down, or too many polls");
+        let unavailable = || Response::text(503, "down, or too many polls");
         match self.state.get() {
             DiscoveryState::Up => {}
-            DiscoveryState::Unavailable => return Some(failed()),
+            DiscoveryState::Unavailable => return Some(unavailable()),
             DiscoveryState::Resetting => return None,
         }
-        let Ok(turn) = timeout(MAX_TURN_WAIT, self.turn.lock()).await else { return Some(failed()) };
+        let Ok(turn) = timeout(MAX_TURN_WAIT, self.turn.lock()).await else { return Some(unavailable()) };
         sleep(HANDLING_TIME).await;
         drop(turn);
         let parameter =
@@ -158,15 +158,15 @@
 }
 
 /// Connects to discovery, whatever the address.
-struct Network(Rc<Discovery>);
+struct DiscoveryConnector(Rc<Discovery>);
 
-impl Connector for Network {
+impl Connector for DiscoveryConnector {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             sleep(Duration::from_millis(1)).await;
-            let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(self.0.clone().serve(far));
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, discovery_end) = tokio::io::duplex(1 << 16);
+            spawn_local(self.0.clone().serve(discovery_end));
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
@@ -179,33 +179,40 @@
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
     let list = config.initial_workers.expect("a list");
     broker.apply_endpoint_update(&list, true);
-    let (network, following) = (Network(discovery.clone()), broker.clone());
+    let (connector, following_broker) = (DiscoveryConnector(discovery.clone()), broker.clone());
     spawn_local(async move {
         let descriptor_pool =
             DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
         // The sender stays: discovery does not move.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
-        discovery::follow(&network, address, Some(list.revision), &following, &descriptor_pool, backoff)
-            .await;
+        discovery::follow(
+            &connector,
+            address,
+            Some(list.revision),
+            &following_broker,
+            &descriptor_pool,
+            backoff,
+        )
+        .await;
     });
     broker
 }
 
 /// Whether it knows that `w1` is draining.
-fn knows_of_the_change(broker: &Broker) -> bool {
+fn has_received_change(broker: &Broker) -> bool {
     let list = broker.with_core(|core| core.endpoint_list());
     list.workers.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
 /// Waits until all gatherers know that `w1` is draining; returns how long that took.
-async fn wait_until_all_know(gatherers: &[Broker]) -> Duration {
-    let since = Instant::now();
-    while !gatherers.iter().all(knows_of_the_change) {
-        assert!(since.elapsed() < TEST_TIMEOUT, "waited in vain");
+async fn wait_until_all_have_received(gatherers: &[Broker]) -> Duration {
+    let started_at = Instant::now();
+    while !gatherers.iter().all(has_received_change) {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "waited in vain");
         sleep(Duration::from_millis(5)).await;
     }
-    since.elapsed()
+    started_at.elapsed()
 }
 
 /// Runs a number of gatherers beside one discovery, once for each seed.
@@ -234,8 +241,8 @@
                 sleep(Duration::from_millis(30_000 + 100 * seed)).await;
                 discovery.publish_draining();
                 discovery.set_state(DiscoveryState::Up);
-                let took = wait_until_all_know(&all).await;
-                assert!(took < NOTIFIED_AFTER, "{gatherers} gatherers, seed {seed}: {took:?}");
+                let elapsed = wait_until_all_have_received(&all).await;
+                assert!(elapsed < NOTIFIED_AFTER, "{gatherers} gatherers, seed {seed}: {elapsed:?}");
             });
         }
     }
@@ -267,23 +274,23 @@
             sleep(Duration::from_secs(3)).await;
             discovery.unresponsive.set(false);
             let wait = Backoff::new(0, gatherers, MAX_POLL_INTERVAL).long_poll_timeout();
-            let first = discovery.polls.borrow().iter().copied().min().expect("a poll");
-            let before = Instant::now() - first;
+            let first_poll = discovery.polls.borrow().iter().copied().min().expect("a poll");
+            let before_publication = Instant::now() - first_poll;
             discovery.publish_draining();
-            let took = wait_until_all_know(&all).await + before;
-            let last = discovery.polls.borrow().iter().take(gatherers as usize).copied().max();
-            let spread = last.expect("a poll") - first;
-            assert!(took <= spread + wait + Duration::from_secs(2), "seed {seed}: {took:?}");
+            let elapsed = wait_until_all_have_received(&all).await + before_publication;
+            let last_poll = discovery.polls.borrow().iter().take(gatherers as usize).copied().max();
+            let spread = last_poll.expect("a poll") - first_poll;
+            assert!(elapsed <= spread + wait + Duration::from_secs(2), "seed {seed}: {elapsed:?}");
         });
     }
 }
 
 #[test]
-fn gatherers_that_start_together_have_all_polled_in_time() {
+fn gatherers_that_start_together_all_receive_a_change_in_time() {
     run_with_each_seed(6, |seed, discovery, all| async move {
         discovery.publish_draining();
-        let took = wait_until_all_know(&all).await;
-        assert!(took < NOTIFIED_AFTER.min(MAX_POLL_INTERVAL), "seed {seed}: {took:?}");
+        let elapsed = wait_until_all_have_received(&all).await;
+        assert!(elapsed < NOTIFIED_AFTER.min(MAX_POLL_INTERVAL), "seed {seed}: {elapsed:?}");
         sleep(Duration::from_secs(1)).await;
         assert_eq!(discovery.polls.borrow().len(), 12, "one poll for what has changed, then a long poll");
     });
@@ -324,11 +331,11 @@
 #[test]
 fn a_process_that_starts_while_discovery_is_down_serves_from_the_list_it_has() {
     let (folder, worker) = (TempFolder::new("down"), Worker::start());
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let gatherer = Gatherer::start(&folder, &config_while_discovery_is_down(&worker));
     assert_eq!(call_operator_api(&gatherer.clients, "GET", "/_health").0, 200);
-    let took = begun.elapsed();
-    assert!(took < Duration::from_secs(10), "{took:?}");
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_secs(10), "{elapsed:?}");
     let mut client = gatherer.connect();
     process::query(&mut client, "a", "search").expect("written");
     assert_eq!(process::response(&mut client).expect("an answer").status, 200);
@@ -356,7 +363,7 @@
 }
 
 #[test]
-fn a_worker_that_started_in_the_future_by_a_stepped_clock_warms_up_in_time() {
+fn a_worker_whose_start_lies_in_the_future_after_a_clock_step_warms_up_in_time() {
     // The wall clock was stepped back as this process started: every worker would stay in slow start for an
     // hour.
     let config = platform_config();
--- a/tests/listener/clients.rs
+++ b/tests/listener/clients.rs
@@ -86,13 +86,13 @@
 }
 
 /// Waits until a condition holds, and fails the test after 20 s.
-pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let all = async {
-        while !holds() {
+pub async fn wait_until(condition: &str, is_met: impl Fn() -> bool) {
+    let poll = async {
+        while !is_met() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(20), all)
+    tokio::time::timeout(Duration::from_secs(20), poll)
         .await
-        .unwrap_or_else(|_| panic!("waited in vain: {what}"));
+        .unwrap_or_else(|_| panic!("waited 20 s in vain: {condition}"));
 }
--- a/tests/listener/flood.rs
+++ b/tests/listener/flood.rs
@@ -11,7 +11,7 @@
 
 /// Acquires all descriptors that workers are guaranteed, busy, as queries of many parts do.
 fn fill_guaranteed_worker_descriptors(pool: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
-    let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Workers as usize]);
+    let floor = pool.descriptors(|allocator| allocator.budget().floors[DescriptorClass::Workers as usize]);
     let held: Vec<DescriptorPermit> = (0..floor)
         .map(|_| pool.try_acquire(DescriptorClass::Workers).expect("a guaranteed descriptor"))
         .collect();
@@ -32,14 +32,17 @@
         (0..10 * descriptors).map(|number| spawn_local(misbehaving(server.address, number))).collect();
     // Well-behaved clients keep their connections; one that is closed between two requests reconnects.
     let mut clients = [None, None, None, None];
-    let admitted = || server.manager.descriptor_pool().counters.borrow().admitted;
+    let admitted_count = || server.manager.descriptor_pool().counters.borrow().admitted;
     let mut rounds = 0;
-    while rounds < 10 || admitted() < min_admitted {
+    while rounds < 10 || admitted_count() < min_admitted {
         for client in &mut clients {
             assert!(well_behaved(server.address, client).await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
         rounds += 1;
-        assert!(server.free() <= server.manager.descriptor_pool().descriptors(|all| all.budget().usable));
+        assert!(
+            server.free_descriptors()
+                <= server.manager.descriptor_pool().descriptors(|allocator| allocator.budget().usable)
+        );
         tokio::task::yield_now().await;
     }
     let counters = server.manager.descriptor_pool().counters.borrow().clone();
@@ -47,16 +50,18 @@
     assert!(counters.evicted_early > 0 && counters.total_evicted() > 0, "{counters}");
     assert_eq!((counters.rejected, counters.rejected_no_descriptor), (0, 0), "{counters}");
     assert_eq!(counters.accept_failed > 0, failures > 0, "{counters}");
-    let mut last = connect_and_send(server.address, b"GET /held HTTP/1.1\r\n\r\n").await;
-    while server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients)) == 0 {
+    let mut held_client = connect_and_send(server.address, b"GET /held HTTP/1.1\r\n\r\n").await;
+    while server.manager.descriptor_pool().descriptors(|allocator| allocator.busy(DescriptorClass::Clients))
+        == 0
+    {
         tokio::task::yield_now().await;
     }
     // After SIGTERM well-behaved clients still get their responses, and the process ends under load.
     server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
     assert!(well_behaved(server.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
     server.manager.wait_for_closing().await;
-    server.held.add_permits(1);
-    assert!(read_response(&mut last, "/held").await.contains("Connection: close\r\n"));
+    server.held_requests.add_permits(1);
+    assert!(read_response(&mut held_client, "/held").await.contains("Connection: close\r\n"));
     misbehaving_clients.iter().for_each(JoinHandle::abort);
     server.accepting.await.expect("accepting ends");
     while server.manager.open_connections() > 0 {
@@ -76,6 +81,6 @@
 }
 
 #[test]
-fn well_behaved_clients_lose_nothing_while_accepts_fail_for_want_of_descriptors() {
+fn well_behaved_clients_lose_nothing_while_accepts_fail_for_lack_of_descriptors() {
     run(well_behaved_clients_lose_nothing(64, 1, false, 80));
 }
--- a/tests/listener/main.rs
+++ b/tests/listener/main.rs
@@ -19,15 +19,19 @@
     run(async {
         let server = Server::start(64, 0).await;
         let mut busy = Vec::new();
-        while server.free() > 0 {
-            let mut client = server.client().await;
+        while server.free_descriptors() > 0 {
+            let mut client = server.connect().await;
             send_request(&mut client, "/held").await;
             busy.push(client);
-            let busy_count =
-                || server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
+            let busy_count = || {
+                server
+                    .manager
+                    .descriptor_pool()
+                    .descriptors(|allocator| allocator.busy(DescriptorClass::Clients))
+            };
             let rejected_count = || server.manager.descriptor_pool().counters.borrow().rejected_no_descriptor;
             let before = busy_count() + rejected_count() as usize;
-            while busy_count() + rejected_count() as usize == before && server.free() > 0 {
+            while busy_count() + rejected_count() as usize == before && server.free_descriptors() > 0 {
                 tokio::task::yield_now().await;
             }
             if rejected_count() > 0 {
@@ -41,19 +45,19 @@
         // What the other classes are guaranteed can still be acquired.
         let (pool, mut others) = (server.manager.descriptor_pool(), Vec::new());
         for class in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
-            let floor = pool.descriptors(|all| all.budget().floors[class as usize]);
+            let floor = pool.descriptors(|allocator| allocator.budget().floors[class as usize]);
             for _ in 0..floor {
                 let permit = pool.acquire(class).await;
                 assert!(permit.try_mark_busy(), "{class}");
                 others.push(permit);
             }
         }
-        let mut late = server.client().await;
+        let mut late = server.connect().await;
         let mut text = String::new();
         late.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
         assert_eq!(pool.counters.borrow().rejected, 1);
-        server.held.add_permits(busy.len());
+        server.held_requests.add_permits(busy.len());
         for client in &mut busy {
             assert!(read_response(client, "/held").await.starts_with("HTTP/1.1 200 OK\r\n"));
         }
@@ -67,13 +71,13 @@
         let server = Server::with_buffer_limit(96, 0, 400 << 10).await;
         let mut incomplete = Vec::new();
         for _ in 0..40 {
-            let mut half = server.client().await;
+            let mut client = server.connect().await;
             let body = vec![b'x'; 60_000];
             incomplete.push(spawn_local(async move {
-                half.write_all(b"POST /half HTTP/1.1\r\nContent-Length: 60001\r\n\r\n").await?;
-                half.write_all(&body).await?;
+                client.write_all(b"POST /half HTTP/1.1\r\nContent-Length: 60001\r\n\r\n").await?;
+                client.write_all(&body).await?;
                 let mut text = String::new();
-                half.read_to_string(&mut text).await.map(|_| text)
+                client.read_to_string(&mut text).await.map(|_| text)
             }));
         }
         let mut idle = None;
@@ -82,14 +86,17 @@
             tokio::task::yield_now().await;
         }
         let mut answered = 0;
-        for half in incomplete {
+        for client in incomplete {
             // A connection may be reset while its client still sends; the others get a response that says why.
-            if let Ok(text) = half.await.expect("its task ends") {
+            if let Ok(text) = client.await.expect("its task ends") {
                 answered += usize::from(text.starts_with("HTTP/1.1 408 "));
             }
         }
-        let most = server.manager.descriptor_pool().counters.borrow().peak_buffered_bytes;
-        assert!(answered > 0 && most > 100 << 10 && most <= 400 << 10, "{answered} answered, {most} bytes");
+        let peak_bytes = server.manager.descriptor_pool().counters.borrow().peak_buffered_bytes;
+        assert!(
+            answered > 0 && peak_bytes > 100 << 10 && peak_bytes <= 400 << 10,
+            "{answered} answered, {peak_bytes} bytes"
+        );
     });
 }
 
@@ -97,21 +104,21 @@
 fn an_incomplete_request_is_evicted_once_another_connection_needs_its_descriptor() {
     run(async {
         let server = Server::start(64, 0).await;
-        let mut half = server.client().await;
-        half.write_all(b"POST /half HTTP/1.1\r\nX-Pad:").await.expect("written");
+        let mut incomplete = server.connect().await;
+        incomplete.write_all(b"POST /half HTTP/1.1\r\nX-Pad:").await.expect("written");
         let mut others = Vec::new();
         let mut text = String::new();
-        let closed = half.read_to_string(&mut text);
-        let more = async {
+        let closed = incomplete.read_to_string(&mut text);
+        let connect_more = async {
             while server.manager.descriptor_pool().counters.borrow().evicted.iter().sum::<u64>() == 0 {
-                others.push(server.client().await);
+                others.push(server.connect().await);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             std::future::pending::<()>().await;
         };
         tokio::select! {
             read = closed => { read.expect("readable"); }
-            () = more => {}
+            () = connect_more => {}
         }
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
         assert!(server.manager.descriptor_pool().counters.borrow().evicted[1] > 0);
@@ -122,7 +129,7 @@
 fn a_request_that_arrives_as_its_connection_is_evicted_is_served() {
     run(async {
         let server = Server::start(64, 0).await;
-        let mut client = server.client().await;
+        let mut client = server.connect().await;
         exchange(&mut client, "/a").await;
         // Both happen before the connection's task runs again.
         server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
@@ -136,15 +143,16 @@
 }
 
 #[test]
-fn a_client_that_closes_behind_unread_bytes_is_noticed() {
+fn a_client_that_closes_after_sending_more_than_is_buffered_is_detected() {
     // The request waits for its first attempt; its client sends more than is buffered ahead, and closes.
     run(async {
         let server = Server::start(64, 0).await;
-        let busy_count =
-            || server.manager.descriptor_pool().descriptors(|all| all.busy(DescriptorClass::Clients));
+        let busy_count = || {
+            server.manager.descriptor_pool().descriptors(|allocator| allocator.busy(DescriptorClass::Clients))
+        };
         let mut closing = Vec::new();
         for _ in 0..4 {
-            let mut client = server.client().await;
+            let mut client = server.connect().await;
             send_request(&mut client, "/held").await;
             closing.push(client);
         }
@@ -155,17 +163,17 @@
                 client.write_all(&vec![b'x'; 600 << 10]).await.expect("it is read");
             })
         });
-        for gone in burst.collect::<Vec<_>>() {
-            gone.await.expect("it ends");
+        for close in burst.collect::<Vec<_>>() {
+            close.await.expect("it ends");
         }
         wait_until("they are gone", || server.manager.open_connections() == 0).await;
         // A client that stays gets its response and the end of its connection: what it sent ahead was discarded.
-        let mut client = server.client().await;
+        let mut client = server.connect().await;
         send_request(&mut client, "/held").await;
         wait_until("it is held", || busy_count() == 1).await;
         // More than the system's buffers hold: most of it has been read when this returns.
         client.write_all(&vec![b'x'; 24 << 20]).await.expect("it is read");
-        server.held.add_permits(1);
+        server.held_requests.add_permits(1);
         assert!(read_response(&mut client, "/held").await.contains("Connection: close\r\n"));
     });
 }
@@ -175,7 +183,7 @@
     // Closing a socket with unread bytes resets the connection, and discards what has not arrived yet.
     run(async {
         let server = Server::start(64, 0).await;
-        let mut client = server.client().await;
+        let mut client = server.connect().await;
         exchange(&mut client, "/a").await;
         server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
         let mut text = String::new();
@@ -192,7 +200,7 @@
 }
 
 #[test]
-fn all_connections_made_before_accepting_ends_get_a_response() {
+fn connections_made_before_accepting_ends_get_a_response() {
     // After a pause of the process both are due at once: connections in the backlog, and the end of accepting.
     run(async {
         let server = Server::start(256, 0).await;
@@ -217,33 +225,34 @@
 }
 
 #[test]
-fn an_accept_error_that_is_no_want_of_descriptors_delays_no_client() {
+fn an_accept_error_other_than_out_of_descriptors_delays_no_client() {
     run(async {
         let server = Server::with_accept_errors(64, 40, ECONNABORTED, 4 << 20).await;
-        let since = std::time::Instant::now();
-        let mut client = server.client().await;
+        let started_at = std::time::Instant::now();
+        let mut client = server.connect().await;
         assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
-        let (took, counters) = (since.elapsed(), server.manager.descriptor_pool().counters.borrow().clone());
+        let (elapsed, counters) =
+            (started_at.elapsed(), server.manager.descriptor_pool().counters.borrow().clone());
         // One more fails before the next connection.
         assert_eq!((counters.accept_failed, counters.evicted_early), (41, 0), "{counters}");
-        assert!(took < Duration::from_millis(400), "40 failures took {took:?}");
+        assert!(elapsed < Duration::from_millis(400), "40 failures took {elapsed:?}");
     });
 }
 
 #[test]
-fn a_failing_accept_evicts_no_connection_whose_first_request_may_be_on_its_way() {
+fn a_failing_accept_evicts_no_connection_whose_first_request_may_be_in_transit() {
     // The descriptors that ran out are not the budget's, and each accept that succeeds is followed by one that fails.
     run(async {
         let server = Server::start(64, 1).await;
-        let failed = || server.manager.descriptor_pool().counters.borrow().accept_failed;
-        let mut client = server.client().await;
-        wait_until("it is accepted and the next accept has failed", || failed() == 2).await;
+        let failed_accepts = || server.manager.descriptor_pool().counters.borrow().accept_failed;
+        let mut client = server.connect().await;
+        wait_until("it is accepted and the next accept has failed", || failed_accepts() == 2).await;
         // The request follows the connection late, as on a loaded machine.
         tokio::time::sleep(Duration::from_millis(10)).await;
         assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
         // Once it is idle, it is closed where another accept fails.
         tokio::time::sleep(Duration::from_millis(110)).await;
-        let mut next = server.client().await;
+        let mut next = server.connect().await;
         assert!(exchange(&mut next, "/b").await.starts_with("HTTP/1.1 200 OK\r\n"));
         let mut rest = String::new();
         client.read_to_string(&mut rest).await.expect("an orderly end");
@@ -257,7 +266,7 @@
     // Its first request may be on its way: after a close without a response it would be lost.
     run(async {
         let server = Server::start(64, 0).await;
-        let mut client = server.client().await;
+        let mut client = server.connect().await;
         let mut received = Vec::new();
         // It sends nothing until it is evicted, and its first request just then.
         assert!(client.read_buf(&mut received).await.expect("readable") > 0, "closed without a word");
--- a/tests/listener/server.rs
+++ b/tests/listener/server.rs
@@ -16,13 +16,13 @@
 
 /// Responds with the request's path. `/held` waits for a permit of the test.
 struct Echo {
-    held: Rc<Semaphore>,
+    held_requests: Rc<Semaphore>,
 }
 
 impl Front for Echo {
     async fn respond(&self, request: Request) -> Response {
         match request.path.as_str() {
-            "/held" => drop(self.held.acquire().await),
+            "/held" => drop(self.held_requests.acquire().await),
             "/malformed" => return Response::text(400, "malformed"),
             _ => {}
         }
@@ -54,7 +54,7 @@
 pub struct Server {
     pub manager: Rc<ConnectionManager>,
     pub address: SocketAddr,
-    pub held: Rc<Semaphore>,
+    pub held_requests: Rc<Semaphore>,
     pub accepting: JoinHandle<()>,
 }
 
@@ -98,8 +98,8 @@
             DescriptorBudget::new(descriptors, 16, 0).expect("enough"),
             max_buffered_bytes,
         );
-        let (manager, held) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
-        let front = Rc::new(Echo { held: held.clone() });
+        let (manager, held_requests) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
+        let front = Rc::new(Echo { held_requests: held_requests.clone() });
         let accepting = if failures > 0 {
             spawn_local(accept_connections(
                 FailingListener { listener, failures_left: Cell::new(failures), errno },
@@ -109,16 +109,16 @@
         } else {
             spawn_local(accept_connections(listener, front, manager.clone()))
         };
-        let evicting = manager.clone();
-        spawn_local(async move { evicting.run_evictions().await });
-        let timed = manager.clone();
-        spawn_local(async move { timed.run_lifecycle_timers().await });
-        Server { manager, address, held, accepting }
+        let evicting_manager = manager.clone();
+        spawn_local(async move { evicting_manager.run_evictions().await });
+        let lifecycle_manager = manager.clone();
+        spawn_local(async move { lifecycle_manager.run_lifecycle_timers().await });
+        Server { manager, address, held_requests, accepting }
     }
-    pub fn free(&self) -> usize {
-        self.manager.descriptor_pool().descriptors(|all| all.free())
+    pub fn free_descriptors(&self) -> usize {
+        self.manager.descriptor_pool().descriptors(|allocator| allocator.free())
     }
-    pub async fn client(&self) -> TcpStream {
+    pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("connected")
     }
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -39,9 +39,9 @@
 }
 
 /// A counter of the process, requested on this connection.
-fn counter(watch: &mut TcpStream, name: &str) -> u64 {
-    watch.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
-    let text = response(watch).expect("an answer").body;
+fn counter(counters_client: &mut TcpStream, name: &str) -> u64 {
+    counters_client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
+    let text = response(counters_client).expect("an answer").body;
     let text = String::from_utf8(text.to_vec()).expect("text");
     let found = text.split_whitespace().find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     found.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_request_after_the_grace_period_is_rejected_though_the_process_was_paused() {
+fn a_request_after_the_grace_period_is_rejected_even_after_a_pause_of_the_process() {
     // Guards against accepting what SIGKILL may find unanswered: where deadlines are short it follows soon.
     let (folder, worker) = (TempFolder::new("after"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
@@ -214,13 +214,13 @@
 }
 
 #[test]
-fn a_partial_answer_and_the_close_at_the_same_wake_up_leave_a_part_that_may_have_run() {
+fn a_part_whose_answer_is_cut_off_by_a_close_counts_as_possibly_executed() {
     for (name, by_reset) in [("half-end", false), ("half-reset", true)] {
         let folder = TempFolder::new(name);
         let ((first, connections), second) = (silent_worker(), Worker::start());
         let discovery = Discovery::start(&member("w1", &first));
         let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
-        let mut watch = gatherer.connect();
+        let mut counters_client = gatherer.connect();
         let mut pending = Vec::new();
         for class in ["seal", "search"] {
             let mut client = gatherer.connect();
@@ -231,9 +231,9 @@
         }
         // From here on there is another worker, which may receive retries of idempotent parts.
         let both = format!("{},{}", member("w1", &first), member("w2", &second.address));
-        let listings = counter(&mut watch, "listings");
+        let listings = counter(&mut counters_client, "listings");
         discovery.publish(&both);
-        wait_until("the list is received", || counter(&mut watch, "listings") > listings);
+        wait_until("the list is received", || counter(&mut counters_client, "listings") > listings);
         gatherer.pause();
         let mut clients = Vec::new();
         for (client, mut connection) in pending {
@@ -253,7 +253,7 @@
             (1, 1),
             "{name}: only the idempotent part was retried"
         );
-        drop((clients, watch));
+        drop((clients, counters_client));
         gatherer.signal("-TERM");
         assert!(gatherer.wait_for_exit());
     }
@@ -283,7 +283,7 @@
     config["settings"]["allowed"]["connect-timeout"] = json!(60_000_000_000_u64);
     config["settings"]["allowed"]["max-open"] = json!(200);
     let mut gatherer = Gatherer::start(&folder, &config);
-    let mut watch = gatherer.connect();
+    let mut counters_client = gatherer.connect();
     let mut clients = Vec::new();
     for number in 0..12 {
         let mut client = gatherer.connect();
@@ -291,7 +291,7 @@
             .expect("written");
         clients.push(client);
     }
-    wait_until("all attempts are dispatched", || counter(&mut watch, "sent") >= 12);
+    wait_until("all attempts are dispatched", || counter(&mut counters_client, "sent") >= 12);
     // All disconnect while the process is paused, some by a reset, some after the beginning of another
     // request.
     gatherer.pause();
@@ -304,9 +304,9 @@
         }
     }
     gatherer.signal("-CONT");
-    wait_until("all have disconnected", || counter(&mut watch, "left") >= 12);
+    wait_until("all have disconnected", || counter(&mut counters_client, "left") >= 12);
     // Now the worker accepts connections, among them those being established: none may carry a part.
-    let filled = queue.len();
+    let queued_connections = queue.len();
     drop(queue);
     let (connection_sender, connections) = mpsc::channel();
     thread::spawn(move || {
@@ -316,13 +316,13 @@
             }
         }
     });
-    assert_eq!(counter(&mut watch, "written"), 0);
-    drop(watch);
+    assert_eq!(counter(&mut counters_client, "written"), 0);
+    drop(counters_client);
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
     let last_connection = TcpStream::connect(address).expect("connected");
     let last = last_connection.local_addr().expect("an address");
-    let mut connections_closed = 0;
+    let mut accepted_connections = 0;
     for mut stream in connections.iter() {
         if stream.peer_addr().ok() == Some(last) {
             break;
@@ -331,54 +331,54 @@
         // A connection that was cancelled while being established may end in a reset.
         let _ = stream.read_to_end(&mut bytes);
         assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
-        connections_closed += 1;
+        accepted_connections += 1;
     }
-    assert!(connections_closed >= filled, "{connections_closed} connections came");
+    assert!(accepted_connections >= queued_connections, "{accepted_connections} connections came");
 }
 
 /// Answers a part on a worker's connection.
-fn serve(stream: &mut TcpStream, id: &str) {
+fn answer_part(stream: &mut TcpStream, id: &str) {
     let answer = format!("q{id} good 5 -\n5be2");
     write_frame(stream, answer.as_bytes()).expect("written");
 }
 
 #[test]
-fn an_idle_connection_that_closes_as_a_part_is_written_costs_no_query() {
+fn an_idle_connection_that_closes_as_a_part_is_written_fails_no_query() {
     for (name, by_reset) in [("idle-end", false), ("idle-reset", true)] {
         let (folder, (address, connections)) = (TempFolder::new(name), silent_worker());
-        let next = || connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
+        let next_connection = || connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
         let discovery = Discovery::start(&member("w1", &address));
         let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
         let mut client = gatherer.connect();
         query(&mut client, "a", "search").expect("written");
-        let mut idle_clients = next();
-        let id = read_part(&mut idle_clients);
-        serve(&mut idle_clients, &id);
+        let mut idle_connection = next_connection();
+        let id = read_part(&mut idle_connection);
+        answer_part(&mut idle_connection, &id);
         assert_eq!(response(&mut client).expect("an answer").status, 200);
         // The close of the idle connection and two requests are seen at the same wake-up.
         gatherer.pause();
-        let mut once = gatherer.connect();
+        let mut other_client = gatherer.connect();
         query(&mut client, "b", "search").expect("written");
-        query(&mut once, "c", "seal").expect("written");
+        query(&mut other_client, "c", "seal").expect("written");
         if by_reset {
-            reset(idle_clients);
+            reset(idle_connection);
         } else {
-            drop(idle_clients);
+            drop(idle_connection);
         }
         gatherer.signal("-CONT");
         let mut parts = Vec::new();
         for _ in 0..2 {
-            let mut connection = next();
+            let mut connection = next_connection();
             let id = read_part(&mut connection);
-            serve(&mut connection, &id);
+            answer_part(&mut connection, &id);
             parts.push((id, connection));
         }
         parts.sort_by(|a, b| a.0.cmp(&b.0));
         assert_eq!([&*parts[0].0, &*parts[1].0], ["b.0", "c.0"], "{name}");
-        for client in [&mut client, &mut once] {
+        for client in [&mut client, &mut other_client] {
             assert_eq!(response(client).expect("an answer").status, 200, "{name}");
         }
-        drop((client, once));
+        drop((client, other_client));
         gatherer.signal("-TERM");
         assert!(gatherer.wait_for_exit());
     }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -29,9 +29,9 @@
         Box::pin(async move {
             // Connecting takes a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
-            let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(serve_parts(far, self.0));
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(1 << 16);
+            spawn_local(serve_parts(worker_end, self.0));
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
@@ -40,7 +40,7 @@
 async fn serve_parts(mut stream: DuplexStream, delay: Duration) {
     let mut buffer = BytesMut::new();
     while matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
-        while let Some(length) = buffer.first_chunk::<4>().map(|length| u32::from_le_bytes(*length) as usize)
+        while let Some(length) = buffer.first_chunk::<4>().map(|prefix| u32::from_le_bytes(*prefix) as usize)
         {
             if buffer.len() < 4 + length {
                 break;
@@ -68,20 +68,20 @@
 impl Connector for StuckWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            let (near, far) = tokio::io::duplex(16);
-            self.0.borrow_mut().push(far);
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(16);
+            self.0.borrow_mut().push(worker_end);
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
 
 /// Runs with workers that answer every part after so many milliseconds.
-fn run<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
-    run_on(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
+fn run_with_delay<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
+    run_with_connector(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
 }
 
 /// Runs with workers that are connected to in this way.
-fn run_on<F: Future<Output = ()>>(
+fn run_with_connector<F: Future<Output = ()>>(
     connector: Rc<dyn Connector>,
     main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
 ) {
@@ -96,8 +96,8 @@
         broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
         let workers = Workers::new(broker.clone(), connector, pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
-        let driver = broker.clone();
-        spawn_local(async move { driver.drive(&workers).await });
+        let driven_broker = broker.clone();
+        spawn_local(async move { driven_broker.drive(&workers).await });
         main(broker, pool).await;
     });
 }
@@ -122,8 +122,9 @@
 fn a_query_with_more_parts_than_descriptors_waits_and_is_answered_completely() {
     // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48
     // descriptors in all.
-    run(20, |broker, pool| async move {
-        let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+    run_with_delay(20, |broker, pool| async move {
+        let floor =
+            pool.descriptors(|allocator| allocator.budget().floors[DescriptorClass::Clients as usize]);
         let client_permits: Vec<DescriptorPermit> = (0..floor)
             .map(|_| pool.try_acquire(DescriptorClass::Clients).expect("a guaranteed descriptor"))
             .collect();
@@ -144,7 +145,8 @@
             "{counters}"
         );
         assert_eq!(broker.with_core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
-        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let (usable, floors) =
+            pool.descriptors(|allocator| (allocator.budget().usable, allocator.budget().floors));
         let max_held = usable
             - floor
             - floors[DescriptorClass::Discovery as usize]
@@ -154,12 +156,12 @@
 }
 
 #[test]
-fn without_a_connection_the_query_is_rejected_as_not_executed() {
+fn a_query_that_gets_no_connection_is_rejected_as_not_executed() {
     // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected
     // rather than failed.
-    run(20, |broker, pool| async move {
+    run_with_delay(20, |broker, pool| async move {
         let mut held = Vec::new();
-        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
+        while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers)) {
             held.push(pool.try_acquire(DescriptorClass::Workers).expect("free"));
             assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
@@ -173,20 +175,22 @@
 
 #[test]
 fn idle_worker_connections_are_reclaimed_for_clients_and_reopened() {
-    run(1, |broker, pool| async move {
+    run_with_delay(1, |broker, pool| async move {
         let is_complete = |outcome| matches!(outcome, QueryOutcome::Answered { complete: true, .. });
         assert!(is_complete(broker.submit(request("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let (held, busy) =
-            pool.descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
+        let (held, busy) = pool.descriptors(|allocator| {
+            (allocator.held(DescriptorClass::Workers), allocator.busy(DescriptorClass::Workers))
+        });
         assert!(held > 0 && busy == 0, "{held} held, {busy} busy");
         // What workers lent is reclaimed: clients acquire everything that their class may hold.
         let mut client_permits = Vec::new();
-        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
+        while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Clients)) {
             client_permits.push(pool.acquire(DescriptorClass::Clients).await);
             assert!(client_permits.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
-        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let (usable, floors) =
+            pool.descriptors(|allocator| (allocator.budget().usable, allocator.budget().floors));
         assert_eq!(client_permits.len(), usable - floors[1] - floors[2] - floors[3]);
         // What workers are guaranteed is there for the next query.
         assert!(is_complete(broker.submit(request("b", "search", 8, &broker)).await));
@@ -195,9 +199,9 @@
 }
 
 /// Reads a connection to its end, as a worker does that was stuck until now.
-async fn read_to_end(mut far: DuplexStream) -> Vec<u8> {
+async fn read_to_end(mut worker_end: DuplexStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    far.read_to_end(&mut bytes).await.expect("readable");
+    worker_end.read_to_end(&mut bytes).await.expect("readable");
     bytes
 }
 
@@ -206,19 +210,20 @@
     // A frame that stays in a full connection would run whenever the worker reads on, after its client is
     // gone.
     let stuck = Rc::new(StuckWorkers::default());
-    run_on(stuck.clone(), |broker, _| async move {
+    run_with_connector(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
-            let submitting = broker.clone();
-            let client =
-                spawn_local(async move { submitting.submit(request(class, class, 1, &submitting)).await });
+            let submitting_broker = broker.clone();
+            let client = spawn_local(async move {
+                submitting_broker.submit(request(class, class, 1, &submitting_broker)).await
+            });
             while stuck.0.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
             client.abort();
             tokio::time::sleep(Duration::from_millis(300)).await;
-            let far = stuck.0.borrow_mut().pop().expect("a connection");
-            let bytes = read_to_end(far).await;
+            let worker_end = stuck.0.borrow_mut().pop().expect("a connection");
+            let bytes = read_to_end(worker_end).await;
             let length = u32::from_le_bytes(*bytes.first_chunk::<4>().expect("a length")) as usize;
             assert!(bytes.len() < 4 + length, "{class}: the frame of {length} bytes came completely");
             assert_eq!(broker.with_core(|core| core.counters.written), 0);
@@ -259,9 +264,9 @@
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             tokio::time::sleep(self.delay).await;
-            let (near, far) = tokio::io::duplex(1 << 16);
-            self.worker_ends.borrow_mut().push(far);
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(1 << 16);
+            self.worker_ends.borrow_mut().push(worker_end);
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
@@ -270,18 +275,19 @@
 fn the_deadline_sent_to_a_worker_includes_the_wait_for_its_connection() {
     // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was
     // dispatched.
-    let slow = Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
-    run_on(slow.clone(), |broker, _| async move {
-        let submitting = broker.clone();
+    let connector =
+        Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
+    run_with_connector(connector.clone(), |broker, _| async move {
+        let submitting_broker = broker.clone();
         let mut request = request("late", "search", 1, &broker);
         request.time_left = Duration::from_millis(1000);
-        let client = spawn_local(async move { submitting.submit(request).await });
-        while slow.worker_ends.borrow().is_empty() {
+        let client = spawn_local(async move { submitting_broker.submit(request).await });
+        while connector.worker_ends.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut far = slow.worker_ends.borrow_mut().pop().expect("a connection");
+        let mut worker_end = connector.worker_ends.borrow_mut().pop().expect("a connection");
         let mut frame = BytesMut::new();
-        far.read_buf(&mut frame).await.expect("a frame");
+        worker_end.read_buf(&mut frame).await.expect("a frame");
         let text = String::from_utf8_lossy(&frame[5..]).into_owned();
         let deadline = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a time");
         let deadline: u64 = deadline.parse().expect("milliseconds");
@@ -308,9 +314,9 @@
 }
 
 #[test]
-fn a_connect_that_fails_for_want_of_descriptors_is_no_failure_of_the_worker() {
+fn a_connect_that_fails_for_lack_of_descriptors_is_not_counted_against_the_worker() {
     // Workers, and then their zone, would be ejected for what fails in this process.
-    run_on(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
+    run_with_connector(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
         let outcome = broker.submit(request("starved", "seal", 2, &broker)).await;
         assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
         let counters = broker.with_core(|core| core.counters.clone());
