--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -1,5 +1,6 @@
-//! Measures what a flood of silent connections costs the serving thread, and what a well-behaved client beside it notices:
-//! `cargo run --release --example flood -- [connections a second] [seconds] [descriptors]`.
+//! Measures the cost of a flood of silent connections for the serving thread, and its effect on the latency
+//! of a well-behaved client: `cargo run --release --example flood -- [connections a second] [seconds]
+//! [descriptors]`.
 
 use gatherer::limits::DescriptorBudget;
 use gatherer::protocol::http::{MalformedMessage, Request, Response};
@@ -15,11 +16,12 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::LocalSet;
 
-/// How many threads open connections.
+/// The number of threads that open connections.
 const FLOOD_THREADS: u64 = 2;
-/// How many source addresses each of them uses in turn: an address has a limited number of ports.
+/// The number of source addresses that each thread uses in turn, since the ports of one address are limited.
 const ADDRESSES: u64 = 100;
 
+/// Responds with the path of the request.
 struct Echo;
 
 impl Front for Echo {
@@ -43,14 +45,14 @@
     }
 }
 
-/// The processor time of this thread so far.
+/// Returns the processor time that this thread has used so far.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let ns = text.split(' ').next().and_then(|first| first.parse().ok());
     Duration::from_nanos(ns.unwrap_or(0))
 }
 
-/// Opens connections at this rate and sends nothing on them; returns how many it opened.
+/// Opens `rate` connections a second and sends nothing on them; returns how many it tried to open.
 fn flood(to: SocketAddr, rate: u64, until: Instant, thread: u64) -> u64 {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -61,12 +63,12 @@
                 opened += 1;
                 let from = [127, 1 + thread as u8, 0, 1 + (opened % ADDRESSES) as u8];
                 tokio::task::spawn_local(async move {
-                    // Where this side has no descriptor left, the flood is thinner by one.
+                    // A connection is skipped if this side has no descriptor left.
                     let Ok(socket) = TcpSocket::new_v4() else { return };
                     if socket.bind(SocketAddr::from((from, 0))).is_ok()
                         && let Ok(stream) = socket.connect(to).await
                     {
-                        // Until it is closed, but not for good.
+                        // The connection is kept until the server closes it, but for 2 s at most.
                         let _ = tokio::time::timeout(Duration::from_secs(2), stream.readable()).await;
                     }
                 });
@@ -77,8 +79,8 @@
     })
 }
 
-/// A well-behaved client: one request after the other on one connection. Returns the latencies, and how many requests were
-/// lost.
+/// Runs a well-behaved client, which sends one request after the other on one connection. Returns the
+/// latencies, and the number of requests without a response.
 fn well_behaved(to: SocketAddr, until: Instant) -> (Vec<Duration>, u64) {
     let (mut idle_connection, mut latencies, mut lost): (Option<TcpStream>, Vec<Duration>, u64) =
         (None, Vec::new(), 0);
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Limits of connections, descriptors and buffered bytes: properties over random histories, and the eviction
-//! order.
+//! Limits on connections, descriptors and buffered bytes: properties over random sequences of operations, and
+//! the eviction order.
 
 use gatherer::limits::client_connections::RequestValidity;
 use gatherer::limits::connection_pool::{
@@ -15,21 +15,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds in a millisecond.
 const NS_PER_MS: u64 = 1_000_000;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Whether every class can still get its floor.
+/// Whether every class can still get its guaranteed descriptors (its floor).
 fn floors_are_available(descriptors: &DescriptorAllocator) -> bool {
     let budget = descriptors.budget();
     let claimed = |class: &DescriptorClass| descriptors.busy(*class).max(budget.floors[*class as usize]);
     DESCRIPTOR_CLASSES.iter().map(claimed).sum::<usize>() <= budget.usable
 }
 
-/// Acquires a descriptor as the sockets do: the class that it is reclaimed from closes an evictable one.
+/// Acquires a descriptor as the transport does: where one has to be reclaimed, the lender closes an evictable
+/// one.
 fn acquire(descriptors: &mut DescriptorAllocator, class: DescriptorClass) -> bool {
     match descriptors.acquire(class) {
         Ok(()) => true,
@@ -41,7 +42,7 @@
     }
 }
 
-/// The ticket that was removed from a full queue is the last of a worker that has the most waiting.
+/// Checks that the ticket removed from a full queue is the last one of a worker with the most waiting calls.
 fn check_removed(
     waiting: &BTreeMap<ConnectTicket, u32>,
     removed: ConnectTicket,
@@ -97,7 +98,7 @@
             if action == 0 { descriptors.mark_busy(class); } else { acquire(&mut descriptors, class); }
             if let Some(lender) = descriptors.lender(class) {
                 prop_assert!(descriptors.held(lender) > descriptors.busy(lender));
-                // No class goes below its floor for another.
+                // No class has to go below its floor for another class.
                 let floor = descriptors.budget().floors[lender as usize];
                 prop_assert!(lender == class || descriptors.held(lender) > floor);
             }
@@ -174,7 +175,7 @@
             let by_source: usize = (0..7).map(|source| connections.open_from(Source(source))).sum();
             prop_assert_eq!(by_source, ids.len());
         }
-        // Whatever is not busy can be evicted, and expires in time.
+        // Every connection that is not busy can be evicted, and expires after the longest time limit.
         let evictable = ids.iter().filter(|id| !busy.contains(id) && !evicted.contains(id)).count();
         let later = now.after(ms(14_001));
         prop_assert_eq!(connections.evict_expired(later, ResourcePressure::NONE).len(), evictable);
@@ -259,7 +260,8 @@
     };
     let [often_used, rarely_used, penalised, single_request, slow, silent] =
         [(); 6].map(|()| accept(&mut connections));
-    // One is used every 10 ms and is long overdue, the other every 200 ms and was used before it.
+    // `often_used` has requests every 10 ms and is overdue by far; `rarely_used` has them every 200 ms and
+    // was last used before it.
     (0..10).for_each(|number| query(&mut connections, rarely_used, number * 200, RequestValidity::Valid));
     (0..10)
         .for_each(|number| query(&mut connections, often_used, 1900 + number * 10, RequestValidity::Valid));
@@ -285,7 +287,7 @@
     let (mut connections, now) = (ClientConnections::default(), Time(0));
     let other = connections.accept(now, Source(1));
     let many: Vec<u64> = (0..10).map(|_| connections.accept(now, Source(2))).collect();
-    // All are within their minimum residence, and the oldest is the other source's.
+    // All connections are within their minimum residence, and the oldest one belongs to the other source.
     for _ in 0..9 {
         let (id, reason) = connections.evict(Time(NS_PER_MS)).expect("an evictable connection");
         assert!(many.contains(&id) && reason == EvictionReason::OverQuota);
@@ -323,7 +325,7 @@
     let expired = connections.evict_expired(Time(60 * NS_PER_MS), ResourcePressure::FULL);
     assert_eq!(expired, [(reconnected, EvictionReason::Silent)]);
     assert!(connections.is_evictable(other));
-    // Where all clients share one address, none is penalised for another.
+    // Where all clients share one address, no client is penalised for the input of another.
     connections.close(other);
     connections.close(reconnected);
     let sender = connections.accept(Time(0), Source(2));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery that has to be polled: one service for all gatherers, which answers polls in turn, fails those
-//! that wait too long and goes down. Changes have to be known by the time at which the protocol counts them
-//! as notified. The clock is virtual, seeds are fixed.
+//! Discovery by polling: one agent serves all gatherers, answers polls one by one, fails those that wait too
+//! long, and has outages. Gatherers must have received a change before the protocol counts it as notified.
+//! Most tests run in virtual time with fixed seeds, some with real processes.
 
 mod common;
 
@@ -27,43 +27,43 @@
 
 /// `rules.must-ask-in` of the test settings.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// How long after discovery had a change and could be reached it counts as notified.
+/// A change counts as notified this long after the agent had it and could be reached.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// How long discovery takes for one poll.
+/// How long the agent takes to handle one poll.
 const HANDLING_TIME: Duration = Duration::from_millis(150);
-/// How long a poll waits for its turn before it fails.
+/// How long a poll waits for its turn before it is answered with 503.
 const MAX_TURN_WAIT: Duration = Duration::from_secs(2);
-/// The longest wait of a test, in virtual time.
+/// The longest wait of a test for a change, in virtual time.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Whether and how discovery responds.
+/// Whether and how the agent responds.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoveryState {
     Up,
-    /// Polls fail with 503.
+    /// Polls are answered with 503.
     Unavailable,
     /// The connection ends in place of a response.
     Resetting,
 }
 
-/// A test double of discovery, and the polls that it has received.
+/// A test double of the discovery agent, with the times of its polls.
 struct Discovery {
     state: Cell<DiscoveryState>,
-    /// Long polls from now on get no response.
+    /// Whether long polls that arrive now get no response.
     unresponsive: Cell<bool>,
-    /// Each response is the last on its connection.
+    /// Whether the connection is closed after each response.
     closes: Cell<bool>,
     revision: Cell<u64>,
     changed: Notify,
     turn: Mutex<()>,
     /// When polls were received.
     polls: RefCell<Vec<Instant>>,
-    /// When responses to them were written.
+    /// When responses to polls were written.
     responses: RefCell<Vec<Instant>>,
 }
 
 impl Discovery {
-    /// One that is up and has revision 1.
+    /// Creates an agent that is up and has revision 1.
     fn new() -> Rc<Discovery> {
         Rc::new(Discovery {
             state: Cell::new(DiscoveryState::Up),
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Changes the state; long polls in flight end when it goes down.
+    /// Changes the state. Long polls in flight end without a response when the agent goes down.
     fn set_state(&self, state: DiscoveryState) {
         self.state.set(state);
         self.changed.notify_waiters();
@@ -89,7 +89,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The response to a poll; `None` where the connection ends without one.
+    /// Returns the response to a poll; `None` if the connection ends without one.
     async fn respond(&self, request: &Request) -> Option<Response> {
         self.polls.borrow_mut().push(Instant::now());
         let unavailable = || Response::text(503, "down, or too many polls");
@@ -120,7 +120,7 @@
         Some(Response::json(200, self.list(held)))
     }
 
-    /// The complete list, or what is newer than a revision.
+    /// Returns the complete list, or the changes after the revision `held`.
     fn list(&self, held: Option<u64>) -> String {
         let revision = self.revision.get();
         let phase = if revision > 1 { "DRAINING" } else { "SERVING" };
@@ -133,7 +133,7 @@
         format!(r#"{{"revision":{revision},"complete":{},"members":[{members}]}}"#, held.is_none())
     }
 
-    /// Answers the polls of one connection.
+    /// Answers the polls on one connection.
     async fn serve(self: Rc<Discovery>, mut stream: DuplexStream) {
         let mut buffer = BytesMut::new();
         loop {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Connects to discovery, whatever the address.
+/// Connects to the test double, for any address.
 struct DiscoveryConnector(Rc<Discovery>);
 
 impl Connector for DiscoveryConnector {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Starts one of several gatherers, with the list of revision 1.
+/// Starts following discovery for one of several gatherers, which holds the list of revision 1.
 fn start_gatherer(seed: u64, gatherers: u32, discovery: &Rc<Discovery>) -> Broker {
     let mut json = platform_json();
     json["settings"]["balancers"] = gatherers.into();
@@ -182,8 +182,8 @@
     let (connector, following_broker) = (DiscoveryConnector(discovery.clone()), broker.clone());
     spawn_local(async move {
         let descriptor_pool =
-            DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough"), 1 << 20);
-        // The sender stays: discovery does not move.
+            DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough descriptors"), 1 << 20);
+        // The address does not change; the sender is kept so that the channel stays open.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
         discovery::follow(
@@ -199,23 +199,26 @@
     broker
 }
 
-/// Whether it knows that `w1` is draining.
+/// Whether the gatherer's list has `w1` as draining.
 fn has_received_change(broker: &Broker) -> bool {
     let list = broker.with_core(|core| core.endpoint_list());
     list.workers.iter().any(|member| member.name == "w1" && member.status == EndpointStatus::Draining)
 }
 
-/// Waits until all gatherers know that `w1` is draining; returns how long that took.
+/// Waits until the lists of all gatherers have `w1` as draining; returns how long that took.
 async fn wait_until_all_have_received(gatherers: &[Broker]) -> Duration {
     let started_at = Instant::now();
     while !gatherers.iter().all(has_received_change) {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "waited in vain");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "some gatherer has not received the change within {TEST_TIMEOUT:?}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
     started_at.elapsed()
 }
 
-/// Runs a number of gatherers beside one discovery, once for each seed.
+/// Runs a number of gatherers with one agent, once for each seed.
 fn run_with_each_seed<F: Future<Output = ()>>(
     gatherers: u32,
     main: impl Fn(u64, Rc<Discovery>, Vec<Broker>) -> F,
@@ -269,7 +272,7 @@
 fn a_change_missed_by_an_unanswered_long_poll_is_known_2_s_after_its_timeout() {
     for gatherers in [1, 3, 6] {
         run_with_each_seed(gatherers, |seed, discovery, all| async move {
-            // Every gatherer's long poll is in flight, and gets no response.
+            // The long poll of every gatherer is in flight during this time, and gets no response.
             discovery.unresponsive.set(true);
             sleep(Duration::from_secs(3)).await;
             discovery.unresponsive.set(false);
@@ -292,7 +295,11 @@
         let elapsed = wait_until_all_have_received(&all).await;
         assert!(elapsed < NOTIFIED_AFTER.min(MAX_POLL_INTERVAL), "seed {seed}: {elapsed:?}");
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(discovery.polls.borrow().len(), 12, "one poll for what has changed, then a long poll");
+        assert_eq!(
+            discovery.polls.borrow().len(),
+            12,
+            "each gatherer sends one poll for the change, then a long poll"
+        );
     });
 }
 
@@ -314,11 +321,12 @@
     json["peer_listen"] = "127.0.0.1:9".into();
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     assert_eq!((config.max_poll_interval, config.peer_datagrams), (Some(MAX_POLL_INTERVAL), true));
-    // The transport polls discovery: the decision module does not.
+    // The transport polls discovery, not the decision module.
     assert!(!config.contracts.settings.poll_discovery);
 }
 
-/// The configuration of a process that has a list of worker `w1`, while discovery is down.
+/// Returns the configuration of a process that has an initial list with worker `w1`, and whose discovery
+/// agent is down.
 fn config_while_discovery_is_down(worker: &Worker) -> serde_json::Value {
     let earlier_discovery = process::Discovery::start(&member("w1", &worker.address));
     let mut config = process::config(&earlier_discovery);
@@ -349,9 +357,9 @@
     let gatherer = Gatherer::start(&folder, &config);
     let idle: Vec<TcpStream> = (0..200).map(|_| gatherer.connect()).collect();
     gatherer.wait_for_log("cannot connect");
-    // Discovery is back, with another worker in its list.
+    // The agent is up again, with another worker in its list.
     let address = config["discovery"].as_str().expect("an address");
-    let listener = TcpListener::bind(address).expect("its port");
+    let listener = TcpListener::bind(address).expect("the port of the agent is free");
     let discovery = process::Discovery::on(listener, "");
     discovery.publish(&member("w2", &workers[1].address));
     gatherer.wait_for_log("list 2 with 1 workers");
@@ -364,8 +372,8 @@
 
 #[test]
 fn a_worker_whose_start_lies_in_the_future_after_a_clock_step_warms_up_in_time() {
-    // The wall clock was stepped back as this process started: every worker would stay in slow start for an
-    // hour.
+    // Guards against a wall clock that was stepped back before this process started: workers would stay in
+    // slow start for an hour.
     let config = platform_config();
     let (mut core, start) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
@@ -386,7 +394,7 @@
     let warm_up = core.contracts().settings.warm_up;
     core.apply_endpoint_update(start.after(warm_up), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
-    // A later start begins the warm-up again.
+    // A restart of the worker begins the warm-up again.
     list.workers[0].started_at = Some(start.after(Duration::from_secs(3700)));
     core.apply_endpoint_update(start.after(warm_up * 2), &list, false);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
--- a/tests/listener/clients.rs
+++ b/tests/listener/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the server under test, which share its thread: well-behaved ones and others.
+//! Clients of the server under test, well-behaved and misbehaving. They run on the server's thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,13 +6,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// How long one attempt to connect blocks the thread while the backlog is full. With room in it, none blocks at all.
+/// How long one attempt to connect blocks the thread while the backlog is full. Otherwise connecting does not
+/// block.
 const CONNECT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1);
 
+/// Sends a GET request without a body.
 pub async fn send_request(stream: &mut TcpStream, path: &str) {
     stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await.expect("written");
 }
 
+/// Reads the response of the echo server to a request for `path`.
 pub async fn read_response(stream: &mut TcpStream, path: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(format!("{path}\n").as_bytes()) {
@@ -22,12 +25,14 @@
     String::from_utf8(text).expect("text")
 }
 
+/// Sends a GET request and reads its response.
 pub async fn exchange(stream: &mut TcpStream, path: &str) -> String {
     send_request(stream, path).await;
     read_response(stream, path).await
 }
 
-/// A well-behaved client: where its idle connection was closed, it sends its request once more on a new one.
+/// Sends one request as a well-behaved client: on the idle connection, or on a new one if the idle one was
+/// closed. Returns the response.
 pub async fn well_behaved(address: SocketAddr, idle: &mut Option<TcpStream>) -> String {
     if let Some(stream) = idle {
         let mut text = Vec::new();
@@ -43,9 +48,8 @@
     read_response(stream, "/well-behaved").await
 }
 
-/// Connects and sends a request at once, before the server has a turn: clients and server share a thread, and a client that
-/// waited for its turn between the two would send its request as late as the thread is busy. While the backlog is full, it
-/// tries again.
+/// Connects and sends a request without yielding in between, retrying while the backlog is full. Clients and
+/// server share a thread: after a yield, the request could be sent as late as the thread is busy.
 pub async fn connect_and_send(address: SocketAddr, request: &[u8]) -> TcpStream {
     loop {
         let mut stream = match std::net::TcpStream::connect_timeout(&address, CONNECT_ATTEMPT_TIMEOUT) {
@@ -54,15 +58,16 @@
                 tokio::time::sleep(CONNECT_ATTEMPT_TIMEOUT).await;
                 continue;
             }
-            Err(error) => panic!("no connection: {error}"),
+            Err(error) => panic!("cannot connect to {address}: {error}"),
         };
         std::io::Write::write_all(&mut stream, request).expect("written");
-        stream.set_nonblocking(true).expect("set");
-        return TcpStream::from_std(stream).expect("a stream");
+        stream.set_nonblocking(true).expect("non-blocking mode is set");
+        return TcpStream::from_std(stream).expect("the runtime registers the stream");
     }
 }
 
-/// A client that misbehaves in one of several ways, and reconnects at once whenever it is closed.
+/// Runs a client that misbehaves in a way chosen by `number`, and reconnects whenever its connection is
+/// closed.
 pub async fn misbehaving(address: SocketAddr, number: usize) {
     loop {
         let Ok(mut stream) = TcpStream::connect(address).await else { return };
@@ -74,7 +79,7 @@
             _ => b"GET /malformed HTTP/1.1\r\n\r\n",
         };
         let mut discarded = [0; 512];
-        // It may be closed at any point, which is what it provokes.
+        // The server may close the connection at any point.
         if stream.write_all(bytes).await.is_ok() {
             while matches!(stream.read(&mut discarded).await, Ok(1..)) {
                 if number.is_multiple_of(10) && stream.write_all(b"a").await.is_err() {
@@ -94,5 +99,5 @@
     };
     tokio::time::timeout(Duration::from_secs(20), poll)
         .await
-        .unwrap_or_else(|_| panic!("waited 20 s in vain: {condition}"));
+        .unwrap_or_else(|_| panic!("not reached within 20 s: {condition}"));
 }
--- a/tests/listener/flood.rs
+++ b/tests/listener/flood.rs
@@ -1,4 +1,4 @@
-//! Well-behaved clients beside many times more connections than descriptors.
+//! Well-behaved clients during a flood of ten times as many connections as there are descriptors.
 
 use crate::clients::{connect_and_send, misbehaving, read_response, well_behaved};
 use crate::server::{Server, run};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Acquires all descriptors that workers are guaranteed, busy, as queries of many parts do.
+/// Acquires all descriptors that workers are guaranteed and marks them as busy, as queries of many parts do.
 fn fill_guaranteed_worker_descriptors(pool: &Rc<DescriptorPool>) -> Vec<DescriptorPermit> {
     let floor = pool.descriptors(|allocator| allocator.budget().floors[DescriptorClass::Workers as usize]);
     let held: Vec<DescriptorPermit> = (0..floor)
@@ -19,6 +19,8 @@
     held
 }
 
+/// Runs well-behaved clients beside misbehaving ones until `min_admitted` connections were admitted, then
+/// stops the server. Every request of a well-behaved client must be answered.
 async fn well_behaved_clients_lose_nothing(
     descriptors: usize,
     failures: u32,
@@ -30,7 +32,7 @@
         workers_busy.then(|| fill_guaranteed_worker_descriptors(server.manager.descriptor_pool()));
     let misbehaving_clients: Vec<_> =
         (0..10 * descriptors).map(|number| spawn_local(misbehaving(server.address, number))).collect();
-    // Well-behaved clients keep their connections; one that is closed between two requests reconnects.
+    // Well-behaved clients keep their connections, and reconnect if one is closed between two requests.
     let mut clients = [None, None, None, None];
     let admitted_count = || server.manager.descriptor_pool().counters.borrow().admitted;
     let mut rounds = 0;
@@ -56,14 +58,15 @@
     {
         tokio::task::yield_now().await;
     }
-    // After SIGTERM well-behaved clients still get their responses, and the process ends under load.
-    server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+    // After SIGTERM, well-behaved clients still get their responses, and the server ends in spite of the
+    // load.
+    server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("the stop is accepted");
     assert!(well_behaved(server.address, &mut clients[0]).await.starts_with("HTTP/1.1 200 OK\r\n"));
     server.manager.wait_for_closing().await;
     server.held_requests.add_permits(1);
     assert!(read_response(&mut held_client, "/held").await.contains("Connection: close\r\n"));
     misbehaving_clients.iter().for_each(JoinHandle::abort);
-    server.accepting.await.expect("accepting ends");
+    server.accepting.await.expect("the accept task ends");
     while server.manager.open_connections() > 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
--- a/tests/listener/main.rs
+++ b/tests/listener/main.rs
@@ -1,4 +1,5 @@
-//! The listener on loopback sockets: what a client's connection gets, also where descriptors are short.
+//! The listener on loopback sockets: responses, rejections and evictions of clients' connections, with few
+//! descriptors and buffers, and during a shutdown.
 
 mod clients;
 mod flood;
@@ -15,7 +16,7 @@
 
 #[test]
 fn a_busy_connection_is_never_evicted_and_the_next_request_is_rejected() {
-    // A new connection may neither end a query in flight nor wait without an answer.
+    // Guards against a new connection that ends a query in flight or waits without a response.
     run(async {
         let server = Server::start(64, 0).await;
         let mut busy = Vec::new();
@@ -42,7 +43,7 @@
         let mut text = String::new();
         rejected.read_to_string(&mut text).await.expect("readable");
         assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: 1\r\n"), "{text}");
-        // What the other classes are guaranteed can still be acquired.
+        // The guaranteed descriptors of the other classes can still be acquired.
         let (pool, mut others) = (server.manager.descriptor_pool(), Vec::new());
         for class in [DescriptorClass::Workers, DescriptorClass::Discovery, DescriptorClass::Files] {
             let floor = pool.descriptors(|allocator| allocator.budget().floors[class as usize]);
@@ -66,7 +67,8 @@
 
 #[test]
 fn incomplete_requests_together_buffer_no_more_than_the_budget() {
-    // Many clients each send as much of a request as one may, and never its end.
+    // Guards against memory exhaustion: many clients each send nearly a whole request of the allowed size,
+    // never its end.
     run(async {
         let server = Server::with_buffer_limit(96, 0, 400 << 10).await;
         let mut incomplete = Vec::new();
@@ -87,8 +89,8 @@
         }
         let mut answered = 0;
         for client in incomplete {
-            // A connection may be reset while its client still sends; the others get a response that says why.
-            if let Ok(text) = client.await.expect("its task ends") {
+            // A connection may be reset while its client still sends. The other clients get a 408 response.
+            if let Ok(text) = client.await.expect("the client task ends") {
                 answered += usize::from(text.starts_with("HTTP/1.1 408 "));
             }
         }
@@ -131,7 +133,7 @@
         let server = Server::start(64, 0).await;
         let mut client = server.connect().await;
         exchange(&mut client, "/a").await;
-        // Both happen before the connection's task runs again.
+        // The eviction and the request both happen before the task of the connection runs again.
         server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
         send_request(&mut client, "/b").await;
         let cancelled_evictions = || server.manager.descriptor_pool().counters.borrow().eviction_cancelled;
@@ -144,7 +146,8 @@
 
 #[test]
 fn a_client_that_closes_after_sending_more_than_is_buffered_is_detected() {
-    // The request waits for its first attempt; its client sends more than is buffered ahead, and closes.
+    // Guards against a close that goes unnoticed behind unread bytes: while their requests wait, the clients
+    // send more than is buffered and close.
     run(async {
         let server = Server::start(64, 0).await;
         let busy_count = || {
@@ -156,23 +159,24 @@
             send_request(&mut client, "/held").await;
             closing.push(client);
         }
-        wait_until("four are held", || busy_count() == 4).await;
-        // All close in one burst, each behind more than twice what may be sent ahead.
+        wait_until("four requests are held", || busy_count() == 4).await;
+        // All close in one burst, each after more than twice the bytes that are buffered.
         let burst = closing.into_iter().map(|mut client| {
             spawn_local(async move {
-                client.write_all(&vec![b'x'; 600 << 10]).await.expect("it is read");
+                client.write_all(&vec![b'x'; 600 << 10]).await.expect("the server reads the bytes");
             })
         });
         for close in burst.collect::<Vec<_>>() {
-            close.await.expect("it ends");
+            close.await.expect("the client task ends");
         }
-        wait_until("they are gone", || server.manager.open_connections() == 0).await;
-        // A client that stays gets its response and the end of its connection: what it sent ahead was discarded.
+        wait_until("all four connections are closed", || server.manager.open_connections() == 0).await;
+        // A client that stays gets its response, and its connection is closed since the further bytes were
+        // discarded.
         let mut client = server.connect().await;
         send_request(&mut client, "/held").await;
-        wait_until("it is held", || busy_count() == 1).await;
-        // More than the system's buffers hold: most of it has been read when this returns.
-        client.write_all(&vec![b'x'; 24 << 20]).await.expect("it is read");
+        wait_until("the request is held", || busy_count() == 1).await;
+        // More than the socket buffers hold, so most of it has been read when the write returns.
+        client.write_all(&vec![b'x'; 24 << 20]).await.expect("the server reads the bytes");
         server.held_requests.add_permits(1);
         assert!(read_response(&mut client, "/held").await.contains("Connection: close\r\n"));
     });
@@ -180,47 +184,51 @@
 
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_read_and_not_answered() {
-    // Closing a socket with unread bytes resets the connection, and discards what has not arrived yet.
+    // Closing a socket with unread bytes resets the connection, and the client may lose the last response.
     run(async {
         let server = Server::start(64, 0).await;
         let mut client = server.connect().await;
         exchange(&mut client, "/a").await;
         server.manager.descriptor_pool().reclaim(DescriptorClass::Clients);
         let mut text = String::new();
-        client.read_to_string(&mut text).await.expect("it ends for writing first");
+        client.read_to_string(&mut text).await.expect("the server shuts down its write side first");
         send_request(&mut client, "/b").await;
-        wait_until("it is read", || server.manager.descriptor_pool().counters.borrow().close_races == 1)
-            .await;
+        wait_until("the late request is read", || {
+            server.manager.descriptor_pool().counters.borrow().close_races == 1
+        })
+        .await;
         client.read_to_string(&mut text).await.expect("no reset");
         assert_eq!(text, "");
         drop(client);
-        wait_until("it is closed", || server.manager.open_connections() == 0).await;
+        wait_until("the connection is closed", || server.manager.open_connections() == 0).await;
         assert_eq!(server.manager.descriptor_pool().counters.borrow().eviction_cancelled, 0);
     });
 }
 
 #[test]
 fn connections_made_before_accepting_ends_get_a_response() {
-    // After a pause of the process both are due at once: connections in the backlog, and the end of accepting.
+    // Guards the case in which, after a pause of the process, connections are in the backlog and accepting is
+    // to end.
     run(async {
         let server = Server::start(256, 0).await;
-        server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("taken");
+        server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("the stop is accepted");
         let connect = |_| {
             let mut client = std::net::TcpStream::connect(server.address).expect("connected");
             std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n").expect("written");
             client
         };
         let clients: Vec<_> = (0..60).map(connect).collect();
-        // The only thread pauses past the end of accepting, so that both are due when it goes on.
+        // The only thread sleeps until after the end of the grace period, so that both are due when it
+        // continues.
         std::thread::sleep(gatherer::service::lifecycle::GRACE_PERIOD + Duration::from_millis(50));
         for client in clients {
-            client.set_nonblocking(true).expect("set");
-            let mut client = TcpStream::from_std(client).expect("a stream");
+            client.set_nonblocking(true).expect("non-blocking mode is set");
+            let mut client = TcpStream::from_std(client).expect("the runtime registers the stream");
             let text =
                 tokio::time::timeout(Duration::from_secs(20), read_response(&mut client, "/late")).await;
             assert!(text.expect("an answer").contains("Connection: close\r\n"));
         }
-        server.accepting.await.expect("accepting ends");
+        server.accepting.await.expect("the accept task ends");
     });
 }
 
@@ -233,7 +241,7 @@
         assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
         let (elapsed, counters) =
             (started_at.elapsed(), server.manager.descriptor_pool().counters.borrow().clone());
-        // One more fails before the next connection.
+        // The listener fails one more accept after the connection.
         assert_eq!((counters.accept_failed, counters.evicted_early), (41, 0), "{counters}");
         assert!(elapsed < Duration::from_millis(400), "40 failures took {elapsed:?}");
     });
@@ -241,16 +249,18 @@
 
 #[test]
 fn a_failing_accept_evicts_no_connection_whose_first_request_may_be_in_transit() {
-    // The descriptors that ran out are not the budget's, and each accept that succeeds is followed by one that fails.
+    // Descriptors are exhausted outside the budget: each accept that succeeds is followed by one that fails.
     run(async {
         let server = Server::start(64, 1).await;
         let failed_accepts = || server.manager.descriptor_pool().counters.borrow().accept_failed;
         let mut client = server.connect().await;
-        wait_until("it is accepted and the next accept has failed", || failed_accepts() == 2).await;
-        // The request follows the connection late, as on a loaded machine.
+        wait_until("the connection is accepted and the next accept has failed", || failed_accepts() == 2)
+            .await;
+        // The request is sent some time after the connection, as on a loaded machine.
         tokio::time::sleep(Duration::from_millis(10)).await;
         assert!(exchange(&mut client, "/a").await.starts_with("HTTP/1.1 200 OK\r\n"));
-        // Once it is idle, it is closed where another accept fails.
+        // Once idle past its minimum residence, the connection is evicted when another accept
+        // fails.
         tokio::time::sleep(Duration::from_millis(110)).await;
         let mut next = server.connect().await;
         assert!(exchange(&mut next, "/b").await.starts_with("HTTP/1.1 200 OK\r\n"));
@@ -263,13 +273,13 @@
 
 #[test]
 fn a_new_connection_that_is_evicted_gets_a_rejection_for_its_first_request() {
-    // Its first request may be on its way: after a close without a response it would be lost.
+    // The first request may be in transit: it would be lost in a close without a response.
     run(async {
         let server = Server::start(64, 0).await;
         let mut client = server.connect().await;
         let mut received = Vec::new();
-        // It sends nothing until it is evicted, and its first request just then.
-        assert!(client.read_buf(&mut received).await.expect("readable") > 0, "closed without a word");
+        // The client sends nothing until its connection is evicted, and its first request then.
+        assert!(client.read_buf(&mut received).await.expect("readable") > 0, "closed without a response");
         send_request(&mut client, "/a").await;
         client.read_to_end(&mut received).await.expect("no reset");
         let received = String::from_utf8(received).expect("text");
--- a/tests/listener/server.rs
+++ b/tests/listener/server.rs
@@ -1,4 +1,4 @@
-//! The server under test: a connection manager and a listener on a loopback socket, in front of an echo.
+//! The server under test: a connection manager and a listener on a loopback socket, with an echo front.
 
 use gatherer::limits::DescriptorBudget;
 use gatherer::protocol::http::{MalformedMessage, Request, Response};
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// Responds with the request's path. `/held` waits for a permit of the test.
+/// Responds with the path of the request. Requests for `/held` first wait for a permit from the test.
 struct Echo {
     held_requests: Rc<Semaphore>,
 }
@@ -45,20 +45,22 @@
     }
 }
 
-/// Too many open files.
+/// `EMFILE`: too many open files in the process.
 const EMFILE: i32 = 24;
-/// The connection was reset before it was accepted.
+/// `ECONNABORTED`: the connection was reset before it was accepted.
 pub const ECONNABORTED: i32 = 103;
 
-/// A connection manager and a listener that admits connections to it.
+/// A running server: its connection manager, its address and its accept task.
 pub struct Server {
     pub manager: Rc<ConnectionManager>,
     pub address: SocketAddr,
+    /// Each permit that a test adds lets one request for `/held` be answered.
     pub held_requests: Rc<Semaphore>,
     pub accepting: JoinHandle<()>,
 }
 
-/// Fails a number of accepts with an error of the system before it accepts a connection; one more before each further one.
+/// A listener whose first `failures_left` accepts fail with `errno`. After each accepted connection, one more
+/// accept fails.
 struct FailingListener {
     listener: TcpListener,
     failures_left: Cell<u32>,
@@ -80,12 +82,15 @@
 }
 
 impl Server {
+    /// Starts a server whose first `failures` accepts fail for lack of descriptors.
     pub async fn start(descriptors: usize, failures: u32) -> Server {
         Server::with_buffer_limit(descriptors, failures, 4 << 20).await
     }
+    /// Starts a server as [`Server::start`] does, with a limit of buffered bytes.
     pub async fn with_buffer_limit(descriptors: usize, failures: u32, max_buffered_bytes: usize) -> Server {
         Server::with_accept_errors(descriptors, failures, EMFILE, max_buffered_bytes).await
     }
+    /// Starts a server whose first `failures` accepts fail with `errno`.
     pub async fn with_accept_errors(
         descriptors: usize,
         failures: u32,
@@ -95,7 +100,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let descriptor_pool = DescriptorPool::new(
-            DescriptorBudget::new(descriptors, 16, 0).expect("enough"),
+            DescriptorBudget::new(descriptors, 16, 0).expect("enough descriptors"),
             max_buffered_bytes,
         );
         let (manager, held_requests) = (ConnectionManager::new(descriptor_pool), Rc::new(Semaphore::new(0)));
@@ -115,14 +120,17 @@
         spawn_local(async move { lifecycle_manager.run_lifecycle_timers().await });
         Server { manager, address, held_requests, accepting }
     }
+    /// The number of free descriptors.
     pub fn free_descriptors(&self) -> usize {
         self.manager.descriptor_pool().descriptors(|allocator| allocator.free())
     }
+    /// Connects a client.
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address).await.expect("connected")
     }
 }
 
+/// Runs a test on a single-threaded runtime.
 pub fn run(main: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, main);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,6 +1,6 @@
-//! Connections and processes that end while a response is pending, on real processes and sockets. Races are
-//! forced: the process is paused while both events arrive, so that it sees both at the same wake-up. Counted
-//! at clients and workers.
+//! Connections and processes that end while a response is pending, with real processes and sockets. Races are
+//! forced: the process is paused while two events happen, so that it sees both at the same wake-up. Responses
+//! are counted at the clients, received parts at the workers.
 
 mod common;
 
@@ -18,12 +18,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// As on the platform: no operators' API, and deadlines so short that SIGKILL may follow 1.7 s after SIGTERM.
+/// Returns a configuration as on the platform: without the operators' API, and with deadlines so short that
+/// SIGKILL may follow 1.7 s after SIGTERM.
 fn config_with_short_deadlines(discovery: &Discovery) -> Value {
     config_with_times(discovery, 600, 1000)
 }
 
-/// The same with deadlines so long that nothing times out on a busy machine.
+/// Returns the same configuration with deadlines so long that nothing times out on a busy machine.
 fn config_with_long_deadlines(discovery: &Discovery) -> Value {
     config_with_times(discovery, 60_000, 60_000)
 }
@@ -38,7 +39,7 @@
     config
 }
 
-/// A counter of the process, requested on this connection.
+/// Requests the counters of the process on this connection, and returns one of them.
 fn counter(counters_client: &mut TcpStream, name: &str) -> u64 {
     counters_client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     let text = response(counters_client).expect("an answer").body;
@@ -47,8 +48,8 @@
     found.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
 }
 
-/// Sends a query for one part of shard 0, of so little cost that all those of a test are expected to be
-/// answered in time.
+/// Sends a query of one part, for shard 0. Its cost is so low that admission expects all queries of a test to
+/// be answered in time.
 fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0,"price":9000}],"predicate":"c41e"}"#;
     let head = format!(
@@ -57,7 +58,7 @@
     stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// Expects the end of the connection, with nothing sent before it and no reset.
+/// Asserts that the connection ends without a reset and without further bytes.
 fn expect_close(stream: &mut TcpStream) {
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).expect("no reset");
@@ -82,7 +83,7 @@
     for client in partial.iter_mut() {
         client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("written");
     }
-    // Some have only just connected and are not accepted yet.
+    // These clients have connected and are not accepted yet.
     let mut new: Vec<_> = (0..4).map(|_| gatherer.connect()).collect();
     for (number, client) in new.iter_mut().enumerate() {
         query(client, &format!("c{number}"), "seal").expect("written");
@@ -93,14 +94,13 @@
     for client in complete.iter_mut().chain(&mut new) {
         statuses.push(response(client).expect("an answer").status);
     }
-    // A partial request is answered with its time-out or its error, and never dropped.
+    // A partial request is answered with an error and never dropped.
     for client in partial {
         client.write_all(b"-Id: d\r\nContent-Length: 0\r\n\r\n").expect("written");
         assert_eq!(response(client).expect("an answer").status, 400);
     }
     assert!(gatherer.wait_for_exit());
-    // So many at once may exceed what admission expects to be answered in time; rejected queries were not
-    // sent.
+    // Admission may reject some of so many queries at once. Rejected queries were not sent to the worker.
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served > 0 && statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
     assert_eq!((worker.parts_received(), worker.max_deliveries_of_a_part()), (8 + served, 1));
@@ -108,7 +108,8 @@
 
 #[test]
 fn a_request_after_the_grace_period_is_rejected_even_after_a_pause_of_the_process() {
-    // Guards against accepting what SIGKILL may find unanswered: where deadlines are short it follows soon.
+    // Guards against accepting queries that are unanswered at SIGKILL, which follows soon if deadlines are
+    // short.
     let (folder, worker) = (TempFolder::new("after"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut config = config_with_short_deadlines(&discovery);
@@ -122,7 +123,7 @@
     gatherer.signal("-TERM");
     gatherer.wait_for_log("stopping: ");
     gatherer.pause();
-    // Not a wait for an event: the grace period passes while the process is paused.
+    // The grace period has to pass while the process is paused, so there is no event to wait for.
     thread::sleep(GRACE_PERIOD);
     for (number, client) in idle_clients.iter_mut().enumerate() {
         query(client, &format!("b{number}"), "seal").expect("written");
@@ -130,14 +131,14 @@
     gatherer.signal("-CONT");
     for client in &mut idle_clients {
         match response(client) {
-            // No `Retry-After` where the configuration switches it off.
+            // The configuration switches `Retry-After` off.
             Ok(answer) => assert_eq!((answer.status, answer.headers.get("Retry-After")), (503, None)),
-            // Or the close raced with the request, and the client sees the end of the connection.
+            // If the close raced with the request, the client sees the end of the connection.
             Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::UnexpectedEof),
         }
     }
     assert!(gatherer.wait_for_exit());
-    assert_eq!(worker.parts_received(), 8, "nothing that arrived later was forwarded");
+    assert_eq!(worker.parts_received(), 8, "no later query was forwarded");
 }
 
 #[test]
@@ -149,7 +150,7 @@
     query(&mut client, "a", "seal").expect("written");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     gatherer.signal("-TERM");
-    // The client is idle until the gatherer closes its side, and sends a request just then.
+    // The client is idle until the gatherer closes its side, and sends a request then.
     expect_close(&mut client);
     query(&mut client, "b", "seal").expect("written");
     expect_close(&mut client);
@@ -161,20 +162,21 @@
 
 #[test]
 fn signals_are_handled_before_the_configuration_is_read() {
-    // Guards a process that has just started: without a handler SIGHUP ends it, which counts as a crash.
+    // Guards a process that has just started: without a handler, SIGHUP would end it, which counts as a
+    // crash.
     let (folder, worker) = (TempFolder::new("early"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
     let (config, file) = (config_with_short_deadlines(&discovery), folder.0.join("config.json"));
     let made_pipe = std::process::Command::new("mkfifo").arg(&file).status().expect("mkfifo runs");
     assert!(made_pipe.success());
     let mut gatherer = Gatherer::spawn(&file, &config, &folder, None);
-    // Opening it waits until the process has opened it for reading.
+    // Opening the pipe blocks until the process has opened it for reading.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).expect("opened");
     gatherer.signal("-HUP");
     // The reload reads a regular file.
     let regular = folder.0.join("usual.json");
     std::fs::write(&regular, config.to_string()).expect("written");
-    std::fs::rename(&regular, &file).expect("in its place");
+    std::fs::rename(&regular, &file).expect("the pipe is replaced");
     write!(pipe, "{config}").expect("written");
     drop(pipe);
     gatherer.wait_for_log("configuration read again");
@@ -186,7 +188,7 @@
     assert!(gatherer.wait_for_exit());
 }
 
-/// A worker whose connections are handed to the test; it answers nothing by itself.
+/// Starts a worker that answers nothing, and passes its connections to the test.
 fn silent_worker() -> (String, mpsc::Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -201,13 +203,13 @@
     (address, connections)
 }
 
-/// Reads the next part on a worker's connection; returns its id.
+/// Reads the next call on a worker's connection; returns the id of its part.
 fn read_part(stream: &mut TcpStream) -> String {
     let text = String::from_utf8(read_frame(stream).expect("a frame")).expect("text");
     text[1..].split(' ').next().expect("an id").to_owned()
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
     drop(stream);
@@ -229,7 +231,7 @@
             assert_eq!(read_part(&mut connection), format!("{class}.0"));
             pending.push((client, connection));
         }
-        // From here on there is another worker, which may receive retries of idempotent parts.
+        // Another worker is added, which may receive retries of idempotent parts.
         let both = format!("{},{}", member("w1", &first), member("w2", &second.address));
         let listings = counter(&mut counters_client, "listings");
         discovery.publish(&both);
@@ -246,7 +248,11 @@
             clients.push(client);
         }
         gatherer.signal("-CONT");
-        assert_eq!(response(&mut clients[0]).expect("an answer").status, 504, "{name}: it may have run");
+        assert_eq!(
+            response(&mut clients[0]).expect("an answer").status,
+            504,
+            "{name}: the part may have run"
+        );
         assert_eq!(response(&mut clients[1]).expect("an answer").status, 200, "{name}");
         assert_eq!(
             (second.parts_received(), second.max_deliveries_of_a_part()),
@@ -259,12 +265,12 @@
     }
 }
 
-/// A listener whose queue is full, and the connections that fill it: further ones are not established until
-/// it accepts.
+/// Returns a listener whose backlog is full, and the connections in it. Further connections are not
+/// established until the listener accepts.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-    rustix::net::listen(&socket, 0).expect("it listens");
+    rustix::net::listen(&socket, 0).expect("the socket listens");
     let listener = TcpListener::from(socket);
     let (address, mut queue) = (listener.local_addr().expect("an address"), Vec::new());
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
@@ -292,8 +298,8 @@
         clients.push(client);
     }
     wait_until("all attempts are dispatched", || counter(&mut counters_client, "sent") >= 12);
-    // All disconnect while the process is paused, some by a reset, some after the beginning of another
-    // request.
+    // All clients disconnect while the process is paused, some by a reset, some after the beginning of
+    // another request.
     gatherer.pause();
     for (number, mut client) in clients.into_iter().enumerate() {
         if number % 3 > 0 {
@@ -304,8 +310,8 @@
         }
     }
     gatherer.signal("-CONT");
-    wait_until("all have disconnected", || counter(&mut counters_client, "left") >= 12);
-    // Now the worker accepts connections, among them those being established: none may carry a part.
+    wait_until("all clients have disconnected", || counter(&mut counters_client, "left") >= 12);
+    // The worker now accepts connections, including those that were being established. None may carry a part.
     let queued_connections = queue.len();
     drop(queue);
     let (connection_sender, connections) = mpsc::channel();
@@ -333,10 +339,13 @@
         assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
         accepted_connections += 1;
     }
-    assert!(accepted_connections >= queued_connections, "{accepted_connections} connections came");
+    assert!(
+        accepted_connections >= queued_connections,
+        "{accepted_connections} accepted, {queued_connections} were queued"
+    );
 }
 
-/// Answers a part on a worker's connection.
+/// Writes the answer to a part on a worker's connection.
 fn answer_part(stream: &mut TcpStream, id: &str) {
     let answer = format!("q{id} good 5 -\n5be2");
     write_frame(stream, answer.as_bytes()).expect("written");
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,5 +1,5 @@
-//! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are
-//! reclaimed.
+//! The worker connection pool with few descriptors: queries of many parts, reclaimed idle connections, and
+//! connections that are slow, stuck or cannot be opened.
 
 mod common;
 
@@ -18,16 +18,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Shards of the test layout, each held by both workers.
+/// The number of shards in the test layout. Both workers hold every shard.
 const SHARDS: u32 = 64;
 
-/// Connects to workers that answer every part after this time.
+/// Connects to workers that answer every part after this delay.
 struct AnsweringWorkers(Duration);
 
 impl Connector for AnsweringWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            // Connecting takes a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
             let (gatherer_end, worker_end) = tokio::io::duplex(1 << 16);
             spawn_local(serve_parts(worker_end, self.0));
@@ -60,8 +59,8 @@
     }
 }
 
-/// Connects to workers that do not read, by connections that buffer a few bytes; the workers' ends are kept
-/// here.
+/// Connects to workers that do not read, by connections that buffer 16 bytes. Keeps the workers' ends of the
+/// connections.
 #[derive(Default)]
 struct StuckWorkers(RefCell<Vec<DuplexStream>>);
 
@@ -75,12 +74,13 @@
     }
 }
 
-/// Runs with workers that answer every part after so many milliseconds.
+/// Runs a test with workers that answer every part after `delay_ms` milliseconds.
 fn run_with_delay<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
     run_with_connector(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
 }
 
-/// Runs with workers that are connected to in this way.
+/// Runs a test in virtual time, with a broker and a pool of 64 descriptors that connects to workers by
+/// `connector`.
 fn run_with_connector<F: Future<Output = ()>>(
     connector: Rc<dyn Connector>,
     main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
@@ -102,7 +102,7 @@
     });
 }
 
-/// A query of the given number of parts.
+/// Returns a query of one part for each of the first `shards` shards.
 fn request(label: &str, class: &str, shards: u32, broker: &Broker) -> SearchRequest {
     let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
     let part = |shard| QueryPart {
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_query_with_more_parts_than_descriptors_waits_and_is_answered_completely() {
-    // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48
-    // descriptors in all.
+    // Every part is non-idempotent and needs a connection of its own: 64 connections, with 48 usable
+    // descriptors.
     run_with_delay(20, |broker, pool| async move {
         let floor =
             pool.descriptors(|allocator| allocator.budget().floors[DescriptorClass::Clients as usize]);
@@ -157,8 +157,8 @@
 
 #[test]
 fn a_query_that_gets_no_connection_is_rejected_as_not_executed() {
-    // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected
-    // rather than failed.
+    // Every descriptor that may be busy is busy: the query waits for a connection until its wait times out,
+    // and is then rejected instead of failed.
     run_with_delay(20, |broker, pool| async move {
         let mut held = Vec::new();
         while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers)) {
@@ -183,7 +183,7 @@
             (allocator.held(DescriptorClass::Workers), allocator.busy(DescriptorClass::Workers))
         });
         assert!(held > 0 && busy == 0, "{held} held, {busy} busy");
-        // What workers lent is reclaimed: clients acquire everything that their class may hold.
+        // The workers' idle descriptors are reclaimed, so clients acquire all that their class may hold.
         let mut client_permits = Vec::new();
         while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Clients)) {
             client_permits.push(pool.acquire(DescriptorClass::Clients).await);
@@ -192,13 +192,13 @@
         let (usable, floors) =
             pool.descriptors(|allocator| (allocator.budget().usable, allocator.budget().floors));
         assert_eq!(client_permits.len(), usable - floors[1] - floors[2] - floors[3]);
-        // What workers are guaranteed is there for the next query.
+        // The descriptors guaranteed to workers are available for the next query.
         assert!(is_complete(broker.submit(request("b", "search", 8, &broker)).await));
         assert!(pool.counters.borrow().peak_descriptors <= usable);
     });
 }
 
-/// Reads a connection to its end, as a worker does that was stuck until now.
+/// Reads a connection to its end, as a worker does that was stuck before.
 async fn read_to_end(mut worker_end: DuplexStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     worker_end.read_to_end(&mut bytes).await.expect("readable");
@@ -207,8 +207,8 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_as_its_client_disconnects_never_runs() {
-    // A frame that stays in a full connection would run whenever the worker reads on, after its client is
-    // gone.
+    // Guards against a frame that stays in a full connection: its parts would run when the worker reads
+    // again, after their client has gone.
     let stuck = Rc::new(StuckWorkers::default());
     run_with_connector(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
@@ -244,7 +244,7 @@
     broker.apply_endpoint_update(&list, true);
     let request = request("frames", "search", 5, &broker);
     let commands = broker.with_core(|core| {
-        core.submit(now, request).expect("it is accepted");
+        core.submit(now, request).expect("the query is accepted");
         core.step(now)
     });
     let calls = commands.iter().filter_map(|command| match command {
@@ -254,7 +254,7 @@
     assert_eq!(calls.collect::<Vec<_>>(), [2, 2, 1]);
 }
 
-/// Connects after a delay to workers that answer nothing; the workers' ends are kept here.
+/// Connects after a delay to workers that answer nothing. Keeps the workers' ends of the connections.
 struct SlowConnects {
     delay: Duration,
     worker_ends: RefCell<Vec<DuplexStream>>,
@@ -273,8 +273,8 @@
 
 #[test]
 fn the_deadline_sent_to_a_worker_includes_the_wait_for_its_connection() {
-    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was
-    // dispatched.
+    // The platform allows a worker to be told 150 ms more than is left. The connection is established 200 ms
+    // after the part was dispatched.
     let connector =
         Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
     run_with_connector(connector.clone(), |broker, _| async move {
@@ -293,13 +293,13 @@
         let deadline: u64 = deadline.parse().expect("milliseconds");
         assert!(
             deadline <= 800,
-            "800 ms are left to the client, and the worker is given {deadline}: {text:?}"
+            "the client has 800 ms left, but the worker was told {deadline} ms: {text:?}"
         );
         client.abort();
     });
 }
 
-/// Fails this many connects for want of descriptors, then connects to workers that answer at once.
+/// Fails this many connects with `ENFILE`, then connects to workers that answer after 1 ms.
 struct OutOfDescriptors(Cell<u32>);
 
 impl Connector for OutOfDescriptors {
@@ -315,7 +315,7 @@
 
 #[test]
 fn a_connect_that_fails_for_lack_of_descriptors_is_not_counted_against_the_worker() {
-    // Workers, and then their zone, would be ejected for what fails in this process.
+    // Guards against ejecting workers, and then their zone, for a local error of this process.
     run_with_connector(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
         let outcome = broker.submit(request("starved", "seal", 2, &broker)).await;
         assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
