--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -198,7 +198,7 @@
         self.evict_early(victim);
     }
 
-    /// Evicts a connection because accepts fail for want of descriptors outside the budget. Connections within their
+    /// Evicts a connection because accepts fail for lack of descriptors outside the budget. Connections within their
     /// minimum residence are not evicted, since accepting is retried soon in any case.
     pub(super) fn evict_after_accept_error(&self) {
         let victim = self.connections.borrow_mut().evict_past_min_residence(self.descriptor_pool.now());
--- a/src/transport/clients/connection_permit.rs
+++ b/src/transport/clients/connection_permit.rs
@@ -80,7 +80,8 @@
         self.with_connections(|connections| connections.set_source(self.id, source));
     }
     /// Marks the connection as busy with a complete request, which cancels a pending eviction. Returns false if that
-    /// would use a descriptor that another class is guaranteed; the request must then be rejected.
+    /// would use a descriptor that another class is guaranteed: the request must then be rejected, and its source is
+    /// penalised as for malformed input.
     #[must_use]
     pub fn try_begin_request(&self) -> bool {
         let marked = self.descriptor.try_mark_busy();
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -146,7 +146,7 @@
         log::debug!("clients: accept failed: {error}");
         return tokio::task::yield_now().await;
     }
-    log::warn!("clients: accept failed for want of descriptors or memory, retrying: {error}");
+    log::warn!("clients: accept failed for lack of descriptors or memory, retrying: {error}");
     // Descriptors are exhausted outside the budget. Closing an evictable client connection frees one.
     let released = manager.descriptor_pool().wait_for_release();
     manager.evict_after_accept_error();
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -132,8 +132,8 @@
     let long_poll = revision.map(|after_revision| LongPoll { after_revision, wait_ms });
     let request = http::encode_request("GET", &discovery::endpoint_list_target(long_poll), address, None);
     let exchange = http_client::exchange(stream, buffer, &request, MAX_LIST_BYTES);
-    // The agent may stop answering. By the protocol, a change counts as notified 2 s after the end of a long poll, or 6
-    // s after a plain poll; the limits leave time for another poll before that.
+    // The agent may stop answering. By the protocol, a change counts as notified 2 s after the end of a long poll, or
+    // 6 s after a plain poll; the limits leave time for another poll before that.
     let limit = if long_poll.is_some() { long_poll_timeout + LONG_POLL_SLACK } else { POLL_TIMEOUT };
     match tokio::time::timeout(limit, exchange).await {
         Ok(Ok(response)) if response.status == 200 => Ok(response),
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -23,7 +23,7 @@
     RETRIED_CALLS.get()
 }
 
-/// Whether a call failed for want of a local resource (descriptors, buffers, memory, ports), or was interrupted.
+/// Whether a call failed for lack of a local resource (descriptors, buffers, memory, ports), or was interrupted.
 #[must_use]
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
@@ -40,7 +40,7 @@
     )
 }
 
-/// Whether a call that creates a descriptor failed for want of descriptors, buffers or memory.
+/// Whether a call that creates a descriptor failed for lack of descriptors, buffers or memory.
 #[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -1,7 +1,7 @@
 //! Connections to index servers with an OpenSearch-style HTTP API: one search at a time on each connection.
 //!
-//! Owns the connections to each server, in use or idle, and reports the outcome of every attempt exactly once. Does not
-//! choose servers or retry; the decision module does both.
+//! Owns the connections to each server, in use or idle, and reports the outcome of every attempt that is not cancelled,
+//! once. Does not choose servers or retry; the decision module does both.
 
 use super::connector::{Connector, Stream, connect_with_timeout};
 use super::descriptor_pool::{BufferReservation, DescriptorPermit, DescriptorPool};
--- a/src/transport/membership/status.rs
+++ b/src/transport/membership/status.rs
@@ -12,7 +12,7 @@
     name: String,
     zone: String,
     address: SocketAddr,
-    /// The start of the process, in nanoseconds, which tells processes of the same name apart.
+    /// The start of the process in Unix nanoseconds, which distinguishes processes of the same name.
     start: u64,
     incarnation: u32,
     state: ObservedState,
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,9 +1,9 @@
 //! Reads and writes of stream sockets, for every peer and in both directions.
 //!
 //! The runtime's own streams take a short read or write as a sign that the socket is drained or full, and wait for the
-//! next readiness edge. Linux may return a short count for other reasons; then no edge follows, and the peer waits
-//! although bytes are available. The runtime's streams also return EINTR as an error, which would end a healthy
-//! connection.
+//! next readiness edge. Linux may return a short count for other reasons; then no edge follows, and the connection
+//! stalls although bytes, or space for them, are available. The runtime's streams also return EINTR as an error, which
+//! would end a healthy connection.
 //!
 //! A [`Socket`] clears readiness only when a call would block, and repeats interrupted calls. It does not interpret
 //! bytes.
--- a/src/transport/takeover.rs
+++ b/src/transport/takeover.rs
@@ -22,7 +22,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{UnixListener, UnixStream};
 
-/// The most bytes of one read.
+/// The buffer space for each read, in bytes.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
 
 /// Why the channel to the other process can no longer be used.
--- a/src/transport/workers/connection.rs
+++ b/src/transport/workers/connection.rs
@@ -129,8 +129,8 @@
 
     // ---- Acceptance of calls ----
 
-    /// Whether these parts may be sent on this connection: it is not retired, carries at most
-    /// `max_in_flight` parts with them, and
+    /// Whether these parts may be sent on this connection: it is not retired, has at most `max_in_flight` parts in
+    /// flight with them, and
     ///
     /// - none of the ids was finished on it before, since a late response to a cancelled part would be taken for the
     ///   response to its retry;
