--- a/examples/flood.rs
+++ b/examples/flood.rs
@@ -93,7 +93,7 @@
         let started_at = Instant::now();
         let reused = idle_connection.as_mut().is_some_and(exchange);
         if !reused {
-            let mut stream = TcpStream::connect(to).expect("connected");
+            let mut stream = TcpStream::connect(to).expect("the connect succeeds");
             lost += u64::from(!exchange(&mut stream));
             idle_connection = Some(stream);
         }
@@ -111,9 +111,9 @@
     let _ = rlimit::increase_nofile_limit(1 << 17);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let to = listener.local_addr().expect("an address");
-        let budget = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough");
+        let budget = DescriptorBudget::new(descriptors as usize, 16, 0).expect("enough descriptors");
         let manager = ConnectionManager::new(DescriptorPool::new(budget, 12 << 20));
         let evicting_manager = manager.clone();
         tokio::task::spawn_local(async move { evicting_manager.run_evictions().await });
@@ -128,8 +128,9 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let processor_time_used = processor_time() - before;
-        let opened: u64 = flood_threads.into_iter().map(|thread| thread.join().expect("joined")).sum();
-        let (mut latencies, lost) = client.join().expect("joined");
+        let opened: u64 =
+            flood_threads.into_iter().map(|thread| thread.join().expect("the thread ends")).sum();
+        let (mut latencies, lost) = client.join().expect("the thread ends");
         latencies.sort();
         let percentile = |fraction: f64| latencies[((latencies.len() - 1) as f64 * fraction) as usize];
         let admitted = manager.descriptor_pool().counters.borrow().admitted;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -179,22 +179,15 @@
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
     let list = config.initial_workers.expect("a list");
     broker.apply_endpoint_update(&list, true);
-    let (connector, following_broker) = (DiscoveryConnector(discovery.clone()), broker.clone());
+    let (connector, task_broker) = (DiscoveryConnector(discovery.clone()), broker.clone());
     spawn_local(async move {
         let descriptor_pool =
             DescriptorPool::new(DescriptorBudget::new(256, 16, 0).expect("enough descriptors"), 1 << 20);
         // The address does not change; the sender is kept so that the channel stays open.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
-        discovery::follow(
-            &connector,
-            address,
-            Some(list.revision),
-            &following_broker,
-            &descriptor_pool,
-            backoff,
-        )
-        .await;
+        discovery::follow(&connector, address, Some(list.revision), &task_broker, &descriptor_pool, backoff)
+            .await;
     });
     broker
 }
@@ -325,8 +318,7 @@
     assert!(!config.contracts.settings.poll_discovery);
 }
 
-/// Returns the configuration of a process that has an initial list with worker `w1`, and whose discovery
-/// agent is down.
+/// Returns a configuration with worker `w1` in the initial list and a discovery agent that is down.
 fn config_while_discovery_is_down(worker: &Worker) -> serde_json::Value {
     let earlier_discovery = process::Discovery::start(&member("w1", &worker.address));
     let mut config = process::config(&earlier_discovery);
@@ -345,8 +337,8 @@
     let elapsed = started_at.elapsed();
     assert!(elapsed < Duration::from_secs(10), "{elapsed:?}");
     let mut client = gatherer.connect();
-    process::query(&mut client, "a", "search").expect("written");
-    assert_eq!(process::response(&mut client).expect("an answer").status, 200);
+    process::query(&mut client, "a", "search").expect("the write succeeds");
+    assert_eq!(process::response(&mut client).expect("a response").status, 200);
 }
 
 #[test]
@@ -364,16 +356,15 @@
     discovery.publish(&member("w2", &workers[1].address));
     gatherer.wait_for_log("list 2 with 1 workers");
     let mut client = gatherer.connect();
-    process::query(&mut client, "a", "search").expect("written");
-    assert_eq!(process::response(&mut client).expect("an answer").status, 200);
+    process::query(&mut client, "a", "search").expect("the write succeeds");
+    assert_eq!(process::response(&mut client).expect("a response").status, 200);
     assert_eq!(workers.map(|worker| worker.parts_received()), [0, 1]);
     drop(idle);
 }
 
 #[test]
 fn a_worker_whose_start_lies_in_the_future_after_a_clock_step_warms_up_in_time() {
-    // Guards against a wall clock that was stepped back before this process started: workers would stay in
-    // slow start for an hour.
+    // Guards against slow start for an hour, where the wall clock was stepped back before this process started.
     let config = platform_config();
     let (mut core, start) = (Core::new(config.contracts), Time(1 << 60));
     core.metrics = Some(Default::default());
--- a/tests/listener/clients.rs
+++ b/tests/listener/clients.rs
@@ -12,17 +12,17 @@
 
 /// Sends a GET request without a body.
 pub async fn send_request(stream: &mut TcpStream, path: &str) {
-    stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await.expect("written");
+    stream.write_all(format!("GET {path} HTTP/1.1\r\n\r\n").as_bytes()).await.expect("the write succeeds");
 }
 
 /// Reads the response of the echo server to a request for `path`.
 pub async fn read_response(stream: &mut TcpStream, path: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(format!("{path}\n").as_bytes()) {
-        let count = stream.read_buf(&mut text).await.expect("readable");
+        let count = stream.read_buf(&mut text).await.expect("the read succeeds");
         assert!(count > 0, "the connection ended after {:?}", String::from_utf8_lossy(&text));
     }
-    String::from_utf8(text).expect("text")
+    String::from_utf8(text).expect("valid UTF-8")
 }
 
 /// Sends a GET request and reads its response.
@@ -41,7 +41,7 @@
             }
         }
         if !text.is_empty() {
-            return String::from_utf8(text).expect("text");
+            return String::from_utf8(text).expect("valid UTF-8");
         }
     }
     let stream = idle.insert(connect_and_send(address, b"GET /well-behaved HTTP/1.1\r\n\r\n").await);
@@ -60,7 +60,7 @@
             }
             Err(error) => panic!("cannot connect to {address}: {error}"),
         };
-        std::io::Write::write_all(&mut stream, request).expect("written");
+        std::io::Write::write_all(&mut stream, request).expect("the write succeeds");
         stream.set_nonblocking(true).expect("non-blocking mode is set");
         return TcpStream::from_std(stream).expect("the runtime registers the stream");
     }
--- a/tests/listener/main.rs
+++ b/tests/listener/main.rs
@@ -41,7 +41,7 @@
         }
         let mut rejected = busy.pop().expect("one was rejected");
         let mut text = String::new();
-        rejected.read_to_string(&mut text).await.expect("readable");
+        rejected.read_to_string(&mut text).await.expect("the read succeeds");
         assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("Retry-After: 1\r\n"), "{text}");
         // The guaranteed descriptors of the other classes can still be acquired.
         let (pool, mut others) = (server.manager.descriptor_pool(), Vec::new());
@@ -55,7 +55,7 @@
         }
         let mut late = server.connect().await;
         let mut text = String::new();
-        late.read_to_string(&mut text).await.expect("readable");
+        late.read_to_string(&mut text).await.expect("the read succeeds");
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
         assert_eq!(pool.counters.borrow().rejected, 1);
         server.held_requests.add_permits(busy.len());
@@ -107,7 +107,7 @@
     run(async {
         let server = Server::start(64, 0).await;
         let mut incomplete = server.connect().await;
-        incomplete.write_all(b"POST /half HTTP/1.1\r\nX-Pad:").await.expect("written");
+        incomplete.write_all(b"POST /half HTTP/1.1\r\nX-Pad:").await.expect("the write succeeds");
         let mut others = Vec::new();
         let mut text = String::new();
         let closed = incomplete.read_to_string(&mut text);
@@ -119,7 +119,7 @@
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            read = closed => { read.expect("readable"); }
+            read = closed => { read.expect("the read succeeds"); }
             () = connect_more => {}
         }
         assert!(text.starts_with("HTTP/1.1 408 "), "{text}");
@@ -213,8 +213,9 @@
         let server = Server::start(256, 0).await;
         server.manager.apply_lifecycle(LifecycleRequest::Stop).expect("the stop is accepted");
         let connect = |_| {
-            let mut client = std::net::TcpStream::connect(server.address).expect("connected");
-            std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n").expect("written");
+            let mut client = std::net::TcpStream::connect(server.address).expect("the connect succeeds");
+            std::io::Write::write_all(&mut client, b"GET /late HTTP/1.1\r\n\r\n")
+                .expect("the write succeeds");
             client
         };
         let clients: Vec<_> = (0..60).map(connect).collect();
@@ -226,7 +227,7 @@
             let mut client = TcpStream::from_std(client).expect("the runtime registers the stream");
             let text =
                 tokio::time::timeout(Duration::from_secs(20), read_response(&mut client, "/late")).await;
-            assert!(text.expect("an answer").contains("Connection: close\r\n"));
+            assert!(text.expect("a response").contains("Connection: close\r\n"));
         }
         server.accepting.await.expect("the accept task ends");
     });
@@ -279,10 +280,13 @@
         let mut client = server.connect().await;
         let mut received = Vec::new();
         // The client sends nothing until its connection is evicted, and its first request then.
-        assert!(client.read_buf(&mut received).await.expect("readable") > 0, "closed without a response");
+        assert!(
+            client.read_buf(&mut received).await.expect("the read succeeds") > 0,
+            "closed without a response"
+        );
         send_request(&mut client, "/a").await;
         client.read_to_end(&mut received).await.expect("no reset");
-        let received = String::from_utf8(received).expect("text");
+        let received = String::from_utf8(received).expect("valid UTF-8");
         assert!(
             received.starts_with("HTTP/1.1 503 ") && received.contains("Connection: close\r\n"),
             "{received:?}"
--- a/tests/listener/server.rs
+++ b/tests/listener/server.rs
@@ -97,7 +97,7 @@
         errno: i32,
         max_buffered_bytes: usize,
     ) -> Server {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let descriptor_pool = DescriptorPool::new(
             DescriptorBudget::new(descriptors, 16, 0).expect("enough descriptors"),
@@ -126,7 +126,7 @@
     }
     /// Connects a client.
     pub async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.address).await.expect("connected")
+        TcpStream::connect(self.address).await.expect("the connect succeeds")
     }
 }
 
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -41,9 +41,11 @@
 
 /// Requests the counters of the process on this connection, and returns one of them.
 fn counter(counters_client: &mut TcpStream, name: &str) -> u64 {
-    counters_client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
-    let text = response(counters_client).expect("an answer").body;
-    let text = String::from_utf8(text.to_vec()).expect("text");
+    counters_client
+        .write_all(&http::encode_request("GET", "/_counters", "x", None))
+        .expect("the write succeeds");
+    let text = response(counters_client).expect("a response").body;
+    let text = String::from_utf8(text.to_vec()).expect("valid UTF-8");
     let found = text.split_whitespace().find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     found.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
 }
@@ -72,32 +74,32 @@
     let mut gatherer = Gatherer::start(&folder, &config_with_short_deadlines(&discovery));
     let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
     for (number, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("a{number}"), "seal").expect("written");
-        assert_eq!(response(client).expect("an answer").status, 200);
+        query(client, &format!("a{number}"), "seal").expect("the write succeeds");
+        assert_eq!(response(client).expect("a response").status, 200);
     }
     gatherer.pause();
     let (complete, partial) = idle_clients.split_at_mut(4);
     for (number, client) in complete.iter_mut().enumerate() {
-        query(client, &format!("b{number}"), "seal").expect("written");
+        query(client, &format!("b{number}"), "seal").expect("the write succeeds");
     }
     for client in partial.iter_mut() {
-        client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("written");
+        client.write_all(b"POST /api HTTP/1.1\r\nX-Call").expect("the write succeeds");
     }
     // These clients have connected and are not accepted yet.
     let mut new: Vec<_> = (0..4).map(|_| gatherer.connect()).collect();
     for (number, client) in new.iter_mut().enumerate() {
-        query(client, &format!("c{number}"), "seal").expect("written");
+        query(client, &format!("c{number}"), "seal").expect("the write succeeds");
     }
     gatherer.signal("-TERM");
     gatherer.signal("-CONT");
     let mut statuses = Vec::new();
     for client in complete.iter_mut().chain(&mut new) {
-        statuses.push(response(client).expect("an answer").status);
+        statuses.push(response(client).expect("a response").status);
     }
     // A partial request is answered with an error and never dropped.
     for client in partial {
-        client.write_all(b"-Id: d\r\nContent-Length: 0\r\n\r\n").expect("written");
-        assert_eq!(response(client).expect("an answer").status, 400);
+        client.write_all(b"-Id: d\r\nContent-Length: 0\r\n\r\n").expect("the write succeeds");
+        assert_eq!(response(client).expect("a response").status, 400);
     }
     assert!(gatherer.wait_for_exit());
     // Admission may reject some of so many queries at once. Rejected queries were not sent to the worker.
@@ -117,8 +119,8 @@
     let mut gatherer = Gatherer::start(&folder, &config);
     let mut idle_clients: Vec<_> = (0..8).map(|_| gatherer.connect()).collect();
     for (number, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("a{number}"), "seal").expect("written");
-        assert_eq!(response(client).expect("an answer").status, 200);
+        query(client, &format!("a{number}"), "seal").expect("the write succeeds");
+        assert_eq!(response(client).expect("a response").status, 200);
     }
     gatherer.signal("-TERM");
     gatherer.wait_for_log("stopping: ");
@@ -126,7 +128,7 @@
     // The grace period has to pass while the process is paused, so there is no event to wait for.
     thread::sleep(GRACE_PERIOD);
     for (number, client) in idle_clients.iter_mut().enumerate() {
-        query(client, &format!("b{number}"), "seal").expect("written");
+        query(client, &format!("b{number}"), "seal").expect("the write succeeds");
     }
     gatherer.signal("-CONT");
     for client in &mut idle_clients {
@@ -147,12 +149,12 @@
     let discovery = Discovery::start(&member("w1", &worker.address));
     let mut gatherer = Gatherer::start(&folder, &config_with_short_deadlines(&discovery));
     let mut client = gatherer.connect();
-    query(&mut client, "a", "seal").expect("written");
-    assert_eq!(response(&mut client).expect("an answer").status, 200);
+    query(&mut client, "a", "seal").expect("the write succeeds");
+    assert_eq!(response(&mut client).expect("a response").status, 200);
     gatherer.signal("-TERM");
     // The client is idle until the gatherer closes its side, and sends a request then.
     expect_close(&mut client);
-    query(&mut client, "b", "seal").expect("written");
+    query(&mut client, "b", "seal").expect("the write succeeds");
     expect_close(&mut client);
     drop(client);
     assert!(gatherer.wait_for_exit());
@@ -171,18 +173,18 @@
     assert!(made_pipe.success());
     let mut gatherer = Gatherer::spawn(&file, &config, &folder, None);
     // Opening the pipe blocks until the process has opened it for reading.
-    let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).expect("opened");
+    let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).expect("the pipe is opened");
     gatherer.signal("-HUP");
     // The reload reads a regular file.
     let regular = folder.0.join("usual.json");
-    std::fs::write(&regular, config.to_string()).expect("written");
+    std::fs::write(&regular, config.to_string()).expect("the write succeeds");
     std::fs::rename(&regular, &file).expect("the pipe is replaced");
-    write!(pipe, "{config}").expect("written");
+    write!(pipe, "{config}").expect("the write succeeds");
     drop(pipe);
     gatherer.wait_for_log("configuration read again");
     let mut client = gatherer.connect();
-    query(&mut client, "a", "seal").expect("written");
-    assert_eq!(response(&mut client).expect("an answer").status, 200);
+    query(&mut client, "a", "seal").expect("the write succeeds");
+    assert_eq!(response(&mut client).expect("a response").status, 200);
     drop(client);
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
@@ -190,7 +192,7 @@
 
 /// Starts a worker that answers nothing, and passes its connections to the test.
 fn silent_worker() -> (String, mpsc::Receiver<TcpStream>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     let (connection_sender, connections) = mpsc::channel();
     thread::spawn(move || {
@@ -205,13 +207,13 @@
 
 /// Reads the next call on a worker's connection; returns the id of its part.
 fn read_part(stream: &mut TcpStream) -> String {
-    let text = String::from_utf8(read_frame(stream).expect("a frame")).expect("text");
+    let text = String::from_utf8(read_frame(stream).expect("a frame")).expect("valid UTF-8");
     text[1..].split(' ').next().expect("an id").to_owned()
 }
 
 /// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
-    set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
+    set_socket_linger(&stream, Some(Duration::ZERO)).expect("the linger option is set");
     drop(stream);
 }
 
@@ -226,7 +228,7 @@
         let mut pending = Vec::new();
         for class in ["seal", "search"] {
             let mut client = gatherer.connect();
-            query(&mut client, class, class).expect("written");
+            query(&mut client, class, class).expect("the write succeeds");
             let mut connection = connections.recv_timeout(Duration::from_secs(60)).expect("a connection");
             assert_eq!(read_part(&mut connection), format!("{class}.0"));
             pending.push((client, connection));
@@ -239,7 +241,7 @@
         gatherer.pause();
         let mut clients = Vec::new();
         for (client, mut connection) in pending {
-            connection.write_all(&[30, 0, 0, 0, b'q', b's']).expect("written");
+            connection.write_all(&[30, 0, 0, 0, b'q', b's']).expect("the write succeeds");
             if by_reset {
                 reset(connection);
             } else {
@@ -249,11 +251,11 @@
         }
         gatherer.signal("-CONT");
         assert_eq!(
-            response(&mut clients[0]).expect("an answer").status,
+            response(&mut clients[0]).expect("a response").status,
             504,
             "{name}: the part may have run"
         );
-        assert_eq!(response(&mut clients[1]).expect("an answer").status, 200, "{name}");
+        assert_eq!(response(&mut clients[1]).expect("a response").status, 200, "{name}");
         assert_eq!(
             (second.parts_received(), second.max_deliveries_of_a_part()),
             (1, 1),
@@ -269,7 +271,7 @@
 /// established until the listener accepts.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
     rustix::net::listen(&socket, 0).expect("the socket listens");
     let listener = TcpListener::from(socket);
     let (address, mut queue) = (listener.local_addr().expect("an address"), Vec::new());
@@ -294,7 +296,7 @@
     for number in 0..12 {
         let mut client = gatherer.connect();
         query(&mut client, &format!("a{number}"), if number % 2 == 0 { "seal" } else { "search" })
-            .expect("written");
+            .expect("the write succeeds");
         clients.push(client);
     }
     wait_until("all attempts are dispatched", || counter(&mut counters_client, "sent") >= 12);
@@ -303,7 +305,7 @@
     gatherer.pause();
     for (number, mut client) in clients.into_iter().enumerate() {
         if number % 3 > 0 {
-            client.write_all(b"POST /api HTTP/1.1\r\n").expect("written");
+            client.write_all(b"POST /api HTTP/1.1\r\n").expect("the write succeeds");
         }
         if number % 3 > 1 {
             reset(client);
@@ -326,7 +328,7 @@
     drop(counters_client);
     gatherer.signal("-TERM");
     assert!(gatherer.wait_for_exit());
-    let last_connection = TcpStream::connect(address).expect("connected");
+    let last_connection = TcpStream::connect(address).expect("the connect succeeds");
     let last = last_connection.local_addr().expect("an address");
     let mut accepted_connections = 0;
     for mut stream in connections.iter() {
@@ -348,7 +350,7 @@
 /// Writes the answer to a part on a worker's connection.
 fn answer_part(stream: &mut TcpStream, id: &str) {
     let answer = format!("q{id} good 5 -\n5be2");
-    write_frame(stream, answer.as_bytes()).expect("written");
+    write_frame(stream, answer.as_bytes()).expect("the write succeeds");
 }
 
 #[test]
@@ -359,16 +361,16 @@
         let discovery = Discovery::start(&member("w1", &address));
         let mut gatherer = Gatherer::start(&folder, &config_with_long_deadlines(&discovery));
         let mut client = gatherer.connect();
-        query(&mut client, "a", "search").expect("written");
+        query(&mut client, "a", "search").expect("the write succeeds");
         let mut idle_connection = next_connection();
         let id = read_part(&mut idle_connection);
         answer_part(&mut idle_connection, &id);
-        assert_eq!(response(&mut client).expect("an answer").status, 200);
+        assert_eq!(response(&mut client).expect("a response").status, 200);
         // The close of the idle connection and two requests are seen at the same wake-up.
         gatherer.pause();
         let mut other_client = gatherer.connect();
-        query(&mut client, "b", "search").expect("written");
-        query(&mut other_client, "c", "seal").expect("written");
+        query(&mut client, "b", "search").expect("the write succeeds");
+        query(&mut other_client, "c", "seal").expect("the write succeeds");
         if by_reset {
             reset(idle_connection);
         } else {
@@ -385,7 +387,7 @@
         parts.sort_by(|a, b| a.0.cmp(&b.0));
         assert_eq!([&*parts[0].0, &*parts[1].0], ["b.0", "c.0"], "{name}");
         for client in [&mut client, &mut other_client] {
-            assert_eq!(response(client).expect("an answer").status, 200, "{name}");
+            assert_eq!(response(client).expect("a response").status, 200, "{name}");
         }
         drop((client, other_client));
         gatherer.signal("-TERM");
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -45,7 +45,7 @@
                 break;
             }
             buffer.advance(4);
-            let text = String::from_utf8(buffer.split_to(length).to_vec()).expect("text");
+            let text = String::from_utf8(buffer.split_to(length).to_vec()).expect("valid UTF-8");
             if let Some(rest) = text.strip_prefix('m') {
                 tokio::time::sleep(delay).await;
                 let answer = format!("q{} good 5 -\nvalue", rest.split(' ').next().expect("an id"));
@@ -91,7 +91,8 @@
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let pool =
+            DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough descriptors"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
         let workers = Workers::new(broker.clone(), connector, pool.clone());
@@ -162,7 +163,7 @@
     run_with_delay(20, |broker, pool| async move {
         let mut held = Vec::new();
         while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers)) {
-            held.push(pool.try_acquire(DescriptorClass::Workers).expect("free"));
+            held.push(pool.try_acquire(DescriptorClass::Workers).expect("a free descriptor"));
             assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
         let outcome = broker.submit(request("none", "seal", 2, &broker)).await;
@@ -201,7 +202,7 @@
 /// Reads a connection to its end, as a worker does that was stuck before.
 async fn read_to_end(mut worker_end: DuplexStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    worker_end.read_to_end(&mut bytes).await.expect("readable");
+    worker_end.read_to_end(&mut bytes).await.expect("the read succeeds");
     bytes
 }
 
