--- a/src/transport/descriptor_pool/connect_permit.rs
+++ b/src/transport/descriptor_pool/connect_permit.rs
@@ -1,6 +1,6 @@
 //! Permits to connect to a server, and the calls that wait for one.
 //!
-//! Which call may connect next, and for how long it waits, is decided in [`crate::limits::connection_pool`].
+//! The order of the queue and the limit of the wait are in [`crate::limits::connection_pool`].
 
 use super::{DescriptorPermit, DescriptorPool};
 use crate::limits::connection_pool::{self, ConnectQueue, ConnectTicket, ConnectWaitError};
@@ -11,28 +11,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How many calls may wait for a connection for each usable descriptor: the parts of a query wait one by one.
+/// How many calls may wait for a connection, for each usable descriptor. The parts of one query may wait as separate
+/// calls, so there are more calls than queries.
 const CONNECT_WAITS_PER_DESCRIPTOR: usize = 2;
-/// One in so many of the descriptors guaranteed to workers may be connecting at once...
+/// At most one quarter of the descriptors guaranteed to workers may be connecting at once, but at least
+/// [`MIN_CONNECTING`].
 const CONNECTING_DIVISOR: usize = 4;
-/// ...and so many at least.
+/// The lower bound of the number of connections that may be connecting at once.
 const MIN_CONNECTING: usize = 4;
 
 impl DescriptorPool {
-    /// Waits for the right to connect to a server, for a call with `time_left` before its deadline. A dropped wait is
-    /// removed from the queue.
+    /// Waits for a permit to connect to a server, for a call with `time_left` before its deadline. Dropping the future
+    /// removes the call from the queue.
     ///
     /// # Errors
-    /// The queue is full of calls with less time left, or the wait has taken as much of the call's time as it may.
+    /// The queue was full and this call was displaced (the latest deadline of the server with the most waiting calls),
+    /// or the wait has taken the share of `time_left` that [`connection_pool::connect_wait_limit`] allows.
     pub async fn acquire_connect_permit(
         self: &Rc<Self>,
         worker: WorkerId,
         time_left: Duration,
     ) -> Result<ConnectPermit, ConnectWaitError> {
         let (sender, receiver) = oneshot::channel();
-        let ticket = self.connect_waits.borrow_mut().enqueue(self.now(), worker, time_left, sender);
+        let ticket = self.connect_queue.borrow_mut().enqueue(self.now(), worker, time_left, sender);
         let _queued = QueuedConnect { pool: self, ticket };
-        self.start_waiting_connects();
+        self.grant_connect_permits();
         let limit = connection_pool::connect_wait_limit(time_left);
         let error = match tokio::time::timeout(limit, receiver).await {
             Ok(Ok(permit)) => return Ok(permit),
@@ -43,52 +46,52 @@
         Err(error)
     }
 
-    /// Gives connect permits to waiting calls, as far as descriptors allow.
-    pub(super) fn start_waiting_connects(self: &Rc<Self>) {
-        while self.connect_waits.borrow().queue.can_start_next()
-            && self.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers))
+    /// Grants connect permits to waiting calls for as long as a descriptor and a connecting slot are available.
+    pub(super) fn grant_connect_permits(self: &Rc<Self>) {
+        while self.connect_queue.borrow().queue.can_start_next()
+            && self.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers))
         {
             let Ok(descriptor) = self.try_acquire(DescriptorClass::Workers) else { return };
             descriptor.try_mark_busy();
-            let next = self.connect_waits.borrow_mut().start_next();
-            let Some(StartedConnect { worker, waiter }) = next else { return };
+            let next = self.connect_queue.borrow_mut().start_next();
+            let Some(GrantedConnect { worker, waiter }) = next else { return };
             self.counters.borrow_mut().worker_connects_started += 1;
             let connecting = ConnectingSlot { pool: self.clone(), worker };
             let permit = ConnectPermit { descriptor, _connecting: connecting };
             if let Some(waiter) = waiter {
-                // A failed send means that nobody waits any longer: the permit comes back and is released here.
+                // The send fails where the receiver was dropped meanwhile: the returned permit is released here.
                 drop(waiter.send(permit));
             }
         }
     }
 }
 
-/// The end of a waiting call that receives its permit.
+/// Sends the permit to a waiting call.
 type ConnectWaiter = oneshot::Sender<ConnectPermit>;
 
 /// The calls that wait for a connect permit.
-pub(super) struct ConnectWaits {
+pub(super) struct PendingConnects {
     queue: ConnectQueue,
     waiters: BTreeMap<ConnectTicket, ConnectWaiter>,
 }
 
-/// A call whose turn to connect has come.
-struct StartedConnect {
+/// A call that was taken from the queue to connect.
+struct GrantedConnect {
     worker: WorkerId,
-    /// `None` where the call no longer waits.
+    /// `None` where the call has stopped waiting.
     waiter: Option<ConnectWaiter>,
 }
 
-impl ConnectWaits {
-    /// Creates an empty queue, with limits in proportion to this budget.
-    pub fn new(budget: &DescriptorBudget) -> ConnectWaits {
+impl PendingConnects {
+    /// Creates an empty queue whose limits are in proportion to this budget.
+    pub fn new(budget: &DescriptorBudget) -> PendingConnects {
         let guaranteed = budget.floors[DescriptorClass::Workers as usize];
         let max_waiting = budget.usable * CONNECT_WAITS_PER_DESCRIPTOR;
         let max_connecting = (guaranteed / CONNECTING_DIVISOR).max(MIN_CONNECTING);
-        ConnectWaits { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
+        PendingConnects { queue: ConnectQueue::new(max_waiting, max_connecting), waiters: BTreeMap::new() }
     }
 
-    /// Queues a call. Where the queue is full, the call that is displaced learns of it as its channel closes.
+    /// Queues a call. Where the queue is full, the channel of the displaced call is closed, which ends its wait.
     fn enqueue(
         &mut self,
         now: Time,
@@ -104,9 +107,9 @@
         ticket
     }
 
-    fn start_next(&mut self) -> Option<StartedConnect> {
+    fn start_next(&mut self) -> Option<GrantedConnect> {
         let (ticket, worker) = self.queue.start_next()?;
-        Some(StartedConnect { worker, waiter: self.waiters.remove(&ticket) })
+        Some(GrantedConnect { worker, waiter: self.waiters.remove(&ticket) })
     }
 
     fn cancel(&mut self, ticket: ConnectTicket) {
@@ -115,7 +118,7 @@
     }
 }
 
-/// A call in the connect queue; dropping it removes it from the queue.
+/// Removes a call from the connect queue on drop.
 struct QueuedConnect<'a> {
     pool: &'a DescriptorPool,
     ticket: ConnectTicket,
@@ -123,11 +126,12 @@
 
 impl Drop for QueuedConnect<'_> {
     fn drop(&mut self) {
-        self.pool.connect_waits.borrow_mut().cancel(self.ticket);
+        self.pool.connect_queue.borrow_mut().cancel(self.ticket);
     }
 }
 
-/// The right to connect to a server: a busy descriptor, and one of the connections that may be coming up at once.
+/// The permission to connect to a server: a busy descriptor and a slot among the connections that may be connecting at
+/// once.
 #[must_use]
 pub struct ConnectPermit {
     descriptor: DescriptorPermit,
@@ -135,13 +139,13 @@
 }
 
 impl ConnectPermit {
-    /// The connection is up: it keeps the descriptor, and another may come up.
+    /// Keeps the descriptor for the established connection, and releases the connecting slot.
     pub fn into_descriptor_permit(self) -> DescriptorPermit {
         self.descriptor
     }
 }
 
-/// One of the connections that may be coming up at once.
+/// A slot among the connections that may be connecting at once; dropping it frees the slot for a waiting call.
 struct ConnectingSlot {
     pool: Rc<DescriptorPool>,
     worker: WorkerId,
@@ -149,7 +153,7 @@
 
 impl Drop for ConnectingSlot {
     fn drop(&mut self) {
-        self.pool.connect_waits.borrow_mut().queue.finish_connect(self.worker);
-        self.pool.start_waiting_connects();
+        self.pool.connect_queue.borrow_mut().queue.finish_connect(self.worker);
+        self.pool.grant_connect_permits();
     }
 }
--- a/src/transport/errors.rs
+++ b/src/transport/errors.rs
@@ -1,5 +1,6 @@
-//! Errors of system calls that are this process's or machine's own and pass: which they are, and how calls are retried.
-//! It says nothing about peers, and never retries what a peer may have executed.
+//! Classifies errors of system calls that have a local or transient cause, and retries calls that failed with one.
+//!
+//! Contains no judgement about peers. Calls whose effect a peer may already have seen must not be retried here.
 
 use rustix::io::Errno;
 use std::cell::Cell;
@@ -7,9 +8,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The delay after the first failure.
+/// The delay before the first retry.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
-/// The longest delay.
+/// The longest delay between two retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 thread_local! {
@@ -22,7 +23,7 @@
     RETRIED_CALLS.get()
 }
 
-/// Whether a call failed for want of a local resource (descriptors, buffers, memory, ports), or was interrupted.
+/// Whether a call failed for lack of a local resource (descriptors, buffers, memory, ports), or was interrupted.
 #[must_use]
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
@@ -39,23 +40,24 @@
     )
 }
 
-/// Whether a call that creates a descriptor failed because none is to be had.
+/// Whether a call that creates a descriptor failed for lack of descriptors, buffers or memory.
 #[must_use]
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether a call may succeed in a moment: local errors, a network that is not up yet, a disk that fails or is full.
+/// Whether a retry may succeed: local errors (see [`is_local`]), aborted connections, a network that is not up yet, and
+/// disk errors or a full disk.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
-    let other = matches!(
+    let is_network_or_disk = matches!(
         Errno::from_io_error(error),
         Some(Errno::CONNABORTED | Errno::NETUNREACH | Errno::NETDOWN | Errno::IO | Errno::NOSPC)
     );
-    other || is_local(error)
+    is_network_or_disk || is_local(error)
 }
 
-/// The delays between retries of a call: each is twice the one before, up to a limit.
+/// Exponential backoff between the retries of a call: from 2 ms, doubled each time, up to 50 ms.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryDelays {
     next: Duration,
@@ -76,7 +78,8 @@
     }
 }
 
-/// Does what [`retry`] does before there is a runtime: the thread sleeps.
+/// Like [`retry`], but blocks the thread between retries; for use before the runtime starts. Retries are not counted in
+/// [`retried_calls`].
 ///
 /// # Errors
 /// The last error of the call.
@@ -85,18 +88,18 @@
     is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let (since, mut delays) = (std::time::Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (std::time::Instant::now(), RetryDelays::default());
     loop {
         match call() {
-            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+            Err(error) if is_transient(&error) && started_at.elapsed() < limit => {
                 std::thread::sleep(delays.next_delay());
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Retries a call while its error is transient, but not for longer than `limit`.
+/// Retries a call while `is_transient` holds for its error and less than `limit` has passed since the first call.
 ///
 /// # Errors
 /// The last error of the call.
@@ -105,14 +108,14 @@
     is_transient: impl Fn(&io::Error) -> bool,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let (since, mut delays) = (Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (Instant::now(), RetryDelays::default());
     loop {
         match call().await {
-            Err(error) if is_transient(&error) && since.elapsed() < limit => {
+            Err(error) if is_transient(&error) && started_at.elapsed() < limit => {
                 RETRIED_CALLS.set(RETRIED_CALLS.get() + 1);
                 sleep(delays.next_delay()).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/src/transport/membership/status.rs
+++ b/src/transport/membership/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of membership, as JSON.
+//! The membership status for the operators' API, as JSON.
 
 use crate::membership::{KnownMember, Node, ObservedState};
 use crate::policy::Time;
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A member as the operators' API shows it. Operators' tools read these JSON names, so they outlive Rust names.
+/// The status of one member. Operators' tools read the JSON names, so these stay when Rust names change.
 #[derive(Serialize)]
 struct MemberStatus {
     name: String,
     zone: String,
     address: SocketAddr,
-    /// A process's start identifies it among those of one name.
+    /// The start of the process in Unix nanoseconds, which distinguishes processes of the same name.
     start: u64,
     incarnation: u32,
     state: ObservedState,
@@ -22,7 +22,7 @@
     last_message_age_s: Option<f64>,
 }
 
-/// What the operators' API shows of membership. Operators' tools read these JSON names, so they outlive Rust names.
+/// The status of membership in one process. Operators' tools read the JSON names, so these stay when Rust names change.
 #[derive(Serialize)]
 struct MembershipStatus {
     #[serde(rename = "gatherers")]
@@ -36,7 +36,7 @@
 }
 
 impl MemberStatus {
-    fn of_member(member: &KnownMember, now: Time) -> MemberStatus {
+    fn from_known_member(member: &KnownMember, now: Time) -> MemberStatus {
         MemberStatus {
             name: member.update.name.clone(),
             zone: member.update.zone.clone(),
@@ -49,7 +49,7 @@
         }
     }
 
-    fn of_this_process(node: &Node, now: Time) -> MemberStatus {
+    fn from_own_node(node: &Node, now: Time) -> MemberStatus {
         let own = node.own();
         MemberStatus {
             name: own.name.clone(),
@@ -64,15 +64,15 @@
     }
 }
 
-/// Describes all known members, and how many messages were discarded, by reason.
+/// Returns the status of this process and of all known members, with the number of discarded messages by reason.
 pub(super) fn json(node: &Node, now: Time, discarded: &BTreeMap<String, u64>) -> String {
     let membership = MembershipStatus {
         fleet_size: node.gatherers(now),
         is_isolated: node.is_isolated(now),
-        own: MemberStatus::of_this_process(node, now),
-        members: node.table().iter().map(|member| MemberStatus::of_member(member, now)).collect(),
+        own: MemberStatus::from_own_node(node, now),
+        members: node.table().iter().map(|member| MemberStatus::from_known_member(member, now)).collect(),
         discarded: discarded.clone(),
     };
-    // Plain structs and maps with text keys always serialise.
+    // Serialising plain structs and maps with string keys cannot fail.
     serde_json::to_string(&membership).unwrap_or_default()
 }
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,5 +1,5 @@
-//! The worker pool on a small budget of descriptors: queries of many parts, and idle connections that are
-//! reclaimed.
+//! The worker connection pool with few descriptors: queries of many parts, reclaimed idle connections, and
+//! connections that are slow, stuck or cannot be opened.
 
 mod common;
 
@@ -18,20 +18,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Shards of the test layout, each held by both workers.
+/// The number of shards in the test layout. Both workers hold every shard.
 const SHARDS: u32 = 64;
 
-/// Connects to workers that answer every part after this time.
+/// Connects to workers that answer every part after this delay.
 struct AnsweringWorkers(Duration);
 
 impl Connector for AnsweringWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            // Connecting takes a moment.
             tokio::time::sleep(Duration::from_millis(2)).await;
-            let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(serve_parts(far, self.0));
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(1 << 16);
+            spawn_local(serve_parts(worker_end, self.0));
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
@@ -40,13 +39,13 @@
 async fn serve_parts(mut stream: DuplexStream, delay: Duration) {
     let mut buffer = BytesMut::new();
     while matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
-        while let Some(length) = buffer.first_chunk::<4>().map(|length| u32::from_le_bytes(*length) as usize)
+        while let Some(length) = buffer.first_chunk::<4>().map(|prefix| u32::from_le_bytes(*prefix) as usize)
         {
             if buffer.len() < 4 + length {
                 break;
             }
             buffer.advance(4);
-            let text = String::from_utf8(buffer.split_to(length).to_vec()).expect("text");
+            let text = String::from_utf8(buffer.split_to(length).to_vec()).expect("valid UTF-8");
             if let Some(rest) = text.strip_prefix('m') {
                 tokio::time::sleep(delay).await;
                 let answer = format!("q{} good 5 -\nvalue", rest.split(' ').next().expect("an id"));
@@ -60,28 +59,29 @@
     }
 }
 
-/// Connects to workers that do not read, by connections that buffer a few bytes; the workers' ends are kept
-/// here.
+/// Connects to workers that do not read, by connections that buffer 16 bytes. Keeps the workers' ends of the
+/// connections.
 #[derive(Default)]
 struct StuckWorkers(RefCell<Vec<DuplexStream>>);
 
 impl Connector for StuckWorkers {
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            let (near, far) = tokio::io::duplex(16);
-            self.0.borrow_mut().push(far);
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(16);
+            self.0.borrow_mut().push(worker_end);
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
 
-/// Runs with workers that answer every part after so many milliseconds.
-fn run<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
-    run_on(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
+/// Runs a test with workers that answer every part after `delay_ms` milliseconds.
+fn run_with_delay<F: Future<Output = ()>>(delay_ms: u64, main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F) {
+    run_with_connector(Rc::new(AnsweringWorkers(Duration::from_millis(delay_ms))), main);
 }
 
-/// Runs with workers that are connected to in this way.
-fn run_on<F: Future<Output = ()>>(
+/// Runs a test in virtual time, with a broker and a pool of 64 descriptors that connects to workers by
+/// `connector`.
+fn run_with_connector<F: Future<Output = ()>>(
     connector: Rc<dyn Connector>,
     main: impl FnOnce(Broker, Rc<DescriptorPool>) -> F,
 ) {
@@ -91,18 +91,19 @@
         json["settings"]["domain"]["slices"] = SHARDS.into();
         json["settings"]["allowed"]["max-open"] = 1000.into();
         let config = Config::from_json(&json, |_| None).expect("a configuration");
-        let pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let pool =
+            DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough descriptors"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
         let workers = Workers::new(broker.clone(), connector, pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
-        let driver = broker.clone();
-        spawn_local(async move { driver.drive(&workers).await });
+        let driven_broker = broker.clone();
+        spawn_local(async move { driven_broker.drive(&workers).await });
         main(broker, pool).await;
     });
 }
 
-/// A query of the given number of parts.
+/// Returns a query of one part for each of the first `shards` shards.
 fn request(label: &str, class: &str, shards: u32, broker: &Broker) -> SearchRequest {
     let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
     let part = |shard| QueryPart {
@@ -120,10 +121,11 @@
 
 #[test]
 fn a_query_with_more_parts_than_descriptors_waits_and_is_answered_completely() {
-    // Every part is non-idempotent and needs a connection of its own: 64 of them, where there are 48
-    // descriptors in all.
-    run(20, |broker, pool| async move {
-        let floor = pool.descriptors(|all| all.budget().floors[DescriptorClass::Clients as usize]);
+    // Every part is non-idempotent and needs a connection of its own: 64 connections, with 48 usable
+    // descriptors.
+    run_with_delay(20, |broker, pool| async move {
+        let floor =
+            pool.descriptors(|allocator| allocator.budget().floors[DescriptorClass::Clients as usize]);
         let client_permits: Vec<DescriptorPermit> = (0..floor)
             .map(|_| pool.try_acquire(DescriptorClass::Clients).expect("a guaranteed descriptor"))
             .collect();
@@ -144,7 +146,8 @@
             "{counters}"
         );
         assert_eq!(broker.with_core(|core| core.counters.sent), u64::from(SHARDS), "nothing is sent twice");
-        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let (usable, floors) =
+            pool.descriptors(|allocator| (allocator.budget().usable, allocator.budget().floors));
         let max_held = usable
             - floor
             - floors[DescriptorClass::Discovery as usize]
@@ -154,13 +157,13 @@
 }
 
 #[test]
-fn without_a_connection_the_query_is_rejected_as_not_executed() {
-    // Every descriptor that may be busy is: the query waits, is dropped from the queue, and is rejected
-    // rather than failed.
-    run(20, |broker, pool| async move {
+fn a_query_that_gets_no_connection_is_rejected_as_not_executed() {
+    // Every descriptor that may be busy is busy: the query waits for a connection until its wait times out,
+    // and is then rejected instead of failed.
+    run_with_delay(20, |broker, pool| async move {
         let mut held = Vec::new();
-        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Workers)) {
-            held.push(pool.try_acquire(DescriptorClass::Workers).expect("free"));
+        while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Workers)) {
+            held.push(pool.try_acquire(DescriptorClass::Workers).expect("a free descriptor"));
             assert!(held.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
         let outcome = broker.submit(request("none", "seal", 2, &broker)).await;
@@ -173,52 +176,55 @@
 
 #[test]
 fn idle_worker_connections_are_reclaimed_for_clients_and_reopened() {
-    run(1, |broker, pool| async move {
+    run_with_delay(1, |broker, pool| async move {
         let is_complete = |outcome| matches!(outcome, QueryOutcome::Answered { complete: true, .. });
         assert!(is_complete(broker.submit(request("a", "search", 8, &broker)).await));
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let (held, busy) =
-            pool.descriptors(|all| (all.held(DescriptorClass::Workers), all.busy(DescriptorClass::Workers)));
+        let (held, busy) = pool.descriptors(|allocator| {
+            (allocator.held(DescriptorClass::Workers), allocator.busy(DescriptorClass::Workers))
+        });
         assert!(held > 0 && busy == 0, "{held} held, {busy} busy");
-        // What workers lent is reclaimed: clients acquire everything that their class may hold.
+        // The workers' idle descriptors are reclaimed, so clients acquire all that their class may hold.
         let mut client_permits = Vec::new();
-        while pool.descriptors(|all| all.can_mark_busy(DescriptorClass::Clients)) {
+        while pool.descriptors(|allocator| allocator.can_mark_busy(DescriptorClass::Clients)) {
             client_permits.push(pool.acquire(DescriptorClass::Clients).await);
             assert!(client_permits.last().is_some_and(DescriptorPermit::try_mark_busy));
         }
-        let (usable, floors) = pool.descriptors(|all| (all.budget().usable, all.budget().floors));
+        let (usable, floors) =
+            pool.descriptors(|allocator| (allocator.budget().usable, allocator.budget().floors));
         assert_eq!(client_permits.len(), usable - floors[1] - floors[2] - floors[3]);
-        // What workers are guaranteed is there for the next query.
+        // The descriptors guaranteed to workers are available for the next query.
         assert!(is_complete(broker.submit(request("b", "search", 8, &broker)).await));
         assert!(pool.counters.borrow().peak_descriptors <= usable);
     });
 }
 
-/// Reads a connection to its end, as a worker does that was stuck until now.
-async fn read_to_end(mut far: DuplexStream) -> Vec<u8> {
+/// Reads a connection to its end, as a worker does that was stuck before.
+async fn read_to_end(mut worker_end: DuplexStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    far.read_to_end(&mut bytes).await.expect("readable");
+    worker_end.read_to_end(&mut bytes).await.expect("the read succeeds");
     bytes
 }
 
 #[test]
 fn a_part_whose_frame_is_partly_written_as_its_client_disconnects_never_runs() {
-    // A frame that stays in a full connection would run whenever the worker reads on, after its client is
-    // gone.
+    // Guards against a frame that stays in a full connection: its parts would run when the worker reads
+    // again, after their client has gone.
     let stuck = Rc::new(StuckWorkers::default());
-    run_on(stuck.clone(), |broker, _| async move {
+    run_with_connector(stuck.clone(), |broker, _| async move {
         for class in ["search", "seal", "stamp"] {
-            let submitting = broker.clone();
-            let client =
-                spawn_local(async move { submitting.submit(request(class, class, 1, &submitting)).await });
+            let submitting_broker = broker.clone();
+            let client = spawn_local(async move {
+                submitting_broker.submit(request(class, class, 1, &submitting_broker)).await
+            });
             while stuck.0.borrow().is_empty() {
                 tokio::task::yield_now().await;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
             client.abort();
             tokio::time::sleep(Duration::from_millis(300)).await;
-            let far = stuck.0.borrow_mut().pop().expect("a connection");
-            let bytes = read_to_end(far).await;
+            let worker_end = stuck.0.borrow_mut().pop().expect("a connection");
+            let bytes = read_to_end(worker_end).await;
             let length = u32::from_le_bytes(*bytes.first_chunk::<4>().expect("a length")) as usize;
             assert!(bytes.len() < 4 + length, "{class}: the frame of {length} bytes came completely");
             assert_eq!(broker.with_core(|core| core.counters.written), 0);
@@ -239,7 +245,7 @@
     broker.apply_endpoint_update(&list, true);
     let request = request("frames", "search", 5, &broker);
     let commands = broker.with_core(|core| {
-        core.submit(now, request).expect("it is accepted");
+        core.submit(now, request).expect("the query is accepted");
         core.step(now)
     });
     let calls = commands.iter().filter_map(|command| match command {
@@ -249,7 +255,7 @@
     assert_eq!(calls.collect::<Vec<_>>(), [2, 2, 1]);
 }
 
-/// Connects after a delay to workers that answer nothing; the workers' ends are kept here.
+/// Connects after a delay to workers that answer nothing. Keeps the workers' ends of the connections.
 struct SlowConnects {
     delay: Duration,
     worker_ends: RefCell<Vec<DuplexStream>>,
@@ -259,41 +265,42 @@
     fn connect<'a>(&'a self, _address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
             tokio::time::sleep(self.delay).await;
-            let (near, far) = tokio::io::duplex(1 << 16);
-            self.worker_ends.borrow_mut().push(far);
-            Ok(Box::new(near) as Box<dyn Stream>)
+            let (gatherer_end, worker_end) = tokio::io::duplex(1 << 16);
+            self.worker_ends.borrow_mut().push(worker_end);
+            Ok(Box::new(gatherer_end) as Box<dyn Stream>)
         })
     }
 }
 
 #[test]
 fn the_deadline_sent_to_a_worker_includes_the_wait_for_its_connection() {
-    // The platform allows 0.15 s more than is left; the connection here comes up 0.2 s after the part was
-    // dispatched.
-    let slow = Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
-    run_on(slow.clone(), |broker, _| async move {
-        let submitting = broker.clone();
+    // The platform allows a worker to be told 150 ms more than is left. The connection is established 200 ms
+    // after the part was dispatched.
+    let connector =
+        Rc::new(SlowConnects { delay: Duration::from_millis(200), worker_ends: RefCell::default() });
+    run_with_connector(connector.clone(), |broker, _| async move {
+        let submitting_broker = broker.clone();
         let mut request = request("late", "search", 1, &broker);
         request.time_left = Duration::from_millis(1000);
-        let client = spawn_local(async move { submitting.submit(request).await });
-        while slow.worker_ends.borrow().is_empty() {
+        let client = spawn_local(async move { submitting_broker.submit(request).await });
+        while connector.worker_ends.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut far = slow.worker_ends.borrow_mut().pop().expect("a connection");
+        let mut worker_end = connector.worker_ends.borrow_mut().pop().expect("a connection");
         let mut frame = BytesMut::new();
-        far.read_buf(&mut frame).await.expect("a frame");
+        worker_end.read_buf(&mut frame).await.expect("a frame");
         let text = String::from_utf8_lossy(&frame[5..]).into_owned();
         let deadline = text.split(" d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a time");
         let deadline: u64 = deadline.parse().expect("milliseconds");
         assert!(
             deadline <= 800,
-            "800 ms are left to the client, and the worker is given {deadline}: {text:?}"
+            "the client has 800 ms left, but the worker was told {deadline} ms: {text:?}"
         );
         client.abort();
     });
 }
 
-/// Fails this many connects for want of descriptors, then connects to workers that answer at once.
+/// Fails this many connects with `ENFILE`, then connects to workers that answer after 1 ms.
 struct OutOfDescriptors(Cell<u32>);
 
 impl Connector for OutOfDescriptors {
@@ -308,9 +315,9 @@
 }
 
 #[test]
-fn a_connect_that_fails_for_want_of_descriptors_is_no_failure_of_the_worker() {
-    // Workers, and then their zone, would be ejected for what fails in this process.
-    run_on(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
+fn a_connect_that_fails_for_lack_of_descriptors_is_not_counted_against_the_worker() {
+    // Guards against ejecting workers, and then their zone, for a local error of this process.
+    run_with_connector(Rc::new(OutOfDescriptors(Cell::new(6))), |broker, _| async move {
         let outcome = broker.submit(request("starved", "seal", 2, &broker)).await;
         assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
         let counters = broker.with_core(|core| core.counters.clone());
