--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -63,8 +63,8 @@
     search: Search,
     search_request: SearchRequest,
     owner: String,
-    runs_once: bool,
-    digest: u64,
+    at_most_once: bool,
+    request_digest: u64,
 }
 
 impl OpenSearchFront {
@@ -84,25 +84,25 @@
     }
 
     async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
-        let checked = self.check(index, request)?;
-        if checked.runs_once {
-            return self.search_at_most_once(checked, request.headers.get("Idempotency-Key")).await;
+        let valid_search = self.validate(index, request)?;
+        if valid_search.at_most_once {
+            return self.search_at_most_once(valid_search, request.headers.get("Idempotency-Key")).await;
         }
         if self.connections.lifecycle_state().is_stopping() {
-            return Ok(self.stopping(&checked.search_request));
+            return Ok(self.reject_stopping(&valid_search.search_request));
         }
-        Ok(self.run(checked).await.0)
+        Ok(self.execute(valid_search).await.0)
     }
 
-    fn stopping(&self, search_request: &SearchRequest) -> Response {
+    fn reject_stopping(&self, search_request: &SearchRequest) -> Response {
         self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
         opensearch::rejection_response(Rejection::ShuttingDown, None)
     }
 
     /// Submits the search and encodes its outcome; returns the response, and whether any part may have run.
-    async fn run(&self, checked: ValidSearch) -> (Response, bool) {
-        let ValidSearch { search, search_request, owner, .. } = checked;
-        let (shards, from) = (search_request.parts.len(), self.clock.now());
+    async fn execute(&self, valid_search: ValidSearch) -> (Response, bool) {
+        let ValidSearch { search, search_request, owner, .. } = valid_search;
+        let (shards, started_at) = (search_request.parts.len(), self.clock.now());
         match self.broker.submit(search_request).await {
             QueryOutcome::Rejected { reason, retry_after } => {
                 (opensearch::rejection_response(reason, retry_after), false)
@@ -116,9 +116,9 @@
                     &search,
                     values.iter().map(|(shard, value)| (shard.0, &**value)),
                 );
-                let took = self.clock.now().since(from);
+                let took = self.clock.now().since(started_at);
                 let page = self.first_page(search, merged, &owner, took, shards, values.len());
-                (page.unwrap_or_else(|fault| fault.response()), true)
+                (page.unwrap_or_else(|error| error.response()), true)
             }
         }
     }
@@ -130,12 +130,12 @@
         owner: &str,
         took: Duration,
         shards: usize,
-        served: usize,
+        responded: usize,
     ) -> Result<Response, SearchError> {
         let end = merged.hits.len().min(search.from + search.size);
-        let mut page = merged.page(&merged.hits[search.from.min(end)..end], took, shards, served);
+        let mut page = merged.page(&merged.hits[search.from.min(end)..end], took, shards, responded);
         if let Some(lifetime) = search.scroll {
-            if !merged.complete || served < shards {
+            if !merged.complete || responded < shards {
                 return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
                     self.names.window
@@ -150,16 +150,16 @@
                 scroll,
                 bytes,
             );
-            let name = stored
+            let context_id = stored
                 .map_err(|full| SearchError::new(429, "rejected_execution_exception", full.to_string()))?;
-            page["_scroll_id"] = json!(format!("{name}-{end}"));
+            page["_scroll_id"] = json!(format!("{context_id}-{end}"));
         }
         Ok(Response::json(200, page.to_string()))
     }
 
     /// A further page. Its id contains the offset of the page, so that a retry returns the same page.
     fn scroll(&self, request: &Request) -> Result<Response, SearchError> {
-        let (owner, _) = self.caller(request)?;
+        let (owner, _) = self.identify_caller(request)?;
         let body = json_body(request)?;
         let id = body
             .get("scroll_id")
@@ -171,27 +171,28 @@
             Some(Some(lifetime)) => Some(lifetime.min(MAX_SCROLL_LIFETIME)),
             None => None,
         };
-        let missing = || {
+        let context_missing = || {
             SearchError::new(
                 404,
                 "search_context_missing_exception",
                 format!("no search context found for id [{id}]"),
             )
         };
-        let (name, at) = id.rsplit_once('-').ok_or_else(missing)?;
-        let at: usize = at.parse().map_err(|_| missing())?;
+        let (context_id, offset) = id.rsplit_once('-').ok_or_else(context_missing)?;
+        let offset: usize = offset.parse().map_err(|_| context_missing())?;
         let now = self.clock.now();
-        let scroll = self.scrolls.borrow_mut().get(now, name, &owner, lifetime).ok_or_else(missing)?;
+        let scroll =
+            self.scrolls.borrow_mut().get(now, context_id, &owner, lifetime).ok_or_else(context_missing)?;
         let hits = &scroll.merged.hits;
-        let end = at.saturating_add(scroll.size).min(hits.len());
-        let page = hits.get(at..end).ok_or_else(missing)?;
+        let end = offset.saturating_add(scroll.size).min(hits.len());
+        let page = hits.get(offset..end).ok_or_else(context_missing)?;
         let mut page = scroll.merged.page(page, Duration::ZERO, scroll.shards, scroll.shards);
-        page["_scroll_id"] = json!(format!("{name}-{end}"));
+        page["_scroll_id"] = json!(format!("{context_id}-{end}"));
         Ok(Response::json(200, page.to_string()))
     }
 
     fn clear_scroll(&self, request: &Request) -> Result<Response, SearchError> {
-        let (owner, _) = self.caller(request)?;
+        let (owner, _) = self.identify_caller(request)?;
         let body = json_body(request)?;
         let ids = match body.get("scroll_id") {
             Some(Value::String(id)) => vec![id.as_str()],
@@ -199,13 +200,14 @@
             _ => return Err(SearchError::illegal_argument("scroll_id is missing")),
         };
         let now = self.clock.now();
-        let names = ids.iter().map(|id| id.rsplit_once('-').map_or(*id, |id| id.0));
-        let freed = names.filter(|name| self.scrolls.borrow_mut().clear(now, name, &owner)).count();
+        let context_ids = ids.iter().map(|id| id.rsplit_once('-').map_or(*id, |id| id.0));
+        let freed =
+            context_ids.filter(|context_id| self.scrolls.borrow_mut().clear(now, context_id, &owner)).count();
         let status = if freed > 0 { 200 } else { 404 };
         Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
     }
 
-    fn caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
+    fn identify_caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
         let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
             caller if self.names.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
@@ -217,18 +219,18 @@
         }
     }
 
-    fn check(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
+    fn validate(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
         let class = self.names.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
             SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
         })?;
-        let (owner, tenant) = self.caller(request)?;
+        let (owner, tenant) = self.identify_caller(request)?;
         let search = Search::parse(request, self.names.window)?;
-        let text = search.shard_request_body();
-        let digest = xxh3_64(
+        let shard_body = search.shard_request_body();
+        let request_digest = xxh3_64(
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
         );
-        let subject = xxh3_64(&text);
+        let body_hash = xxh3_64(&shard_body);
         let (shards, contract) = self.broker.with_core(|core| {
             let settings = &core.contracts().settings;
             (settings.shards, settings.classes.get(class.0).cloned())
@@ -239,7 +241,7 @@
             shard: ShardId(shard),
             weight: 1.0 / f64::from(shards),
             cost_hint: None,
-            key: Some(Arc::from(format!("{subject:016x}.{shard}"))),
+            key: Some(Arc::from(format!("{body_hash:016x}.{shard}"))),
         });
         let search_request = SearchRequest {
             label: Arc::from(index),
@@ -250,15 +252,15 @@
                 .map_or(contract.deadline, |timeout| timeout.min(contract.deadline))
                 .saturating_sub(request.waited),
             retry: false,
-            payload: Bytes::from(text),
+            payload: Bytes::from(shard_body),
             parts: parts.collect(),
         };
         Ok(ValidSearch {
             search,
             search_request,
             owner,
-            runs_once: contract.idempotency != Idempotency::Idempotent,
-            digest,
+            at_most_once: contract.idempotency != Idempotency::Idempotent,
+            request_digest,
         })
     }
 
@@ -294,9 +296,9 @@
 
 impl Front for Rc<OpenSearchFront> {
     async fn respond(&self, request: Request) -> Response {
-        self.route(&request).await.unwrap_or_else(|fault| {
+        self.route(&request).await.unwrap_or_else(|error| {
             self.broker.with_core(|core| core.counters.malformed += 1);
-            fault.response()
+            error.response()
         })
     }
 
--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -18,51 +18,52 @@
     /// Runs a search at most once for its key, however often clients retry it.
     pub(super) async fn search_at_most_once(
         self: &Rc<Self>,
-        checked: ValidSearch,
+        valid_search: ValidSearch,
         key: Option<&str>,
     ) -> Result<Response, SearchError> {
-        let key = key.ok_or_else(missing_key)?;
-        let claim =
-            self.idempotency.borrow_mut().claim(self.clock.now(), key, &checked.owner, checked.digest);
+        let key = key.ok_or_else(missing_key_error)?;
+        let now = self.clock.now();
+        let ValidSearch { owner, request_digest, .. } = &valid_search;
+        let claim = self.idempotency.borrow_mut().claim(now, key, owner, *request_digest);
         let mut outcome_receiver = match claim {
             KeyClaim::Run(_) if self.connections.lifecycle_state().is_stopping() => {
                 // Retries still get their outcome, and nothing new runs.
-                let rejection = self.stopping(&checked.search_request);
+                let rejection = self.reject_stopping(&valid_search.search_request);
                 self.idempotency.borrow_mut().finish(self.clock.now(), key, rejection.clone(), 0, false);
                 return Ok(rejection);
             }
             KeyClaim::Run(receiver) => {
-                self.spawn_search(checked, key);
+                self.spawn_search(valid_search, key);
                 receiver
             }
             KeyClaim::Join(receiver) => receiver,
             KeyClaim::Recorded(response) => return Ok(response),
-            KeyClaim::Mismatch => return Err(key_of_another_search()),
-            KeyClaim::Unknown => return Err(self.unknown_key(key)),
+            KeyClaim::Mismatch => return Err(key_mismatch_error()),
+            KeyClaim::Unknown => return Err(self.unknown_key_error(key)),
         };
-        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| lost_outcome())?;
-        outcome.clone().ok_or_else(lost_outcome)
+        let outcome = outcome_receiver.wait_for(Option::is_some).await.map_err(|_| lost_outcome_error())?;
+        outcome.clone().ok_or_else(lost_outcome_error)
     }
 
     /// Runs a search in a task of its own, so that a client that disconnects and retries still finds the outcome.
-    fn spawn_search(self: &Rc<Self>, checked: ValidSearch, key: &str) {
+    fn spawn_search(self: &Rc<Self>, valid_search: ValidSearch, key: &str) {
         let (front, key) = (self.clone(), key.to_owned());
         spawn_local(async move {
             let runner = front.clone();
-            let run = spawn_local(async move { runner.run(checked).await }).await;
+            let run = spawn_local(async move { runner.execute(valid_search).await }).await;
             // The error is a panic, which the process has printed by then.
-            let (response, ran) = run.unwrap_or_else(|_| (lost_outcome().response(), true));
+            let (response, may_have_run) = run.unwrap_or_else(|_| (lost_outcome_error().response(), true));
             let size = response.body.len();
-            front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, ran);
+            front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, may_have_run);
         });
     }
 
     /// The error for a key that this start never issued, or no longer holds.
-    fn unknown_key(&self, key: &str) -> SearchError {
-        let start = self.idempotency.borrow().incarnation().to_owned();
-        let key_state = if key.starts_with(&start) { "no longer holds" } else { "never issued" };
+    fn unknown_key_error(&self, key: &str) -> SearchError {
+        let incarnation = self.idempotency.borrow().incarnation().to_owned();
+        let key_state = if key.starts_with(&incarnation) { "no longer holds" } else { "never issued" };
         let reason = format!(
-            "start [{start}] of this gatherer {key_state} this key: whether its search ran is unknown, \
+            "start [{incarnation}] of this gatherer {key_state} this key: whether its search ran is unknown, \
              and it is not run now"
         );
         SearchError::new(409, "unknown_outcome_exception", reason)
@@ -70,30 +71,30 @@
 
     /// Issues a key for one search.
     pub(super) fn issue_key(&self, request: &Request) -> Result<Response, SearchError> {
-        let (owner, _) = self.caller(request)?;
+        let (owner, _) = self.identify_caller(request)?;
         match self.idempotency.borrow_mut().issue(self.clock.now(), &owner) {
             Ok(key) => {
-                let ms = IDEMPOTENCY_LIMITS.retention.as_millis() as u64;
-                Ok(Response::json(200, json!({"key": key, "expires_in_ms": ms}).to_string()))
+                let expires_in_ms = IDEMPOTENCY_LIMITS.retention.as_millis() as u64;
+                Ok(Response::json(200, json!({"key": key, "expires_in_ms": expires_in_ms}).to_string()))
             }
             Err(full) => {
-                let fault = SearchError::new(429, "rejected_execution_exception", full.to_string());
-                Ok(fault.response().with_header("Retry-After", KEYS_FULL_RETRY_AFTER.as_secs().to_string()))
+                let error = SearchError::new(429, "rejected_execution_exception", full.to_string());
+                Ok(error.response().with_header("Retry-After", KEYS_FULL_RETRY_AFTER.as_secs().to_string()))
             }
         }
     }
 }
 
-fn missing_key() -> SearchError {
+fn missing_key_error() -> SearchError {
     SearchError::illegal_argument(format!(
         "[Idempotency-Key] is missing: this index runs a search once; POST {IDEMPOTENCY_KEYS_PATH} for a key"
     ))
 }
 
-fn key_of_another_search() -> SearchError {
+fn key_mismatch_error() -> SearchError {
     SearchError::new(422, "illegal_argument_exception", "the key belongs to another search")
 }
 
-fn lost_outcome() -> SearchError {
+fn lost_outcome_error() -> SearchError {
     SearchError::new(500, "illegal_state_exception", "the search ended without an outcome")
 }
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -62,17 +62,17 @@
                 Response::text(200, "ready")
             }
             LifecycleState::Serving => Response::text(503, "no worker is known yet"),
-            stage => Response::text(503, stage.name()),
+            state => Response::text(503, state.name()),
         }
     }
 
     fn metrics(&self) -> Response {
         let mut lines = statsd::MetricLines::new("gatherer");
         self.broker.with_core(|core| {
-            for (class, ends) in core.contracts().classes.iter().zip(core.class_counts()) {
-                lines.count(&["succeeded", class], ends.succeeded);
-                lines.count(&["declined", class], ends.rejected);
-                lines.count(&["aborted", class], ends.failed);
+            for (class, counts) in core.contracts().classes.iter().zip(core.class_counts()) {
+                lines.count(&["succeeded", class], counts.succeeded);
+                lines.count(&["declined", class], counts.rejected);
+                lines.count(&["aborted", class], counts.failed);
             }
             lines.count(&["forwards"], core.counters.written);
             for invariant in INVARIANTS {
@@ -97,25 +97,25 @@
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
             return Response::text(400, "the worker's id is no text");
         };
-        let known = self.broker.set_worker_disabled(&id, disabled);
-        if known {
+        let found = self.broker.set_worker_disabled(&id, disabled);
+        if found {
             self.upgrade_peer.notify(if disabled {
                 OperatorChange::Disabled(&id)
             } else {
                 OperatorChange::Enabled(&id)
             });
         }
-        match known {
+        match found {
             true if disabled => Response::text(200, format!("{id} is out")),
             true => Response::text(200, format!("{id} is in use")),
             false => Response::text(404, format!("no worker of the id {id:?} was ever listed")),
         }
     }
 
-    fn call(&self, call: LifecycleRequest) -> Response {
-        match self.connections.apply_lifecycle(call) {
+    fn change_lifecycle(&self, request: LifecycleRequest) -> Response {
+        match self.connections.apply_lifecycle(request) {
             Ok(()) => {
-                self.upgrade_peer.notify(if call == LifecycleRequest::Drain {
+                self.upgrade_peer.notify(if request == LifecycleRequest::Drain {
                     OperatorChange::Drained
                 } else {
                     OperatorChange::Resumed
@@ -140,11 +140,11 @@
         {
             return Response::text(503, reason);
         }
-        let worker = request.path.strip_prefix("/-/workers/").and_then(|rest| rest.rsplit_once('/'));
-        let worker = worker.filter(|(_, call)| matches!(*call, "disable" | "enable"));
-        if let Some((id, call)) = worker {
+        let worker_action = request.path.strip_prefix("/-/workers/").and_then(|rest| rest.rsplit_once('/'));
+        let worker_action = worker_action.filter(|(_, action)| matches!(*action, "disable" | "enable"));
+        if let Some((id, action)) = worker_action {
             return match request.method.as_str() {
-                "PUT" => self.set_worker_disabled(id, call == "disable"),
+                "PUT" => self.set_worker_disabled(id, action == "disable"),
                 _ => method_not_allowed("PUT"),
             };
         }
@@ -152,8 +152,8 @@
             ("GET", "/-/ready") => self.ready(),
             ("GET", "/-/metrics") => self.metrics(),
             ("GET", "/-/members") => self.members(),
-            ("PUT", "/-/drain") => self.call(LifecycleRequest::Drain),
-            ("PUT", "/-/resume") => self.call(LifecycleRequest::Resume),
+            ("PUT", "/-/drain") => self.change_lifecycle(LifecycleRequest::Drain),
+            ("PUT", "/-/resume") => self.change_lifecycle(LifecycleRequest::Resume),
             (_, "/-/ready" | "/-/metrics" | "/-/members") => method_not_allowed("GET"),
             (_, "/-/drain" | "/-/resume") => method_not_allowed("PUT"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -22,7 +22,7 @@
 }
 
 impl PlatformFront {
-    async fn query(&self, request: &Request) -> Response {
+    async fn handle_query(&self, request: &Request) -> Response {
         let search_request =
             match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
                 Ok(search_request) => search_request,
@@ -33,9 +33,9 @@
             };
         if !self.connections.lifecycle_state().accepts_queries() {
             self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
-            let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+            let max_retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
             return platform::rejection_response(
-                longest.map(|longest| longest.min(MAX_STOPPING_RETRY_AFTER)),
+                max_retry_after.map(|max_retry_after| max_retry_after.min(MAX_STOPPING_RETRY_AFTER)),
             );
         }
         if self.broker.with_core(|core| core.has_open_query(&search_request.label)) {
@@ -59,7 +59,7 @@
 impl Front for PlatformFront {
     async fn respond(&self, request: Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
-            ("POST", "/api") => self.query(&request).await,
+            ("POST", "/api") => self.handle_query(&request).await,
             ("GET", "/_health") => self.health(),
             ("GET", "/_counters") => Response::text(200, counters_text(&self.broker, &self.connections)),
             (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
