--- a/src/fronts/mod.rs
+++ b/src/fronts/mod.rs
@@ -1,5 +1,6 @@
-//! The fronts: the platform's protocol and the OpenSearch-style API for clients, and the operators' API. Each handles a
-//! request from its bytes to its one response. A front does not read or write streams, and does not choose workers.
+//! The HTTP fronts: the platform's query protocol and the OpenSearch-style API for clients, and the operators' API.
+//!
+//! A front turns each parsed request into one response. It does not read or write streams, and does not choose workers.
 
 pub mod opensearch;
 pub mod operators;
@@ -9,7 +10,8 @@
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::{errors, socket};
 
-/// All counters since the start of the process: one line each for queries and attempts, connections, and violations.
+/// Formats the counters since the start of the process as three lines: queries and attempts, connections and retried
+/// system calls, and violated invariants.
 pub fn counters_text(broker: &Broker, connections: &ConnectionManager) -> String {
     let (queries, violations) =
         broker.with_core(|core| (core.counters.to_string(), core.violations().to_string()));
--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -1,5 +1,8 @@
-//! The OpenSearch-style front: searches, scrolls over stored results, and idempotency keys for searches that must not run
-//! twice. It owns the stored results and the outcomes of keys, both bounded.
+//! The OpenSearch-style front: searches, scrolls over stored results, and idempotency keys for searches that must not
+//! run twice.
+//!
+//! The front owns the stored results and the responses recorded for keys, both limited in number and in bytes. Results
+//! are decoded and merged in `protocol::opensearch`.
 
 mod at_most_once;
 
@@ -21,30 +24,33 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Limits of issued keys and of their stored outcomes.
+/// Limits of issued idempotency keys and of the responses recorded for them.
 const IDEMPOTENCY_LIMITS: IdempotencyLimits =
     IdempotencyLimits { max_keys: 4096, max_bytes: 16 << 20, retention: Duration::from_secs(600) };
-/// Number of results stored for scrolling.
+/// Largest number of results stored for scrolling.
 const MAX_SCROLLS: usize = 256;
-/// Total size of results stored for scrolling, in bytes.
+/// Largest total size of the results stored for scrolling, in bytes.
 const MAX_SCROLL_BYTES: usize = 32 << 20;
 /// Longest time for which a result is stored for scrolling.
 const MAX_SCROLL_LIFETIME: Duration = Duration::from_secs(300);
-/// Names in requests, from the front's file, and what they stand for.
+
+/// Classes and tenants by the names that requests use, as configured in the front's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestNames {
     /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
-    /// Tenant of each caller, by the caller's id. Where empty, callers are not checked.
+    /// Tenant of each caller, by the caller's id (`X-Opaque-Id`). If empty, any caller is accepted, and without an id.
     pub callers: HashMap<String, TenantId>,
-    /// Number of hits that are requested from one shard at most.
+    /// Largest number of hits requested from one shard, and largest `from + size` of a search.
     pub window: usize,
 }
 
-/// A result stored for its further pages.
+/// A merged result that is stored so that clients can request its further pages.
 struct ScrollResult {
     merged: MergedResult,
+    /// Hits per page.
     size: usize,
+    /// Number of shards that were searched.
     shards: usize,
 }
 
@@ -58,17 +64,20 @@
     scrolls: RefCell<ScrollContexts<ScrollResult>>,
 }
 
-/// A valid search: the request to the broker, and what its response needs.
+/// A validated search: the request to the broker, and what is needed to encode its response.
 struct ValidSearch {
     search: Search,
     search_request: SearchRequest,
+    /// Id of the caller. Scrolls and idempotency keys are available to their owner only.
     owner: String,
+    /// Whether the index's class is not idempotent, so that a search needs an idempotency key.
     at_most_once: bool,
+    /// Hash of the index, the query string and the body: detects a key that is reused for another search.
     request_digest: u64,
 }
 
 impl OpenSearchFront {
-    /// A front for these names. `incarnation` identifies this start of this gatherer, and no other.
+    /// Creates a front. `incarnation` identifies this start of this gatherer and no other; idempotency keys contain it.
     pub fn new(
         broker: Broker,
         clock: Clock,
@@ -94,12 +103,13 @@
         Ok(self.execute(valid_search).await.0)
     }
 
+    /// Counts a search that is rejected because the gatherer is stopping, and returns the response.
     fn reject_stopping(&self, search_request: &SearchRequest) -> Response {
         self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
         opensearch::rejection_response(Rejection::ShuttingDown, None)
     }
 
-    /// Submits the search and encodes its outcome; returns the response, and whether any part may have run.
+    /// Submits the search and encodes its outcome. Returns the response, and whether any part may have run.
     async fn execute(&self, valid_search: ValidSearch) -> (Response, bool) {
         let ValidSearch { search, search_request, owner, .. } = valid_search;
         let (shards, started_at) = (search_request.parts.len(), self.clock.now());
@@ -123,6 +133,7 @@
         }
     }
 
+    /// Encodes the first page of a result and, for a scroll, stores the result for its further pages.
     fn first_page(
         &self,
         search: Search,
@@ -157,7 +168,7 @@
         Ok(Response::json(200, page.to_string()))
     }
 
-    /// A further page. Its id contains the offset of the page, so that a retry returns the same page.
+    /// Returns a further page. A scroll id contains the offset of its page, so that a retry returns the same page.
     fn scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.identify_caller(request)?;
         let body = json_body(request)?;
@@ -191,6 +202,7 @@
         Ok(Response::json(200, page.to_string()))
     }
 
+    /// Drops the stored results of the given scroll ids.
     fn clear_scroll(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.identify_caller(request)?;
         let body = json_body(request)?;
@@ -207,6 +219,7 @@
         Ok(Response::json(status, json!({"succeeded": true, "num_freed": freed}).to_string()))
     }
 
+    /// Returns the id of the caller, and the tenant where callers are configured.
     fn identify_caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
         let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
@@ -219,6 +232,7 @@
         }
     }
 
+    /// Validates a search and builds the request to the broker: one part per shard, all of the same weight.
     fn validate(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
         let class = self.names.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -1,4 +1,6 @@
-//! Searches that must not run twice: keys are issued, a search runs once for its key, and retries get its outcome.
+//! Searches that must not run twice. A client first requests an idempotency key; a search runs at most once for its
+//! key, and retries with the key get the recorded response. A key that this incarnation does not hold is rejected,
+//! because its search may have run.
 
 use super::{IDEMPOTENCY_LIMITS, OpenSearchFront, ValidSearch};
 use crate::protocol::http::{Request, Response};
@@ -11,7 +13,7 @@
 
 /// Path at which idempotency keys are issued.
 const IDEMPOTENCY_KEYS_PATH: &str = "/_clayshore/idempotency_keys";
-/// `Retry-After` where no further key can be issued.
+/// `Retry-After` of the response where the limit of issued keys is reached.
 const KEYS_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl OpenSearchFront {
@@ -27,7 +29,7 @@
         let claim = self.idempotency.borrow_mut().claim(now, key, owner, *request_digest);
         let mut outcome_receiver = match claim {
             KeyClaim::Run(_) if self.connections.lifecycle_state().is_stopping() => {
-                // Retries still get their outcome, and nothing new runs.
+                // No search starts during a shutdown. Retries of a search that ran still get its response.
                 let rejection = self.reject_stopping(&valid_search.search_request);
                 self.idempotency.borrow_mut().finish(self.clock.now(), key, rejection.clone(), 0, false);
                 return Ok(rejection);
@@ -45,20 +47,20 @@
         outcome.clone().ok_or_else(lost_outcome_error)
     }
 
-    /// Runs a search in a task of its own, so that a client that disconnects and retries still finds the outcome.
+    /// Runs a search in its own task, so that it completes and its response is recorded even if the client disconnects.
     fn spawn_search(self: &Rc<Self>, valid_search: ValidSearch, key: &str) {
         let (front, key) = (self.clone(), key.to_owned());
         spawn_local(async move {
             let runner = front.clone();
             let run = spawn_local(async move { runner.execute(valid_search).await }).await;
-            // The error is a panic, which the process has printed by then.
+            // A `JoinError` here means that the task panicked; the panic hook has printed the panic already.
             let (response, may_have_run) = run.unwrap_or_else(|_| (lost_outcome_error().response(), true));
             let size = response.body.len();
             front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, may_have_run);
         });
     }
 
-    /// The error for a key that this start never issued, or no longer holds.
+    /// The error for a key that this incarnation never issued, or no longer holds.
     fn unknown_key_error(&self, key: &str) -> SearchError {
         let incarnation = self.idempotency.borrow().incarnation().to_owned();
         let key_state = if key.starts_with(&incarnation) { "no longer holds" } else { "never issued" };
@@ -69,7 +71,7 @@
         SearchError::new(409, "unknown_outcome_exception", reason)
     }
 
-    /// Issues a key for one search.
+    /// Issues an idempotency key for one search.
     pub(super) fn issue_key(&self, request: &Request) -> Result<Response, SearchError> {
         let (owner, _) = self.identify_caller(request)?;
         match self.idempotency.borrow_mut().issue(self.clock.now(), &owner) {
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -1,4 +1,7 @@
-//! The operators' API: readiness, metrics, members, draining, and disabling workers.
+//! The operators' HTTP API: readiness, metrics, status of members, draining, and disabling of workers.
+//!
+//! During an upgrade, changes made here are also sent to the other process. The API reads no socket:
+//! `transport::operator_api` does.
 
 use crate::protocol::http::{Request, Response};
 use crate::protocol::statsd;
@@ -16,35 +19,35 @@
 /// A change that an operator has made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorChange<'a> {
-    /// This worker is disabled.
+    /// The worker with this id was disabled.
     Disabled(&'a str),
-    /// This worker is enabled again.
+    /// The worker with this id was enabled again.
     Enabled(&'a str),
-    /// The gatherer is draining.
+    /// A drain was requested.
     Drained,
-    /// The gatherer accepts clients again.
+    /// The gatherer was requested to accept clients again.
     Resumed,
 }
 
 /// The other process of an upgrade, if there is one.
 pub trait UpgradePeer {
-    /// Why this process is not serving yet; `None` if it is.
+    /// The reason why this process does not serve yet; `None` if it does.
     fn unready(&self) -> Option<&'static str>;
     /// Whether a predecessor is still handing over to this process.
     fn has_predecessor(&self) -> bool;
-    /// Notifies the other process of an operator's change, which it is to apply too.
+    /// Notifies the other process of an operator's change, which that process applies too.
     fn notify(&self, change: OperatorChange<'_>);
 }
 
-/// Responds to operators' calls.
+/// Handles operators' requests.
 pub struct OperatorFront {
-    /// The source of the metrics.
+    /// Source of the metrics; disables and enables workers.
     pub broker: Broker,
-    /// The clients' connections, which are drained.
+    /// The clients' connections, with the lifecycle state that drain and resume change.
     pub connections: Rc<ConnectionManager>,
     /// The other process of an upgrade.
     pub upgrade_peer: Rc<dyn UpgradePeer>,
-    /// Membership, where it is on.
+    /// Membership; `None` where it is not configured.
     pub members: Option<Rc<MembershipTransport>>,
 }
 
@@ -127,14 +130,14 @@
     }
 }
 
-/// The response where a path has another method.
+/// The response to a request with a method that its path does not support.
 fn method_not_allowed(method: &'static str) -> Response {
     Response::text(405, format!("only {method}")).with_header("Allow", method)
 }
 
 impl OperatorApi for OperatorFront {
     fn respond(&self, request: &Request) -> Response {
-        // The predecessor's state would overwrite a change made before it is applied.
+        // A change made now would be overwritten by the predecessor's state, which is not applied yet.
         if request.method == "PUT"
             && let Some(reason) = self.upgrade_peer.unready()
         {
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front: parses each request, submits it to the broker, and encodes its one response.
+//! The platform's front: parses each request, submits it to the broker, and encodes its one response. The format of
+//! requests and responses is that of `protocol::platform`.
 
 use super::counters_text;
 use crate::protocol::http::{MalformedMessage, Request, Response};
@@ -10,14 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest `Retry-After` of a gatherer that is stopping: after it the layer in front sends clients elsewhere.
+/// Longest `Retry-After` of a gatherer that is stopping: by then, the layer in front sends clients to other gatherers.
 const MAX_STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Serves the platform's protocol.
 pub struct PlatformFront {
     /// Executes the queries.
     pub broker: Broker,
-    /// The clients' connections and the state of the process's life.
+    /// The clients' connections, with the lifecycle state of the process.
     pub connections: Rc<ConnectionManager>,
 }
 
@@ -39,7 +40,7 @@
             );
         }
         if self.broker.with_core(|core| core.has_open_query(&search_request.label)) {
-            // Two open queries of one id could not be distinguished at the workers.
+            // Workers could not distinguish two open queries of one id.
             self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
