--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -158,9 +158,10 @@
     for item in text.split(',') {
         let (name, value) = item.split_once('=')?;
         let value = value.parse::<f64>().ok().filter(|value| value.is_finite())?;
-        let known = report_field(name);
-        if let Some(at) = fields.iter().position(|field| *field == known && known != ReportField::Unknown) {
-            report[at] = Some(value);
+        let field = report_field(name);
+        if let Some(index) = fields.iter().position(|known| *known == field && field != ReportField::Unknown)
+        {
+            report[index] = Some(value);
         }
     }
     Some(report)
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -45,8 +45,8 @@
 pub struct ClusterKey([u8; 32]);
 
 impl fmt::Debug for ClusterKey {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("ClusterKey")
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("ClusterKey")
     }
 }
 
@@ -54,9 +54,9 @@
     /// The key of this cluster. Without a secret it keeps clusters apart, but keeps nobody out.
     #[must_use]
     pub fn new(cluster: &str, secret: &str) -> ClusterKey {
-        let material =
+        let key_material =
             [&(cluster.len() as u64).to_le_bytes(), cluster.as_bytes(), secret.as_bytes()].concat();
-        ClusterKey(blake3::derive_key(KEY_CONTEXT, &material))
+        ClusterKey(blake3::derive_key(KEY_CONTEXT, &key_material))
     }
 
     fn tag(&self, body: &[u8]) -> [u8; TAG_BYTES] {
@@ -111,10 +111,10 @@
     }
 }
 
-/// The most bytes that the table of a member takes that knows at most `others`.
+/// The most bytes that the table of a member takes that knows at most `other_members`.
 #[must_use]
-pub fn max_table_bytes(others: usize) -> usize {
-    HEADER_BYTES + MAX_UPDATES_BYTES + others.saturating_add(2).saturating_mul(MAX_UPDATE_BYTES)
+pub fn max_table_bytes(other_members: usize) -> usize {
+    HEADER_BYTES + MAX_UPDATES_BYTES + other_members.saturating_add(2).saturating_mul(MAX_UPDATE_BYTES)
 }
 
 #[cfg(test)]
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -112,12 +112,12 @@
 ///
 /// If the bytes are no message. The connection cannot be used further: where the next message begins is unknown.
 pub fn take_message(buffer: &mut BytesMut) -> Result<Option<Message>, HandoverError> {
-    let Some(end) = buffer.iter().take(MAX_HEADER_BYTES).position(|byte| *byte == b'\n') else {
+    let Some(header_end) = buffer.iter().take(MAX_HEADER_BYTES).position(|byte| *byte == b'\n') else {
         return if buffer.len() < MAX_HEADER_BYTES { Ok(None) } else { Err(HandoverError::Foreign) };
     };
-    let line = std::str::from_utf8(&buffer[..end]).map_err(|_| HandoverError::Foreign)?;
-    let words: Vec<&str> = line.split(' ').collect();
-    let [MAGIC, version, length, checksum] = words[..] else { return Err(HandoverError::Foreign) };
+    let header = std::str::from_utf8(&buffer[..header_end]).map_err(|_| HandoverError::Foreign)?;
+    let header_fields: Vec<&str> = header.split(' ').collect();
+    let [MAGIC, version, length, checksum] = header_fields[..] else { return Err(HandoverError::Foreign) };
     let version = version.parse().map_err(|_| HandoverError::Foreign)?;
     if version != VERSION {
         return Err(HandoverError::Version(version));
@@ -127,11 +127,12 @@
     if length > MAX_BODY_BYTES {
         return Err(HandoverError::TooLong);
     }
-    let Some(body) = buffer.get(end + 1..end + 1 + length) else { return Ok(None) };
+    let body_start = header_end + 1;
+    let Some(body) = buffer.get(body_start..body_start + length) else { return Ok(None) };
     if xxh3_64(body) != checksum {
         return Err(HandoverError::Damaged);
     }
     let message = serde_json::from_slice(body)?;
-    buffer.advance(end + 1 + length);
+    buffer.advance(body_start + length);
     Ok(Some(message))
 }
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -59,8 +59,8 @@
 
 impl Headers {
     fn from_parsed(fields: &[httparse::Header<'_>]) -> Headers {
-        let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
-        Headers(fields.iter().map(|field| (field.name.to_owned(), text(field.value))).collect())
+        let to_text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
+        Headers(fields.iter().map(|field| (field.name.to_owned(), to_text(field.value))).collect())
     }
 
     /// The value of the first field of this name.
@@ -171,8 +171,8 @@
 }
 
 fn push_field(header: &mut String, name: &str, value: &str) {
-    let written = write!(header, "{name}: {value}\r\n");
-    debug_assert!(written.is_ok(), "writing to a string cannot fail");
+    let result = write!(header, "{name}: {value}\r\n");
+    debug_assert!(result.is_ok(), "writing to a string cannot fail");
 }
 
 fn reason_phrase(status: u16) -> &'static str {
@@ -229,12 +229,12 @@
 pub fn take_request(buffer: &mut BytesMut) -> Result<Option<Request>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
-    let status = parsed.parse(buffer);
-    let Some(length) = header_length(status, buffer)? else { return Ok(None) };
+    let parse_result = parsed.parse(buffer);
+    let Some(header_bytes) = header_length(parse_result, buffer)? else { return Ok(None) };
     let target = parsed.path.unwrap_or_default();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let headers = Headers::from_parsed(parsed.headers);
-    let decoded = decode_body(&headers, &buffer[length..], MAX_BODY_BYTES, Some(0))?;
+    let decoded = decode_body(&headers, &buffer[header_bytes..], MAX_BODY_BYTES, Some(0))?;
     let Some(DecodedBody { body, encoded_bytes }) = decoded else { return Ok(None) };
     let request = Request {
         method: parsed.method.unwrap_or_default().to_owned(),
@@ -245,7 +245,7 @@
         headers,
         waited: Duration::ZERO,
     };
-    buffer.advance(length + encoded_bytes);
+    buffer.advance(header_bytes + encoded_bytes);
     Ok(Some(request))
 }
 
@@ -305,22 +305,22 @@
 ) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
-    let parsing = parsed.parse(buffer);
-    let Some(length) = header_length(parsing, buffer)? else { return Ok(None) };
+    let parse_result = parsed.parse(buffer);
+    let Some(header_bytes) = header_length(parse_result, buffer)? else { return Ok(None) };
     let status = parsed.code.unwrap_or(0);
     let is_http_1_1 = parsed.version == Some(1);
     let headers = Headers::from_parsed(parsed.headers);
-    let bodiless = matches!(status, 100..200 | 204 | 304).then_some(0);
-    let has_length = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
-    let rest = &buffer[length..];
-    let body = match bodiless {
-        None if !has_length && rest.len() > max_body => return Err(MalformedMessage::BodyTooLong),
-        None if !has_length => at_eof.then(|| DecodedBody::unframed(rest)),
-        _ => decode_body(&headers, rest, max_body, bodiless)?,
+    let bodiless_length = matches!(status, 100..200 | 204 | 304).then_some(0);
+    let is_framed = headers.get("Content-Length").or(headers.get("Transfer-Encoding")).is_some();
+    let rest = &buffer[header_bytes..];
+    let body = match bodiless_length {
+        None if !is_framed && rest.len() > max_body => return Err(MalformedMessage::BodyTooLong),
+        None if !is_framed => at_eof.then(|| DecodedBody::unframed(rest)),
+        _ => decode_body(&headers, rest, max_body, bodiless_length)?,
     };
     let Some(DecodedBody { body, encoded_bytes }) = body else { return Ok(None) };
-    buffer.advance(length + encoded_bytes);
+    buffer.advance(header_bytes + encoded_bytes);
     let keep_alive =
-        (has_length || bodiless.is_some()) && is_http_1_1 && !headers.has_token("Connection", "close");
+        (is_framed || bodiless_length.is_some()) && is_http_1_1 && !headers.has_token("Connection", "close");
     Ok(Some(ReceivedResponse { status, headers, body, keep_alive }))
 }
--- a/src/protocol/http/body.rs
+++ b/src/protocol/http/body.rs
@@ -57,29 +57,31 @@
 /// Decodes a body in chunks; `None` while its end has not been received.
 fn decode_chunks(rest: &[u8], max_body: usize) -> Result<Option<DecodedBody>, MalformedMessage> {
     let mut body = BytesMut::new();
-    let mut at = 0;
+    let mut offset = 0;
     loop {
-        if at > 2 * max_body + MAX_HEADER_BYTES {
+        if offset > 2 * max_body + MAX_HEADER_BYTES {
             return Err(MalformedMessage::BodyTooLong);
         }
-        let (start, size) = match httparse::parse_chunk_size(&rest[at..]) {
+        let (size_line_bytes, size) = match httparse::parse_chunk_size(&rest[offset..]) {
             Ok(httparse::Status::Complete(chunk)) => chunk,
-            Ok(httparse::Status::Partial) if rest.len() - at <= MAX_HEADER_BYTES => return Ok(None),
+            Ok(httparse::Status::Partial) if rest.len() - offset <= MAX_HEADER_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) | Err(_) => return Err(MalformedMessage::Chunk),
         };
-        at += start;
+        offset += size_line_bytes;
         if size == 0 {
-            let trailer = trailer_length(&rest[at..])?;
-            return Ok(trailer.map(|length| DecodedBody { body: body.freeze(), encoded_bytes: at + length }));
+            let trailer_bytes = trailer_length(&rest[offset..])?;
+            return Ok(
+                trailer_bytes.map(|bytes| DecodedBody { body: body.freeze(), encoded_bytes: offset + bytes })
+            );
         }
         let size = usize::try_from(size).ok().filter(|size| body.len() + size <= max_body);
         let size = size.ok_or(MalformedMessage::BodyTooLong)?;
-        match rest.get(at..at + size + 2) {
+        match rest.get(offset..offset + size + 2) {
             None => return Ok(None),
             Some(chunk) if chunk.ends_with(b"\r\n") => body.extend_from_slice(&chunk[..size]),
             Some(_) => return Err(MalformedMessage::Chunk),
         }
-        at += size + 2;
+        offset += size + 2;
     }
 }
 
--- a/src/protocol/machine_usage.rs
+++ b/src/protocol/machine_usage.rs
@@ -52,17 +52,17 @@
 fn decode_row(index: usize, row: &csv::StringRecord) -> Result<Option<MachineUsage>, TableError> {
     let line = row.position().map_or(0, csv::Position::line);
     let invalid = |column: &'static str, problem: String| TableError::Value { line, column, problem };
-    let column = |number: usize| row.get(number).unwrap_or_default();
-    let (machine, time, share) = (column(0), column(1), column(2));
-    let names_columns = time.parse::<f64>().is_err() && !time.is_empty() && share.parse::<f64>().is_err();
-    if index == 0 && names_columns {
+    let field = |number: usize| row.get(number).unwrap_or_default();
+    let (machine, time, share) = (field(0), field(1), field(2));
+    let is_header = time.parse::<f64>().is_err() && !time.is_empty() && share.parse::<f64>().is_err();
+    if index == 0 && is_header {
         return Ok(None);
     }
     if machine.is_empty() {
         return Err(invalid("machine id", "missing".to_owned()));
     }
-    let seconds = time.parse::<f64>().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    let at = seconds.ok_or_else(|| invalid("time", format!("no time in seconds {time:?}")))?;
+    let at = time.parse::<f64>().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let at = at.ok_or_else(|| invalid("time", format!("no time in seconds {time:?}")))?;
     if share.is_empty() {
         return Ok(None);
     }
--- a/src/protocol/opensearch/merge.rs
+++ b/src/protocol/opensearch/merge.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 /// Compares two sort values; missing ones come first or last, whatever the direction.
-fn compare(a: &Value, b: &Value, key: &SortKey) -> Ordering {
-    let missing = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
+fn compare_sort_values(a: &Value, b: &Value, key: &SortKey) -> Ordering {
+    let missing_order = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
     let ascending = match (a, b) {
         (Value::Null, Value::Null) => return Ordering::Equal,
-        (Value::Null, _) => return missing(key.missing_first),
-        (_, Value::Null) => return missing(key.missing_first).reverse(),
+        (Value::Null, _) => return missing_order(key.missing_first),
+        (_, Value::Null) => return missing_order(key.missing_first).reverse(),
         (Value::String(a), Value::String(b)) => a.cmp(b),
         (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
         _ => match (a.as_i64(), b.as_i64()) {
@@ -101,16 +101,16 @@
 impl SortedHit {
     /// Compares by each key in turn, then by shard.
     fn compare(&self, other: &SortedHit, keys: &[SortKey]) -> Ordering {
-        let by_keys = keys.iter().enumerate().map(|(at, key)| {
-            let own = self.sort_values.get(at).unwrap_or(&Value::Null);
-            compare(own, other.sort_values.get(at).unwrap_or(&Value::Null), key)
+        let by_keys = keys.iter().enumerate().map(|(index, key)| {
+            let own = self.sort_values.get(index).unwrap_or(&Value::Null);
+            compare_sort_values(own, other.sort_values.get(index).unwrap_or(&Value::Null), key)
         });
         by_keys.fold(Ordering::Equal, Ordering::then).then(self.shard.cmp(&other.shard))
     }
 }
 
 /// Leaves a hit only as many of its sort values as the client asked for.
-fn keep_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
+fn truncate_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
     let Some(fields) = hit.as_object_mut() else { return };
     if requested == 0 {
         fields.remove("sort");
@@ -123,7 +123,7 @@
 #[must_use]
 pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
     let mut merged = MergedResult { complete: true, total_is_exact: true, ..MergedResult::default() };
-    let mut sorted: Vec<SortedHit> = Vec::new();
+    let mut sorted_hits: Vec<SortedHit> = Vec::new();
     for (shard, body) in results {
         let Some(result) = decode_complete_result(body) else { continue };
         let hits = result.hits;
@@ -134,23 +134,23 @@
         merged.max_score = [merged.max_score, hits.max_score].into_iter().flatten().reduce(f64::max);
         for mut hit in hits.hits {
             let sort_values = hit.get("sort").and_then(Value::as_array).cloned().unwrap_or_default();
-            keep_sort_values(&mut hit, &sort_values, search.requested_sort_values);
-            sorted.push(SortedHit { sort_values, shard, hit });
+            truncate_sort_values(&mut hit, &sort_values, search.requested_sort_values);
+            sorted_hits.push(SortedHit { sort_values, shard, hit });
         }
     }
-    sorted.sort_by(|a, b| a.compare(b, &search.sort_keys));
-    merged.hits = sorted.into_iter().map(|sorted| sorted.hit).collect();
+    sorted_hits.sort_by(|a, b| a.compare(b, &search.sort_keys));
+    merged.hits = sorted_hits.into_iter().map(|sorted| sorted.hit).collect();
     merged
 }
 
 impl MergedResult {
-    /// The response with one page of the result, `hits`; `shards` were searched, and `served` of them responded.
+    /// The response with one page of the result, `hits`; `shards` were searched, and `responded` of them responded.
     #[must_use]
-    pub fn page(&self, hits: &[Value], took: Duration, shards: usize, served: usize) -> Value {
+    pub fn page(&self, hits: &[Value], took: Duration, shards: usize, responded: usize) -> Value {
         json!({
             "took": took.as_millis() as u64,
-            "timed_out": served < shards,
-            "_shards": {"total": shards, "successful": served, "skipped": 0, "failed": shards - served},
+            "timed_out": responded < shards,
+            "_shards": {"total": shards, "successful": responded, "skipped": 0, "failed": shards - responded},
             "hits": {
                 "total": {"value": self.total, "relation": if self.total_is_exact { "eq" } else { "gte" }},
                 "max_score": self.max_score,
--- a/src/protocol/opensearch/search.rs
+++ b/src/protocol/opensearch/search.rs
@@ -63,9 +63,9 @@
                 "result window is too large: from + size must be <= [{window}]"
             )));
         }
-        let in_body = body.remove("timeout");
-        let timeout = request.parameter("timeout").or(in_body.as_ref().and_then(Value::as_str));
-        let timeout = parse_positive_duration("timeout", timeout)?;
+        let timeout_in_body = body.remove("timeout");
+        let timeout_text = request.parameter("timeout").or(timeout_in_body.as_ref().and_then(Value::as_str));
+        let timeout = parse_positive_duration("timeout", timeout_text)?;
         let scroll = parse_positive_duration("scroll", request.parameter("scroll"))?;
         if scroll.is_some() && (from > 0 || size == 0) {
             return Err(SearchError::illegal_argument(
@@ -162,7 +162,7 @@
     };
     let requested_values = requested.len();
     let mut items = if requested.is_empty() { vec![json!({"_score": "desc"})] } else { requested };
-    let mut names = Vec::new();
+    let mut field_names = Vec::new();
     let mut keys = Vec::new();
     for item in &items {
         let (name, options) = match item {
@@ -184,10 +184,10 @@
         };
         let missing = options.and_then(|options| options.get("missing")?.as_str());
         keys.push(SortKey { descending, missing_first: missing == Some("_first") });
-        names.push(name);
+        field_names.push(name);
     }
     // Guards against hits that appear on two pages or on none: without a unique last key, ties have no order.
-    if names.last().is_none_or(|name| name != "_id") {
+    if field_names.last().is_none_or(|name| name != "_id") {
         items.push(json!({"_id": "asc"}));
         keys.push(SortKey { descending: false, missing_first: false });
     }
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -82,40 +82,40 @@
     if let Some(name) = HEADER_FIELDS.into_iter().find(|name| request.headers.repeats(name)) {
         return Err(invalid_field(name, "given twice"));
     }
-    let id = required(request, "X-Call-Id")?;
+    let id = required_header_field(request, "X-Call-Id")?;
     if id.len() > MAX_CALL_ID_BYTES || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(invalid_field("X-Call-Id", "not a short word"));
     }
-    let class = required(request, "X-Call-Class")?;
+    let class = required_header_field(request, "X-Call-Class")?;
     let (class, _) =
         contracts.class(class).ok_or_else(|| invalid_field("X-Call-Class", format!("no class {class:?}")))?;
     let tenant = parse_tenant(request, contracts)?;
-    let budget_ms = required(request, "X-Budget-Ms")?
+    let budget_ms = required_header_field(request, "X-Budget-Ms")?
         .parse::<u64>()
         .ok()
         .filter(|ms| (1..=MAX_BUDGET_MS).contains(ms))
         .ok_or_else(|| invalid_field("X-Budget-Ms", "not a number of milliseconds"))?;
     let body: QueryBody =
         serde_json::from_slice(&request.body).map_err(|error| InvalidQuery::Body(error.to_string()))?;
-    let parts = parse_parts(body.ranges, contracts.settings.shards, field(request, "X-Route-Hash"))?;
+    let parts = parse_parts(body.ranges, contracts.settings.shards, header_field(request, "X-Route-Hash"))?;
     Ok(SearchRequest {
         label: Arc::from(id),
         class,
         tenant,
         time_left: Duration::from_millis(budget_ms).saturating_sub(request.waited),
-        retry: field(request, "X-Again") == Some("1"),
+        retry: header_field(request, "X-Again") == Some("1"),
         payload: Bytes::from(body.predicate),
         parts,
     })
 }
 
 /// The value of a header field, unless it is empty.
-fn field<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+fn header_field<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers.get(name).filter(|value| !value.is_empty())
 }
 
-fn required<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, InvalidQuery> {
-    field(request, name).ok_or(InvalidQuery::Missing(name))
+fn required_header_field<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, InvalidQuery> {
+    header_field(request, name).ok_or(InvalidQuery::Missing(name))
 }
 
 fn invalid_field(name: &'static str, reason: impl Into<String>) -> InvalidQuery {
@@ -127,7 +127,7 @@
     if contracts.tenants.is_empty() {
         return Ok(None);
     }
-    let name = required(request, "X-Caller")?;
+    let name = required_header_field(request, "X-Caller")?;
     let tenant = contracts.tenant(name);
     tenant.map(Some).ok_or_else(|| invalid_field("X-Caller", format!("no tenant {name:?}")))
 }
--- a/src/protocol/statsd.rs
+++ b/src/protocol/statsd.rs
@@ -20,15 +20,15 @@
 
     /// Adds a count since the start.
     pub fn count(&mut self, names: &[&str], value: u64) {
-        self.line(names, value, "c");
+        self.push_line(names, value, "c");
     }
 
     /// Adds a value as it is now.
     pub fn gauge(&mut self, names: &[&str], value: u64) {
-        self.line(names, value, "g");
+        self.push_line(names, value, "g");
     }
 
-    fn line(&mut self, names: &[&str], value: u64, kind: &str) {
+    fn push_line(&mut self, names: &[&str], value: u64, type_code: &str) {
         self.text.push_str(self.prefix);
         for name in names {
             self.text.push('.');
@@ -36,8 +36,8 @@
             let escaped = name.chars().map(|char| if ":|@#\n".contains(char) { '_' } else { char });
             self.text.extend(escaped);
         }
-        let written = writeln!(self.text, ":{value}|{kind}");
-        debug_assert!(written.is_ok(), "writing to a string cannot fail");
+        let result = writeln!(self.text, ":{value}|{type_code}");
+        debug_assert!(result.is_ok(), "writing to a string cannot fail");
     }
 
     /// All lines.
