--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -1,35 +1,35 @@
-//! Frames between gatherers and workers: a four-byte length, least significant byte first, a letter for the frame's kind,
-//! and the rest.
+//! Frames between gatherers and workers: a four-byte little-endian length, one letter for the frame's kind, and the
+//! payload. The length counts the letter and the payload.
 //!
-//! It encodes what a gatherer sends and decodes what a worker sends. It never decides what a result means, and keeps no
-//! state between frames: the caller owns the buffer.
+//! The module encodes what a gatherer sends and decodes what a worker sends. It does not interpret results, and keeps
+//! no state between frames: the caller owns the buffer.
 
 use crate::policy::{AttemptOutcome, LoadReport, ReportField, Time};
 use crate::routing::Dispatch;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The longest frame that a worker may send: a value that fits a response's body, and its line.
+/// Longest frame that a worker may send, in bytes: a value that fits into a response to a client, and its line.
 const MAX_FRAME_BYTES: usize = 68 * 1024;
-/// The bytes of the length in front of a frame.
+/// Size of the length in front of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-// The letters of the frames' kinds, as the workers' protocol has them.
+// Letters of the kinds of frames, as defined by the workers' protocol.
 const CALL: u8 = b'm';
 const CANCEL: u8 = b'n';
 const PART_FINISHED: u8 = b'q';
 const CALL_REJECTED: u8 = b'r';
 
-/// Why bytes are no frame of a worker.
+/// Why bytes are not a valid frame of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedFrame {
-    /// A length of zero, or over the limit.
-    #[error("a frame of {0} bytes")]
+    /// The length is zero or over the limit.
+    #[error("malformed frame: its length is {0} bytes, 1 to {MAX_FRAME_BYTES} are permitted")]
     Length(usize),
-    /// A kind that workers do not send.
-    #[error("a frame of kind {0:?}")]
+    /// The kind is not one that workers send.
+    #[error("malformed frame: its kind is {0:?}, workers send 'q' and 'r'")]
     Kind(char),
-    /// The line of a finished part.
-    #[error("malformed answer: {0}")]
+    /// The line or the value of a finished part is malformed, for this reason.
+    #[error("malformed frame of a finished part: {0}")]
     Line(&'static str),
 }
 
@@ -38,20 +38,20 @@
 pub enum WorkerMessage {
     /// An attempt of a part has finished.
     PartFinished {
-        /// The part's id, see [`part_id`].
+        /// Id of the part, see [`part_id`].
         id: String,
-        /// How it finished.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
-        /// Its value; empty unless it succeeded.
+        /// Value of the part; empty unless the attempt succeeded.
         value: Bytes,
-        /// The worker's load, where the message reports it.
+        /// Load of the worker, if the frame contains a valid load report.
         report: Option<LoadReport>,
     },
-    /// The frame before could not be used, for this reason; the worker closes the connection.
+    /// The worker could not process a frame, for this reason, and closes the connection.
     CallRejected(String),
 }
 
-/// The id of a part on the wire.
+/// Returns the id of a part on the wire.
 #[must_use]
 pub fn part_id(label: &str, shard: u32) -> String {
     format!("{label}.{shard}")
@@ -66,7 +66,7 @@
     bytes.freeze()
 }
 
-/// Encodes one call for these parts, with the time that is left to each at `now`.
+/// Encodes one call with these parts. Each line contains the part's time left at `now`, in milliseconds.
 #[must_use]
 pub fn encode_call(parts: &[Dispatch], now: Time) -> Bytes {
     let mut payload = BytesMut::new();
@@ -86,12 +86,13 @@
     encode_frame(CANCEL, id.as_bytes())
 }
 
-/// Takes one complete frame off the front of the buffer; `None` while its end has not been received. Load reports are put
-/// in the order of `fields`.
+/// Takes one complete frame off the front of the buffer; `None` while its end has not been received. The values of a
+/// load report are returned in the order of `fields`.
 ///
 /// # Errors
 ///
-/// If the bytes are no frame of a worker. The connection cannot be used further: where the next frame begins is unknown.
+/// If the bytes are not a valid frame of a worker. The connection cannot be used further, because it is unknown where
+/// the next frame begins.
 pub fn take_message(
     buffer: &mut BytesMut,
     fields: &[ReportField],
@@ -103,7 +104,7 @@
     if length == 0 || length > MAX_FRAME_BYTES {
         return Err(MalformedFrame::Length(length));
     }
-    // Checked before the rest has come: guards against waiting for the end of bytes that are no frame.
+    // Checked before the payload is complete, so that a stream of other bytes is not buffered up to its supposed end.
     let kind = buffer.get(LENGTH_BYTES);
     if let Some(kind) = kind.filter(|kind| !matches!(**kind, PART_FINISHED | CALL_REJECTED)) {
         return Err(MalformedFrame::Kind(char::from(*kind)));
@@ -124,25 +125,29 @@
 }
 
 fn decode_part_finished(payload: &[u8], fields: &[ReportField]) -> Result<WorkerMessage, MalformedFrame> {
-    let end = payload.iter().position(|byte| *byte == b'\n').ok_or(MalformedFrame::Line("no end of line"))?;
-    let line = std::str::from_utf8(&payload[..end]).map_err(|_| MalformedFrame::Line("not UTF-8"))?;
+    let end = payload
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .ok_or(MalformedFrame::Line("its line does not end"))?;
+    let line =
+        std::str::from_utf8(&payload[..end]).map_err(|_| MalformedFrame::Line("its line is not UTF-8"))?;
     let mut words = line.split(' ');
     let (Some(id), Some(result), Some(_score), Some(load), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(MalformedFrame::Line("not four words"));
+        return Err(MalformedFrame::Line("its line does not have four words"));
     };
     let outcome = match result {
         "good" => AttemptOutcome::Succeeded,
         "bad" => AttemptOutcome::Failed,
         "later" => AttemptOutcome::Rejected,
-        _ => return Err(MalformedFrame::Line("unknown end")),
+        _ => return Err(MalformedFrame::Line("its result is not good, bad or later")),
     };
     let value = &payload[end + 1..];
     if outcome == AttemptOutcome::Succeeded && std::str::from_utf8(value).is_err() {
-        return Err(MalformedFrame::Line("a value that is no text"));
+        return Err(MalformedFrame::Line("its value is not UTF-8"));
     }
-    // A load report that cannot be decoded does not lose the value that it came with.
+    // A malformed load report does not invalidate the value in the same frame.
     let report = decode_load_report(load, fields);
     Ok(WorkerMessage::PartFinished {
         id: id.to_owned(),
@@ -152,7 +157,7 @@
     })
 }
 
-/// Decodes a load report `NAME=VALUE,...` into the order of `fields`; `None` where there is none, or it is malformed.
+/// Decodes a load report `NAME=VALUE,...` into the order of `fields`; `None` if it is absent or malformed.
 fn decode_load_report(text: &str, fields: &[ReportField]) -> Option<LoadReport> {
     let mut report = vec![None; fields.len()];
     for item in text.split(',') {
@@ -167,7 +172,7 @@
     Some(report)
 }
 
-/// The field that a load report calls by this name, on the workers' wire or on the simulator's.
+/// Returns the field of a load report by its name in the workers' protocol or in the simulator's.
 #[must_use]
 pub fn report_field(name: &str) -> ReportField {
     match name {
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -1,8 +1,8 @@
-//! Messages between the two processes of an upgrade. Each message is one line `clayshore-handover VERSION LENGTH CHECKSUM`,
-//! the checksum (XXH3 of the body) in hexadecimal, and then so many bytes of JSON.
+//! Messages between the two processes of an upgrade. A message is a header line `clayshore-handover VERSION LENGTH
+//! CHECKSUM`, with the length of the body in bytes and its XXH3 hash in hexadecimal, and then the body as JSON.
 //!
-//! It encodes and decodes messages. It never decides which process serves: `service::takeover` does. The names in the JSON
-//! and its first line are read by other versions of the program, and stay as they are.
+//! The module encodes and decodes messages; `service::takeover` decides which process serves. Other versions of the
+//! program read the header line and the names in the JSON, so these must not change.
 
 use crate::policy::PolicySnapshot;
 use crate::routing::WorkerListUpdate;
@@ -11,84 +11,85 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version that this program sends; it accepts no other.
+/// Version of the format. Messages of any other version are rejected.
 pub const VERSION: u32 = 1;
 const MAGIC: &str = "clayshore-handover";
-/// The longest first line.
+/// Longest header line, in bytes.
 const MAX_HEADER_BYTES: usize = 80;
-/// The longest body: far more than a fleet of a thousand workers takes.
+/// Longest body, in bytes: far more than the state of a fleet of a thousand workers takes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The state that a gatherer passes on to its successor.
+/// The state that a gatherer hands over to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverState {
-    /// The endpoint list as discovery last announced it.
+    /// Endpoint list as discovery last sent it.
     pub list: WorkerListUpdate,
-    /// The workers that an operator has disabled. The message's name of it is read by other versions.
+    /// Workers that an operator has disabled or enabled again. Other versions read the field as `bans`.
     #[serde(rename = "bans")]
     pub disabled_workers: DisabledWorkers,
-    /// An operator has it drained.
+    /// Whether an operator has drained the gatherer.
     pub drained: bool,
-    /// The decision module's snapshot. The message's name of it is read by other versions.
+    /// Snapshot of the decision module. Other versions read the field as `learned`.
     #[serde(rename = "learned")]
     pub policy_snapshot: PolicySnapshot,
 }
 
-/// A message. Its names in JSON are read by other versions of the program, hence `serde(rename)`.
+/// A message. Other versions of the program read the names in the JSON; where a variant is named otherwise here,
+/// `serde(rename)` keeps the name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// A second process, for clients at this address, asks to take over.
+    /// A second process that serves clients at this address requests to take over.
     #[serde(rename = "join")]
     TakeoverRequest {
-        /// Where clients connect.
+        /// Address at which clients connect.
         listen: String,
     },
-    /// It has to wait: another takeover is in progress.
+    /// The second process has to wait, because another takeover is in progress.
     #[serde(rename = "busy")]
     TakeoverInProgress,
-    /// The state that it takes over; the listening socket comes beside it.
+    /// The state that the second process takes over. The listening socket is sent along with this message.
     #[serde(rename = "state")]
     TakeoverState(Box<TakeoverState>),
     /// An operator has disabled a worker.
     #[serde(rename = "out")]
     WorkerDisabled {
-        /// Its name.
+        /// Name of the worker.
         worker: String,
     },
     /// An operator has enabled a worker again.
     #[serde(rename = "back")]
     WorkerEnabled {
-        /// Its name.
+        /// Name of the worker.
         worker: String,
     },
-    /// An operator has the gatherer drained.
+    /// An operator has drained the gatherer.
     Drain,
-    /// An operator has the gatherer accept clients again.
+    /// An operator has requested that the gatherer accept clients again.
     Resume,
     /// The second process accepts clients.
     Serving,
-    /// The process that sends this was asked to stop.
+    /// The sender was requested to stop.
     Stopping,
 }
 
-/// Why bytes are no message.
+/// Why a message cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The first line is of another form.
-    #[error("it is not in the form of a hand-over")]
+    /// The bytes do not begin with a valid header line.
+    #[error("the header line is not in the form of a hand-over message")]
     Foreign,
-    /// Another version of the program sent it.
-    #[error("it is of version {0}, not {VERSION}")]
+    /// The message has another version.
+    #[error("the hand-over message is of version {0}, not {VERSION}")]
     Version(u32),
-    /// The body is over the limit.
-    #[error("it is too long")]
-    TooLong,
-    /// The body is not what was sent.
-    #[error("its checksum is wrong")]
+    /// The body, of this number of bytes, is over the limit.
+    #[error("the body of the hand-over message has {0} bytes, more than {MAX_BODY_BYTES}")]
+    TooLong(usize),
+    /// The body does not match its checksum.
+    #[error("the hand-over message is damaged: its checksum is wrong")]
     Damaged,
-    /// The body is no message.
-    #[error("its body cannot be read: {0}")]
+    /// The body is not the JSON of a message.
+    #[error("the body of the hand-over message is invalid: {0}")]
     Body(#[from] serde_json::Error),
 }
 
@@ -96,11 +97,11 @@
 ///
 /// # Errors
 ///
-/// If its body cannot be encoded, or is over the limit.
+/// If the body cannot be encoded as JSON, or is over the limit.
 pub fn encode(message: &Message) -> Result<Bytes, HandoverError> {
     let body = serde_json::to_vec(message)?;
     if body.len() > MAX_BODY_BYTES {
-        return Err(HandoverError::TooLong);
+        return Err(HandoverError::TooLong(body.len()));
     }
     let header = format!("{MAGIC} {VERSION} {} {:016x}\n", body.len(), xxh3_64(&body));
     Ok([header.into_bytes(), body].concat().into())
@@ -110,7 +111,8 @@
 ///
 /// # Errors
 ///
-/// If the bytes are no message. The connection cannot be used further: where the next message begins is unknown.
+/// If the bytes are not a valid message. The connection cannot be used further, because it is unknown where the next
+/// message begins.
 pub fn take_message(buffer: &mut BytesMut) -> Result<Option<Message>, HandoverError> {
     let Some(header_end) = buffer.iter().take(MAX_HEADER_BYTES).position(|byte| *byte == b'\n') else {
         return if buffer.len() < MAX_HEADER_BYTES { Ok(None) } else { Err(HandoverError::Foreign) };
@@ -125,7 +127,7 @@
     let length = length.parse::<usize>().map_err(|_| HandoverError::Foreign)?;
     let checksum = u64::from_str_radix(checksum, 16).map_err(|_| HandoverError::Foreign)?;
     if length > MAX_BODY_BYTES {
-        return Err(HandoverError::TooLong);
+        return Err(HandoverError::TooLong(length));
     }
     let body_start = header_end + 1;
     let Some(body) = buffer.get(body_start..body_start + length) else { return Ok(None) };
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -20,7 +20,10 @@
     assert!(matches!(changed("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
     assert!(matches!(changed("127", "128"), Err(HandoverError::Damaged)));
     assert!(matches!(read(&[b'a'; 80]), Err(HandoverError::Foreign)));
-    assert!(matches!(read(b"clayshore-handover 1 9999999999 0\n"), Err(HandoverError::TooLong)));
+    assert!(matches!(
+        read(b"clayshore-handover 1 9999999999 0\n"),
+        Err(HandoverError::TooLong(9_999_999_999))
+    ));
 }
 
 proptest! {
