--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,16 +1,16 @@
 //! Discovery's endpoint list of workers, complete or as changes to an earlier revision.
 //!
-//! It turns discovery's JSON into a [`WorkerListUpdate`] and builds the targets of requests for it. It never applies an
-//! update and never judges whether one is new.
+//! The module decodes discovery's JSON into a [`WorkerListUpdate`] and builds the targets of requests for the list. It
+//! does not apply an update or decide whether one is new.
 
 use crate::policy::{EndpointStatus, Time};
 use crate::routing::{ListedWorker, WorkerListUpdate};
 use serde::Deserialize;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds per millisecond.
 const NANOS_PER_MS: u64 = 1_000_000;
 
-// The names of these fields and phases are discovery's.
+// Discovery defines the names of these fields and phases.
 #[derive(Deserialize)]
 struct Catalog {
     revision: u64,
@@ -42,21 +42,21 @@
     Deleted,
 }
 
-/// The size of a worker whose entry does not say.
+/// The size of a worker whose entry has none.
 fn default_size() -> f64 {
     1.0
 }
 
-/// A request for what is newer than a revision, to which discovery responds once there is a newer one.
+/// A request for changes after a revision. Discovery holds it until there is a newer revision or the wait has elapsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongPoll {
-    /// The revision that is held already.
+    /// Revision of the list that the caller has.
     pub after_revision: u64,
-    /// How long discovery may wait before it responds that there is none, in milliseconds.
+    /// How long discovery may hold the request where there is no newer revision, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// The request target of the complete list, or of a long poll.
+/// Returns the request target of the complete list, or of a long poll.
 #[must_use]
 pub fn endpoint_list_target(long_poll: Option<LongPoll>) -> String {
     match long_poll {
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 ///
-/// If the body is not JSON of discovery's form.
+/// If the body is not an endpoint list in discovery's JSON format.
 pub fn decode_endpoint_list(body: &[u8]) -> Result<WorkerListUpdate, serde_json::Error> {
     let catalog: Catalog = serde_json::from_slice(body)?;
     Ok(WorkerListUpdate {
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -1,46 +1,47 @@
-//! The datagrams of members: `clym`, a version, 16 bytes of a keyed BLAKE3 hash, and the message in postcard's form. A
-//! complete member table is sent over a connection, with its length (four bytes, least significant first) in front.
+//! Messages between members: the magic bytes `clym`, a version byte, an authentication tag (the first 16 bytes of a
+//! keyed BLAKE3 hash), and the message as encoded by postcard. Most are sent as datagrams; a complete member table is
+//! sent over a connection, with its length (four bytes, little-endian) in front.
 //!
-//! It authenticates messages by the cluster's key; it does not encrypt them. It never reads a socket and never applies a
-//! message.
+//! Messages are authenticated by the cluster's key, but not encrypted. The module does not read sockets or apply
+//! messages.
 
 use crate::membership::Message;
 use crate::membership::update::{MAX_NAME_BYTES, MAX_UPDATES_BYTES};
 use std::fmt;
 
-/// The version that this program sends; it accepts no other.
+/// Version of the format. Messages of any other version are rejected.
 pub const VERSION: u8 = 1;
 const MAGIC: &[u8; 4] = b"clym";
 const TAG_BYTES: usize = 16;
 const HEADER_BYTES: usize = MAGIC.len() + 1 + TAG_BYTES;
-/// The longest datagram: no network fragments it.
+/// Longest datagram, in bytes: short enough that no network fragments it.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The most that one member's update takes.
+/// Upper bound of one encoded update, in bytes: the names of member and zone, and the other fields.
 const MAX_UPDATE_BYTES: usize = 2 * MAX_NAME_BYTES + 48;
-/// What the key is derived for, so that a key of another use authenticates nothing here.
+/// Context of the key derivation: a key that is derived for another purpose authenticates nothing here.
 const KEY_CONTEXT: &str = "clayshore membership, version 1";
 
-/// Why a message is not accepted. The texts are the names of its counters, which operators read.
+/// Why a message is not accepted. The texts are the names of counters that operators read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum GossipError {
-    /// The bytes are not in this form at all.
+    /// The bytes do not begin with the magic bytes and a version.
     #[error("foreign")]
     Foreign,
-    /// Another version of the program sent it.
+    /// The message has another version.
     #[error("version")]
     Version,
-    /// Another cluster's, made with another secret, or damaged.
+    /// The tag does not match: the message is from another cluster, made with another secret, or damaged.
     #[error("seal")]
     Authentication,
-    /// Authentic, and yet no valid message.
+    /// The message is authentic but not valid, or cannot be encoded.
     #[error("form")]
     Encoding,
-    /// Longer than any message.
+    /// The message is longer than any that a member sends.
     #[error("length")]
     Length,
 }
 
-/// The key by which members of one cluster authenticate their messages.
+/// Key with which the members of a cluster authenticate their messages.
 #[derive(Clone)]
 pub struct ClusterKey([u8; 32]);
 
@@ -51,7 +52,8 @@
 }
 
 impl ClusterKey {
-    /// The key of this cluster. Without a secret it keeps clusters apart, but keeps nobody out.
+    /// Derives the key of a cluster. With an empty secret, the key only keeps the messages of clusters apart: anybody
+    /// who knows the name of the cluster can derive it.
     #[must_use]
     pub fn new(cluster: &str, secret: &str) -> ClusterKey {
         let key_material =
@@ -59,6 +61,7 @@
         ClusterKey(blake3::derive_key(KEY_CONTEXT, &key_material))
     }
 
+    /// Returns the authentication tag of an encoded message.
     fn tag(&self, body: &[u8]) -> [u8; TAG_BYTES] {
         let hash = blake3::keyed_hash(&self.0, body);
         let mut tag = [0; TAG_BYTES];
@@ -80,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// If the bytes are no message of this version, this cluster and this secret.
+    /// If the bytes are not a valid message of this version, this cluster and this secret.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, GossipError> {
         let rest = bytes.strip_prefix(MAGIC).ok_or(GossipError::Foreign)?;
         let (version, rest) = rest.split_first().ok_or(GossipError::Foreign)?;
@@ -88,7 +91,7 @@
             return Err(GossipError::Version);
         }
         let (tag, body) = rest.split_at_checked(TAG_BYTES).ok_or(GossipError::Authentication)?;
-        // Compared by the hash's own type, in constant time: guards against a tag that is guessed byte by byte.
+        // `blake3::Hash` compares in constant time, which guards against a tag that is guessed byte by byte.
         let expected = blake3::keyed_hash(&self.0, body);
         let mut received = *expected.as_bytes();
         received[..TAG_BYTES].copy_from_slice(tag);
@@ -111,7 +114,7 @@
     }
 }
 
-/// The most bytes that the table of a member takes that knows at most `other_members`.
+/// Returns an upper bound of the encoded member table, in bytes, where a member knows at most `other_members` others.
 #[must_use]
 pub fn max_table_bytes(other_members: usize) -> usize {
     HEADER_BYTES + MAX_UPDATES_BYTES + other_members.saturating_add(2).saturating_mul(MAX_UPDATE_BYTES)
--- a/src/protocol/gossip/tests.rs
+++ b/src/protocol/gossip/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of the datagrams' authentication and size, which reach the private tag.
+//! Tests of the authentication and the size of messages. They use the private function that computes the tag.
 
 use super::{ClusterKey, GossipError, MAGIC, MAX_DATAGRAM_BYTES, VERSION, max_table_bytes};
 use crate::membership::Message;
 use crate::membership::update::{MAX_NAME_BYTES, MAX_UPDATES_BYTES, MemberState, MemberUpdate, MessageKind};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest};
 
-/// A message with this many updates, of names of this many bytes.
-fn message(updates: usize, name: usize) -> Message {
+/// A message with this number of updates, in which names have this number of bytes.
+fn message(updates: usize, name_bytes: usize) -> Message {
     let update = |id: usize| MemberUpdate {
-        name: format!("{id:0name$}"),
+        name: format!("{id:0name_bytes$}"),
         start: u64::MAX,
         incarnation: u32::MAX,
         address: "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().expect("an address"),
-        zone: "z".repeat(name),
+        zone: "z".repeat(name_bytes),
         state: MemberState::Left,
     };
     let kind = MessageKind::IndirectAck { number: u32::MAX, update: update(0) };
@@ -38,14 +38,17 @@
 
 #[test]
 fn a_message_of_the_longest_names_fits_into_a_datagram() {
-    for name in [1, 20, MAX_NAME_BYTES] {
+    for name_bytes in [1, 20, MAX_NAME_BYTES] {
         let full = (0..)
-            .map(|updates| message(updates, name))
+            .map(|updates| message(updates, name_bytes))
             .take_while(|message| message.max_encoded_bytes() <= MAX_UPDATES_BYTES);
-        let length = ClusterKey::new("", "").encode(&full.last().expect("one")).expect("encoded").len();
+        let length = ClusterKey::new("", "")
+            .encode(&full.last().expect("a message with one update fits"))
+            .expect("encoded")
+            .len();
         assert!(
             length <= MAX_DATAGRAM_BYTES && length > MAX_DATAGRAM_BYTES / 2,
-            "names of {name}: {length} bytes"
+            "with names of {name_bytes} bytes, the datagram has {length} bytes"
         );
     }
     let table_bytes = ClusterKey::new("", "").encode(&message(1000, MAX_NAME_BYTES)).expect("encoded").len();
@@ -65,9 +68,9 @@
         prop_assert!(key.decode_datagram(&bytes).is_err());
     }
 
-    // A member that has the secret may still send what is no message.
+    // A member that has the secret may still send bytes that are not a message.
     #[test]
-    fn authentic_noise_is_no_message(noise in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn authenticated_noise_is_rejected_or_valid(noise in prop::collection::vec(any::<u8>(), 0..200)) {
         let key = ClusterKey::new("tbilisi", "s1");
         let bytes = [&MAGIC[..], &[VERSION], &key.tag(&noise), &noise].concat();
         match key.decode_datagram(&bytes) {
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 messages in a connection's buffer: requests and responses, with bodies by length or in chunks.
 //!
-//! It owns the limits of a message's header and the framing of bodies. It never reads a socket, and keeps no state between
-//! messages: the caller owns the buffer.
+//! The module owns the limits of headers and the framing of bodies. It does not read sockets, and keeps no state
+//! between messages: the caller owns the buffer.
 
 mod body;
 
@@ -10,38 +10,38 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The longest header of a message, and the longest chunk line.
+/// Longest header of a message, and longest size line and trailer of a chunked body, in bytes.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
-/// The most header fields of a message.
+/// Largest number of header fields in a message.
 const MAX_HEADER_FIELDS: usize = 64;
-/// The longest body of the platform's protocol.
+/// Longest body of a request, and of a response of the platform's protocol, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why bytes are no message that is accepted.
+/// Why bytes are not an acceptable message. The response to a malformed request contains the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
-    /// The first line or a header field.
+    /// The first line or a header field is malformed.
     #[error("malformed header: {0}")]
     Header(httparse::Error),
-    /// A header over the limits.
+    /// The header is over the limits of its length or its number of fields.
     #[error("the header is too long")]
     HeaderTooLong,
-    /// A `Content-Length` that is no number, or two that differ.
+    /// `Content-Length` is not a number, or is given twice with different values.
     #[error("malformed Content-Length")]
     Length,
-    /// A coding other than `chunked`, or a length beside it.
+    /// `Transfer-Encoding` is not `chunked`, is given twice, or is given beside `Content-Length`.
     #[error("unsupported Transfer-Encoding")]
     Coding,
-    /// A chunk's size or end.
+    /// The size line or the end of a chunk, or the trailer, is malformed.
     #[error("malformed chunk")]
     Chunk,
-    /// A body over the limit.
+    /// The body is over the limit.
     #[error("the body is too long")]
     BodyTooLong,
 }
 
 impl MalformedMessage {
-    /// The status of the response to such a request.
+    /// Returns the status of the response to a request with this error.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Header fields in order; names are compared without regard to case.
+/// Header fields in the order of the message. Names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Headers(Vec<(String, String)>);
 
@@ -63,49 +63,51 @@
         Headers(fields.iter().map(|field| (field.name.to_owned(), to_text(field.value))).collect())
     }
 
-    /// The value of the first field of this name.
+    /// Returns the value of the first field with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|field| field.0.eq_ignore_ascii_case(name)).map(|field| field.1.as_str())
     }
 
-    /// Whether there is more than one field of this name.
+    /// Whether more than one field has this name.
     #[must_use]
     pub fn repeats(&self, name: &str) -> bool {
         self.all(name).nth(1).is_some()
     }
 
+    /// Returns the values of all fields with this name.
     fn all(&self, name: &str) -> impl Iterator<Item = &str> {
         self.0.iter().filter(move |field| field.0.eq_ignore_ascii_case(name)).map(|field| field.1.as_str())
     }
 
-    /// Whether a field of this name lists this token.
+    /// Whether a field with this name lists this token.
     fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| value.split(',').any(|item| item.trim().eq_ignore_ascii_case(token)))
     }
 }
 
-/// A request.
+/// A request that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its method.
+    /// Method, such as `GET`.
     pub method: String,
-    /// Its path, without the query.
+    /// Path of the target, without the query string.
     pub path: String,
-    /// Its query, after the `?`.
+    /// Query string: the part of the target after the `?`.
     pub query: String,
-    /// Its header.
+    /// Header fields.
     pub headers: Headers,
-    /// Its body.
+    /// Body, without its framing.
     pub body: Bytes,
-    /// The connection stays open after the response.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// How long it may have waited unread because calls of the listener failed: its client's time is so much shorter.
+    /// How long the request may have waited in the listener's backlog while accepts failed. The client's time budget is
+    /// reduced by it.
     pub waited: Duration,
 }
 
 impl Request {
-    /// The value of a parameter `name=value` of the query.
+    /// Returns the value of a parameter `name=value` of the query string, without percent-decoding.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
@@ -116,28 +118,28 @@
     }
 }
 
-/// A response.
+/// A response to a client or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Further header fields.
+    /// Header fields besides those of the body and the connection.
     pub headers: Vec<(&'static str, String)>,
-    /// The media type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
-    /// Its body.
+    /// Body, without framing.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A response with a line of text for people.
+    /// Creates a response with one line of plain text.
     #[must_use]
     pub fn text(status: u16, text: impl Into<String>) -> Response {
         let body = Bytes::from(text.into() + "\n");
         Response { status, headers: Vec::new(), content_type: "text/plain; charset=utf-8", body }
     }
 
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     #[must_use]
     pub fn json(status: u16, body: impl Into<Bytes>) -> Response {
         Response { status, headers: Vec::new(), content_type: "application/json", body: body.into() }
@@ -150,7 +152,7 @@
         self
     }
 
-    /// Encodes it; `close` announces that the connection ends with it.
+    /// Encodes the response. With `close`, it announces that the connection closes after it.
     #[must_use]
     pub fn encode(&self, close: bool) -> Bytes {
         let mut header = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
@@ -197,7 +199,7 @@
     }
 }
 
-/// Encodes a request of this program's own, with a JSON body if there is one.
+/// Encodes a request that this program sends, with a JSON body if one is given.
 #[must_use]
 pub fn encode_request(method: &str, target: &str, host: &str, body: Option<&[u8]>) -> Bytes {
     let mut header = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
@@ -211,7 +213,7 @@
     bytes.freeze()
 }
 
-/// The length of a parsed header; `None` while its end has not been received.
+/// Returns the length of a parsed header in bytes; `None` while its end has not been received.
 fn header_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, MalformedMessage> {
     match parsed {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEADER_BYTES => Ok(Some(length)),
@@ -225,7 +227,7 @@
 ///
 /// # Errors
 ///
-/// If the bytes are no request, or one over the limits. The connection cannot be used further.
+/// If the bytes are not a valid request, or are over the limits. The connection cannot be used further.
 pub fn take_request(buffer: &mut BytesMut) -> Result<Option<Request>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
@@ -249,7 +251,7 @@
     Ok(Some(request))
 }
 
-/// Whether the client of the request at the front of the buffer sends the body only after `100 Continue`.
+/// Whether the buffer holds exactly a header whose client waits for `100 Continue` before it sends the body.
 #[must_use]
 pub fn expects_continue(buffer: &[u8]) -> bool {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
@@ -262,22 +264,22 @@
 /// A response that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedResponse {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its header.
+    /// Header fields.
     pub headers: Headers,
-    /// Its body.
+    /// Body, without its framing.
     pub body: Bytes,
-    /// The connection may be used again.
+    /// Whether the connection may be used for a further request.
     pub keep_alive: bool,
 }
 
-/// Takes one complete response, with a body of at most `max_body` bytes, off the front of the buffer; `None` while its end
-/// has not been received.
+/// Takes one complete response, with a body of at most `max_body` bytes, off the front of the buffer; `None` while its
+/// end has not been received.
 ///
 /// # Errors
 ///
-/// If the bytes are no response, or one over the limits. The connection cannot be used further.
+/// If the bytes are not a valid response, or are over the limits. The connection cannot be used further.
 pub fn take_response(
     buffer: &mut BytesMut,
     max_body: usize,
@@ -285,12 +287,12 @@
     decode_response(buffer, max_body, false)
 }
 
-/// As [`take_response`], once the other side has closed the connection: a body without a length ends there. A reset does
-/// not count as such an end.
+/// Like [`take_response`], after the peer has closed the connection: a body without a length ends there. Must not be
+/// called after a reset, which may cut off the body.
 ///
 /// # Errors
 ///
-/// As [`take_response`].
+/// Those of [`take_response`].
 pub fn take_response_at_eof(
     buffer: &mut BytesMut,
     max_body: usize,
--- a/src/protocol/http/body.rs
+++ b/src/protocol/http/body.rs
@@ -1,27 +1,28 @@
-//! The framing of bodies: by length, or in chunks.
+//! The framing of HTTP bodies: by `Content-Length`, or in chunks.
 //!
-//! It decides where a body ends, and keeps no state: an incomplete body is decoded anew once more bytes have come.
+//! The module determines where a body ends. It keeps no state: an incomplete body is decoded again from its beginning
+//! once more bytes have been received.
 
 use super::{Headers, MAX_HEADER_BYTES, MalformedMessage};
 use bytes::{Bytes, BytesMut};
 
-/// A body that has been received whole.
+/// A body that has been received completely.
 pub(super) struct DecodedBody {
-    /// The body, without its framing.
+    /// Body, without its framing.
     pub body: Bytes,
-    /// How many bytes it takes up in the buffer, with its framing.
+    /// Bytes that the body takes up in the buffer, with its framing.
     pub encoded_bytes: usize,
 }
 
 impl DecodedBody {
-    /// A body that is sent as it is.
+    /// A body without framing of its own: all of `bytes`.
     pub fn unframed(bytes: &[u8]) -> DecodedBody {
         DecodedBody { body: Bytes::copy_from_slice(bytes), encoded_bytes: bytes.len() }
     }
 }
 
-/// Decodes the body at the front of `rest`; `None` while its end has not been received. A message without a length has a
-/// body of `default_length`.
+/// Decodes the body at the front of `rest`; `None` while its end has not been received. `default_length` is the length
+/// of the body where the header does not give one.
 pub(super) fn decode_body(
     headers: &Headers,
     rest: &[u8],
@@ -32,7 +33,7 @@
     let length = lengths.next();
     let mut codings = headers.all("Transfer-Encoding");
     if let Some(coding) = codings.next() {
-        // Guards against request smuggling: a proxy in front could take another of the two lengths.
+        // Guards against request smuggling: a proxy in front could determine the length by the other of the two fields.
         if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
             return Err(MalformedMessage::Coding);
         }
@@ -59,6 +60,7 @@
     let mut body = BytesMut::new();
     let mut offset = 0;
     loop {
+        // Limits the framing as well, which can take more bytes than the body.
         if offset > 2 * max_body + MAX_HEADER_BYTES {
             return Err(MalformedMessage::BodyTooLong);
         }
@@ -85,8 +87,8 @@
     }
 }
 
-/// The length of what follows the last chunk: trailer fields, if any, and an empty line. `None` while its end has not been
-/// received.
+/// Returns the length of the trailer behind the last chunk: its fields, if any, and an empty line. `None` while its end
+/// has not been received.
 fn trailer_length(rest: &[u8]) -> Result<Option<usize>, MalformedMessage> {
     if rest.starts_with(b"\r\n") {
         return Ok(Some(2));
--- a/src/protocol/machine_usage.rs
+++ b/src/protocol/machine_usage.rs
@@ -1,46 +1,46 @@
 //! Machine-usage tables of public cluster traces, as CSV: machine id, time in seconds, CPU share in percent. Further
-//! columns are skipped; a first line that names the columns is permitted.
+//! columns are ignored, and so is a header line.
 //!
-//! It decodes rows and turns them into load reports. It never opens a file.
+//! The module decodes rows and converts them into load reports. It opens no file.
 
 use crate::policy::{LoadReport, ReportField};
 use std::io::Read;
 use std::time::Duration;
 
-/// One row: how busy a machine was.
+/// One row: the CPU utilization of a machine at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineUsage {
-    /// The machine.
+    /// Id of the machine.
     pub machine: String,
     /// Time since the start of the trace.
     pub at: Duration,
-    /// The share of its processors in use, from 0 to 1.
+    /// Share of the machine's processors in use, from 0 to 1.
     pub utilization: f64,
 }
 
-/// Why a table cannot be read.
+/// Why a row cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum TableError {
-    /// The file, or its form as CSV.
+    /// The table cannot be read, or a row is not CSV.
     #[error(transparent)]
     Csv(#[from] csv::Error),
-    /// A value, with its line.
+    /// A value is missing or invalid.
     #[error("line {line}: {column}: {problem}")]
     Value {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: u64,
-        /// The column's name.
+        /// Name of the column.
         column: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         problem: String,
     },
 }
 
-/// Decodes a table row by row; it need not fit in memory. Rows without a CPU share are left out.
+/// Decodes a table row by row, so that it need not fit in memory. Rows without a CPU share are skipped.
 ///
 /// # Errors
 ///
-/// Each row that cannot be decoded is an error of its own; the next row is decoded all the same.
+/// Each row that cannot be decoded yields an error; the iterator continues with the next row.
 pub fn read(table: impl Read) -> impl Iterator<Item = Result<MachineUsage, TableError>> {
     let rows =
         csv::ReaderBuilder::new().has_headers(false).flexible(true).trim(csv::Trim::All).from_reader(table);
@@ -72,7 +72,7 @@
 }
 
 impl MachineUsage {
-    /// The load report that this row makes, with these fields.
+    /// Converts the row into a load report with these fields. All fields but the utilization are empty.
     #[must_use]
     pub fn load_report(&self, fields: &[ReportField]) -> LoadReport {
         fields.iter().map(|field| (*field == ReportField::Busy).then_some(self.utilization)).collect()
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,6 +1,6 @@
-//! Bytes to values and back: the forms of what the program sends and receives.
+//! Wire formats: encoding and decoding of what the program sends and receives.
 //!
-//! Each module owns one wire form, its limits and its errors. None opens a socket, reads a clock or decides anything.
+//! Each module owns one format, its limits and its errors. None opens a socket, reads a clock or decides anything.
 
 pub mod discovery;
 pub mod frame;
--- a/src/protocol/opensearch/merge.rs
+++ b/src/protocol/opensearch/merge.rs
@@ -1,4 +1,5 @@
-//! The results of shards, and their merge into one order. Results that are incomplete or not sorted are not accepted.
+//! Decodes the results of shards and merges them into one order. Results that timed out, failed in part, or have hits
+//! without sort values are rejected.
 
 use super::search::{Search, SortKey};
 use serde::Deserialize;
@@ -6,7 +7,7 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Compares two sort values; missing ones come first or last, whatever the direction.
+/// Compares two sort values. Missing ones come first or last, whatever the direction.
 fn compare_sort_values(a: &Value, b: &Value, key: &SortKey) -> Ordering {
     let missing_order = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
     let ascending = match (a, b) {
@@ -52,46 +53,47 @@
 }
 
 impl ShardHits {
-    /// Whether the shard sent all the hits that it has, and says so.
+    /// Whether the shard sent all its hits: it reports an exact total, which is the number of hits sent.
     fn is_complete(&self) -> bool {
         self.total.as_ref().is_some_and(|total| total.is_exact() && total.value == self.hits.len() as u64)
     }
 }
 
 impl Total {
-    /// Whether the number is exact; otherwise it is a lower bound.
+    /// Whether the total is exact; otherwise it is a lower bound.
     fn is_exact(&self) -> bool {
         self.relation == "eq"
     }
 }
 
-/// Decodes a shard's response; `None` unless it is complete and sorted.
+/// Decodes the response of a shard; `None` if it timed out or failed in part, or if a hit has no sort values.
 fn decode_complete_result(body: &[u8]) -> Option<ShardResult> {
     let result: ShardResult = serde_json::from_slice(body).ok()?;
     let sorted = result.hits.hits.iter().all(|hit| hit.get("sort").is_some_and(Value::is_array));
     (sorted && !result.timed_out && result.shards.failed == 0).then_some(result)
 }
 
-/// Whether the body of a server's response is the complete and sorted result of its shard.
+/// Whether the body of an index server's response is an acceptable result: it neither timed out nor failed in part, and
+/// its hits have sort values.
 #[must_use]
 pub fn is_complete_result(body: &[u8]) -> bool {
     decode_complete_result(body).is_some()
 }
 
-/// The results of several shards in one order.
+/// The hits of several shards in one order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergedResult {
-    /// The hits, as clients see them.
+    /// Hits as they are sent to clients.
     pub hits: Vec<Value>,
-    /// Every shard sent all the hits that it has.
+    /// Whether every shard sent all its hits.
     pub complete: bool,
     total: u64,
-    /// The total is exact; otherwise it is a lower bound.
+    /// Whether the total is exact; otherwise it is a lower bound.
     total_is_exact: bool,
     max_score: Option<f64>,
 }
 
-/// A hit on its way into the order.
+/// A hit with the values by which it is sorted.
 struct SortedHit {
     sort_values: Vec<Value>,
     shard: u32,
@@ -99,7 +101,7 @@
 }
 
 impl SortedHit {
-    /// Compares by each key in turn, then by shard.
+    /// Compares two hits by each sort key in turn, then by shard.
     fn compare(&self, other: &SortedHit, keys: &[SortKey]) -> Ordering {
         let by_keys = keys.iter().enumerate().map(|(index, key)| {
             let own = self.sort_values.get(index).unwrap_or(&Value::Null);
@@ -109,7 +111,7 @@
     }
 }
 
-/// Leaves a hit only as many of its sort values as the client asked for.
+/// Removes the sort values that the client did not request.
 fn truncate_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
     let Some(fields) = hit.as_object_mut() else { return };
     if requested == 0 {
@@ -119,7 +121,7 @@
     }
 }
 
-/// Merges the results of shards, each given with the shard's number. Results that are incomplete are left out.
+/// Merges the results of shards, each given with the shard's number. Results that are rejected are left out.
 #[must_use]
 pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
     let mut merged = MergedResult { complete: true, total_is_exact: true, ..MergedResult::default() };
@@ -127,7 +129,7 @@
     for (shard, body) in results {
         let Some(result) = decode_complete_result(body) else { continue };
         let hits = result.hits;
-        // A shard without a total has at least the hits that it sent.
+        // Without a total, the number of hits sent is a lower bound.
         merged.total += hits.total.as_ref().map_or(hits.hits.len() as u64, |total| total.value);
         merged.total_is_exact &= hits.total.as_ref().is_some_and(Total::is_exact);
         merged.complete &= hits.is_complete();
@@ -144,7 +146,7 @@
 }
 
 impl MergedResult {
-    /// The response with one page of the result, `hits`; `shards` were searched, and `responded` of them responded.
+    /// Builds the response body with one page of hits. Of the `shards` that were searched, `responded` sent a result.
     #[must_use]
     pub fn page(&self, hits: &[Value], took: Duration, shards: usize, responded: usize) -> Value {
         json!({
--- a/src/protocol/opensearch/mod.rs
+++ b/src/protocol/opensearch/mod.rs
@@ -1,8 +1,8 @@
-//! The OpenSearch-style query form: searches, their merged results, errors and durations. Pages are in a total order: the
-//! requested one, and then the document's id.
+//! The OpenSearch-style protocol: searches, their merged results, errors and durations. Hits are in a total order: the
+//! requested one, and then by document id.
 //!
-//! It owns the form of requests and responses and how results of shards are merged. It never sends a search, and keeps no
-//! result between pages: `routing` does. Names in the JSON are those of OpenSearch.
+//! The module owns the format of requests and responses and merges the results of shards. It does not send searches or
+//! store results between pages: `routing` does. Names in the JSON are those of OpenSearch.
 
 mod merge;
 mod search;
@@ -15,38 +15,38 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Why a request fails, as OpenSearch reports it.
+/// An error in the form in which OpenSearch reports it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{kind}: {reason}")]
 pub struct SearchError {
-    /// The status of the response.
+    /// Status code of the response.
     pub status: u16,
-    /// The `type` of the error, in the words of OpenSearch.
+    /// OpenSearch's `type` of the error.
     pub kind: &'static str,
-    /// What is wrong, for people.
+    /// Description of the error.
     pub reason: String,
 }
 
 impl SearchError {
-    /// An argument of the request is invalid.
+    /// The error for an invalid argument of a request.
     #[must_use]
     pub fn illegal_argument(reason: impl Into<String>) -> SearchError {
         SearchError { status: 400, kind: "illegal_argument_exception", reason: reason.into() }
     }
 
-    /// The body of the request cannot be parsed.
+    /// The error for a body that cannot be parsed.
     #[must_use]
     pub fn parsing(reason: impl Into<String>) -> SearchError {
         SearchError { status: 400, kind: "parsing_exception", reason: reason.into() }
     }
 
-    /// Any other error.
+    /// An error of any kind.
     #[must_use]
     pub fn new(status: u16, kind: &'static str, reason: impl Into<String>) -> SearchError {
         SearchError { status, kind, reason: reason.into() }
     }
 
-    /// The response that reports it.
+    /// Encodes the response that reports the error.
     #[must_use]
     pub fn response(&self) -> Response {
         let cause = json!({"type": self.kind, "reason": self.reason});
@@ -56,7 +56,7 @@
     }
 }
 
-/// The response to a query that was rejected: nothing of it has been executed.
+/// Encodes the response to a search that was rejected before any part of it ran.
 #[must_use]
 pub fn rejection_response(rejection: Rejection, retry_after: Option<Duration>) -> Response {
     let (status, reason) = match rejection {
@@ -69,7 +69,7 @@
     error.response().with_header("Retry-After", format!("{seconds:.0}"))
 }
 
-/// Parses a duration such as `500ms`, `30s` or `1m`; `None` if it is none.
+/// Parses a duration such as `500ms`, `30s` or `1m`; `None` if the text is not a duration.
 #[must_use]
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let unit_at = text.find(|letter: char| !letter.is_ascii_digit())?;
--- a/src/protocol/opensearch/search.rs
+++ b/src/protocol/opensearch/search.rs
@@ -1,13 +1,14 @@
-//! Searches: what a client may ask for, the total order of its hits, and the body that is sent to each shard.
+//! Parses searches: the parameters that are supported, the total order of the hits, and the body sent to each shard.
 
 use super::{SearchError, parse_duration};
 use crate::protocol::http::Request;
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// Hits of a page where the search does not say.
+/// Default number of hits per page.
 const DEFAULT_PAGE_SIZE: usize = 10;
-/// Keys of a search that cannot be merged from several shards here, or would page past the total order.
+/// Keys of a search body that are rejected, because their results cannot be merged from several shards or because they
+/// page in another way than by the total order.
 const UNSUPPORTED_KEYS: [&str; 10] = [
     "aggs",
     "aggregations",
@@ -20,29 +21,29 @@
     "knn",
     "terminate_after",
 ];
-/// The query parameters that a search may have.
+/// URL parameters that a search may have.
 const SEARCH_PARAMETERS: [&str; 5] = ["timeout", "scroll", "from", "size", "pretty"];
 
-/// How hits are compared by one of their sort values.
+/// How hits are compared by one sort value.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct SortKey {
     pub(super) descending: bool,
     pub(super) missing_first: bool,
 }
 
-/// A search: the page that is requested, its order, and the body that is sent to each shard.
+/// A search: the requested page, the order of hits, and the body sent to each shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Search {
-    /// Hits before the page.
+    /// Number of hits before the page.
     pub from: usize,
-    /// Hits of the page.
+    /// Number of hits per page.
     pub size: usize,
-    /// The time-out that the client asks for.
+    /// Time-out that the client requests.
     pub timeout: Option<Duration>,
-    /// How long the result is to be kept for further pages.
+    /// How long the result is stored for further pages; `None` without a scroll.
     pub scroll: Option<Duration>,
     pub(super) sort_keys: Vec<SortKey>,
-    /// How many sort values the client asked for; the others are removed from its hits.
+    /// Number of sort values that the client requested; any others are removed from the hits.
     pub(super) requested_sort_values: usize,
     shard_body: Map<String, Value>,
 }
@@ -52,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// If the request is no search, or one that is not supported here.
+    /// If the request is not a valid search, or uses parameters or keys that are not supported.
     pub fn parse(request: &Request, window: usize) -> Result<Search, SearchError> {
         check_parameters(request)?;
         let mut body = parse_body(request)?;
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The body that is sent to each shard.
+    /// Encodes the body that is sent to each shard.
     #[must_use]
     pub fn shard_request_body(&self) -> Vec<u8> {
         Value::Object(self.shard_body.clone()).to_string().into_bytes()
@@ -106,7 +107,7 @@
     Ok(())
 }
 
-/// The keys of a search's body; none where it has no body.
+/// Parses the body of a search. An empty body is an empty object.
 fn parse_body(request: &Request) -> Result<Map<String, Value>, SearchError> {
     let body = match serde_json::from_slice(&request.body) {
         _ if request.body.is_empty() => Map::new(),
@@ -120,7 +121,7 @@
     Ok(body)
 }
 
-/// A count from the query, which goes first, or from the body, which then no longer has it.
+/// Returns a count from the URL parameters or else from the body, and removes it from the body.
 fn take_count(
     request: &Request,
     body: &mut Map<String, Value>,
@@ -145,15 +146,15 @@
 
 /// The order of a search.
 struct Sort {
-    /// How hits are compared.
+    /// Keys by which hits are compared.
     keys: Vec<SortKey>,
-    /// What is sent to each shard as `sort`.
+    /// Items of `sort` in the body sent to each shard.
     items: Vec<Value>,
-    /// How many of its values the client asked for.
+    /// Number of sort values that the client requested.
     requested_values: usize,
 }
 
-/// Parses `sort`, and completes it to a total order.
+/// Parses `sort`, and appends the document id where that is needed for a total order.
 fn parse_sort(requested: Option<Value>) -> Result<Sort, SearchError> {
     let requested = match requested {
         None | Some(Value::Null) => Vec::new(),
@@ -186,7 +187,7 @@
         keys.push(SortKey { descending, missing_first: missing == Some("_first") });
         field_names.push(name);
     }
-    // Guards against hits that appear on two pages or on none: without a unique last key, ties have no order.
+    // Without a unique last key, hits that tie have no fixed order: one could appear on two pages or on none.
     if field_names.last().is_none_or(|name| name != "_id") {
         items.push(json!({"_id": "asc"}));
         keys.push(SortKey { descending: false, missing_first: false });
--- a/src/protocol/platform.rs
+++ b/src/protocol/platform.rs
@@ -1,7 +1,8 @@
-//! The platform's client protocol: a request `POST /api` to a [`SearchRequest`], and a [`QueryOutcome`] to its response.
+//! The platform's client protocol: decodes a request `POST /api` into a [`SearchRequest`], and encodes a
+//! [`QueryOutcome`] as the response.
 //!
-//! It owns the form of both and what makes a request invalid. It never admits or runs a query. The names of header fields
-//! and of the JSON are the platform's.
+//! The module owns the format of both and the validation of requests. It does not admit or run queries. The platform
+//! defines the names of header fields and in the JSON.
 
 use super::http::{MAX_BODY_BYTES, Request, Response};
 use crate::policy::{ShardId, TenantId};
@@ -12,20 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest id of a call: with a shard's number behind it, it still fits a line of a frame.
+/// Longest id of a query, in bytes: with a shard's number appended, it still fits into a line of a frame.
 const MAX_CALL_ID_BYTES: usize = 128;
-/// The longest that a client may wait, whatever its class: an hour.
+/// Largest time budget of a query of any class, in milliseconds: an hour.
 const MAX_BUDGET_MS: u64 = 3_600_000;
-/// The highest price of a range: an hour, in microseconds.
+/// Highest price of a range, in microseconds: an hour.
 const MAX_PRICE_US: f64 = 3.6e9;
-/// How far the portions of a query's ranges may sum to more or less than 1.
+/// Largest deviation from 1 of the sum of the portions of a query's ranges.
 const PORTIONS_TOLERANCE: f64 = 0.01;
 
-/// The header fields of a query.
+/// Header fields of a query; none may be repeated.
 const HEADER_FIELDS: [&str; 6] =
     ["X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "X-Route-Hash", "X-Again"];
 
-/// Why a request is no query; the text goes to the client.
+/// Why a request is not a valid query. The response contains the text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidQuery {
     /// A required header field is missing.
@@ -66,19 +67,19 @@
 }
 
 impl<'a> Hit<'a> {
-    /// The value of a shard, which has to be text.
+    /// Creates the hit for the value of a shard, which has to be UTF-8.
     fn new(shard: ShardId, value: &'a [u8]) -> Result<Hit<'a>, Utf8Error> {
         Ok(Hit { range: shard.0, blob: std::str::from_utf8(value)? })
     }
 }
 
-/// Parses a client's request.
+/// Parses and validates a query.
 ///
 /// # Errors
 ///
-/// If the request is no query under these contracts.
+/// If the request is not a valid query under these contracts.
 pub fn parse_query(request: &Request, contracts: &Contracts) -> Result<SearchRequest, InvalidQuery> {
-    // Guards against a repeated field: one party could read the first value, another the last.
+    // Guards against a repeated field: a proxy could evaluate the last value, where this program takes the first.
     if let Some(name) = HEADER_FIELDS.into_iter().find(|name| request.headers.repeats(name)) {
         return Err(invalid_field(name, "given twice"));
     }
@@ -109,7 +110,7 @@
     })
 }
 
-/// The value of a header field, unless it is empty.
+/// Returns the value of a header field, unless it is empty.
 fn header_field<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers.get(name).filter(|value| !value.is_empty())
 }
@@ -122,7 +123,7 @@
     InvalidQuery::Field(name, reason.into())
 }
 
-/// The tenant that sends the request; none where the contracts name no tenants.
+/// Returns the tenant that sends the request; `None` where the contracts define no tenants.
 fn parse_tenant(request: &Request, contracts: &Contracts) -> Result<Option<TenantId>, InvalidQuery> {
     if contracts.tenants.is_empty() {
         return Ok(None);
@@ -132,7 +133,8 @@
     tenant.map(Some).ok_or_else(|| invalid_field("X-Caller", format!("no tenant {name:?}")))
 }
 
-/// The parts of a query, one for each range. A range without a key of its own has one made of the query's.
+/// Returns the parts of a query, one for each range. The key of a range without a hash is derived from the query's
+/// routing key.
 fn parse_parts(
     ranges: Vec<Range>,
     shards: u32,
@@ -167,7 +169,7 @@
     Ok(parts)
 }
 
-/// The response to a query with this outcome.
+/// Encodes the response to a query with this outcome.
 #[must_use]
 pub fn outcome_response(outcome: &QueryOutcome) -> Response {
     match outcome {
@@ -187,7 +189,7 @@
     }
 }
 
-/// The response to a query that was rejected, with the time after which the client may retry.
+/// Encodes the response to a query that was rejected, with the time after which the client may retry.
 #[must_use]
 pub fn rejection_response(retry_after: Option<Duration>) -> Response {
     let response = Response::text(503, "refused; trying again is harmless");
--- a/src/protocol/statsd.rs
+++ b/src/protocol/statsd.rs
@@ -1,10 +1,10 @@
-//! Metrics as lines of statsd's plain form: `NAME:VALUE|c` for counts, `NAME:VALUE|g` for gauges.
+//! Metrics as lines in statsd's text format: `NAME:VALUE|c` for counters, `NAME:VALUE|g` for gauges.
 //!
-//! It owns the form alone: what is counted, and under which names, the caller says.
+//! The module owns the format only; the caller chooses names and values.
 
 use std::fmt::Write;
 
-/// Lines of metrics, all under one prefix.
+/// Lines of metrics whose names have one prefix.
 #[derive(Debug)]
 pub struct MetricLines {
     prefix: &'static str,
@@ -12,18 +12,18 @@
 }
 
 impl MetricLines {
-    /// No lines yet.
+    /// Creates an empty list of lines.
     #[must_use]
     pub fn new(prefix: &'static str) -> MetricLines {
         MetricLines { prefix, text: String::new() }
     }
 
-    /// Adds a count since the start.
+    /// Adds the value of a counter, counted since the start of the process.
     pub fn count(&mut self, names: &[&str], value: u64) {
         self.push_line(names, value, "c");
     }
 
-    /// Adds a value as it is now.
+    /// Adds the current value of a gauge.
     pub fn gauge(&mut self, names: &[&str], value: u64) {
         self.push_line(names, value, "g");
     }
@@ -32,7 +32,7 @@
         self.text.push_str(self.prefix);
         for name in names {
             self.text.push('.');
-            // Names that hold the form's own delimiters must not break it.
+            // Delimiters of the format must not occur in a name.
             let escaped = name.chars().map(|char| if ":|@#\n".contains(char) { '_' } else { char });
             self.text.extend(escaped);
         }
@@ -40,7 +40,7 @@
         debug_assert!(result.is_ok(), "writing to a string cannot fail");
     }
 
-    /// All lines.
+    /// Returns all lines.
     #[must_use]
     pub fn text(self) -> String {
         self.text
