--- a/src/records/diagnosis/gatherers.rs
+++ b/src/records/diagnosis/gatherers.rs
@@ -53,13 +53,13 @@
     if summary.stopped || !(next_start_ms.is_some() || silent) {
         return None;
     }
-    let open: Vec<String> = summary
+    let open_by_class: Vec<String> = summary
         .open
         .iter()
         .filter(|(_, open)| **open > 0)
         .map(|(class, open)| format!("{open} {class}"))
         .collect();
-    let open = if open.is_empty() { "no query".to_owned() } else { open.join(", ") };
+    let open = if open_by_class.is_empty() { "no query".to_owned() } else { open_by_class.join(", ") };
     let restart = next_start_ms.map_or("and it has not started since".to_owned(), |next_start_ms| {
         let seconds = next_start_ms.saturating_sub(summary.last_ms) as f64 / 1000.0;
         format!("and it started again {seconds:.1} s later")
@@ -79,7 +79,8 @@
 }
 
 fn find_restart_loop(gatherer: &str, deaths_ms: &[u64]) -> Option<Finding> {
-    let in_loop = |few: &&[u64]| few[RESTART_LOOP_DEATHS - 1].saturating_sub(few[0]) <= RESTART_LOOP_MS;
+    let in_loop =
+        |window: &&[u64]| window[RESTART_LOOP_DEATHS - 1].saturating_sub(window[0]) <= RESTART_LOOP_MS;
     let first = deaths_ms.windows(RESTART_LOOP_DEATHS).find(in_loop)?;
     Some(Finding {
         kind: FindingKind::RestartLoop { gatherer: gatherer.to_owned() },
@@ -93,8 +94,8 @@
 
 /// Finds incarnations whose sequence of records has holes.
 pub(super) fn find_missing_records(summary: &Summary) -> Vec<Finding> {
-    let incomplete = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
-    incomplete
+    let with_missing_records = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
+    with_missing_records
         .map(|(id, incarnation)| Finding {
             kind: FindingKind::RecordsMissing { gatherer: id.gatherer.clone() },
             from_ms: incarnation.first_ms,
--- a/src/records/diagnosis/overload.rs
+++ b/src/records/diagnosis/overload.rs
@@ -20,23 +20,23 @@
     sum
 }
 
-/// Finds times in which many queries were rejected; `others` are the findings about workers.
-pub(super) fn find_overload(summary: &Summary, others: &[Finding]) -> Vec<Finding> {
+/// Finds times in which many queries were rejected; `worker_findings` are the findings about workers.
+pub(super) fn find_overload(summary: &Summary, worker_findings: &[Finding]) -> Vec<Finding> {
     let received = summary.steps.values().map(|step| sum_queries(step).received as f64);
-    let usual = median(received.collect()).unwrap_or(0.0);
-    let mut overloaded = BTreeSet::new();
+    let usual_queries = median(received.collect()).unwrap_or(0.0);
+    let mut overloaded_starts_ms = BTreeSet::new();
     let (mut rejected, mut surge) = (0, 0.0_f64);
-    for (begin, step) in &summary.steps {
+    for (start_ms, step) in &summary.steps {
         let sum = sum_queries(step);
         if sum.received >= MIN_SAMPLES && sum.rejected as f64 >= MIN_REJECTED_SHARE * sum.received as f64 {
-            overloaded.insert(*begin);
+            overloaded_starts_ms.insert(*start_ms);
             rejected += sum.rejected;
-            surge = surge.max(sum.received as f64 / usual.max(1.0));
+            surge = surge.max(sum.received as f64 / usual_queries.max(1.0));
         }
     }
     let mut findings = Vec::new();
-    for span in merge_into_spans(summary, &overloaded, |_, step| has_enough_attempts(step)) {
-        let fleet_is_slow = others.iter().any(|finding| {
+    for span in merge_into_spans(summary, &overloaded_starts_ms, |_, step| has_enough_attempts(step)) {
+        let fleet_is_slow = worker_findings.iter().any(|finding| {
             finding.kind == FindingKind::FleetSlow
                 && finding.from_ms < span.to_ms
                 && finding.to_ms > span.from_ms
--- a/src/records/diagnosis/spans.rs
+++ b/src/records/diagnosis/spans.rs
@@ -13,26 +13,26 @@
     pub to_ms: u64,
 }
 
-/// Merges the steps with these begins into spans. A step in between ends a span only if it is `conclusive`: one with too
+/// Merges the steps with these starts into spans. A step in between ends a span only if it is `is_conclusive`: one with too
 /// few samples proves nothing.
 pub(super) fn merge_into_spans(
     summary: &Summary,
-    begins: &BTreeSet<u64>,
-    conclusive: impl Fn(u64, &TimeStep) -> bool,
+    step_starts_ms: &BTreeSet<u64>,
+    is_conclusive: impl Fn(u64, &TimeStep) -> bool,
 ) -> Vec<Span> {
     let mut spans: Vec<Span> = Vec::new();
-    let mut continues = false;
-    for (begin, step) in &summary.steps {
-        if !begins.contains(begin) {
-            continues &= !conclusive(*begin, step);
+    let mut span_continues = false;
+    for (start_ms, step) in &summary.steps {
+        if !step_starts_ms.contains(start_ms) {
+            span_continues &= !is_conclusive(*start_ms, step);
             continue;
         }
-        let to_ms = begin + summary.step_ms();
-        match spans.last_mut().filter(|_| continues) {
+        let to_ms = start_ms + summary.step_ms();
+        match spans.last_mut().filter(|_| span_continues) {
             Some(span) => span.to_ms = to_ms,
-            None => spans.push(Span { from_ms: *begin, to_ms }),
+            None => spans.push(Span { from_ms: *start_ms, to_ms }),
         }
-        continues = true;
+        span_continues = true;
     }
     spans
 }
--- a/src/records/diagnosis/workers.rs
+++ b/src/records/diagnosis/workers.rs
@@ -27,13 +27,13 @@
 /// Time steps in which something was slow, and how slow at worst.
 #[derive(Default)]
 struct SlowSteps {
-    begins: BTreeSet<u64>,
+    starts_ms: BTreeSet<u64>,
     worst_ratio: f64,
 }
 
 impl SlowSteps {
-    fn add(&mut self, begin: u64, ratio: f64) {
-        self.begins.insert(begin);
+    fn add(&mut self, start_ms: u64, ratio: f64) {
+        self.starts_ms.insert(start_ms);
         self.worst_ratio = self.worst_ratio.max(ratio);
     }
 }
@@ -45,10 +45,10 @@
 }
 
 fn mean_times(summary: &Summary) -> MeanTimes<'_> {
-    summary.steps.iter().map(|(begin, step)| (*begin, mean_times_of(step))).collect()
+    summary.steps.iter().map(|(start_ms, step)| (*start_ms, mean_times_in_step(step))).collect()
 }
 
-fn mean_times_of(step: &TimeStep) -> BTreeMap<&str, f64> {
+fn mean_times_in_step(step: &TimeStep) -> BTreeMap<&str, f64> {
     let times = step.attempts.iter();
     times.filter_map(|(worker, attempts)| Some((worker.as_str(), mean_time_us(attempts)?))).collect()
 }
@@ -83,21 +83,22 @@
     let usual = usual_times(&times);
     let mut fleet = SlowSteps::default();
     let mut workers: BTreeMap<&str, SlowSteps> = BTreeMap::new();
-    for (begin, times) in &times {
+    for (start_ms, times) in &times {
         if let Some(ratio) = slow_fleet_ratio(times, &usual) {
-            fleet.add(*begin, ratio);
+            fleet.add(*start_ms, ratio);
             continue;
         }
-        let Some(middle) = median(times.values().copied().collect()) else { continue };
+        let Some(median_time) = median(times.values().copied().collect()) else { continue };
         for (worker, time) in times {
-            if times.len() >= MIN_WORKERS_TO_COMPARE && *time >= SLOW_WORKER_RATIO * middle {
-                workers.entry(worker).or_default().add(*begin, time / middle);
+            if times.len() >= MIN_WORKERS_TO_COMPARE && *time >= SLOW_WORKER_RATIO * median_time {
+                workers.entry(worker).or_default().add(*start_ms, time / median_time);
             }
         }
     }
     let mut findings = Vec::new();
-    let fleet_is_known = |begin: u64| times.get(&begin).is_some_and(|times| times.len() >= MIN_FLEET_SIZE);
-    for span in merge_into_spans(summary, &fleet.begins, |begin, _| fleet_is_known(begin)) {
+    let enough_workers =
+        |start_ms: u64| times.get(&start_ms).is_some_and(|times| times.len() >= MIN_FLEET_SIZE);
+    for span in merge_into_spans(summary, &fleet.starts_ms, |start_ms, _| enough_workers(start_ms)) {
         findings.push(Finding {
             kind: FindingKind::FleetSlow,
             from_ms: span.from_ms,
@@ -111,7 +112,7 @@
         });
     }
     for (worker, slow) in workers {
-        for span in merge_into_spans(summary, &slow.begins, |_, step| has_enough_attempts(step)) {
+        for span in merge_into_spans(summary, &slow.starts_ms, |_, step| has_enough_attempts(step)) {
             findings.push(Finding {
                 kind: FindingKind::WorkerSlow { worker: worker.to_owned() },
                 from_ms: span.from_ms,
@@ -128,7 +129,7 @@
 /// Attempts at one worker in the time steps in which it was unresponsive.
 #[derive(Default)]
 struct UnansweredAttempts {
-    begins: BTreeSet<u64>,
+    starts_ms: BTreeSet<u64>,
     unanswered: u64,
     total: u64,
 }
@@ -139,20 +140,20 @@
         ENDS_WITHOUT_RESPONSE.iter().filter_map(|end| attempts.ends.get(*end)).sum()
     };
     let mut by_worker: BTreeMap<&str, UnansweredAttempts> = BTreeMap::new();
-    for (begin, step) in &summary.steps {
+    for (start_ms, step) in &summary.steps {
         for (worker, attempts) in &step.attempts {
             let (unanswered, total) = (count_unanswered(attempts), attempts.total());
             if total >= MIN_SAMPLES && unanswered as f64 >= MIN_UNANSWERED_SHARE * total as f64 {
-                let of_worker = by_worker.entry(worker).or_default();
-                of_worker.begins.insert(*begin);
-                of_worker.unanswered += unanswered;
-                of_worker.total += total;
+                let unanswered_attempts = by_worker.entry(worker).or_default();
+                unanswered_attempts.starts_ms.insert(*start_ms);
+                unanswered_attempts.unanswered += unanswered;
+                unanswered_attempts.total += total;
             }
         }
     }
     let mut findings = Vec::new();
-    for (worker, UnansweredAttempts { begins, unanswered, total }) in by_worker {
-        for span in merge_into_spans(summary, &begins, |_, step| has_enough_attempts(step)) {
+    for (worker, UnansweredAttempts { starts_ms, unanswered, total }) in by_worker {
+        for span in merge_into_spans(summary, &starts_ms, |_, step| has_enough_attempts(step)) {
             findings.push(Finding {
                 kind: FindingKind::WorkerUnresponsive { worker: worker.to_owned() },
                 from_ms: span.from_ms,
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -37,7 +37,7 @@
 }
 
 impl Disk for Folder {
-    fn begin(&mut self, file: &str) -> io::Result<()> {
+    fn create(&mut self, file: &str) -> io::Result<()> {
         self.file = None;
         fs::create_dir_all(&self.path)?;
         let mut options = OpenOptions::new();
@@ -51,10 +51,10 @@
         }
     }
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
-        let mut found = Vec::new();
+        let mut files = Vec::new();
         let entries = match fs::read_dir(&self.path) {
             Ok(entries) => entries,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(found),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(files),
             Err(error) => return Err(error),
         };
         for entry in entries {
@@ -62,9 +62,9 @@
             // A size that cannot be read counts as zero: the file may have been removed since it was listed.
             let bytes = entry.metadata().map_or(0, |metadata| metadata.len());
             let name = entry.file_name().to_string_lossy().into_owned();
-            found.push(StoredFile { name, bytes });
+            files.push(StoredFile { name, bytes });
         }
-        Ok(found)
+        Ok(files)
     }
     fn remove(&mut self, file: &str) -> io::Result<()> {
         fs::remove_file(self.path.join(file))
@@ -86,7 +86,7 @@
     started_at: Instant,
     dropped: u64,
     lost: Arc<AtomicU64>,
-    finished: Receiver<()>,
+    finished_receiver: Receiver<()>,
 }
 
 impl Recorder {
@@ -101,17 +101,17 @@
         incarnation: &str,
         limits: SegmentLimits,
     ) -> io::Result<Recorder> {
-        let (queue, queued) = sync_channel(MAX_QUEUED_RECORDS);
-        let (finish, finished) = channel();
+        let (queue, queue_receiver) = sync_channel(MAX_QUEUED_RECORDS);
+        let (finished_sender, finished_receiver) = channel();
         let lost = Arc::new(AtomicU64::new(0));
         let writer = Writer::new(Folder::new(path), gatherer, incarnation, limits);
-        let lost_by_thread = lost.clone();
+        let lost_in_thread = lost.clone();
         thread::Builder::new().name("records".to_owned()).spawn(move || {
-            write_all(queued, writer, &lost_by_thread);
+            write_queued_records(queue_receiver, writer, &lost_in_thread);
             // It fails where the shutdown no longer waits.
-            let _ = finish.send(());
+            let _ = finished_sender.send(());
         })?;
-        Ok(Recorder { queue, started_at: Instant::now(), dropped: 0, lost, finished })
+        Ok(Recorder { queue, started_at: Instant::now(), dropped: 0, lost, finished_receiver })
     }
 
     /// Queues a record, if the queue has capacity; otherwise the record is dropped, and a later one reports that.
@@ -138,7 +138,7 @@
     /// Ends the writing thread once it has written what is queued, but does not wait for a disk that hangs.
     pub fn close(self) {
         drop(self.queue);
-        if self.finished.recv_timeout(CLOSE_TIMEOUT).is_err() {
+        if self.finished_receiver.recv_timeout(CLOSE_TIMEOUT).is_err() {
             log::warn!("record writer did not finish in time: the last records are lost");
         }
     }
@@ -146,9 +146,13 @@
 
 /// Writes queued records until the queue is closed. It logs when writing begins to fail and when it works again, not at
 /// each record.
-fn write_all(queued: Receiver<QueuedRecord>, mut writer: Writer<Folder>, lost: &AtomicU64) {
+fn write_queued_records(
+    queue_receiver: Receiver<QueuedRecord>,
+    mut writer: Writer<Folder>,
+    lost: &AtomicU64,
+) {
     let mut failing = false;
-    for QueuedRecord { now, at_ms, body, dropped } in queued {
+    for QueuedRecord { now, at_ms, body, dropped } in queue_receiver {
         writer.count_dropped(dropped, "they came faster than they could be written");
         let written = writer.write(now, at_ms, body);
         if !written {
--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -128,7 +128,7 @@
                 h2 { "Queries" }
                 (class_totals(&classes))
                 p.key {
-                    @for end in &END_COLUMNS { span style={"background:" (hex(end.colour))} {} (end.label) }
+                    @for end in &END_COLUMNS { span style={"background:" (css_colour(end.colour))} {} (end.label) }
                 }
                 @for class in classes.keys() { (class_section(summary, class)) }
                 (tenant_totals(summary))
@@ -144,7 +144,7 @@
     .into_string()
 }
 
-fn hex(colour: RGBColor) -> String {
+fn css_colour(colour: RGBColor) -> String {
     format!("#{:02x}{:02x}{:02x}", colour.0, colour.1, colour.2)
 }
 
@@ -164,14 +164,14 @@
     }
 }
 
-fn count_header(first: &str) -> Markup {
-    html! { tr { th { (first) } th { "received" } @for end in &END_COLUMNS { th { (end.label) } } } }
+fn count_header(row_title: &str) -> Markup {
+    html! { tr { th { (row_title) } th { "received" } @for end in &END_COLUMNS { th { (end.label) } } } }
 }
 
-fn count_row(first: &str, counts: &QueryCounts) -> Markup {
+fn count_row(row_label: &str, counts: &QueryCounts) -> Markup {
     html! {
         tr {
-            td { (first) }
+            td { (row_label) }
             td { (counts.received) }
             @for end in &END_COLUMNS { td { ((end.count)(counts)) } }
         }
@@ -199,15 +199,15 @@
     let query_steps: Vec<QueryStep> = summary
         .steps
         .iter()
-        .map(|(begin_ms, step)| QueryStep { begin_ms: *begin_ms, counts: sum_of_class(step, class) })
+        .map(|(start_ms, step)| QueryStep { start_ms: *start_ms, counts: sum_of_class(step, class) })
         .collect();
     let latency_steps: Vec<LatencyStep> = summary
         .steps
         .iter()
-        .filter_map(|(begin_ms, step)| {
+        .filter_map(|(start_ms, step)| {
             let latency = step.latency.get(class)?;
             let quantile_ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1000.0;
-            Some(LatencyStep { begin_ms: *begin_ms, p50_ms: quantile_ms(0.5), p99_ms: quantile_ms(0.99) })
+            Some(LatencyStep { start_ms: *start_ms, p50_ms: quantile_ms(0.5), p99_ms: quantile_ms(0.99) })
         })
         .collect();
     html! {
@@ -220,7 +220,7 @@
             div.wide { table {
                 (count_header("from"))
                 @for step in query_steps.iter().take(MAX_TABLE_ROWS) {
-                    (count_row(&time_of_day(step.begin_ms), &step.counts))
+                    (count_row(&time_of_day(step.start_ms), &step.counts))
                 }
             } }
             @if query_steps.len() > MAX_TABLE_ROWS {
@@ -277,8 +277,8 @@
 fn worker_map_cell(worker: &str, steps: &[(&u64, &TimeStep)]) -> Markup {
     let mut attempts = AttemptMetrics::default();
     for (_, step) in steps {
-        if let Some(of_step) = step.attempts.get(worker) {
-            attempts.merge(of_step.clone());
+        if let Some(step_attempts) = step.attempts.get(worker) {
+            attempts.merge(step_attempts.clone());
         }
     }
     let (total, successful) = (attempts.total(), attempts.successful());
--- a/src/records/html_report/charts.rs
+++ b/src/records/html_report/charts.rs
@@ -23,7 +23,7 @@
 /// Queries of one class in a time step.
 pub(super) struct QueryStep {
     /// Begin of the step, in Unix milliseconds.
-    pub begin_ms: u64,
+    pub start_ms: u64,
     /// How they ended.
     pub counts: QueryCounts,
 }
@@ -31,7 +31,7 @@
 /// Latencies of one class in a time step.
 pub(super) struct LatencyStep {
     /// Begin of the step, in Unix milliseconds.
-    pub begin_ms: u64,
+    pub start_ms: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile, in milliseconds.
@@ -51,7 +51,7 @@
 
 /// Draws how queries ended, stacked, in steps of `step_ms` milliseconds.
 pub(super) fn query_chart(step_ms: u64, steps: &[QueryStep]) -> Option<Markup> {
-    let (first_ms, last_ms) = (steps.first()?.begin_ms, steps.last()?.begin_ms + step_ms);
+    let (first_ms, last_ms) = (steps.first()?.start_ms, steps.last()?.start_ms + step_ms);
     let max = steps.iter().map(|step| step.counts.ended() + step.counts.unknown).max()?.max(1);
     draw_chart(|area| {
         let mut chart = ChartBuilder::on(area)
@@ -62,13 +62,13 @@
             .ok()?;
         draw_axes(&mut chart, &|count: &u64| count.to_string())?;
         for step in steps {
-            let mut bottom = 0;
+            let mut bar_bottom = 0;
             for end in &END_COLUMNS {
-                let top = bottom + (end.count)(&step.counts);
-                let corners = [(step.begin_ms, bottom), (step.begin_ms + step_ms, top)];
+                let bar_top = bar_bottom + (end.count)(&step.counts);
+                let corners = [(step.start_ms, bar_bottom), (step.start_ms + step_ms, bar_top)];
                 let bar = Rectangle::new(corners, end.colour.filled());
                 chart.draw_series(std::iter::once(bar)).ok()?;
-                bottom = top;
+                bar_bottom = bar_top;
             }
         }
         Some(())
@@ -77,7 +77,7 @@
 
 /// Draws median and 99th percentile of the latency, in steps of `step_ms` milliseconds.
 pub(super) fn latency_chart(step_ms: u64, steps: &[LatencyStep]) -> Option<Markup> {
-    let (first_ms, last_ms) = (steps.first()?.begin_ms, steps.last()?.begin_ms + step_ms);
+    let (first_ms, last_ms) = (steps.first()?.start_ms, steps.last()?.start_ms + step_ms);
     let max_ms = steps.iter().map(|step| step.p99_ms).fold(1.0, f64::max);
     draw_chart(|area| {
         let mut chart = ChartBuilder::on(area)
@@ -87,10 +87,10 @@
             .build_cartesian_2d(first_ms..last_ms, 0.0..max_ms * 1.05)
             .ok()?;
         draw_axes(&mut chart, &|value: &f64| format!("{value:.0}"))?;
-        let middle_of = |step: &LatencyStep| step.begin_ms + step_ms / 2;
-        let p50 = steps.iter().map(|step| (middle_of(step), step.p50_ms));
+        let middle_ms = |step: &LatencyStep| step.start_ms + step_ms / 2;
+        let p50 = steps.iter().map(|step| (middle_ms(step), step.p50_ms));
         chart.draw_series(LineSeries::new(p50, P50_COLOUR.stroke_width(2))).ok()?;
-        let p99 = steps.iter().map(|step| (middle_of(step), step.p99_ms));
+        let p99 = steps.iter().map(|step| (middle_ms(step), step.p99_ms));
         chart.draw_series(LineSeries::new(p99, P99_COLOUR.stroke_width(2))).ok()?;
         Some(())
     })
--- a/src/records/metrics.rs
+++ b/src/records/metrics.rs
@@ -170,35 +170,35 @@
 }
 
 impl MetricsAccumulator {
-    fn queries_of(&mut self, labels: QueryLabels) -> &mut QueryAccumulator {
-        let empty =
+    fn accumulator_for(&mut self, labels: QueryLabels) -> &mut QueryAccumulator {
+        let new_accumulator =
             || QueryAccumulator { accepted: 0, ends: [0; QUERY_ENDS.len()], latency: new_histogram() };
-        self.queries.entry(labels).or_insert_with(empty)
+        self.queries.entry(labels).or_insert_with(new_accumulator)
     }
 
     /// Counts a query that was accepted.
     pub fn record_accepted(&mut self, labels: QueryLabels) {
-        self.queries_of(labels).accepted += 1;
+        self.accumulator_for(labels).accepted += 1;
     }
 
     /// Counts a query that ended, and the time that it took.
-    pub fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, took: Duration) {
-        let queries = self.queries_of(labels);
+    pub fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, latency: Duration) {
+        let queries = self.accumulator_for(labels);
         queries.ends[end as usize] += 1;
         if end.has_response() {
-            queries.latency.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX));
+            queries.latency.saturating_record(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX));
         }
     }
 
     /// Counts an attempt at a worker that ended, and the time that it took.
-    pub fn record_attempt(&mut self, worker: &str, end: &'static str, took: Duration) {
+    pub fn record_attempt(&mut self, worker: &str, end: &'static str, elapsed: Duration) {
         if !self.attempts.contains_key(worker) {
             self.attempts.insert(worker.to_owned(), AttemptMetrics::default());
         }
         let Some(attempts) = self.attempts.get_mut(worker) else { return };
         *attempts.ends.entry(end.to_owned()).or_default() += 1;
         if end == ATTEMPT_DONE {
-            attempts.done_us += u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+            attempts.done_us += u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
         }
     }
 
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -25,10 +25,10 @@
     #[must_use]
     pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
         let accepted: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
-        let count_of =
+        let counts_of =
             |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
         let rejected: u64 =
-            count_of(QueryEnd::RejectedByPolicy).chain(count_of(QueryEnd::RejectedAtCapacity)).sum();
+            counts_of(QueryEnd::RejectedByPolicy).chain(counts_of(QueryEnd::RejectedAtCapacity)).sum();
         let rejected_share = rejected as f64 / accepted.max(rejected).max(1) as f64;
         if !self.overloaded {
             self.overloaded = rejected >= MIN_REJECTED_TO_BEGIN && rejected_share >= REJECTED_SHARE_TO_BEGIN;
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -19,8 +19,8 @@
 }
 
 impl fmt::Display for DamagedRecord {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}:{}: {}", self.file, self.line, self.error)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}:{}: {}", self.file, self.line, self.error)
     }
 }
 
@@ -42,7 +42,7 @@
     pub fn read(
         &mut self,
         file: &str,
-        mut from: impl BufRead,
+        mut input: impl BufRead,
         mut on_record: impl FnMut(Record),
         mut on_damaged: impl FnMut(DamagedRecord),
     ) -> io::Result<()> {
@@ -50,7 +50,7 @@
         let mut line = 0;
         loop {
             bytes.clear();
-            let complete = read_line(&mut from, &mut bytes)?;
+            let complete = read_line(&mut input, &mut bytes)?;
             if !complete && bytes.is_empty() {
                 return Ok(());
             }
@@ -90,9 +90,9 @@
 
 /// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only enough
 /// is kept to recognise it as too long.
-fn read_line(from: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
+fn read_line(input: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
     loop {
-        let chunk = match from.fill_buf() {
+        let chunk = match input.fill_buf() {
             Ok(chunk) => chunk,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             Err(error) => return Err(error),
@@ -100,12 +100,12 @@
         if chunk.is_empty() {
             return Ok(false);
         }
-        let end = chunk.iter().position(|byte| *byte == b'\n');
-        let used = end.map_or(chunk.len(), |end| end + 1);
+        let line_feed = chunk.iter().position(|byte| *byte == b'\n');
+        let consumed = line_feed.map_or(chunk.len(), |index| index + 1);
         let capacity = (MAX_RECORD_BYTES + 2).saturating_sub(bytes.len());
-        bytes.extend_from_slice(&chunk[..used.min(capacity)]);
-        from.consume(used);
-        if end.is_some() {
+        bytes.extend_from_slice(&chunk[..consumed.min(capacity)]);
+        input.consume(consumed);
+        if line_feed.is_some() {
             return Ok(true);
         }
     }
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -235,7 +235,7 @@
             return Err(RecordError::Torn);
         }
         let (content, checksum_field) = bytes.split_at(bytes.len().saturating_sub(CHECKSUM_FIELD_BYTES));
-        let written = read_checksum(checksum_field).ok_or(RecordError::MissingChecksum)?;
+        let written = parse_checksum(checksum_field).ok_or(RecordError::MissingChecksum)?;
         let found = CRC32C.checksum(content);
         if found != written {
             return Err(RecordError::ChecksumMismatch { written, found });
@@ -256,7 +256,7 @@
     }
 }
 
-fn read_checksum(field: &[u8]) -> Option<u32> {
+fn parse_checksum(field: &[u8]) -> Option<u32> {
     let digits = field.strip_prefix(CHECKSUM_KEY)?.strip_suffix(RECORD_END)?;
     // Lower case only, as it is written: a changed bit must not turn a letter into one that reads as the same number.
     if !digits.iter().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f')) {
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -43,9 +43,10 @@
     /// Names a segment. Whatever is not a letter, a digit, a dash or a dot becomes a dash.
     #[must_use]
     pub fn new(gatherer: &str, incarnation: &str, number: u32) -> SegmentName {
-        let safe = |letter: char| if letter.is_ascii_alphanumeric() || letter == '.' { letter } else { '-' };
-        let sanitise = |text: &str| text.chars().map(safe).collect::<String>();
-        SegmentName { gatherer: sanitise(gatherer), incarnation: sanitise(incarnation), number }
+        let replace_unsafe =
+            |letter: char| if letter.is_ascii_alphanumeric() || letter == '.' { letter } else { '-' };
+        let sanitize = |text: &str| text.chars().map(replace_unsafe).collect::<String>();
+        SegmentName { gatherer: sanitize(gatherer), incarnation: sanitize(incarnation), number }
     }
 
     /// The name of the segment's file.
@@ -82,10 +83,10 @@
         OpenSegment { limits, began_at: now, bytes: 0 }
     }
 
-    /// Whether `more` bytes have to go to the next segment. One record always fits into an empty segment.
+    /// Whether `record_bytes` bytes have to go to the next segment. One record always fits into an empty segment.
     #[must_use]
-    pub fn is_full(&self, now: Time, more: u64) -> bool {
-        let too_large = self.bytes + more > self.limits.segment_bytes;
+    pub fn is_full(&self, now: Time, record_bytes: u64) -> bool {
+        let too_large = self.bytes + record_bytes > self.limits.segment_bytes;
         let too_old = now.since(self.began_at) >= self.limits.max_age;
         self.bytes > 0 && (too_large || too_old)
     }
@@ -96,21 +97,21 @@
     }
 }
 
-/// Returns the segments to remove so that the rest and `coming` further bytes fit: the oldest of this gatherer first,
-/// of whatever incarnation, and never the one that is being written. `found` has all segments.
+/// Returns the segments to remove so that the rest and `needed_bytes` further bytes fit: the oldest of this gatherer first,
+/// of whatever incarnation, and never the one that is being written. `segments` has all segments.
 #[must_use]
 pub fn segments_to_remove(
-    mut found: Vec<StoredSegment>,
+    mut segments: Vec<StoredSegment>,
     current: &SegmentName,
     limits: &SegmentLimits,
-    coming: u64,
+    needed_bytes: u64,
 ) -> Vec<SegmentName> {
-    found.retain(|segment| segment.name.gatherer == current.gatherer);
-    found.sort();
-    let mut kept_bytes: u64 = found.iter().map(|segment| segment.bytes).sum();
+    segments.retain(|segment| segment.name.gatherer == current.gatherer);
+    segments.sort();
+    let mut kept_bytes: u64 = segments.iter().map(|segment| segment.bytes).sum();
     let mut to_remove = Vec::new();
-    for StoredSegment { name, bytes } in found {
-        if kept_bytes + coming <= limits.total_bytes {
+    for StoredSegment { name, bytes } in segments {
+        if kept_bytes + needed_bytes <= limits.total_bytes {
             break;
         }
         if name != *current {
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -120,9 +120,9 @@
     }
 
     fn add_latency(&mut self, class: String, latency: Histogram<u64>) {
-        let own = self.latency.entry(class).or_insert_with(metrics::new_histogram);
+        let histogram = self.latency.entry(class).or_insert_with(metrics::new_histogram);
         // It fails only for values over the bounds of both, and those were clipped when they were recorded.
-        let _ = own.add(latency);
+        let _ = histogram.add(latency);
     }
 }
 
@@ -249,8 +249,8 @@
     }
 
     fn add_metrics(&mut self, id: &IncarnationId, at_ms: u64, metrics: MetricsSnapshot) {
-        let begin = at_ms / self.step_ms * self.step_ms;
-        let step = self.steps.entry(begin).or_default();
+        let step_start_ms = at_ms / self.step_ms * self.step_ms;
+        let step = self.steps.entry(step_start_ms).or_default();
         let Some(incarnation) = self.incarnations.get_mut(id) else { return };
         // A number without a name shows as such: the record of the start is missing.
         let name_of = |names: &[String], number: usize| {
@@ -271,7 +271,7 @@
                 }
             }
             if queries.accepted > 0 {
-                incarnation.last_accepted.insert(class.clone(), begin);
+                incarnation.last_accepted.insert(class.clone(), step_start_ms);
             }
             if let Some(latency) = metrics::decode_histogram(&queries.latency) {
                 step.add_latency(class, latency);
@@ -280,11 +280,11 @@
         for (worker, attempts) in metrics.attempts {
             step.attempts.entry(worker).or_default().merge(attempts);
         }
-        self.check_bounds();
+        self.enforce_limits();
     }
 
     /// Merges time steps where there are too many of them, or too many histograms.
-    fn check_bounds(&mut self) {
+    fn enforce_limits(&mut self) {
         if self.steps.len() == self.steps_at_last_check {
             return;
         }
@@ -298,12 +298,13 @@
     /// Merges steps in pairs, so that memory stays bounded however long a time the records cover.
     fn merge_steps(&mut self) {
         self.step_ms *= 2;
-        for (begin, step) in std::mem::take(&mut self.steps) {
-            self.steps.entry(begin / self.step_ms * self.step_ms).or_default().merge(step);
+        for (step_start_ms, step) in std::mem::take(&mut self.steps) {
+            self.steps.entry(step_start_ms / self.step_ms * self.step_ms).or_default().merge(step);
         }
         for incarnation in self.incarnations.values_mut() {
-            let begins = incarnation.last_accepted.values_mut();
-            begins.for_each(|begin| *begin = *begin / self.step_ms * self.step_ms);
+            let step_starts_ms = incarnation.last_accepted.values_mut();
+            step_starts_ms
+                .for_each(|step_start_ms| *step_start_ms = *step_start_ms / self.step_ms * self.step_ms);
         }
     }
 
@@ -313,12 +314,13 @@
     pub fn finish(&mut self) {
         for incarnation in self.incarnations.values() {
             for (class, open) in &incarnation.open {
-                let (Ok(open), Some(begin)) = (u64::try_from(*open), incarnation.last_accepted.get(class))
+                let (Ok(open), Some(step_start_ms)) =
+                    (u64::try_from(*open), incarnation.last_accepted.get(class))
                 else {
                     continue;
                 };
                 if open > 0 {
-                    let step = self.steps.entry(*begin).or_default();
+                    let step = self.steps.entry(*step_start_ms).or_default();
                     let group = QueryGroup { class: class.clone(), tenant: String::new() };
                     step.queries.entry(group).or_default().unknown += open;
                 }
@@ -345,8 +347,8 @@
         RecordBody::Start { configuration, .. } => format!("start, configuration {configuration}"),
         RecordBody::Stop => "stop".to_owned(),
         RecordBody::Reload { applied, detail } => {
-            let not = if *applied { "" } else { "not " };
-            format!("configuration {not}read again: {detail}")
+            let negation = if *applied { "" } else { "not " };
+            format!("configuration {negation}read again: {detail}")
         }
         RecordBody::EndpointList { revision, workers, .. } => format!("list {revision}, {workers} workers"),
         RecordBody::Worker { worker, state } => {
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 /// Pause after a failure of the disk before it is used again; it doubles with each failure in a row...
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
 /// ...up to this.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 /// Why records are lost during a pause. It does not replace the reason that led to the pause.
-const PAUSED: &str = "the disk failed a moment ago";
+const BACKOFF_LOSS_REASON: &str = "the disk failed a moment ago";
 
 /// A file in the folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// # Errors
     ///
     /// Fails where the file exists or cannot be created.
-    fn begin(&mut self, file: &str) -> io::Result<()>;
+    fn create(&mut self, file: &str) -> io::Result<()>;
     /// Appends to the file that was created last.
     ///
     /// # Errors
@@ -55,7 +55,7 @@
 
 /// A time during which the disk is not used, because it failed.
 #[derive(Clone, Copy)]
-struct Pause {
+struct Backoff {
     until: Time,
     length: Duration,
 }
@@ -72,7 +72,7 @@
     unreported: u64,
     last_loss_reason: String,
     /// The pause after the last failure; `None` once a record was written.
-    pause: Option<Pause>,
+    backoff: Option<Backoff>,
 }
 
 impl<D: Disk> Writer<D> {
@@ -88,7 +88,7 @@
             segment: None,
             unreported: 0,
             last_loss_reason: String::new(),
-            pause: None,
+            backoff: None,
         }
     }
 
@@ -115,17 +115,17 @@
 
     /// Writes a record of this moment, which is `at_ms` by the system's clock. Returns whether it was written.
     pub fn write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> bool {
-        if self.pause.is_some_and(|pause| now < pause.until) {
-            self.count_lost(PAUSED);
+        if self.backoff.is_some_and(|backoff| now < backoff.until) {
+            self.count_lost(BACKOFF_LOSS_REASON);
             return false;
         }
         match self.try_write(now, at_ms, body) {
             Ok(()) => {
-                self.pause = None;
+                self.backoff = None;
                 true
             }
             Err(error) => {
-                self.pause_after_failure(now);
+                self.back_off(now);
                 self.count_lost(&error.to_string());
                 false
             }
@@ -133,18 +133,18 @@
     }
 
     /// Leaves the disk alone for a while, longer with each failure in a row.
-    fn pause_after_failure(&mut self, now: Time) {
+    fn back_off(&mut self, now: Time) {
         // The segment may end in a torn record now: nothing more goes into it.
         self.segment = None;
-        let length = self.pause.map_or(FIRST_PAUSE, |pause| (pause.length * 2).min(MAX_PAUSE));
-        self.pause = Some(Pause { until: now.after(length), length });
+        let length = self.backoff.map_or(INITIAL_BACKOFF, |backoff| (backoff.length * 2).min(MAX_BACKOFF));
+        self.backoff = Some(Backoff { until: now.after(length), length });
     }
 
     fn count_lost(&mut self, reason: &str) {
         // The number stays unused, so that a reader notices the loss even if no record ever reports it.
         self.next_seq += 1;
         self.unreported += 1;
-        if reason != PAUSED || self.pause.is_none() || self.last_loss_reason.is_empty() {
+        if reason != BACKOFF_LOSS_REASON || self.backoff.is_none() || self.last_loss_reason.is_empty() {
             reason.clone_into(&mut self.last_loss_reason);
         }
     }
@@ -195,25 +195,25 @@
         self.segment = None;
         self.segment_number += 1;
         let name = SegmentName::new(&self.gatherer, &self.incarnation, self.segment_number);
-        let coming = self.limits.segment_bytes.max(record_bytes);
-        self.remove_old_segments(&name, coming)?;
-        self.disk.begin(&name.file_name())?;
+        let needed_bytes = self.limits.segment_bytes.max(record_bytes);
+        self.remove_old_segments(&name, needed_bytes)?;
+        self.disk.create(&name.file_name())?;
         self.segment = Some(OpenSegment::new(self.limits, now));
         Ok(())
     }
 
-    /// Makes room for `coming` bytes: the folder stays within its limit, and the process never fills the disk by itself.
-    fn remove_old_segments(&mut self, current: &SegmentName, coming: u64) -> io::Result<()> {
+    /// Makes room for `needed_bytes` bytes: the folder stays within its limit, and the process never fills the disk by itself.
+    fn remove_old_segments(&mut self, current: &SegmentName, needed_bytes: u64) -> io::Result<()> {
         let files = self.disk.list()?.into_iter();
         let segments = files.filter_map(|file| {
             let name = SegmentName::parse(&file.name)?;
             Some(StoredSegment { name, bytes: file.bytes })
         });
-        for old in segments_to_remove(segments.collect(), current, &self.limits, coming) {
-            match self.disk.remove(&old.file_name()) {
+        for segment in segments_to_remove(segments.collect(), current, &self.limits, needed_bytes) {
+            match self.disk.remove(&segment.file_name()) {
                 // During a hot restart, the other process writes to this folder too and may have removed it first.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                removed => removed?,
+                result => result?,
             }
         }
         Ok(())
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -54,7 +54,7 @@
 }
 
 impl Disk for MemoryDisk {
-    fn begin(&mut self, file: &str) -> io::Result<()> {
+    fn create(&mut self, file: &str) -> io::Result<()> {
         self.call()?;
         assert!(self.files.insert(file.to_owned(), Vec::new()).is_none(), "{file} exists already");
         self.open = Some(file.to_owned());
