--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -1,7 +1,7 @@
 //! The folder of records on the file system, and the thread that writes to it.
 //!
-//! This is the only module of records that touches files and clocks. The serving thread hands records over and never
-//! waits for the disk: a record that finds no capacity in the queue is dropped and counted.
+//! This is the only module of records that uses files and clocks. The serving thread puts records into a queue and
+//! never waits for the disk: a record for which the queue has no capacity is dropped and counted.
 
 use super::record::RecordBody;
 use super::segments::SegmentLimits;
@@ -16,12 +16,12 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Records that may wait for the writing thread.
+/// Largest number of records in the queue to the writing thread.
 const MAX_QUEUED_RECORDS: usize = 1024;
-/// How long a shutdown waits for the last records: a disk may hang forever.
+/// Longest time for which a shutdown waits for the last records: a disk may hang forever.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A folder of segments.
+/// A folder of segments on the file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -29,7 +29,7 @@
 }
 
 impl Folder {
-    /// The folder at this path; it is created with the first segment.
+    /// Uses the folder at this path. The folder is created with the first segment.
     #[must_use]
     pub fn new(path: &Path) -> Folder {
         Folder { path: path.to_owned(), file: None }
@@ -59,7 +59,7 @@
         };
         for entry in entries {
             let entry = entry?;
-            // A size that cannot be read counts as zero: the file may have been removed since it was listed.
+            // A size that cannot be read counts as zero, because the file may have been removed since it was listed.
             let bytes = entry.metadata().map_or(0, |metadata| metadata.len());
             let name = entry.file_name().to_string_lossy().into_owned();
             files.push(StoredFile { name, bytes });
@@ -80,21 +80,23 @@
     dropped: u64,
 }
 
-/// Hands records to the thread that writes them.
+/// The queue to the thread that writes records.
 pub struct Recorder {
     queue: SyncSender<QueuedRecord>,
     started_at: Instant,
+    /// Records dropped since the last one that was queued.
     dropped: u64,
+    /// Records lost since the start, shared with the writing thread.
     lost: Arc<AtomicU64>,
     finished_receiver: Receiver<()>,
 }
 
 impl Recorder {
-    /// Starts the writing thread. It touches no file before the first record.
+    /// Starts the writing thread, which touches no file before the first record.
     ///
     /// # Errors
     ///
-    /// Fails where the thread cannot be started.
+    /// If the thread cannot be started.
     pub fn start(
         path: &Path,
         gatherer: &str,
@@ -108,16 +110,16 @@
         let lost_in_thread = lost.clone();
         thread::Builder::new().name("records".to_owned()).spawn(move || {
             write_queued_records(queue_receiver, writer, &lost_in_thread);
-            // It fails where the shutdown no longer waits.
+            // Sending fails if the shutdown has stopped waiting.
             let _ = finished_sender.send(());
         })?;
         Ok(Recorder { queue, started_at: Instant::now(), dropped: 0, lost, finished_receiver })
     }
 
-    /// Queues a record, if the queue has capacity; otherwise the record is dropped, and a later one reports that.
+    /// Queues a record. Without capacity in the queue, the record is dropped, and a later one reports the loss.
     pub fn record(&mut self, body: RecordBody) {
         let now = Time(0).after(self.started_at.elapsed());
-        // A clock that stands before 1970 counts as standing at its begin.
+        // A clock set to a time before 1970 counts as set to the start of 1970.
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let at_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
         match self.queue.try_send(QueuedRecord { now, at_ms, body, dropped: self.dropped }) {
@@ -129,23 +131,24 @@
         }
     }
 
-    /// Records lost so far, for whatever reason.
+    /// Number of records lost so far, for any reason.
     #[must_use]
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::Relaxed)
     }
 
-    /// Ends the writing thread once it has written what is queued, but does not wait for a disk that hangs.
+    /// Ends the writing thread once it has written the queued records. Does not wait for a disk that hangs.
     pub fn close(self) {
         drop(self.queue);
         if self.finished_receiver.recv_timeout(CLOSE_TIMEOUT).is_err() {
-            log::warn!("record writer did not finish in time: the last records are lost");
+            let timeout_ms = CLOSE_TIMEOUT.as_millis();
+            log::warn!("record writing did not finish within {timeout_ms} ms: the last records may be lost");
         }
     }
 }
 
-/// Writes queued records until the queue is closed. It logs when writing begins to fail and when it works again, not at
-/// each record.
+/// Writes queued records until the queue is closed. Logs when writing starts to fail and when it succeeds again, but
+/// not for each record.
 fn write_queued_records(
     queue_receiver: Receiver<QueuedRecord>,
     mut writer: Writer<Folder>,
@@ -159,9 +162,13 @@
             lost.fetch_add(1, Ordering::Relaxed);
         }
         if !written && !failing {
-            log::warn!("record writing fails: reason={:?}; serving continues", writer.last_loss_reason());
+            let folder = writer.disk().path.display().to_string();
+            let reason = writer.last_loss_reason();
+            log::warn!(
+                "record writing fails: folder={folder} reason={reason:?}; records are lost, serving continues"
+            );
         } else if written && failing {
-            log::info!("record writing has resumed");
+            log::info!("record writing has resumed: folder={}", writer.disk().path.display());
         }
         failing = !written;
     }
--- a/src/records/html_report.rs
+++ b/src/records/html_report.rs
@@ -1,7 +1,7 @@
-//! The report as one HTML page that needs no other file: findings first, then queries, latency, workers, the timeline and
-//! the records themselves.
+//! The report as one HTML page that needs no other file: findings, then queries with their latency, workers, the
+//! timeline and the records.
 //!
-//! Pure functions of a [`Summary`] and its findings. The page is for people; programs read the report's JSON.
+//! The module consists of pure functions of a [`Summary`] and its findings. Programs read the report's JSON instead.
 
 mod charts;
 
@@ -14,23 +14,23 @@
 use plotters::style::RGBColor;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most columns of the map of workers; where there are more time steps, several share a column.
+/// Largest number of columns in the map of workers; where there are more time steps, several share a column.
 const MAX_MAP_COLUMNS: usize = 120;
-/// Most rows of a table; the JSON has all of them.
+/// Largest number of rows in a table; the JSON has all of them.
 const MAX_TABLE_ROWS: usize = 500;
 /// Share of attempts without a response at which a cell of the map of workers is fully red.
 const RED_AT_UNANSWERED_SHARE: f64 = 0.2;
-/// Hue of a cell of the map in which every attempt got a response, in degrees: green. Red is at zero.
+/// Hue of a cell in which every attempt got a response, in degrees: green. Red is at zero.
 const GREEN_HUE: f64 = 130.0;
 
-/// One way in which queries end, as it is shown.
+/// A way in which queries end, as a column of tables and a layer of charts.
 struct EndColumn {
     label: &'static str,
     colour: RGBColor,
     count: fn(&QueryCounts) -> u64,
 }
 
-/// All ends, in the order in which charts stack them.
+/// All ways in which queries end, in the order in which charts stack them.
 const END_COLUMNS: [EndColumn; 7] = [
     EndColumn {
         label: "complete in time",
@@ -67,7 +67,7 @@
 @media print{body{max-width:none}details{display:block}.finding{break-inside:avoid}}
 ";
 
-/// Formats Unix milliseconds as date and time of UTC.
+/// Formats Unix milliseconds as date and time in UTC.
 fn date_time(ms: u64) -> String {
     let moment = i64::try_from(ms).ok().and_then(|ms| Timestamp::from_millisecond(ms).ok());
     moment.map_or_else(|| ms.to_string(), |moment| moment.strftime("%Y-%m-%d %H:%M:%S").to_string())
@@ -78,16 +78,18 @@
     date_time(ms).split_off("YYYY-MM-DD ".len())
 }
 
-/// The title of a finding, in words.
+/// Returns the title of a finding as text.
 #[must_use]
 pub fn finding_title(kind: &FindingKind) -> String {
     match kind {
-        FindingKind::Death { gatherer, incarnation } => format!("{gatherer} died (start {incarnation})"),
-        FindingKind::RestartLoop { gatherer } => format!("{gatherer} dies again and again"),
-        FindingKind::FleetSlow => "The whole fleet was slow".to_owned(),
+        FindingKind::Death { gatherer, incarnation } => {
+            format!("{gatherer} died (incarnation {incarnation})")
+        }
+        FindingKind::RestartLoop { gatherer } => format!("{gatherer} is in a restart loop"),
+        FindingKind::FleetSlow => "Most workers were slow at the same time".to_owned(),
         FindingKind::WorkerSlow { worker } => format!("Worker {worker} was slow"),
-        FindingKind::WorkerUnresponsive { worker } => format!("Worker {worker} lost what it was sent"),
-        FindingKind::Overload => "Clients asked for more than could be served".to_owned(),
+        FindingKind::WorkerUnresponsive { worker } => format!("Worker {worker} did not respond to attempts"),
+        FindingKind::Overload => "Clients requested more than could be served".to_owned(),
         FindingKind::RecordsMissing { gatherer } => format!("Records of {gatherer} are missing"),
     }
 }
@@ -100,8 +102,7 @@
     }
 }
 
-/// Renders the page of these records. `damaged` is the number of damaged records, and `first_damaged` has the first of
-/// them, in words.
+/// Renders the page. `damaged` is the number of damaged records, and `first_damaged` describes the first of them.
 #[must_use]
 pub fn render(summary: &Summary, findings: &[Finding], first_damaged: &[String], damaged: u64) -> String {
     let classes = summary.totals_by_class();
@@ -117,13 +118,13 @@
                 style { (PreEscaped(STYLE)) }
             }
             body {
-                h1 { "What happened" }
+                h1 { "Report" }
                 p.quiet {
                     (date_time(first_ms)) " to " (date_time(last_ms)) " UTC, " (summary.incarnations.len())
                     " incarnations, in steps of " (summary.step_ms() / 1000) " s"
                 }
                 h2 { "Findings" }
-                @if findings.is_empty() { p { "Nothing out of the ordinary." } }
+                @if findings.is_empty() { p { "No findings." } }
                 @for finding in findings { (finding_card(finding)) }
                 h2 { "Queries" }
                 (class_totals(&classes))
@@ -158,7 +159,7 @@
             div { (date_time(finding.from_ms)) " to " (time_of_day(finding.to_ms)) }
             div { (finding.evidence) "." }
             @if let Some(counter_evidence) = &finding.counter_evidence {
-                div.quiet { "Against it: " (counter_evidence) "." }
+                div.quiet { "Counter-evidence: " (counter_evidence) "." }
             }
         }
     }
@@ -187,14 +188,14 @@
     }
 }
 
-/// Counts of one class over all tenants in a time step.
+/// Sums the counts of one class over all tenants in a time step.
 fn sum_of_class(step: &TimeStep, class: &str) -> QueryCounts {
     let mut sum = QueryCounts::default();
     step.queries.iter().filter(|(group, _)| group.class == class).for_each(|(_, counts)| sum.merge(counts));
     sum
 }
 
-/// Charts of one class, and its counts in each time step.
+/// Renders the charts of one class, and its counts in each time step.
 fn class_section(summary: &Summary, class: &str) -> Markup {
     let query_steps: Vec<QueryStep> = summary
         .steps
@@ -216,7 +217,7 @@
         p.quiet { "Latency in ms, median and 99th percentile" }
         (latency_chart(summary.step_ms(), &latency_steps).unwrap_or_default())
         details {
-            summary { "Counts of " (class) ", step by step" }
+            summary { "Counts of " (class) " by time step" }
             div.wide { table {
                 (count_header("from"))
                 @for step in query_steps.iter().take(MAX_TABLE_ROWS) {
@@ -224,7 +225,7 @@
                 }
             } }
             @if query_steps.len() > MAX_TABLE_ROWS {
-                p { (query_steps.len() - MAX_TABLE_ROWS) " further steps are in the JSON." }
+                p { (query_steps.len() - MAX_TABLE_ROWS) " further steps are only in the JSON report." }
             }
         }
     }
@@ -232,7 +233,7 @@
 
 fn group_label(group: &QueryGroup) -> String {
     let QueryGroup { class, tenant } = group;
-    if tenant.is_empty() { format!("{class}, no tenant given") } else { format!("{class}, {tenant}") }
+    if tenant.is_empty() { format!("{class}, no tenant") } else { format!("{class}, {tenant}") }
 }
 
 fn tenant_totals(summary: &Summary) -> Markup {
@@ -251,7 +252,7 @@
     }
 }
 
-/// A map of workers over time: the redder a cell, the more attempts got no response.
+/// Renders a map of workers over time: the redder a cell, the more attempts got no response.
 fn worker_map(summary: &Summary) -> Markup {
     let workers: BTreeSet<&String> = summary.steps.values().flat_map(|step| step.attempts.keys()).collect();
     let steps_per_column = summary.steps.len().div_ceil(MAX_MAP_COLUMNS).max(1);
@@ -267,13 +268,13 @@
             }
         } }
         p.quiet {
-            "From left to right as time passes; green: got a response, red: a fifth or more got none; \
-             empty: nothing was sent."
+            "Time runs from left to right. Green: no attempt without a response; red: a fifth or more without one; \
+             empty: no attempt ended."
         }
     }
 }
 
-/// One cell of the map: the attempts at a worker in a few time steps, of which there is one at least.
+/// Renders one cell of the map: the attempts at a worker in one or more time steps.
 fn worker_map_cell(worker: &str, steps: &[(&u64, &TimeStep)]) -> Markup {
     let mut attempts = AttemptMetrics::default();
     for (_, step) in steps {
@@ -340,6 +341,6 @@
             p { (damaged) " records are damaged and not counted:" }
             ul { @for damage in first_damaged { li { (damage) } } }
         }
-        p.quiet { "Clocks of gatherers may differ; each one's records stand at its own time." }
+        p.quiet { "Clocks of gatherers may differ: each record has the time of the gatherer that wrote it." }
     }
 }
--- a/src/records/html_report/charts.rs
+++ b/src/records/html_report/charts.rs
@@ -11,9 +11,9 @@
     RGBColor, Ranged, Rectangle, SVGBackend,
 };
 
-/// Width and height of a chart in its own units; the page scales it.
+/// Width and height of a chart in SVG units; the page scales the chart.
 const CHART_SIZE: (u32, u32) = (900, 220);
-/// Colour of text and lines, which is readable on dark and on light pages.
+/// Colour of text and lines, readable on dark and on light pages.
 const AXIS_COLOUR: RGBColor = RGBColor(128, 134, 139);
 /// Colour of the median latency.
 const P50_COLOUR: RGBColor = END_COLUMNS[0].colour;
@@ -22,15 +22,15 @@
 
 /// Queries of one class in a time step.
 pub(super) struct QueryStep {
-    /// Begin of the step, in Unix milliseconds.
+    /// Start of the step, in Unix milliseconds.
     pub start_ms: u64,
-    /// How they ended.
+    /// Number of queries by how they ended.
     pub counts: QueryCounts,
 }
 
 /// Latencies of one class in a time step.
 pub(super) struct LatencyStep {
-    /// Begin of the step, in Unix milliseconds.
+    /// Start of the step, in Unix milliseconds.
     pub start_ms: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
@@ -38,7 +38,7 @@
     pub p99_ms: f64,
 }
 
-/// Draws a chart. One that cannot be drawn is left out, because its values are also in the table and in the JSON.
+/// Draws a chart. A chart that cannot be drawn is left out: its values are also in the JSON report.
 fn draw_chart(draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, Shift>) -> Option<()>) -> Option<Markup> {
     let mut svg = String::new();
     {
@@ -49,7 +49,7 @@
     Some(PreEscaped(svg))
 }
 
-/// Draws how queries ended, stacked, in steps of `step_ms` milliseconds.
+/// Draws the numbers of queries by how they ended, stacked, in steps of `step_ms` milliseconds.
 pub(super) fn query_chart(step_ms: u64, steps: &[QueryStep]) -> Option<Markup> {
     let (first_ms, last_ms) = (steps.first()?.start_ms, steps.last()?.start_ms + step_ms);
     let max = steps.iter().map(|step| step.counts.ended() + step.counts.unknown).max()?.max(1);
@@ -75,7 +75,7 @@
     })
 }
 
-/// Draws median and 99th percentile of the latency, in steps of `step_ms` milliseconds.
+/// Draws the median and the 99th percentile of the latency, in steps of `step_ms` milliseconds.
 pub(super) fn latency_chart(step_ms: u64, steps: &[LatencyStep]) -> Option<Markup> {
     let (first_ms, last_ms) = (steps.first()?.start_ms, steps.last()?.start_ms + step_ms);
     let max_ms = steps.iter().map(|step| step.p99_ms).fold(1.0, f64::max);
@@ -96,7 +96,7 @@
     })
 }
 
-/// Draws the axes: time of day to the right, and whatever the chart shows upward.
+/// Draws the axes: time of day on the x axis, and values with the labels of `y_label` on the y axis.
 fn draw_axes<Y: ValueFormatter<<Y as Ranged>::ValueType> + Ranged>(
     chart: &mut ChartContext<'_, SVGBackend<'_>, Cartesian2d<RangedCoordu64, Y>>,
     y_label: &dyn Fn(&<Y as Ranged>::ValueType) -> String,
