--- a/src/records/diagnosis.rs
+++ b/src/records/diagnosis.rs
@@ -1,7 +1,7 @@
-//! Findings: what probably happened, with its time, its evidence, what speaks against it, and how certain it is.
+//! Findings: events that the records indicate, each with its time, evidence, counter-evidence and certainty.
 //!
-//! Pure functions of a [`Summary`]; they own no state. Names in the JSON of a finding stay, so a Rust name that differs
-//! carries `#[serde(rename)]`.
+//! The module consists of pure functions of a [`Summary`]. The names in the JSON of a finding must not change: a field
+//! whose Rust name differs has `#[serde(rename)]`.
 
 mod gatherers;
 mod overload;
@@ -11,44 +11,44 @@
 use super::summary::Summary;
 use serde::Serialize;
 
-/// Attempts at a worker, or queries, below which a time step proves nothing.
+/// Fewest attempts at a worker, or fewest queries, in a time step from which conclusions are drawn.
 const MIN_SAMPLES: u64 = 20;
 
-/// What a finding is about.
+/// Kind of a finding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum FindingKind {
     /// A gatherer ended without a graceful shutdown.
     Death {
-        /// The gatherer.
+        /// Name of the gatherer.
         gatherer: String,
-        /// The incarnation that ended.
+        /// Name of the incarnation that ended.
         #[serde(rename = "start")]
         incarnation: String,
     },
-    /// A gatherer dies again and again.
+    /// A gatherer ended repeatedly within a short time, each time without a graceful shutdown.
     RestartLoop {
-        /// The gatherer.
+        /// Name of the gatherer.
         gatherer: String,
     },
     /// Most workers were slow at the same time.
     FleetSlow,
     /// One worker was slow while others were not.
     WorkerSlow {
-        /// The worker.
+        /// Name of the worker.
         worker: String,
     },
     /// A worker did not respond to many attempts.
     #[serde(rename = "worker_loses")]
     WorkerUnresponsive {
-        /// The worker.
+        /// Name of the worker.
         worker: String,
     },
     /// Clients requested more than could be served.
     Overload,
-    /// Records are missing.
+    /// Records of a gatherer are missing.
     RecordsMissing {
-        /// The gatherer whose records are missing.
+        /// Name of the gatherer whose records are missing.
         gatherer: String,
     },
 }
@@ -59,27 +59,27 @@
 pub enum Certainty {
     /// The records have no other explanation.
     Certain,
-    /// It is the simplest explanation of the records.
+    /// The finding is the simplest explanation of the records.
     Likely,
-    /// Other explanations are as good.
+    /// Other explanations are equally plausible.
     Possible,
 }
 
-/// Something that probably happened.
+/// An event that the records indicate.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// What it is about.
+    /// Kind of the finding, with the gatherer or worker concerned.
     #[serde(flatten)]
     pub kind: FindingKind,
-    /// Its begin, in Unix milliseconds.
+    /// Start of the event, in Unix milliseconds.
     pub from_ms: u64,
-    /// Its end, in Unix milliseconds.
+    /// End of the event, in Unix milliseconds.
     pub to_ms: u64,
-    /// How certain it is.
+    /// How certain the finding is.
     pub certainty: Certainty,
-    /// What speaks for it, in words.
+    /// Text that describes the evidence.
     pub evidence: String,
-    /// What speaks against it, in words, where anything does.
+    /// Text that describes the counter-evidence, if there is any.
     #[serde(rename = "against")]
     pub counter_evidence: Option<String>,
 }
--- a/src/records/diagnosis/gatherers.rs
+++ b/src/records/diagnosis/gatherers.rs
@@ -4,21 +4,21 @@
 use crate::records::summary::{IncarnationSummary, Summary};
 use std::collections::BTreeMap;
 
-/// An incarnation that has recorded nothing for this time, while others have, is dead. Metrics are recorded once per
+/// An incarnation that has recorded nothing for this time, while others have, is dead: metrics are recorded once per
 /// second.
 const SILENCE_OF_DEAD_MS: u64 = 5_000;
-/// Deaths of one gatherer within [`RESTART_LOOP_MS`] that make a restart loop.
+/// Number of deaths of one gatherer within [`RESTART_LOOP_MS`] that are a restart loop.
 const RESTART_LOOP_DEATHS: usize = 3;
-/// Time within which the deaths of a restart loop happen.
+/// Time within which the deaths of a restart loop happen, in milliseconds.
 const RESTART_LOOP_MS: u64 = 300_000;
 
-/// An incarnation of the gatherer that is looked at.
+/// An incarnation of the gatherer that is examined.
 struct Incarnation<'a> {
     name: &'a str,
     summary: &'a IncarnationSummary,
 }
 
-/// Finds incarnations without a graceful shutdown, and gatherers that die again and again.
+/// Finds incarnations that ended without a graceful shutdown, and gatherers in a restart loop.
 pub(super) fn find_deaths(summary: &Summary) -> Vec<Finding> {
     let end_ms = summary.incarnations.values().map(|incarnation| incarnation.last_ms).max().unwrap_or(0);
     let mut by_gatherer: BTreeMap<&str, Vec<Incarnation<'_>>> = BTreeMap::new();
@@ -92,7 +92,7 @@
     })
 }
 
-/// Finds incarnations whose sequence of records has holes.
+/// Finds incarnations with gaps in the sequence of their records.
 pub(super) fn find_missing_records(summary: &Summary) -> Vec<Finding> {
     let with_missing_records = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
     with_missing_records
--- a/src/records/diagnosis/overload.rs
+++ b/src/records/diagnosis/overload.rs
@@ -7,10 +7,10 @@
 
 /// Share of rejected queries from which a time step counts as overloaded.
 const MIN_REJECTED_SHARE: f64 = 0.05;
-/// Multiple of the usual number of queries from which clients requested too much.
+/// Multiple of the usual number of queries in a time step from which overload is attributed to the clients.
 const MIN_SURGE: f64 = 1.3;
 
-/// All queries of a time step. Only the fields that overload is judged by are set.
+/// Sums the queries of a time step. Only the fields `received` and `rejected` are set.
 fn sum_queries(step: &TimeStep) -> QueryCounts {
     let mut sum = QueryCounts::default();
     for counts in step.queries.values() {
@@ -41,7 +41,7 @@
                 && finding.from_ms < span.to_ms
                 && finding.to_ms > span.from_ms
         });
-        // Where the workers are slow, they cause the rejections: clients requested no more than before.
+        // Without a surge of queries, the slow workers are the cause of the rejections, not the clients.
         if fleet_is_slow && surge < MIN_SURGE {
             continue;
         }
--- a/src/records/diagnosis/spans.rs
+++ b/src/records/diagnosis/spans.rs
@@ -1,4 +1,4 @@
-//! Time steps that belong together: the steps in which a condition holds become spans of time.
+//! Merges the time steps in which a condition holds into spans of time.
 
 use super::MIN_SAMPLES;
 use crate::records::summary::{Summary, TimeStep};
@@ -7,14 +7,14 @@
 /// A span of time, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Span {
-    /// Its begin.
+    /// Start of the span.
     pub from_ms: u64,
-    /// Its end.
+    /// End of the span.
     pub to_ms: u64,
 }
 
-/// Merges the steps with these starts into spans. A step in between ends a span only if it is `is_conclusive`: one with too
-/// few samples proves nothing.
+/// Merges the steps with these starts into spans. Another step in between ends a span only if `is_conclusive` holds for
+/// it: a step with too few samples does not show that the condition no longer held.
 pub(super) fn merge_into_spans(
     summary: &Summary,
     step_starts_ms: &BTreeSet<u64>,
@@ -37,12 +37,12 @@
     spans
 }
 
-/// Whether a step has enough attempts at any worker to prove anything.
+/// Whether a step has enough attempts at any worker to draw conclusions.
 pub(super) fn has_enough_attempts(step: &TimeStep) -> bool {
     step.attempts.values().any(|attempts| attempts.total() >= MIN_SAMPLES)
 }
 
-/// Returns the median, the upper one of two; `None` of no values.
+/// Returns the median, or the upper of the two middle values; `None` without values.
 pub(super) fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
--- a/src/records/diagnosis/workers.rs
+++ b/src/records/diagnosis/workers.rs
@@ -1,4 +1,4 @@
-//! Findings about workers: one that is slow, a fleet that is slow, and one that does not respond.
+//! Findings about workers: a slow worker, a slow fleet, and an unresponsive worker.
 
 use super::spans::{has_enough_attempts, median, merge_into_spans};
 use super::{Certainty, Finding, FindingKind, MIN_SAMPLES};
@@ -6,25 +6,25 @@
 use crate::records::summary::{Summary, TimeStep};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fewer workers than this prove nothing about the fleet.
+/// Fewest workers from which the fleet can be found slow.
 const MIN_FLEET_SIZE: usize = 2;
-/// Fewer workers than this have no median that one of them could be compared with.
+/// Fewest workers among which one can be compared with the median.
 const MIN_WORKERS_TO_COMPARE: usize = 3;
-/// A worker is slow at this multiple of the median of all workers.
+/// A worker is slow if its mean time is at least this multiple of the median of all workers.
 const SLOW_WORKER_RATIO: f64 = 3.0;
-/// A worker of a slow fleet takes this multiple of its own usual time.
+/// In a slow fleet, slow workers take at least this multiple of their own usual time.
 const SLOW_FLEET_RATIO: f64 = 2.0;
-/// The fleet is slow where this share of the workers is slow at the same time.
+/// The fleet is slow if at least this share of the workers is slow at the same time.
 const SLOW_FLEET_SHARE: f64 = 0.6;
-/// A worker is unresponsive where this share of its attempts gets no response.
+/// A worker is unresponsive if at least this share of its attempts gets no response.
 const MIN_UNANSWERED_SHARE: f64 = 0.1;
-/// Stored names of the ends of attempts without a response, from `routing`.
+/// Stored names, defined in `routing`, of the ends of attempts without a response.
 const ENDS_WITHOUT_RESPONSE: [&str; 4] = ["error", "timed_out", "reset", "refused"];
 
-/// Mean times of successful attempts in microseconds by worker, for each time step by its begin.
+/// Mean times of successful attempts in microseconds, by start of the time step and by worker.
 type MeanTimes<'a> = BTreeMap<u64, BTreeMap<&'a str, f64>>;
 
-/// Time steps in which something was slow, and how slow at worst.
+/// Time steps in which a worker or the fleet was slow, and the highest ratio to the expected time.
 #[derive(Default)]
 struct SlowSteps {
     starts_ms: BTreeSet<u64>,
@@ -53,7 +53,7 @@
     times.filter_map(|(worker, attempts)| Some((worker.as_str(), mean_time_us(attempts)?))).collect()
 }
 
-/// The time that each worker usually takes: the lower quartile of its time steps, because faults only lengthen times.
+/// Returns the usual time of each worker: the lower quartile over its time steps, because faults only lengthen times.
 fn usual_times<'a>(times: &MeanTimes<'a>) -> BTreeMap<&'a str, f64> {
     let mut by_worker: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (worker, time) in times.values().flatten() {
@@ -66,7 +66,7 @@
     by_worker.into_iter().filter_map(|(worker, times)| Some((worker, lower_quartile(times)?))).collect()
 }
 
-/// How many times its usual time each worker takes, if so many workers are slow that the fleet is.
+/// Returns the median ratio of a worker's time to its usual time if the fleet is slow, and `None` otherwise.
 fn slow_fleet_ratio(times: &BTreeMap<&str, f64>, usual: &BTreeMap<&str, f64>) -> Option<f64> {
     let ratio = |worker: &str, time: f64| time / usual.get(worker).copied().unwrap_or(time).max(1.0);
     let ratios: Vec<f64> = times.iter().map(|(worker, time)| ratio(worker, *time)).collect();
@@ -77,7 +77,7 @@
     median(ratios)
 }
 
-/// Finds times in which the fleet or a single worker was slow. While the fleet is slow, no single worker is.
+/// Finds times in which the fleet or a single worker was slow. While the fleet is slow, no single worker is reported.
 pub(super) fn find_slow_workers(summary: &Summary) -> Vec<Finding> {
     let times = mean_times(summary);
     let usual = usual_times(&times);
--- a/src/records/metrics.rs
+++ b/src/records/metrics.rs
@@ -1,6 +1,7 @@
-//! Metrics of the time since the last record of them: how queries and attempts ended, and how long queries took.
+//! Metrics since the last record of metrics: how queries and attempts ended, and how long they took.
 //!
-//! Owns the counts until they are taken as a [`MetricsSnapshot`], whose stored names stay as they are. It writes nothing.
+//! The module owns the counts until they are taken as a [`MetricsSnapshot`]. The names in a snapshot are stored in
+//! records and must not change. The module writes no records.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -11,9 +12,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest latency that a histogram holds, in microseconds: ten minutes.
+/// Longest latency that a histogram holds, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant decimal digits of a latency in a histogram.
+/// Number of significant decimal digits of a latency in a histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// How a query ended.
@@ -27,21 +28,21 @@
     /// A complete response after the latency objective.
     #[serde(rename = "whole_late")]
     CompleteLate,
-    /// A partial response that says that it is partial.
+    /// A partial response, which is marked as partial.
     Partial,
-    /// Rejected by the decision module, which did not expect to complete it in time, or could not.
+    /// Rejected by the decision module, which did not expect to complete the query in time, or could not.
     #[serde(rename = "refused_declined")]
     RejectedByPolicy,
     /// Rejected because the process was at its limit of open queries and parts.
     #[serde(rename = "refused_full")]
     RejectedAtCapacity,
-    /// Rejected because the process is shutting down.
+    /// Rejected because the process was shutting down.
     #[serde(rename = "refused_stopping")]
     RejectedShuttingDown,
-    /// Failed: the decision module abandoned it, after it may have run.
+    /// Failed: the decision module abandoned the query after parts of it may have run.
     #[serde(rename = "failed_given_up")]
     FailedAbandoned,
-    /// Failed: its deadline passed.
+    /// Failed: the deadline of the query passed.
     #[serde(rename = "failed_overdue")]
     FailedDeadlineExceeded,
     /// The client closed the connection before the response.
@@ -49,7 +50,7 @@
     ClientDisconnected,
 }
 
-/// All ways in which a query can end, in the order of [`QueryEnd`].
+/// All variants of [`QueryEnd`], in the order of their declaration.
 pub const QUERY_ENDS: [QueryEnd; 9] = [
     QueryEnd::CompleteInTime,
     QueryEnd::CompleteLate,
@@ -63,18 +64,18 @@
 ];
 
 impl QueryEnd {
-    /// Whether the query got a response, so that its latency counts.
+    /// Whether the query got a complete or partial response, so that its latency is recorded.
     fn has_response(self) -> bool {
         matches!(self, QueryEnd::CompleteInTime | QueryEnd::CompleteLate | QueryEnd::Partial)
     }
 }
 
-/// The queries that a count is of.
+/// Class and tenant of queries that are counted together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryLabels {
-    /// Their class, by its number in the record of the start.
+    /// Index of the class in the start record of the incarnation.
     pub class: usize,
-    /// Their tenant by its number, where they have one.
+    /// Index of the tenant in the start record of the incarnation; absent for queries without a tenant.
     pub tenant: Option<usize>,
 }
 
@@ -82,18 +83,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Queries")]
 pub struct QueryMetrics {
-    /// Their class, by its number in the record of the start.
+    /// Index of the class in the start record of the incarnation.
     pub class: usize,
-    /// Their tenant by its number, where they have one.
+    /// Index of the tenant in the start record of the incarnation; absent for queries without a tenant.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<usize>,
-    /// Queries accepted.
+    /// Number of queries that were accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Queries that ended, by how they ended.
+    /// Number of queries that ended, by how they ended.
     pub ends: BTreeMap<QueryEnd, u64>,
-    /// Time from the request to the response, of queries with a response: a histogram of microseconds in HdrHistogram's
-    /// V2 form, in base64; absent where no query had a response.
+    /// Histogram of the time from the request to the response in microseconds, in HdrHistogram's V2 encoding and
+    /// base64; absent where no query had a response.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub latency: String,
 }
@@ -102,48 +103,48 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Attempts")]
 pub struct AttemptMetrics {
-    /// Attempts that ended, by how they ended.
+    /// Number of attempts that ended, by how they ended.
     pub ends: BTreeMap<String, u64>,
-    /// Sum of the times that successful attempts took, in microseconds.
+    /// Sum of the durations of successful attempts, in microseconds.
     pub done_us: u64,
 }
 
 impl AttemptMetrics {
-    /// Attempts that returned a value.
+    /// Number of attempts that returned a value.
     #[must_use]
     pub fn successful(&self) -> u64 {
         self.ends.get(ATTEMPT_DONE).copied().unwrap_or(0)
     }
-    /// All attempts that ended.
+    /// Number of all attempts that ended.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.ends.values().sum()
     }
-    /// Adds those of another record.
+    /// Adds the attempts of another record.
     pub fn merge(&mut self, other: AttemptMetrics) {
         other.ends.into_iter().for_each(|(end, count)| *self.ends.entry(end).or_default() += count);
         self.done_us += other.done_us;
     }
 }
 
-/// The stored name of the end of an attempt that returned a value.
+/// Stored name of the end of an attempt that returned a value.
 pub const ATTEMPT_DONE: &str = "done";
 
-/// What one record of metrics contains.
+/// Content of one record of metrics.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[schemars(rename = "Second")]
 pub struct MetricsSnapshot {
-    /// Queries, by class and tenant.
+    /// Metrics of queries, one entry for each class and tenant.
     pub queries: Vec<QueryMetrics>,
-    /// Attempts that ended, by worker.
+    /// Metrics of attempts that ended, by worker.
     pub attempts: BTreeMap<String, AttemptMetrics>,
-    /// Queries open at the time of the record.
+    /// Number of queries open at the time of the record.
     pub open: usize,
-    /// Descriptors held at the time of the record.
+    /// Number of file descriptors in use at the time of the record.
     pub descriptors: usize,
-    /// Bytes buffered for peers at the time of the record.
+    /// Number of bytes buffered for peers at the time of the record.
     pub buffered: usize,
-    /// Clients' connections at the time of the record.
+    /// Number of client connections at the time of the record.
     pub clients: usize,
 }
 
@@ -162,7 +163,7 @@
     Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("the constant bounds are valid")
 }
 
-/// Adds up what happens until a record is made of it.
+/// Accumulates metrics until they are taken as a snapshot.
 #[derive(Default)]
 pub struct MetricsAccumulator {
     queries: BTreeMap<QueryLabels, QueryAccumulator>,
@@ -181,7 +182,7 @@
         self.accumulator_for(labels).accepted += 1;
     }
 
-    /// Counts a query that ended, and the time that it took.
+    /// Counts a query that ended, with its latency.
     pub fn record_end(&mut self, labels: QueryLabels, end: QueryEnd, latency: Duration) {
         let queries = self.accumulator_for(labels);
         queries.ends[end as usize] += 1;
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Counts an attempt at a worker that ended, and the time that it took.
+    /// Counts an attempt at a worker that ended, with its duration.
     pub fn record_attempt(&mut self, worker: &str, end: &'static str, elapsed: Duration) {
         if !self.attempts.contains_key(worker) {
             self.attempts.insert(worker.to_owned(), AttemptMetrics::default());
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Takes what happened since the last snapshot, and starts anew: all snapshots add up to all that happened.
+    /// Takes the metrics since the last snapshot and resets them: the sum of all snapshots contains each event once.
     #[must_use]
     pub fn take_snapshot(&mut self) -> MetricsSnapshot {
         let mut snapshot = MetricsSnapshot::default();
@@ -221,21 +222,21 @@
     }
 }
 
-/// Encodes a histogram as text; an empty one becomes the empty text.
+/// Encodes a histogram as text; an empty histogram as the empty text.
 fn encode_histogram(histogram: &Histogram<u64>) -> String {
     if histogram.is_empty() {
         return String::new();
     }
     let mut bytes = Vec::new();
-    // Writing to memory fails only for a histogram of more counts than the form holds.
+    // Encoding into memory fails only for a histogram with more counts than the V2 encoding holds.
     match V2Serializer::new().serialize(histogram, &mut bytes) {
         Ok(_) => BASE64.encode(&bytes),
         Err(_) => String::new(),
     }
 }
 
-/// Decodes a histogram. Returns `None` for noise, and for one with wider bounds than [`new_histogram`]'s, which would
-/// take memory without end.
+/// Decodes a histogram. Returns `None` for invalid text, and for a histogram with wider bounds than those of
+/// [`new_histogram`], which could take any amount of memory.
 #[must_use]
 pub fn decode_histogram(text: &str) -> Option<Histogram<u64>> {
     let bytes = BASE64.decode(text).ok()?;
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,7 +1,7 @@
-//! Records: what a gatherer writes about itself, record by record, and how records are read back and reported.
+//! Records: the log of its own operation that each gatherer writes to a folder, and the reports made from it.
 //!
-//! Records, segments, metrics and the effects of a failing disk are plain values here; only [`folder`] touches files and
-//! clocks. Nothing here decides how queries are served.
+//! Records, segments, metrics and the handling of disk failures are independent of the file system and of clocks; only
+//! [`folder`] uses them. Records have no effect on how queries are served.
 
 pub mod diagnosis;
 pub mod folder;
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -1,19 +1,21 @@
 //! Detects periods of overload: times in which clients request more than the process accepts.
 //!
-//! Owns the state of the current period. It has hysteresis, so that one bad second is not a period.
+//! The detector owns the state of the current period. Its thresholds have hysteresis, so that rejections that come and
+//! go do not start a period each time.
 
 use super::metrics::{MetricsSnapshot, QueryEnd};
 
-/// A period begins with a second of at least this number of rejections...
+/// A period starts with a second that has at least this number of rejections, and at least
+/// [`REJECTED_SHARE_TO_BEGIN`] of them among the queries.
 const MIN_REJECTED_TO_BEGIN: u64 = 5;
-/// ...that are at least this share of the queries.
+/// Share of rejections among the queries of a second from which a period starts.
 const REJECTED_SHARE_TO_BEGIN: f64 = 0.05;
-/// A period ends after [`QUIET_SECONDS_TO_END`] seconds in a row with less than this share of rejections.
+/// A period ends after [`QUIET_SECONDS_TO_END`] consecutive seconds with less than this share of rejections.
 const REJECTED_SHARE_TO_END: f64 = 0.01;
-/// Seconds in a row with few rejections after which a period ends.
+/// Consecutive seconds with few rejections after which a period ends.
 const QUIET_SECONDS_TO_END: u32 = 5;
 
-/// Follows rejections second by second.
+/// Detects overload from the rejections of each second.
 #[derive(Debug, Default)]
 pub struct OverloadDetector {
     overloaded: bool,
@@ -21,7 +23,8 @@
 }
 
 impl OverloadDetector {
-    /// Takes the metrics of one second, and returns whether a period begins (`true`) or ends (`false`) with it.
+    /// Evaluates the metrics of one second. Returns `Some(true)` if a period starts with this second, and `Some(false)`
+    /// if one ends.
     #[must_use]
     pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
         let accepted: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -1,20 +1,21 @@
-//! Reads records back in bounded memory, and reports each one that is damaged.
+//! Reads records in bounded memory, and reports each one that is damaged.
 //!
-//! Owns the order of each incarnation's records over all segments. It opens no file: the caller hands it the bytes.
+//! The reader checks the order of each incarnation's records over all segments. It opens no file: the caller passes the
+//! bytes of each segment.
 
 use super::record::{IncarnationId, MAX_RECORD_BYTES, Record, RecordError};
 use std::collections::HashMap;
 use std::fmt;
 use std::io::{self, BufRead};
 
-/// A damaged record, and where it stands.
+/// A damaged record and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedRecord {
     /// Name of the file.
     pub file: String,
     /// Number of the line, from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// Why the record is not valid.
     pub error: RecordError,
 }
 
@@ -27,18 +28,19 @@
 /// Reads segments and keeps track of the order of records over all of them.
 #[derive(Debug, Default)]
 pub struct Reader {
+    /// Last sequence number that was read, by incarnation.
     last_seq: HashMap<IncarnationId, u64>,
-    /// Valid records read so far.
+    /// Number of valid records read so far.
     pub valid_records: u64,
 }
 
 impl Reader {
-    /// Reads one segment, and calls `on_record` for each valid record and `on_damaged` for each other one. Segments of one
-    /// incarnation have to be read in the order of their numbers.
+    /// Reads one segment, and calls `on_record` for each valid record and `on_damaged` for each other one. The segments
+    /// of an incarnation must be read in the order of their numbers.
     ///
     /// # Errors
     ///
-    /// Fails where the bytes cannot be read. Damaged records are no error.
+    /// If the bytes cannot be read. Damaged records are passed to `on_damaged` and are not an error.
     pub fn read(
         &mut self,
         file: &str,
@@ -60,8 +62,7 @@
             } else if bytes.len() > MAX_RECORD_BYTES {
                 Err(RecordError::TooLong)
             } else {
-                // A last line without its line feed does not count, even if it is cut right behind a checksum that
-                // matches.
+                // A last line without a line feed is torn, even if it is cut just after a matching checksum.
                 Err(RecordError::Torn)
             };
             match decoded {
@@ -88,8 +89,8 @@
     }
 }
 
-/// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only enough
-/// is kept to recognise it as too long.
+/// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only
+/// enough bytes are kept to detect that it is too long.
 fn read_line(input: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
     loop {
         let chunk = match input.fill_buf() {
--- a/src/records/record.rs
+++ b/src/records/record.rs
@@ -1,7 +1,8 @@
 //! One record: a line of JSON with a version, a sequence number within its incarnation, and a checksum.
 //!
-//! Owns the stored form: its names stay readable forever, so a Rust name that differs carries `#[serde(rename)]` with
-//! the stored one, and `#[schemars(rename)]` keeps the names of the published schema. It reads and writes no file.
+//! The module owns the stored format, which must stay readable: where a Rust name differs from the stored one,
+//! `#[serde(rename)]` has the stored one, and `#[schemars(rename)]` keeps the names of the published schema. The module
+//! reads and writes no file.
 
 use super::metrics::MetricsSnapshot;
 use crate::membership::ObservedState;
@@ -9,20 +10,20 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The version that is written. Older versions stay readable; records of a newer one are reported and not read.
+/// Version of the stored format. Records of an older version are read; those of a newer one are reported as errors.
 pub const VERSION: u32 = 1;
-/// The longest record that is written or read, in bytes.
+/// Longest record that is written or read, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// CRC-32C (Castagnoli; RFC 3720, appendix B.4).
 const CRC32C: Crc<u32> = Crc::<u32>::new(&CRC_32_ISCSI);
-/// What stands before the checksum, which is the last field of every record.
+/// Bytes before the checksum, which is the last field of every record.
 const CHECKSUM_KEY: &[u8] = b",\"crc\":\"";
-/// Hexadecimal digits of a checksum.
+/// Number of hexadecimal digits of a checksum.
 const CHECKSUM_DIGITS: usize = 8;
-/// What closes a record behind its checksum.
+/// Bytes that end a record after its checksum.
 const RECORD_END: &[u8] = b"\"}";
-/// Length of the key, the digits, and what closes the record, in bytes.
+/// Length of the key, the digits and the end of the record, in bytes.
 const CHECKSUM_FIELD_BYTES: usize = CHECKSUM_KEY.len() + CHECKSUM_DIGITS + RECORD_END.len();
 
 /// A record as it is written, without its checksum.
@@ -34,14 +35,14 @@
     pub version: u32,
     /// Name of the gatherer.
     pub gatherer: String,
-    /// Name of this incarnation of the gatherer, which no other incarnation has.
+    /// Name of the incarnation of the gatherer: unique to one start of the process.
     #[serde(rename = "start")]
     pub incarnation: String,
-    /// Number of the record within its incarnation, from 0. A lost record leaves its number unused.
+    /// Sequence number of the record within its incarnation, from 0. The number of a lost record is not used again.
     pub seq: u64,
-    /// Unix time in milliseconds, by this gatherer's clock, which may differ from another gatherer's.
+    /// Unix time in milliseconds by the gatherer's clock, which may differ from the clocks of other gatherers.
     pub at_ms: u64,
-    /// What is recorded.
+    /// Content of the record.
     #[serde(flatten)]
     pub body: RecordBody,
 }
@@ -55,71 +56,71 @@
     pub incarnation: String,
 }
 
-/// What is recorded.
+/// Content of a record, by its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 #[schemars(rename = "Body")]
 pub enum RecordBody {
-    /// The process accepts queries from now on.
+    /// The process has started to accept queries.
     Start {
         /// Digest of the configuration in effect, in hexadecimal.
         configuration: String,
-        /// Names of classes, in the order of the numbers that metrics use.
+        /// Names of the classes. Metrics refer to a class by its index.
         classes: Vec<String>,
-        /// Names of tenants, in the order of the numbers that metrics use.
+        /// Names of the tenants. Metrics refer to a tenant by its index.
         tenants: Vec<String>,
     },
-    /// The process has shut down gracefully: every accepted query got its response.
+    /// The process has shut down gracefully, after the responses to all accepted queries.
     Stop,
     /// The configuration was reloaded.
     Reload {
         /// Whether the new configuration is in effect.
         #[serde(rename = "taken")]
         applied: bool,
-        /// What is in effect now, or what is wrong with the new configuration.
+        /// The configuration in effect, or the error in the new one.
         #[serde(rename = "what")]
         detail: String,
     },
-    /// Discovery sent an endpoint list, or changes of it.
+    /// Discovery sent an endpoint list, or changes to it.
     #[serde(rename = "list")]
     EndpointList {
         /// Revision of the list.
         revision: u64,
-        /// Whether it was the complete list.
+        /// Whether discovery sent the complete list.
         complete: bool,
-        /// Workers listed now.
+        /// Number of workers listed after the update.
         workers: usize,
     },
     /// The state of a worker has changed.
     Worker {
         /// Name of the worker.
         worker: String,
-        /// Its new state.
+        /// New state of the worker.
         state: RecordedWorkerState,
     },
-    /// The state of another gatherer has changed, as this one observes it.
+    /// This gatherer has observed that the state of another one changed.
     Member {
-        /// Name of that gatherer.
+        /// Name of the other gatherer.
         member: String,
-        /// Its incarnation, as the time of its start in Unix nanoseconds.
+        /// Incarnation of the other gatherer: the time of its start in Unix nanoseconds.
         process: u64,
-        /// Its new state.
+        /// New state of the other gatherer.
         state: ObservedState,
     },
-    /// A period of overload begins or ends.
+    /// A period of overload has started or ended.
     Overload {
-        /// Whether it begins.
+        /// Whether the period has started.
         begins: bool,
     },
-    /// Records could not be written.
+    /// Records before this one were lost.
     Gap {
         /// Number of lost records.
         lost: u64,
-        /// Why the last of them was lost.
+        /// Why the last of the lost records was lost.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// What happened since the last record of this kind.
+    /// Metrics of the time since the last record of this kind.
     #[serde(rename = "figures")]
     Metrics(MetricsSnapshot),
 }
@@ -129,29 +130,30 @@
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "WorkerState")]
 pub enum RecordedWorkerState {
-    /// It is listed and takes calls.
+    /// The worker is listed and takes calls.
     Active,
-    /// It is draining: it finishes what is in flight.
+    /// The worker is draining: it completes the calls in flight.
     Draining,
-    /// It is no longer listed.
+    /// The worker is no longer listed.
     #[serde(rename = "gone")]
     Removed,
-    /// It has started lately and is warming up.
+    /// The worker has started recently and is in slow start.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// It was ejected, because its responses are overdue.
+    /// The worker was ejected, because its responses are overdue.
     #[serde(rename = "suspect")]
     Ejected,
-    /// It was reinstated, because it responds again.
+    /// The worker was reinstated, because it responds again.
     #[serde(rename = "trusted")]
     Reinstated,
-    /// An operator has disabled it.
+    /// An operator has disabled the worker.
     #[serde(rename = "out_by_hand")]
     Disabled,
 }
 
 impl RecordedWorkerState {
-    /// The word for this state in the events of a report. Readers of the report's JSON match it, so it stays.
+    /// Returns the name of this state in the events of a report. Programs that read the report's JSON match it, so it
+    /// must not change.
     #[must_use]
     pub fn timeline_word(self) -> &'static str {
         match self {
@@ -166,41 +168,41 @@
     }
 }
 
-/// Why bytes are not a valid record. Operators read the messages in the output of `records verify`.
+/// Why bytes are not a valid record. The messages are in the output of `records verify` and in the report's JSON.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It is cut short by a killed process, a full disk or a truncated file.
+    /// The record is cut short, by a killed process, a full disk or a truncated file.
     #[error("torn: the line does not end")]
     Torn,
-    /// It does not end in a checksum.
+    /// The record does not end in a checksum.
     #[error("no checksum at its end")]
     MissingChecksum,
-    /// Its checksum does not match its content.
+    /// The checksum does not match the content.
     #[error("its checksum is {found:08x}, not {written:08x}: what it says is not what was written")]
     ChecksumMismatch {
-        /// The checksum that it carries.
+        /// Checksum in the record.
         written: u32,
-        /// The checksum of its content.
+        /// Checksum of the content that was read.
         found: u32,
     },
-    /// A newer program wrote it.
+    /// The record has a newer version than this program reads.
     #[error("version {0}; this program reads up to {VERSION}")]
     NewerVersion(u64),
-    /// Its checksum matches, but it does not have the stored form.
+    /// The checksum matches, but the JSON is not that of a record.
     #[error("not in the form: {0}")]
     Malformed(String),
-    /// It is longer than [`MAX_RECORD_BYTES`].
+    /// The record is longer than [`MAX_RECORD_BYTES`].
     #[error("longer than {MAX_RECORD_BYTES} bytes")]
     TooLong,
-    /// A record of this incarnation with this number was read before.
+    /// The record of the incarnation that was read before has the same sequence number.
     #[error("doubled: line {0} of this start was read before")]
     Duplicate(u64),
-    /// A later record of this incarnation was read before.
+    /// A later record of the incarnation was read before.
     #[error("out of order: line {found} of this start comes after line {after}")]
     OutOfOrder {
-        /// Its number.
+        /// Sequence number of the record.
         found: u64,
-        /// The number of the record before it.
+        /// Highest sequence number read before.
         after: u64,
     },
 }
@@ -209,8 +211,7 @@
     /// Encodes the record as one line, with the checksum and the line feed.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        // Structs and maps with text keys always serialise. If they did not, the line would be damaged and reported,
-        // but never misread.
+        // Serializing structs and maps with text keys cannot fail. If it did, the reader would report a damaged line.
         let mut bytes = serde_json::to_vec(self).unwrap_or_default();
         bytes.pop();
         let checksum = CRC32C.checksum(&bytes);
@@ -221,11 +222,11 @@
         bytes
     }
 
-    /// Decodes a line, with or without its line feed.
+    /// Decodes one line, with or without the line feed.
     ///
     /// # Errors
     ///
-    /// Fails where the line is damaged, or written by a newer program.
+    /// If the line is damaged, or has a newer version.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         let bytes = bytes.strip_suffix(b"\n").unwrap_or(bytes);
         if bytes.len() > MAX_RECORD_BYTES {
@@ -241,7 +242,7 @@
             return Err(RecordError::ChecksumMismatch { written, found });
         }
         let json = [content, b"}"].concat();
-        // The version is read on its own: a record of a newer program may differ in everything else.
+        // The version is decoded first, because a record of a newer version may differ in everything else.
         #[derive(Deserialize)]
         struct Versioned {
             #[serde(rename = "v")]
@@ -258,7 +259,7 @@
 
 fn parse_checksum(field: &[u8]) -> Option<u32> {
     let digits = field.strip_prefix(CHECKSUM_KEY)?.strip_suffix(RECORD_END)?;
-    // Lower case only, as it is written: a changed bit must not turn a letter into one that reads as the same number.
+    // Only lower case is written. Accepting upper case would hide a bit flip that changes the case of a digit.
     if !digits.iter().all(|digit| matches!(digit, b'0'..=b'9' | b'a'..=b'f')) {
         return None;
     }
--- a/src/records/segments.rs
+++ b/src/records/segments.rs
@@ -1,38 +1,38 @@
-//! Segments of a folder of records: when the next one begins, how they are named, and which ones are removed.
+//! Segments of a folder of records: rotation, names of files, and retention.
 //!
-//! Pure decisions over names and sizes; it touches no file.
+//! The module decides by names, sizes and ages only; it touches no file.
 
 use crate::policy::Time;
 use std::time::Duration;
 
-/// How much of the records is kept, and in segments of what size and age.
+/// Limits of the size and age of segments, and of the size of all records that are retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentLimits {
-    /// Size of a segment, in bytes.
+    /// Largest size of a segment, in bytes.
     pub segment_bytes: u64,
-    /// Age of a segment at which the next one begins.
+    /// Age of a segment at which the next one starts.
     pub max_age: Duration,
-    /// Size of all segments of this gatherer in the folder, in bytes.
+    /// Largest total size of the segments of this gatherer in the folder, in bytes.
     pub total_bytes: u64,
 }
 
-/// Name of a segment. Names sort in the order in which segments were written.
+/// Name of a segment. The names of a gatherer's segments sort in the order in which they were written.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SegmentName {
-    /// The gatherer, in letters that every file system accepts.
+    /// Name of the gatherer, in characters that every file system accepts.
     pub gatherer: String,
-    /// Its incarnation, in such letters.
+    /// Name of the incarnation, in such characters.
     pub incarnation: String,
     /// Number of the segment within its incarnation.
     pub number: u32,
 }
 
-/// A segment in the folder. Segments sort as their names do.
+/// A segment in the folder. Segments sort by their names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoredSegment {
-    /// Its name.
+    /// Name of the segment.
     pub name: SegmentName,
-    /// Its size, in bytes.
+    /// Size of the segment, in bytes.
     pub bytes: u64,
 }
 
@@ -40,7 +40,7 @@
 pub const SEGMENT_SUFFIX: &str = ".records";
 
 impl SegmentName {
-    /// Names a segment. Whatever is not a letter, a digit, a dash or a dot becomes a dash.
+    /// Creates the name of a segment. Characters other than ASCII letters, digits and dots are replaced by dashes.
     #[must_use]
     pub fn new(gatherer: &str, incarnation: &str, number: u32) -> SegmentName {
         let replace_unsafe =
@@ -49,7 +49,7 @@
         SegmentName { gatherer: sanitize(gatherer), incarnation: sanitize(incarnation), number }
     }
 
-    /// The name of the segment's file.
+    /// Returns the name of the segment's file.
     #[must_use]
     pub fn file_name(&self) -> String {
         format!("{}_{}_{:08}{SEGMENT_SUFFIX}", self.gatherer, self.incarnation, self.number)
@@ -77,13 +77,13 @@
 }
 
 impl OpenSegment {
-    /// Begins a segment.
+    /// Starts an empty segment.
     #[must_use]
     pub fn new(limits: SegmentLimits, now: Time) -> OpenSegment {
         OpenSegment { limits, began_at: now, bytes: 0 }
     }
 
-    /// Whether `record_bytes` bytes have to go to the next segment. One record always fits into an empty segment.
+    /// Whether a record of this size has to go to the next segment. A record of any size fits into an empty segment.
     #[must_use]
     pub fn is_full(&self, now: Time, record_bytes: u64) -> bool {
         let too_large = self.bytes + record_bytes > self.limits.segment_bytes;
@@ -91,14 +91,14 @@
         self.bytes > 0 && (too_large || too_old)
     }
 
-    /// Counts bytes that were written.
+    /// Counts bytes that were written to the segment.
     pub fn add_bytes(&mut self, bytes: u64) {
         self.bytes += bytes;
     }
 }
 
-/// Returns the segments to remove so that the rest and `needed_bytes` further bytes fit: the oldest of this gatherer first,
-/// of whatever incarnation, and never the one that is being written. `segments` has all segments.
+/// Returns which of `segments` to remove so that `needed_bytes` further bytes fit into the limit: the oldest of this
+/// gatherer first, of any incarnation, and never `current`, which is being written.
 #[must_use]
 pub fn segments_to_remove(
     mut segments: Vec<StoredSegment>,
--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -1,7 +1,8 @@
-//! Sums of many gatherers' records: queries by class and tenant, attempts by worker, and events, over time.
+//! Summary of the records of many gatherers over time: queries by class and tenant, attempts by worker, and events.
 //!
-//! Owns the sums, in bounded memory: time steps are merged where there would be too many. The report's JSON names stay,
-//! so a field that is named otherwise carries `#[serde(rename)]`. It reads no file and judges nothing.
+//! The module owns the sums, in bounded memory: time steps are merged where there would be too many. The names in the
+//! report's JSON must not change: a field whose Rust name differs has `#[serde(rename)]`. The module reads no files and
+//! draws no conclusions.
 
 use super::metrics::{self, AttemptMetrics, MetricsSnapshot, QueryEnd};
 use super::record::{IncarnationId, Record, RecordBody};
@@ -9,16 +10,16 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Most time steps held; where there would be more, steps are merged in pairs.
+/// Largest number of time steps held; where there would be more, steps are merged in pairs.
 const MAX_STEPS: usize = 1500;
-/// Most histograms held, for the same reason: one takes about 25 kB.
+/// Largest number of histograms held, each of about 25 kB; where there would be more, time steps are merged, too.
 const MAX_HISTOGRAMS: usize = 1600;
-/// Most events held in the timeline: the first ones.
+/// Largest number of events held in the timeline. Events that are read later are dropped and counted.
 const MAX_TIMELINE_EVENTS: usize = 5000;
-/// The shortest time step, in milliseconds: metrics are recorded once per second.
+/// Shortest time step, in milliseconds: metrics are recorded once per second.
 const MIN_STEP_MS: u64 = 1000;
 
-/// Queries by how they ended.
+/// Numbers of queries by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct QueryCounts {
     /// Queries accepted, and those rejected because the process was shutting down.
@@ -32,10 +33,10 @@
     pub complete_late: u64,
     /// Partial responses.
     pub partial: u64,
-    /// Queries rejected, for whatever reason.
+    /// Queries rejected, for any reason.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Queries that failed, for whatever reason.
+    /// Queries that failed, for any reason.
     pub failed: u64,
     /// Queries whose client closed the connection before the response.
     #[serde(rename = "left")]
@@ -56,7 +57,7 @@
             QueryEnd::FailedAbandoned | QueryEnd::FailedDeadlineExceeded => &mut self.failed,
             QueryEnd::ClientDisconnected => &mut self.client_disconnected,
         } += count;
-        // These were never accepted, so no count of accepted queries contains them.
+        // A query that is rejected during a shutdown was not counted as accepted before.
         if end == QueryEnd::RejectedShuttingDown {
             self.received += count;
         }
@@ -86,12 +87,12 @@
     }
 }
 
-/// What queries are summed by.
+/// Class and tenant by which queries are summed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryGroup {
-    /// Their class.
+    /// Name of the class.
     pub class: String,
-    /// Their tenant; empty where none is given.
+    /// Name of the tenant; empty for queries without a tenant.
     pub tenant: String,
 }
 
@@ -121,26 +122,26 @@
 
     fn add_latency(&mut self, class: String, latency: Histogram<u64>) {
         let histogram = self.latency.entry(class).or_insert_with(metrics::new_histogram);
-        // It fails only for values over the bounds of both, and those were clipped when they were recorded.
+        // Fails only for values over the bounds of the histogram, and those were clipped when they were recorded.
         let _ = histogram.add(latency);
     }
 }
 
-/// One incarnation of one gatherer, as its records show it.
+/// Summary of the records of one incarnation of a gatherer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct IncarnationSummary {
-    /// Its first moment on record, in Unix milliseconds of its own clock.
+    /// Time of the first record, in Unix milliseconds by the gatherer's clock.
     pub first_ms: u64,
-    /// Its last moment on record, by the same clock.
+    /// Time of the last record, by the same clock.
     pub last_ms: u64,
-    /// Whether it shut down gracefully, after the responses to all accepted queries.
+    /// Whether the incarnation shut down gracefully, after the responses to all accepted queries.
     pub stopped: bool,
-    /// Lost records that it reports.
+    /// Number of lost records that the incarnation reports.
     #[serde(rename = "told_lost")]
     pub reported_lost: u64,
-    /// Records that are missing from the sequence, reported or not.
+    /// Number of records that are missing from the sequence, reported or not.
     pub missing: u64,
-    /// Queries accepted whose end is not on record, by class.
+    /// Number of accepted queries whose end is not on record, by class.
     pub open: BTreeMap<String, i64>,
     #[serde(skip)]
     classes: Vec<String>,
@@ -148,41 +149,41 @@
     tenants: Vec<String>,
     #[serde(skip)]
     next_seq: u64,
-    /// Begin of the time step in which each class's last query was accepted.
+    /// Start of the time step in which the last query of each class was accepted, in Unix milliseconds.
     #[serde(skip)]
     last_accepted: BTreeMap<String, u64>,
 }
 
-/// Something that happened at one moment.
+/// An event of the timeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimelineEvent {
-    /// When, in Unix milliseconds of the gatherer's clock.
+    /// Time of the event, in Unix milliseconds by the gatherer's clock.
     pub at_ms: u64,
-    /// The gatherer that recorded it.
+    /// Name of the gatherer that recorded the event.
     pub gatherer: String,
-    /// Its incarnation.
+    /// Name of the incarnation that recorded the event.
     #[serde(rename = "start")]
     pub incarnation: String,
-    /// What happened, in words.
+    /// Text that describes the event.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// Adds records up.
+/// Sums up records, which are added one by one.
 #[derive(Debug)]
 pub struct Summary {
     step_ms: u64,
     from_ms: u64,
     to_ms: u64,
-    /// Time steps by their begin, in Unix milliseconds.
+    /// Time steps by their start, in Unix milliseconds.
     pub steps: BTreeMap<u64, TimeStep>,
-    /// Incarnations of all gatherers.
+    /// Summaries of the incarnations of all gatherers.
     pub incarnations: BTreeMap<IncarnationId, IncarnationSummary>,
     /// Events, in the order in which they were read.
     pub timeline: Vec<TimelineEvent>,
-    /// Events dropped, because the timeline was full.
+    /// Number of events dropped, because the timeline was full.
     pub timeline_dropped: u64,
-    /// Number of time steps when the bounds were last checked.
+    /// Number of time steps when the limits were last checked.
     steps_at_last_check: usize,
 }
 
@@ -208,7 +209,8 @@
         self.step_ms
     }
 
-    /// Adds a record. Outside the summary's time, only its effect on its incarnation counts.
+    /// Adds a record. A record outside the time of the summary counts only for the sequence and the names of its
+    /// incarnation.
     pub fn add_record(&mut self, record: Record) {
         let Record { gatherer, incarnation, seq, at_ms, body, .. } = record;
         let id = IncarnationId { gatherer, incarnation };
@@ -252,14 +254,13 @@
         let step_start_ms = at_ms / self.step_ms * self.step_ms;
         let step = self.steps.entry(step_start_ms).or_default();
         let Some(incarnation) = self.incarnations.get_mut(id) else { return };
-        // A number without a name shows as such: the record of the start is missing.
-        let name_of = |names: &[String], number: usize| {
-            names.get(number).cloned().unwrap_or_else(|| format!("#{number}"))
-        };
+        // If the record of the start is missing, a class or tenant has no name and is shown by its index.
+        let name_of =
+            |names: &[String], index: usize| names.get(index).cloned().unwrap_or_else(|| format!("#{index}"));
         for queries in metrics.queries {
             let class = name_of(&incarnation.classes, queries.class);
             let tenant =
-                queries.tenant.map_or_else(String::new, |number| name_of(&incarnation.tenants, number));
+                queries.tenant.map_or_else(String::new, |index| name_of(&incarnation.tenants, index));
             let counts = step.queries.entry(QueryGroup { class: class.clone(), tenant }).or_default();
             counts.received += queries.accepted;
             let open = incarnation.open.entry(class.clone()).or_default();
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Merges steps in pairs, so that memory stays bounded however long a time the records cover.
+    /// Merges steps in pairs, so that memory is bounded however long a time the records cover.
     fn merge_steps(&mut self) {
         self.step_ms *= 2;
         for (step_start_ms, step) in std::mem::take(&mut self.steps) {
@@ -308,9 +309,9 @@
         }
     }
 
-    /// Ends the summary once all records are added. Queries that were accepted and have no end on record count as
-    /// unknown, in the time step in which their incarnation last accepted a query of their class. They are never left out,
-    /// and never guessed to have ended in some way.
+    /// Completes the summary once all records are added. Queries that were accepted and have no end on record count as
+    /// unknown, in the time step in which their incarnation last accepted a query of their class. No end is assumed for
+    /// them, and they are not left out.
     pub fn finish(&mut self) {
         for incarnation in self.incarnations.values() {
             for (class, open) in &incarnation.open {
@@ -328,7 +329,7 @@
         }
     }
 
-    /// Counts by class, over all time steps and tenants.
+    /// Returns the counts by class, over all time steps and tenants.
     #[must_use]
     pub fn totals_by_class(&self) -> BTreeMap<String, QueryCounts> {
         let mut totals: BTreeMap<String, QueryCounts> = BTreeMap::new();
@@ -339,8 +340,8 @@
     }
 }
 
-/// Describes a record as an event of the timeline; `None` for metrics, which are no event. The words stay as they are:
-/// they are in the report's JSON.
+/// Describes a record as an event of the timeline; `None` for metrics. The texts are in the report's JSON and must not
+/// change.
 fn describe_event(body: &RecordBody) -> Option<String> {
     Some(match body {
         RecordBody::Metrics(_) => return None,
--- a/src/records/writer.rs
+++ b/src/records/writer.rs
@@ -1,7 +1,7 @@
 //! Writes records to segments on a disk that may fail at any point.
 //!
-//! Owns the sequence numbers, the open segment and the count of lost records. A lost record is counted and reported by a
-//! later one; the writer never waits for a disk and never tries a record twice.
+//! The writer owns the sequence numbers, the open segment and the count of lost records. A lost record is counted and
+//! reported by a later record. The writer does not retry a record, and does not use a failed disk during a backoff.
 
 use super::record::{MAX_RECORD_BYTES, Record, RecordBody, VERSION};
 use super::segments::{OpenSegment, SegmentLimits, SegmentName, StoredSegment, segments_to_remove};
@@ -9,58 +9,58 @@
 use std::io;
 use std::time::Duration;
 
-/// Pause after a failure of the disk before it is used again; it doubles with each failure in a row...
+/// Backoff after the first failure of the disk. It doubles with each consecutive failure, up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// ...up to this.
+/// Longest backoff after a failure of the disk.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
-/// Why records are lost during a pause. It does not replace the reason that led to the pause.
+/// Why records are lost during a backoff. It does not replace the reason that led to the backoff.
 const BACKOFF_LOSS_REASON: &str = "the disk failed a moment ago";
 
 /// A file in the folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredFile {
-    /// Its name.
+    /// Name of the file.
     pub name: String,
-    /// Its size, in bytes.
+    /// Size of the file, in bytes.
     pub bytes: u64,
 }
 
 /// The operations on a folder that the writer needs.
 pub trait Disk {
-    /// Creates a file that must not exist yet, and closes the one that was open.
+    /// Creates a file, which must not exist, and closes the one that was open.
     ///
     /// # Errors
     ///
-    /// Fails where the file exists or cannot be created.
+    /// If the file exists or cannot be created.
     fn create(&mut self, file: &str) -> io::Result<()>;
     /// Appends to the file that was created last.
     ///
     /// # Errors
     ///
-    /// Fails where not all bytes could be written; some may have been.
+    /// If not all bytes could be written; some may have been.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Lists the files.
+    /// Lists the files in the folder.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be read.
+    /// If the folder cannot be read.
     fn list(&mut self) -> io::Result<Vec<StoredFile>>;
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Fails with [`io::ErrorKind::NotFound`] where there is no such file, and otherwise where it cannot be removed.
+    /// [`io::ErrorKind::NotFound`] if the file does not exist; any other error if it cannot be removed.
     fn remove(&mut self, file: &str) -> io::Result<()>;
 }
 
-/// A time during which the disk is not used, because it failed.
+/// A period in which the disk is not used, because it failed.
 #[derive(Clone, Copy)]
 struct Backoff {
     until: Time,
     length: Duration,
 }
 
-/// Numbers records, assigns them to segments, and continues after any failure of the disk.
+/// Numbers records and appends them to segments. After a failure of the disk, the writer continues in a new segment.
 pub struct Writer<D> {
     disk: D,
     gatherer: String,
@@ -69,14 +69,15 @@
     segment_number: u32,
     next_seq: u64,
     segment: Option<OpenSegment>,
+    /// Lost records that no written record reports yet.
     unreported: u64,
     last_loss_reason: String,
-    /// The pause after the last failure; `None` once a record was written.
+    /// Backoff after the last failure; `None` once a record was written.
     backoff: Option<Backoff>,
 }
 
 impl<D: Disk> Writer<D> {
-    /// Creates the writer for this incarnation of this gatherer. It does not touch the disk yet.
+    /// Creates the writer of an incarnation of a gatherer. It does not use the disk before the first record.
     pub fn new(disk: D, gatherer: &str, incarnation: &str, limits: SegmentLimits) -> Writer<D> {
         Writer {
             disk,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Lost records that no written record reports yet.
+    /// Number of lost records that no written record reports yet.
     pub fn unreported(&self) -> u64 {
         self.unreported
     }
@@ -105,7 +106,7 @@
         &mut self.disk
     }
 
-    /// Counts records that were dropped before they reached the writer.
+    /// Counts records as lost that were dropped before they reached the writer.
     pub fn count_dropped(&mut self, count: u64, reason: &str) {
         if count > 0 {
             self.unreported += count;
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Writes a record of this moment, which is `at_ms` by the system's clock. Returns whether it was written.
+    /// Writes a record. `now` is the monotonic time, and `at_ms` the Unix time in milliseconds. Returns false if the
+    /// record is lost.
     pub fn write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> bool {
         if self.backoff.is_some_and(|backoff| now < backoff.until) {
             self.count_lost(BACKOFF_LOSS_REASON);
@@ -132,16 +134,16 @@
         }
     }
 
-    /// Leaves the disk alone for a while, longer with each failure in a row.
+    /// Starts a backoff, longer with each consecutive failure.
     fn back_off(&mut self, now: Time) {
-        // The segment may end in a torn record now: nothing more goes into it.
+        // The segment may end in a torn record, so that nothing may be appended to it.
         self.segment = None;
         let length = self.backoff.map_or(INITIAL_BACKOFF, |backoff| (backoff.length * 2).min(MAX_BACKOFF));
         self.backoff = Some(Backoff { until: now.after(length), length });
     }
 
     fn count_lost(&mut self, reason: &str) {
-        // The number stays unused, so that a reader notices the loss even if no record ever reports it.
+        // The sequence number is not used again, so that a reader notices the loss even if no record ever reports it.
         self.next_seq += 1;
         self.unreported += 1;
         if reason != BACKOFF_LOSS_REASON || self.backoff.is_none() || self.last_loss_reason.is_empty() {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Writes a record, behind the report of records lost before it.
+    /// Writes a record and, before it, the report of records lost so far.
     fn try_write(&mut self, now: Time, at_ms: u64, body: RecordBody) -> io::Result<()> {
         if self.unreported > 0 {
             let gap = RecordBody::Gap { lost: self.unreported, reason: self.last_loss_reason.clone() };
@@ -173,7 +175,7 @@
         Ok(())
     }
 
-    /// Encodes the next record in sequence. It fails where the record is too long for a reader.
+    /// Encodes the next record. Fails if the record is longer than readers accept.
     fn encode(&self, at_ms: u64, body: RecordBody) -> io::Result<Vec<u8>> {
         let record = Record {
             version: VERSION,
@@ -190,7 +192,8 @@
         Ok(bytes)
     }
 
-    /// Begins the next segment, for a record of this length. Its number is used up even where it cannot be created.
+    /// Starts the next segment, for a record of this length. The number of a segment that cannot be created is not used
+    /// again.
     fn begin_segment(&mut self, now: Time, record_bytes: u64) -> io::Result<()> {
         self.segment = None;
         self.segment_number += 1;
@@ -202,7 +205,8 @@
         Ok(())
     }
 
-    /// Makes room for `needed_bytes` bytes: the folder stays within its limit, and the process never fills the disk by itself.
+    /// Removes segments until `needed_bytes` further bytes fit into the limit, so that the process never fills the disk
+    /// by itself.
     fn remove_old_segments(&mut self, current: &SegmentName, needed_bytes: u64) -> io::Result<()> {
         let files = self.disk.list()?.into_iter();
         let segments = files.filter_map(|file| {
