--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -10,8 +10,18 @@
 use std::thread;
 use std::time::Duration;
 
+/// How the server ends the connection.
+#[derive(Clone, Copy, PartialEq)]
+enum ConnectionEnd {
+    Close,
+    Reset,
+}
+
 /// The result of an exchange whose response comes in these pieces, followed by a close or a reset.
-fn exchange_with(pieces: &'static [&'static str], by_reset: bool) -> Result<String, ExchangeError> {
+fn exchange_with_server(
+    pieces: &'static [&'static str],
+    end: ConnectionEnd,
+) -> Result<String, ExchangeError> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = thread::spawn(move || {
@@ -21,7 +31,7 @@
         for piece in pieces {
             stream.write_all(piece.as_bytes()).expect("written");
         }
-        if by_reset {
+        if end == ConnectionEnd::Reset {
             set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
         }
     });
@@ -38,20 +48,29 @@
 #[test]
 fn a_response_without_a_length_ends_at_the_close_and_not_at_a_reset() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
-    assert_eq!(exchange_with(&[HEAD, "{\"a\":", "1}"], false).expect("an answer"), "{\"a\":1}");
+    assert_eq!(
+        exchange_with_server(&[HEAD, "{\"a\":", "1}"], ConnectionEnd::Close).expect("an answer"),
+        "{\"a\":1}"
+    );
     for pieces in [&[HEAD, "{\"a\":1}"][..], &[HEAD], &["HTTP/1.1 200 O"]] {
-        assert!(matches!(exchange_with(pieces, true), Err(ExchangeError::NoResponse(_))), "{pieces:?}");
+        assert!(
+            matches!(exchange_with_server(pieces, ConnectionEnd::Reset), Err(ExchangeError::NoResponse(_))),
+            "{pieces:?}"
+        );
     }
     // Where there is a length, or chunks, only that ends it.
-    const LONG: &str = "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\":1}";
-    const CHUNKS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n";
-    for piece in [&[LONG][..], &[CHUNKS], &["HTTP/1.1 200 OK\r\nContent-"]] {
-        assert!(matches!(exchange_with(piece, false), Err(ExchangeError::NoResponse(_))), "{piece:?}");
+    const INCOMPLETE_BODY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\":1}";
+    const INCOMPLETE_CHUNKS: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n{\"a\":1}\r\n";
+    for pieces in [&[INCOMPLETE_BODY][..], &[INCOMPLETE_CHUNKS], &["HTTP/1.1 200 OK\r\nContent-"]] {
+        assert!(
+            matches!(exchange_with_server(pieces, ConnectionEnd::Close), Err(ExchangeError::NoResponse(_))),
+            "{pieces:?}"
+        );
     }
     // Its length is limited like any other's.
-    const MANY_BYTES: &str =
+    const BODY_PIECE: &str =
         "1234567890123456789012345678901234567890123456789012345678901234567890123456789012345678901";
-    let too_long = exchange_with(&[HEAD, MANY_BYTES, MANY_BYTES], false);
+    let too_long = exchange_with_server(&[HEAD, BODY_PIECE, BODY_PIECE], ConnectionEnd::Close);
     assert!(
         matches!(too_long, Err(ExchangeError::Malformed(http::MalformedMessage::BodyTooLong))),
         "{too_long:?}"
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -89,7 +89,7 @@
 }
 
 /// A query of four parts.
-fn request(id: &str) -> Vec<u8> {
+fn encode_query(id: &str) -> Vec<u8> {
     let part = |shard: u32| format!(r#"{{"range":{shard},"portion":0.25}}"#);
     let parts: Vec<String> = (0..4).map(part).collect();
     let body = format!(r#"{{"ranges":[{}],"predicate":"c41e"}}"#, parts.join(","));
@@ -102,7 +102,7 @@
     let mut stream = TcpStream::connect(address).expect("connected");
     let mut buffer = BytesMut::new();
     for number in 0..count {
-        stream.write_all(&request(&format!("{name}-{number}"))).expect("written");
+        stream.write_all(&encode_query(&format!("{name}-{number}"))).expect("written");
         let response = loop {
             if let Some(response) =
                 http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response")
@@ -194,12 +194,12 @@
     wait_for_records(&records, 3 * 180);
     // The gatherer that is killed accepts one more query, and has recorded that by then.
     delay_ms.store(STUCK_DELAY_MS, Ordering::Relaxed);
-    let mut lost = TcpStream::connect(&g1.address).expect("connected");
-    lost.write_all(&request("lost")).expect("written");
+    let mut unanswered = TcpStream::connect(&g1.address).expect("connected");
+    unanswered.write_all(&encode_query("lost")).expect("written");
     wait_for_records(&records, 3 * 180 + 1);
     g1.child.kill().expect("killed");
     g1.child.wait().expect("it ends");
-    assert!(!matches!(lost.read(&mut [0; 64]), Ok(1..)), "it gets no response");
+    assert!(!matches!(unanswered.read(&mut [0; 64]), Ok(1..)), "it gets no response");
     delay_ms.store(SLOW_DELAY_MS, Ordering::Relaxed);
     send_queries_to(&[&g0, &g2], "during", 30);
     delay_ms.store(NORMAL_DELAY_MS, Ordering::Relaxed);
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -20,15 +20,17 @@
 
 /// Connects to servers that answer every search, and notes each address.
 #[derive(Default)]
-struct AnsweringServers(RefCell<Vec<String>>);
+struct RespondingServers {
+    addresses: RefCell<Vec<String>>,
+}
 
-impl Connector for AnsweringServers {
+impl Connector for RespondingServers {
     fn connect<'a>(&'a self, address: &'a str) -> ConnectFuture<'a> {
         Box::pin(async move {
-            self.0.borrow_mut().push(address.to_owned());
-            let (near, far) = tokio::io::duplex(1 << 16);
-            spawn_local(serve_searches(far));
-            Ok(Box::new(near) as Box<dyn Stream>)
+            self.addresses.borrow_mut().push(address.to_owned());
+            let (client_end, server_end) = tokio::io::duplex(1 << 16);
+            spawn_local(serve_searches(server_end));
+            Ok(Box::new(client_end) as Box<dyn Stream>)
         })
     }
 }
@@ -56,7 +58,7 @@
 }
 
 /// Runs with one index server.
-fn run<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<AnsweringServers>) -> F) {
+fn run_with_index_server<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<RespondingServers>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let config = platform_config();
@@ -65,7 +67,7 @@
         let mut list = config.initial_workers.expect("a list");
         list.workers.truncate(1);
         broker.apply_endpoint_update(&list, true);
-        let connector = Rc::new(AnsweringServers::default());
+        let connector = Rc::new(RespondingServers::default());
         let servers = IndexServers::new(broker.clone(), connector.clone(), descriptor_pool);
         let driver = broker.clone();
         spawn_local(async move { driver.drive(&servers).await });
@@ -79,13 +81,13 @@
 
 #[test]
 fn a_server_at_a_new_address_is_searched_there() {
-    run(|broker, connector| async move {
+    run_with_index_server(|broker, connector| async move {
         assert!(is_complete(&submit(&broker, "a", "search").await));
         let mut moved = broker.with_core(|core| core.endpoint_list());
         moved.workers[0].address = "elsewhere".to_owned();
         broker.apply_endpoint_update(&moved, false);
         assert!(is_complete(&submit(&broker, "b", "search").await));
-        assert_eq!(*connector.0.borrow(), ["w1", "elsewhere"]);
+        assert_eq!(*connector.addresses.borrow(), ["w1", "elsewhere"]);
     });
 }
 
@@ -93,10 +95,14 @@
 fn a_non_idempotent_search_is_sent_on_a_new_connection() {
     // The server may close or reset an idle connection just then: the search may have run, and its result is
     // lost.
-    run(|broker, connector| async move {
+    run_with_index_server(|broker, connector| async move {
         for (label, class) in [("a", "search"), ("b", "search"), ("c", "seal")] {
             assert!(is_complete(&submit(&broker, label, class).await));
         }
-        assert_eq!(connector.0.borrow().len(), 2, "one for the two idempotent searches, one for the third");
+        assert_eq!(
+            connector.addresses.borrow().len(),
+            2,
+            "one for the two idempotent searches, one for the third"
+        );
     });
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -124,7 +124,9 @@
 
 proptest! {
     #[test]
-    fn any_sequence_of_events_keeps_the_sums(events in prop::collection::vec(test_event(), 1..120)) {
+    fn every_query_is_counted_once_in_any_sequence_of_events(
+        events in prop::collection::vec(test_event(), 1..120),
+    ) {
         let mut run = RandomRun::new();
         for event in events {
             run.apply(event);
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -11,17 +11,17 @@
 fn foreign_incompatible_torn_and_damaged_handover_messages_are_distinguished() {
     let complete =
         handover::encode(&Message::TakeoverRequest { listen: "127.0.0.1:9".to_owned() }).expect("encoded");
-    let read = |bytes: &[u8]| handover::take_message(&mut BytesMut::from(bytes));
-    assert!(matches!(read(&complete), Ok(Some(Message::TakeoverRequest { .. }))));
-    assert!(matches!(read(&complete[..complete.len() - 1]), Ok(None)));
+    let decode = |bytes: &[u8]| handover::take_message(&mut BytesMut::from(bytes));
+    assert!(matches!(decode(&complete), Ok(Some(Message::TakeoverRequest { .. }))));
+    assert!(matches!(decode(&complete[..complete.len() - 1]), Ok(None)));
     let text = String::from_utf8(complete.to_vec()).expect("text");
-    let changed = |from: &str, to: &str| read(text.replacen(from, to, 1).as_bytes());
-    assert!(matches!(changed(" 1 ", " 2 "), Err(HandoverError::Version(2))));
-    assert!(matches!(changed("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
-    assert!(matches!(changed("127", "128"), Err(HandoverError::Damaged)));
-    assert!(matches!(read(&[b'a'; 80]), Err(HandoverError::Foreign)));
+    let decode_with = |from: &str, to: &str| decode(text.replacen(from, to, 1).as_bytes());
+    assert!(matches!(decode_with(" 1 ", " 2 "), Err(HandoverError::Version(2))));
+    assert!(matches!(decode_with("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
+    assert!(matches!(decode_with("127", "128"), Err(HandoverError::Damaged)));
+    assert!(matches!(decode(&[b'a'; 80]), Err(HandoverError::Foreign)));
     assert!(matches!(
-        read(b"clayshore-handover 1 9999999999 0\n"),
+        decode(b"clayshore-handover 1 9999999999 0\n"),
         Err(HandoverError::TooLong(9_999_999_999))
     ));
 }
@@ -53,7 +53,7 @@
 }
 
 /// The body of an encoded hand-over message.
-fn body(message: &[u8]) -> Value {
+fn decode_body(message: &[u8]) -> Value {
     let end = message.iter().position(|byte| *byte == b'\n').expect("a first line");
     serde_json::from_slice(&message[end + 1..]).expect("JSON")
 }
@@ -103,6 +103,6 @@
         let line = format!("clayshore-handover 1 {} {:016x}\n{text}", text.len(), xxh3_64(text.as_bytes()));
         let message = handover::take_message(&mut BytesMut::from(line.as_bytes()));
         let message = message.expect(&text).expect("a complete message");
-        assert_eq!(body(&handover::encode(&message).expect("encoded")), expected);
+        assert_eq!(decode_body(&handover::encode(&message).expect("encoded")), expected);
     }
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -39,7 +39,7 @@
 
 impl MemoryDisk {
     /// Counts a call, which fails if that is planned.
-    fn call(&mut self) -> io::Result<()> {
+    fn count_call(&mut self) -> io::Result<()> {
         match &mut self.planned_failures {
             Some(PlannedFailures { calls_before: 0, failures: 0 }) => self.planned_failures = None,
             Some(PlannedFailures { calls_before: 0, failures }) => {
@@ -55,38 +55,38 @@
 
 impl Disk for MemoryDisk {
     fn create(&mut self, file: &str) -> io::Result<()> {
-        self.call()?;
+        self.count_call()?;
         assert!(self.files.insert(file.to_owned(), Vec::new()).is_none(), "{file} exists already");
         self.open = Some(file.to_owned());
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let file = self.open.clone().expect("a file was begun");
-        let result = self.call();
+        let result = self.count_call();
         let written = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
         self.files.get_mut(&file).expect("the file exists").extend_from_slice(&bytes[..written]);
         result
     }
     fn list(&mut self) -> io::Result<Vec<StoredFile>> {
-        self.call()?;
+        self.count_call()?;
         let stored =
             |(name, bytes): (&String, &Vec<u8>)| StoredFile { name: name.clone(), bytes: bytes.len() as u64 };
         Ok(self.files.iter().map(stored).collect())
     }
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.call()?;
+        self.count_call()?;
         let removed = self.files.remove(file).filter(|_| !self.shared);
         removed.map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
 /// The body of the record with this number.
-fn body(number: u64) -> RecordBody {
+fn reload_body(number: u64) -> RecordBody {
     RecordBody::Reload { applied: true, detail: format!("number {number}") }
 }
 
 /// Reads all files; returns the valid records and the damaged ones.
-fn read(files: &BTreeMap<String, Vec<u8>>) -> (Vec<Record>, Vec<DamagedRecord>) {
+fn read_files(files: &BTreeMap<String, Vec<u8>>) -> (Vec<Record>, Vec<DamagedRecord>) {
     let (mut reader, mut records, mut damaged) = (Reader::default(), Vec::new(), Vec::new());
     for (name, bytes) in files {
         reader
@@ -98,14 +98,14 @@
 }
 
 /// Records with the sequence numbers from 0.
-fn records(count: u64) -> Vec<Record> {
+fn make_records(count: u64) -> Vec<Record> {
     let record = |seq| Record {
         version: VERSION,
         gatherer: "g0".to_owned(),
         incarnation: "s1".to_owned(),
         seq,
         at_ms: 1000 * seq,
-        body: body(seq),
+        body: reload_body(seq),
     };
     (0..count).map(record).collect()
 }
@@ -114,7 +114,7 @@
 fn two_processes_of_a_hot_restart_that_share_a_folder_lose_no_record_to_each_other() {
     let mut writer = Writer::new(MemoryDisk { shared: true, ..MemoryDisk::default() }, "g0", "s1", LIMITS);
     for number in 0..100 {
-        let written = writer.write(Time(number * 1_000_000_000), number * 1000, body(number));
+        let written = writer.write(Time(number * 1_000_000_000), number * 1000, reload_body(number));
         assert!(written, "record {number}: {}", writer.last_loss_reason());
     }
 }
@@ -129,16 +129,16 @@
             let mut writer = Writer::new(disk, "g0", "s1", limits);
             let mut reported_written = Vec::new();
             for number in 0..60 {
-                if writer.write(Time(number * 1_000_000_000), number * 1000, body(number)) {
+                if writer.write(Time(number * 1_000_000_000), number * 1000, reload_body(number)) {
                     reported_written.push(number);
                 }
             }
             let unreported = writer.unreported();
-            let (records, damaged) = read(&writer.disk().files);
+            let (records, damaged) = read_files(&writer.disk().files);
             assert!(damaged.iter().all(|damage| damage.error == RecordError::Torn), "{damaged:?}");
             let numbers: Vec<u64> = records
                 .iter()
-                .filter(|record| record.body != body(0))
+                .filter(|record| record.body != reload_body(0))
                 .map(|record| record.at_ms / 1000)
                 .collect();
             assert!(numbers.is_sorted());
@@ -167,13 +167,13 @@
 fn segments_rotate_by_size_and_age_and_the_oldest_are_removed() {
     let mut writer = Writer::new(MemoryDisk::default(), "g0", "s1", LIMITS);
     for number in 0..200 {
-        assert!(writer.write(Time(number * 1_000_000), number, body(number)));
+        assert!(writer.write(Time(number * 1_000_000), number, reload_body(number)));
         let total: usize = writer.disk().files.values().map(Vec::len).sum();
         assert!(total as u64 <= LIMITS.total_bytes, "{total} bytes");
         assert!(writer.disk().files.values().all(|bytes| bytes.len() as u64 <= LIMITS.segment_bytes));
     }
     let before = writer.disk().files.len();
-    assert!(writer.write(Time(100_000_000_000), 0, body(0)), "the segment is over its age");
+    assert!(writer.write(Time(100_000_000_000), 0, reload_body(0)), "the segment is over its age");
     assert!(writer.disk().files.len() >= before);
     // A gatherer does not remove another's segments.
     let (own, other) = (SegmentName::new("g0", "s1", 9), SegmentName::new("g1", "s1", 1));
@@ -186,29 +186,29 @@
 
 #[test]
 fn damaged_records_are_reported_by_line_and_not_counted() {
-    let all = records(10);
+    let all = make_records(10);
     let encoded: Vec<Vec<u8>> = all.iter().map(Record::encode).collect();
     let file = |parts: &[&[u8]]| BTreeMap::from([("f".to_owned(), parts.concat())]);
     let range = |from: usize, to: usize| encoded[from..to].concat();
-    let read = |parts: &[&[u8]]| {
-        let (records, damaged) = read(&file(parts));
+    let read_parts = |parts: &[&[u8]]| {
+        let (records, damaged) = read_files(&file(parts));
         let errors: Vec<_> = damaged.into_iter().map(|damage| (damage.line, damage.error)).collect();
         (records.len(), errors)
     };
-    assert_eq!(read(&[&range(0, 10)]), (10, vec![]));
+    assert_eq!(read_parts(&[&range(0, 10)]), (10, vec![]));
     let cut = encoded[9].len() / 2;
-    assert_eq!(read(&[&range(0, 9), &encoded[9][..cut]]), (9, vec![(10, RecordError::Torn)]));
+    assert_eq!(read_parts(&[&range(0, 9), &encoded[9][..cut]]), (9, vec![(10, RecordError::Torn)]));
     let duplicate = (4, RecordError::Duplicate(2));
-    assert_eq!(read(&[&range(0, 3), &encoded[2], &range(3, 5)]), (5, vec![duplicate]));
+    assert_eq!(read_parts(&[&range(0, 3), &encoded[2], &range(3, 5)]), (5, vec![duplicate]));
     let out_of_order = (3, RecordError::OutOfOrder { found: 1, after: 3 });
-    assert_eq!(read(&[&encoded[0], &encoded[3], &encoded[1], &encoded[4]]), (3, vec![out_of_order]));
+    assert_eq!(read_parts(&[&encoded[0], &encoded[3], &encoded[1], &encoded[4]]), (3, vec![out_of_order]));
     // The checksum of a record of a newer version matches, but this program must not read the rest.
     let newer = Record { version: 2, ..all[5].clone() }.encode();
     let newer_version = (2, RecordError::NewerVersion(2));
-    assert_eq!(read(&[&encoded[0], &newer, &encoded[6]]), (2, vec![newer_version]));
+    assert_eq!(read_parts(&[&encoded[0], &newer, &encoded[6]]), (2, vec![newer_version]));
     let long = [vec![b'x'; MAX_RECORD_BYTES + 10], b"\n".to_vec()].concat();
-    assert_eq!(read(&[&encoded[0], &long, &encoded[1]]), (2, vec![(2, RecordError::TooLong)]));
-    assert_eq!(read(&[b"\n{}\n"]).1.len(), 2);
+    assert_eq!(read_parts(&[&encoded[0], &long, &encoded[1]]), (2, vec![(2, RecordError::TooLong)]));
+    assert_eq!(read_parts(&[b"\n{}\n"]).1.len(), 2);
 }
 
 #[test]
@@ -226,7 +226,7 @@
     let bodies = [
         RecordBody::Start { configuration: "0f".to_owned(), classes: vec!["a".to_owned()], tenants: vec![] },
         RecordBody::Stop,
-        body(1),
+        reload_body(1),
         RecordBody::EndpointList { revision: 4, complete: true, workers: 3 },
         RecordBody::Worker { worker, state: RecordedWorkerState::Draining },
         RecordBody::Overload { begins: true },
@@ -234,7 +234,7 @@
         RecordBody::Metrics(accumulator.take_snapshot()),
     ];
     for body in bodies {
-        let record = Record { body, ..records(1).remove(0) };
+        let record = Record { body, ..make_records(1).remove(0) };
         let json: serde_json::Value = serde_json::from_slice(&record.encode()).expect("JSON");
         assert!(validator.is_valid(&json), "{json}");
         assert_eq!(Record::decode(&record.encode()), Ok(record));
@@ -293,7 +293,7 @@
         changed in any::<u8>(),
         seq in 0u64..1000,
     ) {
-        let record = Record { seq, ..records(1).remove(0) };
+        let record = Record { seq, ..make_records(1).remove(0) };
         let mut bytes = record.encode();
         let position = position % (bytes.len() - 1);
         prop_assume!(bytes[position] != changed);
@@ -303,7 +303,7 @@
 
     #[test]
     fn the_reader_never_panics_and_never_counts_noise(noise in prop::collection::vec(any::<u8>(), 0..3000)) {
-        let (found, _) = read(&BTreeMap::from([("f".to_owned(), noise.clone())]));
+        let (found, _) = read_files(&BTreeMap::from([("f".to_owned(), noise.clone())]));
         prop_assert!(found.is_empty());
         // Noise between two records damages neither.
         prop_assert_eq!(valid_records_around(&noise), 2);
@@ -364,7 +364,7 @@
 
 /// Number of valid records that are read of two with this noise between them.
 fn valid_records_around(noise: &[u8]) -> usize {
-    let all = records(2);
-    let parts = [&all[0].encode()[..], noise, b"\n", &all[1].encode()].concat();
-    read(&BTreeMap::from([("f".to_owned(), parts)])).0.len()
+    let records = make_records(2);
+    let parts = [&records[0].encode()[..], noise, b"\n", &records[1].encode()].concat();
+    read_files(&BTreeMap::from([("f".to_owned(), parts)])).0.len()
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 /// Runs the adapter on this input; returns its exit status, output and errors.
-fn run(input: &str) -> (bool, String, String) {
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -21,7 +21,7 @@
     )
 }
 
-const START: &str = "turn 1000000000
+const CONFIGURE: &str = "turn 1000000000
 to 3
 start 51381 allowed.cancel=true allowed.most-tries=3 allowed.probing=true allowed.retry-after=true \
 allowed.max-retry-after=2000000000 allowed.second-copies=true balancers=2 categories.count=1 \
@@ -37,25 +37,25 @@
 end
 ";
 
-const ASK: &str = "turn 1005000000
+const SUBMIT: &str = "turn 1005000000
 to 3
 submit 560c18c75d3a91c4 0 0 q:kd6b5sum7ecwe 5005000000 - 214 -1 1 0 0
 submit 560c18c75d3a91c5 0 0 q:kd6b5sum7ecwe 5005000000 12000000 214 0 1 0 0
 end
 ";
 
-fn issued(reply: &str) -> String {
+fn issued_worker(reply: &str) -> String {
     let line = reply.lines().find(|line| line.starts_with("issue ")).expect("an attempt");
     line.split(' ').nth(2).expect("a worker").to_owned()
 }
 
 #[test]
 fn a_query_is_sent_and_answered() {
-    let (_, reply, _) = run(&format!("{START}{ASK}"));
-    let worker = issued(&reply);
-    let done =
+    let (_, reply, _) = run_adapter(&format!("{CONFIGURE}{SUBMIT}"));
+    let worker = issued_worker(&reply);
+    let completed =
         format!("turn 1100000000\nto 3\ncompleted 560c18c75d3a91c5 0 {worker} done 95000000 1 0.5,7\nend\n");
-    let (ok, reply, errors) = run(&format!("turn 1\nend\n{START}{ASK}{done}"));
+    let (ok, reply, errors) = run_adapter(&format!("turn 1\nend\n{CONFIGURE}{SUBMIT}{completed}"));
     assert!(ok, "{errors}");
     assert!(reply.starts_with("done\nfrom 3\ntail 1\n"), "{reply}");
     assert!(reply.contains("\nissue 560c18c75d3a91c5 "));
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn every_message_is_understood() {
-    let rest = "turn 1200000000
+fn every_message_is_accepted() {
+    let all_messages = "turn 1200000000
 to 3
 established 560c18c75d3a91c5 0 51530247 5
 client_left 560c18c75d3a91c4
@@ -84,19 +84,19 @@
 start 7 categories.count=0
 end
 ";
-    let (ok, reply, errors) = run(&format!("{START}{ASK}{rest}"));
+    let (ok, reply, errors) = run_adapter(&format!("{CONFIGURE}{SUBMIT}{all_messages}"));
     assert!(ok, "{errors}");
     assert!(reply.ends_with("done\n"));
 }
 
 #[test]
 fn the_same_input_gives_the_same_output() {
-    let input = format!("{START}{ASK}");
-    assert_eq!(run(&input).1, run(&input).1);
+    let input = format!("{CONFIGURE}{SUBMIT}");
+    assert_eq!(run_adapter(&input).1, run_adapter(&input).1);
 }
 
 #[test]
-fn malformed_input_is_named_by_line_and_field() {
+fn malformed_input_is_reported_with_its_line_and_field() {
     let cases = [
         ("hello\n", "line 1", "turn"),
         ("turn x\n", "line 1", "now"),
@@ -115,7 +115,7 @@
         ("turn 5\nto 3\n", "line 2", "inside a batch"),
     ];
     for (input, line, field) in cases {
-        let (ok, _, errors) = run(input);
+        let (ok, _, errors) = run_adapter(input);
         assert!(!ok, "accepted {input:?}");
         assert!(errors.contains(line) && errors.contains(field), "{input:?} gave {errors:?}");
         assert!(!errors.contains("panicked"), "{errors}");
