--- a/examples/report_scale.rs
+++ b/examples/report_scale.rs
@@ -1,5 +1,7 @@
-//! Measures a report over many records: `cargo run --release --example report_scale -- RECORDS`. It writes this number of
-//! records of 20 gatherers to a temporary folder, reads them in one pass, and prints the time and the peak memory.
+//! Measures the time and the peak memory of a report over many records.
+//!
+//! `cargo run --release --example report_scale -- RECORDS` writes this number of records of 20 gatherers to a temporary
+//! folder, reads them in one pass, and prints the time and the peak memory of both steps.
 
 use gatherer::policy::Time;
 use gatherer::program::inspect::Report;
@@ -10,19 +12,20 @@
 use std::time::{Duration, Instant};
 
 const GATHERERS: u64 = 20;
+/// Queries per gatherer and second of recorded time.
 const QUERIES_PER_SECOND: u64 = 4;
-/// One segment per 64 MB, and no limit of age or total size, so that no record is removed.
+/// Segments of 64 MiB, and limits of age and total size that are never reached, so that no record is removed.
 const LIMITS: SegmentLimits =
     SegmentLimits { segment_bytes: 64 << 20, max_age: Duration::from_secs(1 << 40), total_bytes: 1 << 50 };
 
-/// Peak memory of this process so far, in kB.
+/// Returns the peak resident memory of this process so far, in kB.
 fn peak_memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = status.lines().find(|line| line.starts_with("VmHWM:"));
     peak.and_then(|line| line.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-/// Writes the records of one gatherer: its start, then metrics of one second each.
+/// Writes the records of one gatherer: a start record, and then the metrics of one second each.
 fn write_records(folder: &std::path::Path, gatherer: u64, records: u64, random: &mut fastrand::Rng) {
     let mut writer = Writer::new(Folder::new(folder), &format!("g{gatherer}"), "s1", LIMITS);
     let classes = ["audit-report", "envelope-search", "seal-record"].map(str::to_owned).to_vec();
@@ -46,7 +49,9 @@
 }
 
 fn main() {
-    let records: u64 = std::env::args().nth(1).map_or(1_000_000, |text| text.parse().expect("a number"));
+    let records: u64 = std::env::args()
+        .nth(1)
+        .map_or(1_000_000, |text| text.parse().expect("the argument is a number of records"));
     let folder = std::env::temp_dir().join(format!("clayshore-scale-{}", std::process::id()));
     let began_at = Instant::now();
     let mut random = fastrand::Rng::with_seed(7);
@@ -57,8 +62,8 @@
     println!("written: {records} records in {seconds:.1} s, peak {} kB", peak_memory_kb());
     let began_at = Instant::now();
     let report = Report::read(std::slice::from_ref(&folder), 0..u64::MAX, Duration::from_secs(60));
-    let report = report.expect("it can be read");
+    let report = report.expect("the records can be read");
     let seconds = began_at.elapsed().as_secs_f64();
     println!("read: {seconds:.1} s, peak {} kB; {}", peak_memory_kb(), report.summary_line());
-    std::fs::remove_dir_all(folder).expect("removed");
+    std::fs::remove_dir_all(folder).expect("the folder is removed");
 }
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -1,5 +1,5 @@
-//! An incident on loopback: three gatherers with scripted workers and clients; all workers are slow at once,
-//! and one gatherer is killed meanwhile. The report has findings for these two faults and no others, and its
+//! The report on an incident, which three gatherer processes record on loopback: all workers become slow, and
+//! one gatherer is killed meanwhile. The report has findings for these two faults and no others, and its
 //! counts are those of the clients.
 
 mod common;
@@ -19,11 +19,11 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_gatherer");
-/// Time in which a worker responds to a part, in milliseconds.
+/// Time in which a worker responds to a part in normal operation, in milliseconds.
 const NORMAL_DELAY_MS: u64 = 8;
-/// The same while all workers are slow.
+/// Time in which a worker responds while all workers are slow, in milliseconds.
 const SLOW_DELAY_MS: u64 = 40;
-/// The same where no response is to be sent before the gatherer is killed.
+/// Time in which a worker responds to the query of the killed gatherer, in milliseconds: later than the kill.
 const STUCK_DELAY_MS: u64 = 2000;
 
 /// Starts a worker that responds to every part after `delay_ms`, and returns its address.
@@ -51,6 +51,7 @@
     address
 }
 
+/// A gatherer process that serves and records.
 struct Gatherer {
     child: Child,
     address: String,
@@ -77,18 +78,19 @@
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let mut lines = log.by_ref().lines().map(|line| line.expect("a line"));
         let address = lines.find_map(|line| line.split_once(" serving on ").map(|found| found.1.to_owned()));
-        Gatherer { child, address: address.expect("it serves"), log }
+        Gatherer { child, address: address.expect("the gatherer logs its address"), log }
     }
+    /// Shuts the gatherer down gracefully.
     fn stop(mut self) {
         let kill = Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status();
         assert!(kill.expect("kill runs").success());
         let mut rest = String::new();
         self.log.read_to_string(&mut rest).expect("the rest of the log");
-        assert!(self.child.wait().expect("it ends").success(), "{rest}");
+        assert!(self.child.wait().expect("the gatherer ends").success(), "{rest}");
     }
 }
 
-/// A query of four parts.
+/// Encodes the request of a query with four parts.
 fn encode_query(id: &str) -> Vec<u8> {
     let part = |shard: u32| format!(r#"{{"range":{shard},"portion":0.25}}"#);
     let parts: Vec<String> = (0..4).map(part).collect();
@@ -97,7 +99,7 @@
     format!("{head}X-Budget-Ms: 5000\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Sends `count` queries, one after the other; all of them get a response.
+/// Sends `count` queries, one after the other, and waits for the response to each.
 fn send_queries(address: &str, name: &str, count: usize) {
     let mut stream = TcpStream::connect(address).expect("connected");
     let mut buffer = BytesMut::new();
@@ -127,15 +129,15 @@
     });
 }
 
-/// The report on these records.
+/// Returns the JSON report on these records.
 fn report(records: &Path) -> Value {
     let run = Command::new(PROGRAM).args(["report", "--json", "--step", "1"]).arg(records).output();
-    let run = run.expect("it runs");
+    let run = run.expect("the report runs");
     assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
     serde_json::from_slice(&run.stdout).expect("JSON")
 }
 
-/// Waits until this number of queries is on record.
+/// Waits until this number of queries is on record, and returns the report.
 fn wait_for_records(records: &Path, sent: usize) -> Value {
     loop {
         let report = report(records);
@@ -147,14 +149,14 @@
     }
 }
 
-/// Every query that was sent is counted once: all were answered in time but the one that the killed gatherer
-/// had.
+/// Checks that every query that was sent is counted once: all got a complete response in time, except the one
+/// that the killed gatherer had accepted, whose end is unknown.
 fn check_counts(report: &Value, sent: usize) {
     let counts = &report["classes"]["search"];
     let count = |name: &str| counts[name].as_u64().expect("a number") as usize;
     assert_eq!((count("whole_in_time"), count("unknown")), (sent - 1, 1), "{counts}");
     assert_eq!(["whole_late", "partial", "refused", "failed", "left"].map(count), [0; 5], "{counts}");
-    // The time steps add up to the same.
+    // The counts of the time steps add up to the same number.
     let received_in = |step: &Value| {
         step["classes"]["search"].as_object().map_or(0, |tenants| {
             tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
@@ -164,7 +166,8 @@
     assert_eq!(steps.iter().map(received_in).sum::<u64>() as usize, sent);
 }
 
-/// The findings are the death and the slowdown, and no others; the records of all four processes are whole.
+/// Checks that the death and the slowdown are the only findings, and that no record of the four processes is
+/// damaged.
 fn check_findings(report: &Value) {
     let findings = report["findings"].as_array().expect("findings");
     let mut found: Vec<&str> =
@@ -192,14 +195,17 @@
     delay_ms.store(SLOW_DELAY_MS, Ordering::Relaxed);
     send_queries_to(&[&g0, &g1, &g2], "slow", 30);
     wait_for_records(&records, 3 * 180);
-    // The gatherer that is killed accepts one more query, and has recorded that by then.
+    // Before it is killed, g1 accepts one more query and records that.
     delay_ms.store(STUCK_DELAY_MS, Ordering::Relaxed);
     let mut unanswered = TcpStream::connect(&g1.address).expect("connected");
     unanswered.write_all(&encode_query("lost")).expect("written");
     wait_for_records(&records, 3 * 180 + 1);
     g1.child.kill().expect("killed");
-    g1.child.wait().expect("it ends");
-    assert!(!matches!(unanswered.read(&mut [0; 64]), Ok(1..)), "it gets no response");
+    g1.child.wait().expect("the killed gatherer ends");
+    assert!(
+        !matches!(unanswered.read(&mut [0; 64]), Ok(1..)),
+        "the query of the killed gatherer gets no response"
+    );
     delay_ms.store(SLOW_DELAY_MS, Ordering::Relaxed);
     send_queries_to(&[&g0, &g2], "during", 30);
     delay_ms.store(NORMAL_DELAY_MS, Ordering::Relaxed);
@@ -214,7 +220,7 @@
     if let Ok(page) = std::env::var("CLAYSHORE_KEEP_PAGE") {
         let run =
             Command::new(PROGRAM).args(["report", "--step", "1", "--out", &page]).arg(&records).status();
-        assert!(run.expect("it runs").success());
+        assert!(run.expect("the report runs").success());
     }
     std::fs::remove_dir_all(folder).expect("removed");
 }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -1,5 +1,4 @@
-//! Connections to index servers: which address is connected to, and what is sent on a connection that was
-//! idle.
+//! Connections to index servers: the address that is connected to, and the reuse of idle connections.
 
 mod common;
 
@@ -18,7 +17,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Connects to servers that answer every search, and notes each address.
+/// Connects to index servers that respond to every search, and records each address.
 #[derive(Default)]
 struct RespondingServers {
     addresses: RefCell<Vec<String>>,
@@ -35,12 +34,12 @@
     }
 }
 
-/// Answers every search on a connection with no hits.
+/// Responds to every search on a connection with an empty result.
 async fn serve_searches(mut stream: DuplexStream) {
     let result = r#"{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},"hits":{"total":{"value":0,"relation":"eq"},"max_score":null,"hits":[]}}"#;
     let mut buffer = BytesMut::new();
     while matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
-        while http::take_request(&mut buffer).expect("a request").is_some() {
+        while http::take_request(&mut buffer).expect("valid requests").is_some() {
             if stream.write_all(&Response::json(200, result).encode(false)).await.is_err() {
                 return;
             }
@@ -48,23 +47,24 @@
     }
 }
 
-/// Submits a query with one part, of shard 0.
+/// Submits a query with one part, for shard 0.
 async fn submit(broker: &Broker, label: &str, class: &str) -> QueryOutcome {
-    let class = broker.with_core(|core| core.contracts().class(class).expect("a class").0);
+    let class = broker.with_core(|core| core.contracts().class(class).expect("the class is configured").0);
     let part = single_part(Some(Duration::from_millis(1)));
     let request =
         SearchRequest { label: label.into(), payload: "{}".into(), ..search_request(class, vec![part]) };
     broker.submit(request).await
 }
 
-/// Runs with one index server.
+/// Runs a test with a broker whose only worker is an index server.
 fn run_with_index_server<F: Future<Output = ()>>(main: impl FnOnce(Broker, Rc<RespondingServers>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let config = platform_config();
-        let descriptor_pool = DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough"), 1 << 20);
+        let descriptor_pool =
+            DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("the descriptors suffice"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-        let mut list = config.initial_workers.expect("a list");
+        let mut list = config.initial_workers.expect("the configuration lists workers");
         list.workers.truncate(1);
         broker.apply_endpoint_update(&list, true);
         let connector = Rc::new(RespondingServers::default());
@@ -93,8 +93,8 @@
 
 #[test]
 fn a_non_idempotent_search_is_sent_on_a_new_connection() {
-    // The server may close or reset an idle connection just then: the search may have run, and its result is
-    // lost.
+    // The server may close or reset an idle connection while a search is sent on it. The search may have run
+    // then, and its result is lost.
     run_with_index_server(|broker, connector| async move {
         for (label, class) in [("a", "search"), ("b", "search"), ("c", "seal")] {
             assert!(is_complete(&submit(&broker, label, class).await));
@@ -102,7 +102,7 @@
         assert_eq!(
             connector.addresses.borrow().len(),
             2,
-            "one for the two idempotent searches, one for the third"
+            "one connection for the two idempotent searches, one for the third"
         );
     });
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that operators read: each query that ends is counted once, in any order of events.
+//! The counts of queries in the metrics for operators: each query is counted once, in any order of events.
 
 mod common;
 
@@ -8,12 +8,13 @@
 use proptest::prelude::{Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::time::Duration;
 
-/// An event of the core's environment. Indices are taken modulo what is open or in flight.
+/// An event to which the core reacts. An index is taken modulo the number of open queries or of attempts in
+/// flight.
 #[derive(Clone, Copy, Debug)]
 enum TestEvent {
     /// A query of this class is submitted.
     Submitted { class: usize },
-    /// A query of this class is rejected unread.
+    /// A query of this class is rejected before it was read.
     RejectedUnread { class: usize },
     /// A query of this class is rejected because the gatherer is stopping.
     RejectedStopping { class: usize },
@@ -48,15 +49,17 @@
     SearchRequest { tenant: Some(TenantId(0)), ..search_request(ClassId(class), vec![single_part(None)]) }
 }
 
-/// A core under random events, and what is expected of its counts.
+/// A core under random events, and the counts that are expected of it.
 struct RandomRun {
     core: Core,
     now: Time,
+    /// Queries without a response.
     open: Vec<RequestId>,
+    /// Attempts that have not finished.
     in_flight: Vec<AttemptId>,
-    /// Queries received, by class.
+    /// Number of queries received, by class.
     received: [u64; 2],
-    /// Queries that have ended.
+    /// Number of queries that have ended.
     ended: u64,
 }
 
@@ -65,7 +68,11 @@
         let config = platform_config();
         let mut core = Core::new(config.contracts);
         let now = Time(1_700_000_000_000_000_000);
-        core.apply_endpoint_update(now, &config.initial_workers.expect("a list"), true);
+        core.apply_endpoint_update(
+            now,
+            &config.initial_workers.expect("the configuration lists workers"),
+            true,
+        );
         RandomRun { core, now, open: Vec::new(), in_flight: Vec::new(), received: [0; 2], ended: 0 }
     }
 
@@ -102,7 +109,7 @@
         }
     }
 
-    /// Runs a step of the core, and follows its commands.
+    /// Runs a step of the core, and applies its commands to the expected state.
     fn step(&mut self) {
         for command in self.core.step(self.now) {
             match command {
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Hand-over messages and statsd lines, byte by byte.
+//! The encoding of hand-over messages and of statsd lines.
 
 use bytes::BytesMut;
 use gatherer::protocol::handover::{self, HandoverError, Message};
@@ -14,7 +14,7 @@
     let decode = |bytes: &[u8]| handover::take_message(&mut BytesMut::from(bytes));
     assert!(matches!(decode(&complete), Ok(Some(Message::TakeoverRequest { .. }))));
     assert!(matches!(decode(&complete[..complete.len() - 1]), Ok(None)));
-    let text = String::from_utf8(complete.to_vec()).expect("text");
+    let text = String::from_utf8(complete.to_vec()).expect("the message is UTF-8");
     let decode_with = |from: &str, to: &str| decode(text.replacen(from, to, 1).as_bytes());
     assert!(matches!(decode_with(" 1 ", " 2 "), Err(HandoverError::Version(2))));
     assert!(matches!(decode_with("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
@@ -36,7 +36,7 @@
         let mut bytes = BytesMut::from(&handover::encode(&sent).expect("encoded")[..]);
         let position = position % bytes.len();
         bytes[position] ^= flipped_bits;
-        // A changed digit of the checksum may be the same digit in the other case.
+        // The change may turn a digit of the checksum into the same digit in the other case.
         let same_digit = bytes[position].eq_ignore_ascii_case(&(bytes[position] ^ flipped_bits));
         if let Ok(Some(message)) = handover::take_message(&mut bytes) {
             prop_assert!(same_digit && message == sent);
@@ -52,13 +52,13 @@
     assert_eq!(lines.text(), "gatherer.succeeded.seal_rec_ord:812|c\ngatherer.outstanding:14|g\n");
 }
 
-/// The body of an encoded hand-over message.
+/// Returns the body of an encoded hand-over message.
 fn decode_body(message: &[u8]) -> Value {
-    let end = message.iter().position(|byte| *byte == b'\n').expect("a first line");
-    serde_json::from_slice(&message[end + 1..]).expect("JSON")
+    let end = message.iter().position(|byte| *byte == b'\n').expect("the message has a header line");
+    serde_json::from_slice(&message[end + 1..]).expect("the body is JSON")
 }
 
-/// A state with every field that version 1 has.
+/// A takeover state with every field of version 1.
 fn version_1_state() -> Value {
     let duration = json!({"secs": 1, "nanos": 500_000_000});
     json!({
@@ -84,7 +84,8 @@
     })
 }
 
-// Another version of the program reads these names: a process that is upgraded to or from this one.
+// The other process of an upgrade may be of another version of the program, which reads and writes these
+// names.
 #[test]
 fn handover_messages_of_version_1_are_decoded_and_encoded_under_the_same_names() {
     let bodies = [
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,4 +1,5 @@
-//! Records: what is written is read back, whatever happens to the disk and to the files.
+//! Records are read back as they were written, and losses and damage are reported, whatever fails on the
+//! disk.
 
 use gatherer::policy::Time;
 use gatherer::records::metrics::{self, QUERY_ENDS};
@@ -19,26 +20,26 @@
 const LIMITS: SegmentLimits =
     SegmentLimits { segment_bytes: 600, max_age: Duration::from_secs(60), total_bytes: 4000 };
 
-/// Failures that a disk in memory is to have.
+/// Failures that a disk in memory simulates.
 struct PlannedFailures {
     /// Calls that succeed before the first failure.
     calls_before: usize,
-    /// Calls in a row that fail then.
+    /// Consecutive calls that fail after that.
     failures: usize,
 }
 
-/// A disk in memory that fails as planned, after it has written a part of the bytes.
+/// A disk in memory. A planned failure of an append writes half of the bytes.
 #[derive(Default)]
 struct MemoryDisk {
     files: BTreeMap<String, Vec<u8>>,
     open: Option<String>,
     planned_failures: Option<PlannedFailures>,
-    /// Whether another process removes segments just before this one does.
+    /// Whether another process removes each segment just before this one does.
     shared: bool,
 }
 
 impl MemoryDisk {
-    /// Counts a call, which fails if that is planned.
+    /// Counts a call; fails if a failure is planned for it.
     fn count_call(&mut self) -> io::Result<()> {
         match &mut self.planned_failures {
             Some(PlannedFailures { calls_before: 0, failures: 0 }) => self.planned_failures = None,
@@ -61,7 +62,7 @@
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let file = self.open.clone().expect("a file was begun");
+        let file = self.open.clone().expect("a file was created");
         let result = self.count_call();
         let written = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
         self.files.get_mut(&file).expect("the file exists").extend_from_slice(&bytes[..written]);
@@ -80,7 +81,7 @@
     }
 }
 
-/// The body of the record with this number.
+/// A body that identifies the record with this number.
 fn reload_body(number: u64) -> RecordBody {
     RecordBody::Reload { applied: true, detail: format!("number {number}") }
 }
@@ -97,7 +98,7 @@
     (records, damaged)
 }
 
-/// Records with the sequence numbers from 0.
+/// Makes records with the sequence numbers from 0.
 fn make_records(count: u64) -> Vec<Record> {
     let record = |seq| Record {
         version: VERSION,
@@ -147,7 +148,10 @@
                 .filter(|record| matches!(record.body, RecordBody::Reload { .. }))
                 .map(|record| record.at_ms / 1000)
                 .collect();
-            assert_eq!(found, reported_written, "failing after {calls_before}: what was written is there");
+            assert_eq!(
+                found, reported_written,
+                "failure after {calls_before} calls: the records reported as written are read"
+            );
             let lost_in = |record: &Record| match record.body {
                 RecordBody::Gap { lost, .. } => lost,
                 _ => 0,
@@ -156,7 +160,7 @@
             assert_eq!(
                 reported_lost + unreported + reported_written.len() as u64,
                 60,
-                "failing after {calls_before}: all others are reported"
+                "failure after {calls_before} calls: all other records are reported as lost"
             );
             assert!(unreported == 0 || calls_before + 10 > 60, "writing resumes once the disk works");
         }
@@ -175,7 +179,7 @@
     let before = writer.disk().files.len();
     assert!(writer.write(Time(100_000_000_000), 0, reload_body(0)), "the segment is over its age");
     assert!(writer.disk().files.len() >= before);
-    // A gatherer does not remove another's segments.
+    // A gatherer does not remove the segments of another gatherer.
     let (own, other) = (SegmentName::new("g0", "s1", 9), SegmentName::new("g1", "s1", 1));
     let found = [(other, 9000), (SegmentName::new("g0", "s0", 7), 3000), (own.clone(), 3000)];
     let found = found.map(|(name, bytes)| StoredSegment { name, bytes }).to_vec();
@@ -202,7 +206,7 @@
     assert_eq!(read_parts(&[&range(0, 3), &encoded[2], &range(3, 5)]), (5, vec![duplicate]));
     let out_of_order = (3, RecordError::OutOfOrder { found: 1, after: 3 });
     assert_eq!(read_parts(&[&encoded[0], &encoded[3], &encoded[1], &encoded[4]]), (3, vec![out_of_order]));
-    // The checksum of a record of a newer version matches, but this program must not read the rest.
+    // The checksum of a record of a newer version matches, but the content must not be decoded.
     let newer = Record { version: 2, ..all[5].clone() }.encode();
     let newer_version = (2, RecordError::NewerVersion(2));
     assert_eq!(read_parts(&[&encoded[0], &newer, &encoded[6]]), (2, vec![newer_version]));
@@ -213,8 +217,8 @@
 
 #[test]
 fn every_kind_of_record_has_the_form_of_the_published_schema() {
-    let schema = serde_json::to_value(schemars::schema_for!(Record)).expect("a schema");
-    let validator = jsonschema::validator_for(&schema).expect("a valid schema");
+    let schema = serde_json::to_value(schemars::schema_for!(Record)).expect("the schema is JSON");
+    let validator = jsonschema::validator_for(&schema).expect("the schema is valid");
     let mut accumulator = MetricsAccumulator::default();
     for (number, end) in QUERY_ENDS.into_iter().enumerate() {
         let labels = QueryLabels { class: number % 2, tenant: Some(number % 3).filter(|tenant| *tenant > 0) };
@@ -264,7 +268,7 @@
     (0..3).for_each(|_| accumulator.record_end(labels, QueryEnd::CompleteInTime, Duration::from_millis(20)));
     summary.add_record(record("s1", 0, 60_000, start()));
     summary.add_record(record("s1", 1, 61_000, RecordBody::Metrics(accumulator.take_snapshot())));
-    // Another incarnation of the same gatherer: its counts are its own, and it shuts down gracefully.
+    // Another incarnation of the same gatherer is counted separately, and shuts down gracefully.
     accumulator.record_accepted(labels);
     accumulator.record_end(labels, QueryEnd::FailedAbandoned, Duration::ZERO);
     accumulator.record_end(labels, QueryEnd::RejectedShuttingDown, Duration::ZERO);
@@ -305,7 +309,7 @@
     fn the_reader_never_panics_and_never_counts_noise(noise in prop::collection::vec(any::<u8>(), 0..3000)) {
         let (found, _) = read_files(&BTreeMap::from([("f".to_owned(), noise.clone())]));
         prop_assert!(found.is_empty());
-        // Noise between two records damages neither.
+        // Noise between two records does not damage either of them.
         prop_assert_eq!(valid_records_around(&noise), 2);
     }
 
@@ -353,7 +357,7 @@
 
     #[test]
     fn a_histogram_that_is_noise_is_rejected(noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        // It must neither panic nor allocate without bound.
+        // Decoding must neither panic nor allocate without bound.
         let _ = metrics::decode_histogram(&String::from_utf8_lossy(&noise));
         let _ = metrics::decode_histogram(&base64::Engine::encode(
             &base64::engine::general_purpose::STANDARD,
@@ -362,7 +366,7 @@
     }
 }
 
-/// Number of valid records that are read of two with this noise between them.
+/// Returns how many of two records are valid with this noise between them.
 fn valid_records_around(noise: &[u8]) -> usize {
     let records = make_records(2);
     let parts = [&records[0].encode()[..], noise, b"\n", &records[1].encode()].concat();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,10 @@
-//! The adapter on the wire: every message, and plain errors on what is malformed.
+//! The simulator adapter's protocol on standard input and output: every message is accepted, and malformed
+//! input is reported with its line and field.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Runs the adapter on this input; returns its exit status, output and errors.
+/// Runs the adapter on this input; returns whether it succeeded, its output and its errors.
 fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -12,15 +13,16 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may stop reading at a malformed line, so a failed write is no error here.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
     let out = child.wait_with_output().expect("the adapter ends");
     (
         out.status.success(),
-        String::from_utf8(out.stdout).expect("UTF-8"),
-        String::from_utf8(out.stderr).expect("UTF-8"),
+        String::from_utf8(out.stdout).expect("the output is UTF-8"),
+        String::from_utf8(out.stderr).expect("the output is UTF-8"),
     )
 }
 
+/// Starts aggregator 3 with one class, two shards and two workers.
 const CONFIGURE: &str = "turn 1000000000
 to 3
 start 51381 allowed.cancel=true allowed.most-tries=3 allowed.probing=true allowed.retry-after=true \
@@ -37,6 +39,7 @@
 end
 ";
 
+/// Submits a query and its one part to aggregator 3.
 const SUBMIT: &str = "turn 1005000000
 to 3
 submit 560c18c75d3a91c4 0 0 q:kd6b5sum7ecwe 5005000000 - 214 -1 1 0 0
@@ -44,9 +47,10 @@
 end
 ";
 
+/// Returns the worker to which the first attempt in the reply is sent.
 fn issued_worker(reply: &str) -> String {
-    let line = reply.lines().find(|line| line.starts_with("issue ")).expect("an attempt");
-    line.split(' ').nth(2).expect("a worker").to_owned()
+    let line = reply.lines().find(|line| line.starts_with("issue ")).expect("the reply has an attempt");
+    line.split(' ').nth(2).expect("the attempt has a worker").to_owned()
 }
 
 #[test]
