--- a/src/protocol/frame.rs
+++ b/src/protocol/frame.rs
@@ -24,13 +24,13 @@
 pub enum MalformedFrame {
     /// The length is zero or over the limit.
     #[error("malformed frame: its length is {0} bytes, 1 to {MAX_FRAME_BYTES} are permitted")]
-    Length(usize),
+    InvalidLength(usize),
     /// The kind is not one that workers send.
     #[error("malformed frame: its kind is {0:?}, workers send 'q' and 'r'")]
-    Kind(char),
+    UnknownKind(char),
     /// The line or the value of a finished part is malformed, for this reason.
     #[error("malformed frame of a finished part: {0}")]
-    Line(&'static str),
+    PartFinished(&'static str),
 }
 
 /// A message from a worker.
@@ -102,12 +102,12 @@
         return Ok(None);
     };
     if length == 0 || length > MAX_FRAME_BYTES {
-        return Err(MalformedFrame::Length(length));
+        return Err(MalformedFrame::InvalidLength(length));
     }
     // Checked before the payload is complete, so that a stream of other bytes is not buffered up to its supposed end.
     let kind = buffer.get(LENGTH_BYTES);
     if let Some(kind) = kind.filter(|kind| !matches!(**kind, PART_FINISHED | CALL_REJECTED)) {
-        return Err(MalformedFrame::Kind(char::from(*kind)));
+        return Err(MalformedFrame::UnknownKind(char::from(*kind)));
     }
     if buffer.len() < LENGTH_BYTES + length {
         return Ok(None);
@@ -120,7 +120,7 @@
         CALL_REJECTED => {
             Ok(Some(WorkerMessage::CallRejected(String::from_utf8_lossy(&payload).into_owned())))
         }
-        other => Err(MalformedFrame::Kind(char::from(other))),
+        other => Err(MalformedFrame::UnknownKind(char::from(other))),
     }
 }
 
@@ -128,24 +128,24 @@
     let end = payload
         .iter()
         .position(|byte| *byte == b'\n')
-        .ok_or(MalformedFrame::Line("its line does not end"))?;
-    let line =
-        std::str::from_utf8(&payload[..end]).map_err(|_| MalformedFrame::Line("its line is not UTF-8"))?;
+        .ok_or(MalformedFrame::PartFinished("its line does not end"))?;
+    let line = std::str::from_utf8(&payload[..end])
+        .map_err(|_| MalformedFrame::PartFinished("its line is not UTF-8"))?;
     let mut words = line.split(' ');
     let (Some(id), Some(result), Some(_score), Some(load), None) =
         (words.next(), words.next(), words.next(), words.next(), words.next())
     else {
-        return Err(MalformedFrame::Line("its line does not have four words"));
+        return Err(MalformedFrame::PartFinished("its line does not have four words"));
     };
     let outcome = match result {
         "good" => AttemptOutcome::Succeeded,
         "bad" => AttemptOutcome::Failed,
         "later" => AttemptOutcome::Rejected,
-        _ => return Err(MalformedFrame::Line("its result is not good, bad or later")),
+        _ => return Err(MalformedFrame::PartFinished("its result is not good, bad or later")),
     };
     let value = &payload[end + 1..];
     if outcome == AttemptOutcome::Succeeded && std::str::from_utf8(value).is_err() {
-        return Err(MalformedFrame::Line("its value is not UTF-8"));
+        return Err(MalformedFrame::PartFinished("its value is not UTF-8"));
     }
     // A malformed load report does not invalidate the value in the same frame.
     let report = decode_load_report(load, fields);
--- a/src/protocol/gossip.rs
+++ b/src/protocol/gossip.rs
@@ -26,10 +26,10 @@
 pub enum GossipError {
     /// The bytes do not begin with the magic bytes and a version.
     #[error("foreign")]
-    Foreign,
+    MissingMagic,
     /// The message has another version.
     #[error("version")]
-    Version,
+    UnsupportedVersion,
     /// The tag does not match: the message is from another cluster, made with another secret, or damaged.
     #[error("seal")]
     Authentication,
@@ -85,10 +85,10 @@
     ///
     /// If the bytes are not a valid message of this version, this cluster and this secret.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, GossipError> {
-        let rest = bytes.strip_prefix(MAGIC).ok_or(GossipError::Foreign)?;
-        let (version, rest) = rest.split_first().ok_or(GossipError::Foreign)?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(GossipError::MissingMagic)?;
+        let (version, rest) = rest.split_first().ok_or(GossipError::MissingMagic)?;
         if *version != VERSION {
-            return Err(GossipError::Version);
+            return Err(GossipError::UnsupportedVersion);
         }
         let (tag, body) = rest.split_at_checked(TAG_BYTES).ok_or(GossipError::Authentication)?;
         // `blake3::Hash` compares in constant time, which guards against a tag that is guessed byte by byte.
--- a/src/protocol/gossip/tests.rs
+++ b/src/protocol/gossip/tests.rs
@@ -31,8 +31,8 @@
     }
     let mut newer = bytes.clone();
     newer[4] = 2;
-    assert_eq!(key.decode_datagram(&newer), Err(GossipError::Version));
-    assert_eq!(key.decode_datagram(b"GET / HTTP/1.1"), Err(GossipError::Foreign));
+    assert_eq!(key.decode_datagram(&newer), Err(GossipError::UnsupportedVersion));
+    assert_eq!(key.decode_datagram(b"GET / HTTP/1.1"), Err(GossipError::MissingMagic));
     assert_eq!(key.decode_datagram(&[0; 1201]), Err(GossipError::Length));
 }
 
--- a/src/protocol/handover.rs
+++ b/src/protocol/handover.rs
@@ -78,19 +78,19 @@
 pub enum HandoverError {
     /// The bytes do not begin with a valid header line.
     #[error("the header line is not in the form of a hand-over message")]
-    Foreign,
+    MalformedHeader,
     /// The message has another version.
     #[error("the hand-over message is of version {0}, not {VERSION}")]
-    Version(u32),
+    UnsupportedVersion(u32),
     /// The body, of this number of bytes, is over the limit.
     #[error("the body of the hand-over message has {0} bytes, more than {MAX_BODY_BYTES}")]
-    TooLong(usize),
+    BodyTooLong(usize),
     /// The body does not match its checksum.
     #[error("the hand-over message is damaged: its checksum is wrong")]
-    Damaged,
+    ChecksumMismatch,
     /// The body is not the JSON of a message.
     #[error("the body of the hand-over message is invalid: {0}")]
-    Body(#[from] serde_json::Error),
+    MalformedBody(#[from] serde_json::Error),
 }
 
 /// Encodes a message.
@@ -101,7 +101,7 @@
 pub fn encode(message: &Message) -> Result<Bytes, HandoverError> {
     let body = serde_json::to_vec(message)?;
     if body.len() > MAX_BODY_BYTES {
-        return Err(HandoverError::TooLong(body.len()));
+        return Err(HandoverError::BodyTooLong(body.len()));
     }
     let header = format!("{MAGIC} {VERSION} {} {:016x}\n", body.len(), xxh3_64(&body));
     Ok([header.into_bytes(), body].concat().into())
@@ -115,24 +115,26 @@
 /// message begins.
 pub fn take_message(buffer: &mut BytesMut) -> Result<Option<Message>, HandoverError> {
     let Some(header_end) = buffer.iter().take(MAX_HEADER_BYTES).position(|byte| *byte == b'\n') else {
-        return if buffer.len() < MAX_HEADER_BYTES { Ok(None) } else { Err(HandoverError::Foreign) };
+        return if buffer.len() < MAX_HEADER_BYTES { Ok(None) } else { Err(HandoverError::MalformedHeader) };
     };
-    let header = std::str::from_utf8(&buffer[..header_end]).map_err(|_| HandoverError::Foreign)?;
+    let header = std::str::from_utf8(&buffer[..header_end]).map_err(|_| HandoverError::MalformedHeader)?;
     let header_fields: Vec<&str> = header.split(' ').collect();
-    let [MAGIC, version, length, checksum] = header_fields[..] else { return Err(HandoverError::Foreign) };
-    let version = version.parse().map_err(|_| HandoverError::Foreign)?;
+    let [MAGIC, version, length, checksum] = header_fields[..] else {
+        return Err(HandoverError::MalformedHeader);
+    };
+    let version = version.parse().map_err(|_| HandoverError::MalformedHeader)?;
     if version != VERSION {
-        return Err(HandoverError::Version(version));
+        return Err(HandoverError::UnsupportedVersion(version));
     }
-    let length = length.parse::<usize>().map_err(|_| HandoverError::Foreign)?;
-    let checksum = u64::from_str_radix(checksum, 16).map_err(|_| HandoverError::Foreign)?;
+    let length = length.parse::<usize>().map_err(|_| HandoverError::MalformedHeader)?;
+    let checksum = u64::from_str_radix(checksum, 16).map_err(|_| HandoverError::MalformedHeader)?;
     if length > MAX_BODY_BYTES {
-        return Err(HandoverError::TooLong(length));
+        return Err(HandoverError::BodyTooLong(length));
     }
     let body_start = header_end + 1;
     let Some(body) = buffer.get(body_start..body_start + length) else { return Ok(None) };
     if xxh3_64(body) != checksum {
-        return Err(HandoverError::Damaged);
+        return Err(HandoverError::ChecksumMismatch);
     }
     let message = serde_json::from_slice(body)?;
     buffer.advance(body_start + length);
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -28,10 +28,10 @@
     HeaderTooLong,
     /// `Content-Length` is not a number, or is given twice with different values.
     #[error("malformed Content-Length")]
-    Length,
+    ContentLength,
     /// `Transfer-Encoding` is not `chunked`, is given twice, or is given beside `Content-Length`.
     #[error("unsupported Transfer-Encoding")]
-    Coding,
+    TransferEncoding,
     /// The size line or the end of a chunk, or the trailer, is malformed.
     #[error("malformed chunk")]
     Chunk,
@@ -47,8 +47,8 @@
         match self {
             MalformedMessage::HeaderTooLong => 431,
             MalformedMessage::BodyTooLong => 413,
-            MalformedMessage::Coding => 501,
-            MalformedMessage::Header(_) | MalformedMessage::Length | MalformedMessage::Chunk => 400,
+            MalformedMessage::TransferEncoding => 501,
+            MalformedMessage::Header(_) | MalformedMessage::ContentLength | MalformedMessage::Chunk => 400,
         }
     }
 }
--- a/src/protocol/http/body.rs
+++ b/src/protocol/http/body.rs
@@ -35,19 +35,19 @@
     if let Some(coding) = codings.next() {
         // Guards against request smuggling: a proxy in front could determine the length by the other of the two fields.
         if length.is_some() || codings.next().is_some() || !coding.eq_ignore_ascii_case("chunked") {
-            return Err(MalformedMessage::Coding);
+            return Err(MalformedMessage::TransferEncoding);
         }
         return decode_chunks(rest, max_body);
     }
     if lengths.any(|other| Some(other) != length) {
-        return Err(MalformedMessage::Length);
+        return Err(MalformedMessage::ContentLength);
     }
     let length = match length {
         Some(text) if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) => {
             text.parse().map_err(|_| MalformedMessage::BodyTooLong)?
         }
-        Some(_) => return Err(MalformedMessage::Length),
-        None => default_length.ok_or(MalformedMessage::Length)?,
+        Some(_) => return Err(MalformedMessage::ContentLength),
+        None => default_length.ok_or(MalformedMessage::ContentLength)?,
     };
     if length > max_body {
         return Err(MalformedMessage::BodyTooLong);
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -16,13 +16,13 @@
     assert!(matches!(decode(&complete[..complete.len() - 1]), Ok(None)));
     let text = String::from_utf8(complete.to_vec()).expect("the message is UTF-8");
     let decode_with = |from: &str, to: &str| decode(text.replacen(from, to, 1).as_bytes());
-    assert!(matches!(decode_with(" 1 ", " 2 "), Err(HandoverError::Version(2))));
-    assert!(matches!(decode_with("clayshore", "GET / HTTP"), Err(HandoverError::Foreign)));
-    assert!(matches!(decode_with("127", "128"), Err(HandoverError::Damaged)));
-    assert!(matches!(decode(&[b'a'; 80]), Err(HandoverError::Foreign)));
+    assert!(matches!(decode_with(" 1 ", " 2 "), Err(HandoverError::UnsupportedVersion(2))));
+    assert!(matches!(decode_with("clayshore", "GET / HTTP"), Err(HandoverError::MalformedHeader)));
+    assert!(matches!(decode_with("127", "128"), Err(HandoverError::ChecksumMismatch)));
+    assert!(matches!(decode(&[b'a'; 80]), Err(HandoverError::MalformedHeader)));
     assert!(matches!(
         decode(b"clayshore-handover 1 9999999999 0\n"),
-        Err(HandoverError::TooLong(9_999_999_999))
+        Err(HandoverError::BodyTooLong(9_999_999_999))
     ));
 }
 
