--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -284,7 +284,7 @@
     buffer: &mut BytesMut,
     max_body: usize,
 ) -> Result<Option<ReceivedResponse>, MalformedMessage> {
-    decode_response(buffer, max_body, false)
+    decode_response(buffer, max_body, PeerState::Open)
 }
 
 /// Like [`take_response`], after the peer has closed the connection: a body without a length ends there. Must not be
@@ -297,13 +297,20 @@
     buffer: &mut BytesMut,
     max_body: usize,
 ) -> Result<Option<ReceivedResponse>, MalformedMessage> {
-    decode_response(buffer, max_body, true)
+    decode_response(buffer, max_body, PeerState::Closed)
+}
+
+/// Whether the peer has closed its side of the connection, which ends a body without a length.
+#[derive(Clone, Copy, PartialEq)]
+enum PeerState {
+    Open,
+    Closed,
 }
 
 fn decode_response(
     buffer: &mut BytesMut,
     max_body: usize,
-    at_eof: bool,
+    peer: PeerState,
 ) -> Result<Option<ReceivedResponse>, MalformedMessage> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Response::new(&mut fields);
@@ -317,7 +324,7 @@
     let rest = &buffer[header_bytes..];
     let body = match bodiless_length {
         None if !is_framed && rest.len() > max_body => return Err(MalformedMessage::BodyTooLong),
-        None if !is_framed => at_eof.then(|| DecodedBody::unframed(rest)),
+        None if !is_framed => (peer == PeerState::Closed).then(|| DecodedBody::unframed(rest)),
         _ => decode_body(&headers, rest, max_body, bodiless_length)?,
     };
     let Some(DecodedBody { body, encoded_bytes }) = body else { return Ok(None) };
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -6,10 +6,10 @@
 use super::metrics::{MetricsSnapshot, QueryEnd};
 
 /// A period starts with a second that has at least this number of rejections, and at least
-/// [`REJECTED_SHARE_TO_BEGIN`] of them among the queries.
-const MIN_REJECTED_TO_BEGIN: u64 = 5;
+/// [`REJECTED_SHARE_TO_START`] of them among the queries.
+const MIN_REJECTED_TO_START: u64 = 5;
 /// Share of rejections among the queries of a second from which a period starts.
-const REJECTED_SHARE_TO_BEGIN: f64 = 0.05;
+const REJECTED_SHARE_TO_START: f64 = 0.05;
 /// A period ends after [`QUIET_SECONDS_TO_END`] consecutive seconds with less than this share of rejections.
 const REJECTED_SHARE_TO_END: f64 = 0.01;
 /// Consecutive seconds with few rejections after which a period ends.
@@ -34,7 +34,7 @@
             counts_of(QueryEnd::RejectedByPolicy).chain(counts_of(QueryEnd::RejectedAtCapacity)).sum();
         let rejected_share = rejected as f64 / accepted.max(rejected).max(1) as f64;
         if !self.overloaded {
-            self.overloaded = rejected >= MIN_REJECTED_TO_BEGIN && rejected_share >= REJECTED_SHARE_TO_BEGIN;
+            self.overloaded = rejected >= MIN_REJECTED_TO_START && rejected_share >= REJECTED_SHARE_TO_START;
             self.quiet_seconds = 0;
             return self.overloaded.then_some(true);
         }
