--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -39,7 +39,7 @@
 pub struct RequestNames {
     /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
-    /// Tenant of each caller, by the caller's id (`X-Opaque-Id`). If empty, any caller is accepted, and without an id.
+    /// Tenant of each caller, by the caller's id (`X-Opaque-Id`). If empty, callers are not checked.
     pub callers: HashMap<String, TenantId>,
     /// Largest number of hits requested from one shard, and largest `from + size` of a search.
     pub window: usize,
--- a/src/protocol/gossip/tests.rs
+++ b/src/protocol/gossip/tests.rs
@@ -58,13 +58,13 @@
 proptest! {
     #[test]
     fn no_bytes_panic_and_no_changed_byte_is_accepted(
-        noise in prop::collection::vec(any::<u8>(), 0..300), at in 0..500_usize, flip in 1..=255_u8,
+        noise in prop::collection::vec(any::<u8>(), 0..300), position in 0..500_usize, flip in 1..=255_u8,
     ) {
         let key = ClusterKey::new("tbilisi", "s1");
         prop_assert!(key.decode_datagram(&noise).is_err());
         let mut bytes = key.encode(&message(2, 9)).expect("encoded");
-        let at = at % bytes.len();
-        bytes[at] ^= flip;
+        let position = position % bytes.len();
+        bytes[position] ^= flip;
         prop_assert!(key.decode_datagram(&bytes).is_err());
     }
 
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -137,7 +137,7 @@
         self.lost.load(Ordering::Relaxed)
     }
 
-    /// Ends the writing thread once it has written the queued records. Does not wait for a disk that hangs.
+    /// Ends the writing thread once it has written the queued records. Waits a limited time, because a disk may hang.
     pub fn close(self) {
         drop(self.queue);
         if self.finished_receiver.recv_timeout(CLOSE_TIMEOUT).is_err() {
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -5,8 +5,8 @@
 
 use super::metrics::{MetricsSnapshot, QueryEnd};
 
-/// A period starts with a second that has at least this number of rejections, and at least
-/// [`REJECTED_SHARE_TO_START`] of them among the queries.
+/// A period starts with a second that has at least this number of rejections, if their share is at least
+/// [`REJECTED_SHARE_TO_START`].
 const MIN_REJECTED_TO_START: u64 = 5;
 /// Share of rejections among the queries of a second from which a period starts.
 const REJECTED_SHARE_TO_START: f64 = 0.05;
--- a/tests/incident.rs
+++ b/tests/incident.rs
@@ -28,17 +28,17 @@
 
 /// Starts a worker that responds to every part after `delay_ms`, and returns its address.
 fn start_worker(delay_ms: Arc<AtomicU64>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, delay_ms) = (stream.expect("a connection"), delay_ms.clone());
-            stream.set_nodelay(true).expect("set");
+            let (mut stream, delay_ms) = (stream.expect("a gatherer connects"), delay_ms.clone());
+            stream.set_nodelay(true).expect("the option is set");
             thread::spawn(move || {
                 while let Ok(frame) = read_frame(&mut stream) {
-                    let text = String::from_utf8(frame).expect("text");
+                    let text = String::from_utf8(frame).expect("the frame is UTF-8");
                     let Some(call) = text.strip_prefix('m') else { continue };
-                    let id = call.split(' ').next().expect("an id");
+                    let id = call.split(' ').next().expect("the call has an id");
                     let response = format!("q{id} good 5 busy=0.2,q=0\n5be2");
                     thread::sleep(Duration::from_millis(delay_ms.load(Ordering::Relaxed)));
                     if write_frame(&mut stream, response.as_bytes()).is_err() {
@@ -70,13 +70,13 @@
         config["known"] = json!({"revision": 1, "complete": true, "members": members});
         config["settings"]["allowed"]["max-open"] = 200.into();
         let path = folder.join(format!("{name}.json"));
-        std::fs::write(&path, config.to_string()).expect("written");
+        std::fs::write(&path, config.to_string()).expect("the configuration is written");
         let mut command = Command::new(PROGRAM);
         command.args(["serve", "--operator"]).arg(folder.join("operator.toml"));
         command.env_clear().env("LB_CONFIG", &path).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut lines = log.by_ref().lines().map(|line| line.expect("a line"));
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
+        let mut lines = log.by_ref().lines().map(|line| line.expect("the log is UTF-8"));
         let address = lines.find_map(|line| line.split_once(" serving on ").map(|found| found.1.to_owned()));
         Gatherer { child, address: address.expect("the gatherer logs its address"), log }
     }
@@ -101,19 +101,19 @@
 
 /// Sends `count` queries, one after the other, and waits for the response to each.
 fn send_queries(address: &str, name: &str, count: usize) {
-    let mut stream = TcpStream::connect(address).expect("connected");
+    let mut stream = TcpStream::connect(address).expect("the gatherer accepts");
     let mut buffer = BytesMut::new();
     for number in 0..count {
-        stream.write_all(&encode_query(&format!("{name}-{number}"))).expect("written");
+        stream.write_all(&encode_query(&format!("{name}-{number}"))).expect("the query is written");
         let response = loop {
             if let Some(response) =
-                http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response")
+                http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a valid response")
             {
                 break response;
             }
             let mut bytes = [0; 4096];
-            let read = stream.read(&mut bytes).expect("readable");
-            assert!(read > 0, "the connection ended");
+            let read = stream.read(&mut bytes).expect("the response is read");
+            assert!(read > 0, "the gatherer closed the connection before the response");
             buffer.extend_from_slice(&bytes[..read]);
         };
         assert_eq!(response.status, 200);
@@ -134,7 +134,7 @@
     let run = Command::new(PROGRAM).args(["report", "--json", "--step", "1"]).arg(records).output();
     let run = run.expect("the report runs");
     assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
-    serde_json::from_slice(&run.stdout).expect("JSON")
+    serde_json::from_slice(&run.stdout).expect("the report is JSON")
 }
 
 /// Waits until this number of queries is on record, and returns the report.
@@ -162,32 +162,32 @@
             tenants.values().map(|counts| counts["asked"].as_u64().expect("a number")).sum::<u64>()
         })
     };
-    let steps = report["steps"].as_array().expect("steps");
+    let steps = report["steps"].as_array().expect("the report has steps");
     assert_eq!(steps.iter().map(received_in).sum::<u64>() as usize, sent);
 }
 
 /// Checks that the death and the slowdown are the only findings, and that no record of the four processes is
 /// damaged.
 fn check_findings(report: &Value) {
-    let findings = report["findings"].as_array().expect("findings");
+    let findings = report["findings"].as_array().expect("the report has findings");
     let mut found: Vec<&str> =
-        findings.iter().map(|finding| finding["what"].as_str().expect("text")).collect();
+        findings.iter().map(|finding| finding["what"].as_str().expect("a finding has a kind")).collect();
     found.sort_unstable();
     assert_eq!(found, ["death", "fleet_slow"], "{findings:#?}");
     let death = findings.iter().find(|finding| finding["what"] == "death").expect("the death is found");
     assert!(death["gatherer"] == "g1" && death["certainty"] == "certain", "{death}");
-    assert!(death["evidence"].as_str().expect("text").contains("1 search"), "{death}");
-    let starts = report["starts"].as_array().expect("starts");
+    assert!(death["evidence"].as_str().expect("the finding has evidence").contains("1 search"), "{death}");
+    let starts = report["starts"].as_array().expect("the report has incarnations");
     assert_eq!((starts.len(), report["lines"]["damaged"].as_u64()), (4, Some(0)));
 }
 
 #[test]
 fn a_death_during_a_slowdown_of_the_fleet_and_the_slowdown_are_both_found() {
     let folder: PathBuf = std::env::temp_dir().join(format!("clayshore-incident-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     let records = folder.join("records");
     std::fs::write(folder.join("operator.toml"), format!("[records]\nfolder = {records:?}\n"))
-        .expect("written");
+        .expect("the operator file is written");
     let delay_ms = Arc::new(AtomicU64::new(NORMAL_DELAY_MS));
     let workers: Vec<String> = (0..3).map(|_| start_worker(delay_ms.clone())).collect();
     let [g0, mut g1, g2] = ["g0", "g1", "g2"].map(|name| Gatherer::start(&folder, name, &workers));
@@ -197,10 +197,10 @@
     wait_for_records(&records, 3 * 180);
     // Before it is killed, g1 accepts one more query and records that.
     delay_ms.store(STUCK_DELAY_MS, Ordering::Relaxed);
-    let mut unanswered = TcpStream::connect(&g1.address).expect("connected");
-    unanswered.write_all(&encode_query("lost")).expect("written");
+    let mut unanswered = TcpStream::connect(&g1.address).expect("g1 accepts");
+    unanswered.write_all(&encode_query("lost")).expect("the query is written");
     wait_for_records(&records, 3 * 180 + 1);
-    g1.child.kill().expect("killed");
+    g1.child.kill().expect("g1 is killed");
     g1.child.wait().expect("the killed gatherer ends");
     assert!(
         !matches!(unanswered.read(&mut [0; 64]), Ok(1..)),
@@ -222,5 +222,5 @@
             Command::new(PROGRAM).args(["report", "--step", "1", "--out", &page]).arg(&records).status();
         assert!(run.expect("the report runs").success());
     }
-    std::fs::remove_dir_all(folder).expect("removed");
+    std::fs::remove_dir_all(folder).expect("the folder is removed");
 }
