--- a/src/records/summary.rs
+++ b/src/records/summary.rs
@@ -209,8 +209,8 @@
         self.step_ms
     }
 
-    /// Adds a record. A record outside the time of the summary counts only for the sequence and the names of its
-    /// incarnation.
+    /// Adds a record. A record outside the time of the summary counts only for the sequence, the first and last time
+    /// and the names of its incarnation.
     pub fn add_record(&mut self, record: Record) {
         let Record { gatherer, incarnation, seq, at_ms, body, .. } = record;
         let id = IncarnationId { gatherer, incarnation };
