--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -1,4 +1,7 @@
-//! The operators' API: readiness, metrics, members, draining, and disabling workers.
+//! The operators' HTTP API: readiness, metrics, status of members, draining, and disabling of workers.
+//!
+//! During an upgrade, changes made here are also sent to the other process. The API reads no socket:
+//! `transport::operator_api` does.
 
 use crate::protocol::http::{Request, Response};
 use crate::protocol::statsd;
@@ -16,35 +19,35 @@
 /// A change that an operator has made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorChange<'a> {
-    /// This worker is disabled.
+    /// The worker with this id was disabled.
     Disabled(&'a str),
-    /// This worker is enabled again.
+    /// The worker with this id was enabled again.
     Enabled(&'a str),
-    /// The gatherer is draining.
+    /// A drain was requested.
     Drained,
-    /// The gatherer accepts clients again.
+    /// The gatherer was requested to accept clients again.
     Resumed,
 }
 
 /// The other process of an upgrade, if there is one.
 pub trait UpgradePeer {
-    /// Why this process is not serving yet; `None` if it is.
+    /// The reason why this process does not serve yet; `None` if it does.
     fn unready(&self) -> Option<&'static str>;
     /// Whether a predecessor is still handing over to this process.
     fn has_predecessor(&self) -> bool;
-    /// Notifies the other process of an operator's change, which it is to apply too.
+    /// Notifies the other process of an operator's change, which that process applies too.
     fn notify(&self, change: OperatorChange<'_>);
 }
 
-/// Responds to operators' calls.
+/// Handles operators' requests.
 pub struct OperatorFront {
-    /// The source of the metrics.
+    /// Source of the metrics; disables and enables workers.
     pub broker: Broker,
-    /// The clients' connections, which are drained.
+    /// The clients' connections, with the lifecycle state that drain and resume change.
     pub connections: Rc<ConnectionManager>,
     /// The other process of an upgrade.
     pub upgrade_peer: Rc<dyn UpgradePeer>,
-    /// Membership, where it is on.
+    /// Membership; `None` where it is not configured.
     pub members: Option<Rc<MembershipTransport>>,
 }
 
@@ -62,17 +65,17 @@
                 Response::text(200, "ready")
             }
             LifecycleState::Serving => Response::text(503, "no worker is known yet"),
-            stage => Response::text(503, stage.name()),
+            state => Response::text(503, state.name()),
         }
     }
 
     fn metrics(&self) -> Response {
         let mut lines = statsd::MetricLines::new("gatherer");
         self.broker.with_core(|core| {
-            for (class, ends) in core.contracts().classes.iter().zip(core.class_counts()) {
-                lines.count(&["succeeded", class], ends.succeeded);
-                lines.count(&["declined", class], ends.rejected);
-                lines.count(&["aborted", class], ends.failed);
+            for (class, counts) in core.contracts().classes.iter().zip(core.class_counts()) {
+                lines.count(&["succeeded", class], counts.succeeded);
+                lines.count(&["declined", class], counts.rejected);
+                lines.count(&["aborted", class], counts.failed);
             }
             lines.count(&["forwards"], core.counters.written);
             for invariant in INVARIANTS {
@@ -97,25 +100,25 @@
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
             return Response::text(400, "the worker's id is no text");
         };
-        let known = self.broker.set_worker_disabled(&id, disabled);
-        if known {
+        let found = self.broker.set_worker_disabled(&id, disabled);
+        if found {
             self.upgrade_peer.notify(if disabled {
                 OperatorChange::Disabled(&id)
             } else {
                 OperatorChange::Enabled(&id)
             });
         }
-        match known {
+        match found {
             true if disabled => Response::text(200, format!("{id} is out")),
             true => Response::text(200, format!("{id} is in use")),
             false => Response::text(404, format!("no worker of the id {id:?} was ever listed")),
         }
     }
 
-    fn call(&self, call: LifecycleRequest) -> Response {
-        match self.connections.apply_lifecycle(call) {
+    fn change_lifecycle(&self, request: LifecycleRequest) -> Response {
+        match self.connections.apply_lifecycle(request) {
             Ok(()) => {
-                self.upgrade_peer.notify(if call == LifecycleRequest::Drain {
+                self.upgrade_peer.notify(if request == LifecycleRequest::Drain {
                     OperatorChange::Drained
                 } else {
                     OperatorChange::Resumed
@@ -127,24 +130,24 @@
     }
 }
 
-/// The response where a path has another method.
+/// The response to a request with a method that its path does not support.
 fn method_not_allowed(method: &'static str) -> Response {
     Response::text(405, format!("only {method}")).with_header("Allow", method)
 }
 
 impl OperatorApi for OperatorFront {
     fn respond(&self, request: &Request) -> Response {
-        // The predecessor's state would overwrite a change made before it is applied.
+        // A change made now would be overwritten by the predecessor's state, which is not applied yet.
         if request.method == "PUT"
             && let Some(reason) = self.upgrade_peer.unready()
         {
             return Response::text(503, reason);
         }
-        let worker = request.path.strip_prefix("/-/workers/").and_then(|rest| rest.rsplit_once('/'));
-        let worker = worker.filter(|(_, call)| matches!(*call, "disable" | "enable"));
-        if let Some((id, call)) = worker {
+        let worker_action = request.path.strip_prefix("/-/workers/").and_then(|rest| rest.rsplit_once('/'));
+        let worker_action = worker_action.filter(|(_, action)| matches!(*action, "disable" | "enable"));
+        if let Some((id, action)) = worker_action {
             return match request.method.as_str() {
-                "PUT" => self.set_worker_disabled(id, call == "disable"),
+                "PUT" => self.set_worker_disabled(id, action == "disable"),
                 _ => method_not_allowed("PUT"),
             };
         }
@@ -152,8 +155,8 @@
             ("GET", "/-/ready") => self.ready(),
             ("GET", "/-/metrics") => self.metrics(),
             ("GET", "/-/members") => self.members(),
-            ("PUT", "/-/drain") => self.call(LifecycleRequest::Drain),
-            ("PUT", "/-/resume") => self.call(LifecycleRequest::Resume),
+            ("PUT", "/-/drain") => self.change_lifecycle(LifecycleRequest::Drain),
+            ("PUT", "/-/resume") => self.change_lifecycle(LifecycleRequest::Resume),
             (_, "/-/ready" | "/-/metrics" | "/-/members") => method_not_allowed("GET"),
             (_, "/-/drain" | "/-/resume") => method_not_allowed("PUT"),
             (_, path) => Response::text(404, format!("nothing at {path}")),
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front: parses each request, submits it to the broker, and encodes its one response.
+//! The platform's front: parses each request, submits it to the broker, and encodes its one response. The format of
+//! requests and responses is that of `protocol::platform`.
 
 use super::counters_text;
 use crate::protocol::http::{MalformedMessage, Request, Response};
@@ -10,19 +11,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest `Retry-After` of a gatherer that is stopping: after it the layer in front sends clients elsewhere.
+/// Longest `Retry-After` of a gatherer that is stopping: by then, the layer in front sends clients to other gatherers.
 const MAX_STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Serves the platform's protocol.
 pub struct PlatformFront {
     /// Executes the queries.
     pub broker: Broker,
-    /// The clients' connections and the state of the process's life.
+    /// The clients' connections, with the lifecycle state of the process.
     pub connections: Rc<ConnectionManager>,
 }
 
 impl PlatformFront {
-    async fn query(&self, request: &Request) -> Response {
+    async fn handle_query(&self, request: &Request) -> Response {
         let search_request =
             match self.broker.with_core(|core| platform::parse_query(request, core.contracts())) {
                 Ok(search_request) => search_request,
@@ -33,13 +34,13 @@
             };
         if !self.connections.lifecycle_state().accepts_queries() {
             self.broker.with_core(|core| core.reject_stopping(search_request.class, search_request.tenant));
-            let longest = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
+            let max_retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
             return platform::rejection_response(
-                longest.map(|longest| longest.min(MAX_STOPPING_RETRY_AFTER)),
+                max_retry_after.map(|max_retry_after| max_retry_after.min(MAX_STOPPING_RETRY_AFTER)),
             );
         }
         if self.broker.with_core(|core| core.has_open_query(&search_request.label)) {
-            // Two open queries of one id could not be distinguished at the workers.
+            // Workers could not distinguish two open queries of one id.
             self.broker.with_core(|core| core.counters.malformed += 1);
             return Response::text(409, "X-Call-Id: a query of this id is open");
         }
@@ -59,7 +60,7 @@
 impl Front for PlatformFront {
     async fn respond(&self, request: Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
-            ("POST", "/api") => self.query(&request).await,
+            ("POST", "/api") => self.handle_query(&request).await,
             ("GET", "/_health") => self.health(),
             ("GET", "/_counters") => Response::text(200, counters_text(&self.broker, &self.connections)),
             (_, "/api") => Response::text(405, "only POST").with_header("Allow", "POST"),
--- a/src/protocol/opensearch/merge.rs
+++ b/src/protocol/opensearch/merge.rs
@@ -1,4 +1,5 @@
-//! The results of shards, and their merge into one order. Results that are incomplete or not sorted are not accepted.
+//! Decodes the results of shards and merges them into one order. Results that timed out, failed in part, or have hits
+//! without sort values are rejected.
 
 use super::search::{Search, SortKey};
 use serde::Deserialize;
@@ -6,13 +7,13 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Compares two sort values; missing ones come first or last, whatever the direction.
-fn compare(a: &Value, b: &Value, key: &SortKey) -> Ordering {
-    let missing = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
+/// Compares two sort values. Missing ones come first or last, whatever the direction.
+fn compare_sort_values(a: &Value, b: &Value, key: &SortKey) -> Ordering {
+    let missing_order = |first: bool| if first { Ordering::Less } else { Ordering::Greater };
     let ascending = match (a, b) {
         (Value::Null, Value::Null) => return Ordering::Equal,
-        (Value::Null, _) => return missing(key.missing_first),
-        (_, Value::Null) => return missing(key.missing_first).reverse(),
+        (Value::Null, _) => return missing_order(key.missing_first),
+        (_, Value::Null) => return missing_order(key.missing_first).reverse(),
         (Value::String(a), Value::String(b)) => a.cmp(b),
         (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
         _ => match (a.as_i64(), b.as_i64()) {
@@ -52,46 +53,47 @@
 }
 
 impl ShardHits {
-    /// Whether the shard sent all the hits that it has, and says so.
+    /// Whether the shard sent all its hits: it reports an exact total, which is the number of hits sent.
     fn is_complete(&self) -> bool {
         self.total.as_ref().is_some_and(|total| total.is_exact() && total.value == self.hits.len() as u64)
     }
 }
 
 impl Total {
-    /// Whether the number is exact; otherwise it is a lower bound.
+    /// Whether the total is exact; otherwise it is a lower bound.
     fn is_exact(&self) -> bool {
         self.relation == "eq"
     }
 }
 
-/// Decodes a shard's response; `None` unless it is complete and sorted.
+/// Decodes the response of a shard; `None` if it timed out or failed in part, or if a hit has no sort values.
 fn decode_complete_result(body: &[u8]) -> Option<ShardResult> {
     let result: ShardResult = serde_json::from_slice(body).ok()?;
     let sorted = result.hits.hits.iter().all(|hit| hit.get("sort").is_some_and(Value::is_array));
     (sorted && !result.timed_out && result.shards.failed == 0).then_some(result)
 }
 
-/// Whether the body of a server's response is the complete and sorted result of its shard.
+/// Whether the body of an index server's response is an acceptable result: it neither timed out nor failed in part, and
+/// its hits have sort values.
 #[must_use]
 pub fn is_complete_result(body: &[u8]) -> bool {
     decode_complete_result(body).is_some()
 }
 
-/// The results of several shards in one order.
+/// The hits of several shards in one order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergedResult {
-    /// The hits, as clients see them.
+    /// Hits as they are sent to clients.
     pub hits: Vec<Value>,
-    /// Every shard sent all the hits that it has.
+    /// Whether every shard sent all its hits.
     pub complete: bool,
     total: u64,
-    /// The total is exact; otherwise it is a lower bound.
+    /// Whether the total is exact; otherwise it is a lower bound.
     total_is_exact: bool,
     max_score: Option<f64>,
 }
 
-/// A hit on its way into the order.
+/// A hit with the values by which it is sorted.
 struct SortedHit {
     sort_values: Vec<Value>,
     shard: u32,
@@ -99,18 +101,18 @@
 }
 
 impl SortedHit {
-    /// Compares by each key in turn, then by shard.
+    /// Compares two hits by each sort key in turn, then by shard.
     fn compare(&self, other: &SortedHit, keys: &[SortKey]) -> Ordering {
-        let by_keys = keys.iter().enumerate().map(|(at, key)| {
-            let own = self.sort_values.get(at).unwrap_or(&Value::Null);
-            compare(own, other.sort_values.get(at).unwrap_or(&Value::Null), key)
+        let by_keys = keys.iter().enumerate().map(|(index, key)| {
+            let own = self.sort_values.get(index).unwrap_or(&Value::Null);
+            compare_sort_values(own, other.sort_values.get(index).unwrap_or(&Value::Null), key)
         });
         by_keys.fold(Ordering::Equal, Ordering::then).then(self.shard.cmp(&other.shard))
     }
 }
 
-/// Leaves a hit only as many of its sort values as the client asked for.
-fn keep_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
+/// Removes the sort values that the client did not request.
+fn truncate_sort_values(hit: &mut Value, sort_values: &[Value], requested: usize) {
     let Some(fields) = hit.as_object_mut() else { return };
     if requested == 0 {
         fields.remove("sort");
@@ -119,38 +121,38 @@
     }
 }
 
-/// Merges the results of shards, each given with the shard's number. Results that are incomplete are left out.
+/// Merges the results of shards, each given with the shard's number. Results that are rejected are left out.
 #[must_use]
 pub fn merge_results<'a>(search: &Search, results: impl Iterator<Item = (u32, &'a [u8])>) -> MergedResult {
     let mut merged = MergedResult { complete: true, total_is_exact: true, ..MergedResult::default() };
-    let mut sorted: Vec<SortedHit> = Vec::new();
+    let mut sorted_hits: Vec<SortedHit> = Vec::new();
     for (shard, body) in results {
         let Some(result) = decode_complete_result(body) else { continue };
         let hits = result.hits;
-        // A shard without a total has at least the hits that it sent.
+        // Without a total, the number of hits sent is a lower bound.
         merged.total += hits.total.as_ref().map_or(hits.hits.len() as u64, |total| total.value);
         merged.total_is_exact &= hits.total.as_ref().is_some_and(Total::is_exact);
         merged.complete &= hits.is_complete();
         merged.max_score = [merged.max_score, hits.max_score].into_iter().flatten().reduce(f64::max);
         for mut hit in hits.hits {
             let sort_values = hit.get("sort").and_then(Value::as_array).cloned().unwrap_or_default();
-            keep_sort_values(&mut hit, &sort_values, search.requested_sort_values);
-            sorted.push(SortedHit { sort_values, shard, hit });
+            truncate_sort_values(&mut hit, &sort_values, search.requested_sort_values);
+            sorted_hits.push(SortedHit { sort_values, shard, hit });
         }
     }
-    sorted.sort_by(|a, b| a.compare(b, &search.sort_keys));
-    merged.hits = sorted.into_iter().map(|sorted| sorted.hit).collect();
+    sorted_hits.sort_by(|a, b| a.compare(b, &search.sort_keys));
+    merged.hits = sorted_hits.into_iter().map(|sorted| sorted.hit).collect();
     merged
 }
 
 impl MergedResult {
-    /// The response with one page of the result, `hits`; `shards` were searched, and `served` of them responded.
+    /// Builds the response body with one page of hits. Of the `shards` that were searched, `responded` sent a result.
     #[must_use]
-    pub fn page(&self, hits: &[Value], took: Duration, shards: usize, served: usize) -> Value {
+    pub fn page(&self, hits: &[Value], took: Duration, shards: usize, responded: usize) -> Value {
         json!({
             "took": took.as_millis() as u64,
-            "timed_out": served < shards,
-            "_shards": {"total": shards, "successful": served, "skipped": 0, "failed": shards - served},
+            "timed_out": responded < shards,
+            "_shards": {"total": shards, "successful": responded, "skipped": 0, "failed": shards - responded},
             "hits": {
                 "total": {"value": self.total, "relation": if self.total_is_exact { "eq" } else { "gte" }},
                 "max_score": self.max_score,
--- a/src/records/diagnosis/gatherers.rs
+++ b/src/records/diagnosis/gatherers.rs
@@ -4,21 +4,21 @@
 use crate::records::summary::{IncarnationSummary, Summary};
 use std::collections::BTreeMap;
 
-/// An incarnation that has recorded nothing for this time, while others have, is dead. Metrics are recorded once per
+/// An incarnation that has recorded nothing for this time, while others have, is dead: metrics are recorded once per
 /// second.
 const SILENCE_OF_DEAD_MS: u64 = 5_000;
-/// Deaths of one gatherer within [`RESTART_LOOP_MS`] that make a restart loop.
+/// Number of deaths of one gatherer within [`RESTART_LOOP_MS`] that are a restart loop.
 const RESTART_LOOP_DEATHS: usize = 3;
-/// Time within which the deaths of a restart loop happen.
+/// Time within which the deaths of a restart loop happen, in milliseconds.
 const RESTART_LOOP_MS: u64 = 300_000;
 
-/// An incarnation of the gatherer that is looked at.
+/// An incarnation of the gatherer that is examined.
 struct Incarnation<'a> {
     name: &'a str,
     summary: &'a IncarnationSummary,
 }
 
-/// Finds incarnations without a graceful shutdown, and gatherers that die again and again.
+/// Finds incarnations that ended without a graceful shutdown, and gatherers in a restart loop.
 pub(super) fn find_deaths(summary: &Summary) -> Vec<Finding> {
     let end_ms = summary.incarnations.values().map(|incarnation| incarnation.last_ms).max().unwrap_or(0);
     let mut by_gatherer: BTreeMap<&str, Vec<Incarnation<'_>>> = BTreeMap::new();
@@ -53,13 +53,13 @@
     if summary.stopped || !(next_start_ms.is_some() || silent) {
         return None;
     }
-    let open: Vec<String> = summary
+    let open_by_class: Vec<String> = summary
         .open
         .iter()
         .filter(|(_, open)| **open > 0)
         .map(|(class, open)| format!("{open} {class}"))
         .collect();
-    let open = if open.is_empty() { "no query".to_owned() } else { open.join(", ") };
+    let open = if open_by_class.is_empty() { "no query".to_owned() } else { open_by_class.join(", ") };
     let restart = next_start_ms.map_or("and it has not started since".to_owned(), |next_start_ms| {
         let seconds = next_start_ms.saturating_sub(summary.last_ms) as f64 / 1000.0;
         format!("and it started again {seconds:.1} s later")
@@ -79,7 +79,8 @@
 }
 
 fn find_restart_loop(gatherer: &str, deaths_ms: &[u64]) -> Option<Finding> {
-    let in_loop = |few: &&[u64]| few[RESTART_LOOP_DEATHS - 1].saturating_sub(few[0]) <= RESTART_LOOP_MS;
+    let in_loop =
+        |window: &&[u64]| window[RESTART_LOOP_DEATHS - 1].saturating_sub(window[0]) <= RESTART_LOOP_MS;
     let first = deaths_ms.windows(RESTART_LOOP_DEATHS).find(in_loop)?;
     Some(Finding {
         kind: FindingKind::RestartLoop { gatherer: gatherer.to_owned() },
@@ -91,10 +92,10 @@
     })
 }
 
-/// Finds incarnations whose sequence of records has holes.
+/// Finds incarnations with gaps in the sequence of their records.
 pub(super) fn find_missing_records(summary: &Summary) -> Vec<Finding> {
-    let incomplete = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
-    incomplete
+    let with_missing_records = summary.incarnations.iter().filter(|(_, incarnation)| incarnation.missing > 0);
+    with_missing_records
         .map(|(id, incarnation)| Finding {
             kind: FindingKind::RecordsMissing { gatherer: id.gatherer.clone() },
             from_ms: incarnation.first_ms,
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -1,19 +1,21 @@
 //! Detects periods of overload: times in which clients request more than the process accepts.
 //!
-//! Owns the state of the current period. It has hysteresis, so that one bad second is not a period.
+//! The detector owns the state of the current period. Its thresholds have hysteresis, so that rejections that come and
+//! go do not start a period each time.
 
 use super::metrics::{MetricsSnapshot, QueryEnd};
 
-/// A period begins with a second of at least this number of rejections...
-const MIN_REJECTED_TO_BEGIN: u64 = 5;
-/// ...that are at least this share of the queries.
-const REJECTED_SHARE_TO_BEGIN: f64 = 0.05;
-/// A period ends after [`QUIET_SECONDS_TO_END`] seconds in a row with less than this share of rejections.
+/// A period starts with a second that has at least this number of rejections, if their share is at least
+/// [`REJECTED_SHARE_TO_START`].
+const MIN_REJECTED_TO_START: u64 = 5;
+/// Share of rejections among the queries of a second from which a period starts.
+const REJECTED_SHARE_TO_START: f64 = 0.05;
+/// A period ends after [`QUIET_SECONDS_TO_END`] consecutive seconds with less than this share of rejections.
 const REJECTED_SHARE_TO_END: f64 = 0.01;
-/// Seconds in a row with few rejections after which a period ends.
+/// Consecutive seconds with few rejections after which a period ends.
 const QUIET_SECONDS_TO_END: u32 = 5;
 
-/// Follows rejections second by second.
+/// Detects overload from the rejections of each second.
 #[derive(Debug, Default)]
 pub struct OverloadDetector {
     overloaded: bool,
@@ -21,17 +23,18 @@
 }
 
 impl OverloadDetector {
-    /// Takes the metrics of one second, and returns whether a period begins (`true`) or ends (`false`) with it.
+    /// Evaluates the metrics of one second. Returns `Some(true)` if a period starts with this second, and `Some(false)`
+    /// if one ends.
     #[must_use]
     pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
         let accepted: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
-        let count_of =
+        let counts_of =
             |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
         let rejected: u64 =
-            count_of(QueryEnd::RejectedByPolicy).chain(count_of(QueryEnd::RejectedAtCapacity)).sum();
+            counts_of(QueryEnd::RejectedByPolicy).chain(counts_of(QueryEnd::RejectedAtCapacity)).sum();
         let rejected_share = rejected as f64 / accepted.max(rejected).max(1) as f64;
         if !self.overloaded {
-            self.overloaded = rejected >= MIN_REJECTED_TO_BEGIN && rejected_share >= REJECTED_SHARE_TO_BEGIN;
+            self.overloaded = rejected >= MIN_REJECTED_TO_START && rejected_share >= REJECTED_SHARE_TO_START;
             self.quiet_seconds = 0;
             return self.overloaded.then_some(true);
         }
--- a/src/records/reader.rs
+++ b/src/records/reader.rs
@@ -1,48 +1,50 @@
-//! Reads records back in bounded memory, and reports each one that is damaged.
+//! Reads records in bounded memory, and reports each one that is damaged.
 //!
-//! Owns the order of each incarnation's records over all segments. It opens no file: the caller hands it the bytes.
+//! The reader checks the order of each incarnation's records over all segments. It opens no file: the caller passes the
+//! bytes of each segment.
 
 use super::record::{IncarnationId, MAX_RECORD_BYTES, Record, RecordError};
 use std::collections::HashMap;
 use std::fmt;
 use std::io::{self, BufRead};
 
-/// A damaged record, and where it stands.
+/// A damaged record and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedRecord {
     /// Name of the file.
     pub file: String,
     /// Number of the line, from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// Why the record is not valid.
     pub error: RecordError,
 }
 
 impl fmt::Display for DamagedRecord {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}:{}: {}", self.file, self.line, self.error)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}:{}: {}", self.file, self.line, self.error)
     }
 }
 
 /// Reads segments and keeps track of the order of records over all of them.
 #[derive(Debug, Default)]
 pub struct Reader {
+    /// Last sequence number that was read, by incarnation.
     last_seq: HashMap<IncarnationId, u64>,
-    /// Valid records read so far.
+    /// Number of valid records read so far.
     pub valid_records: u64,
 }
 
 impl Reader {
-    /// Reads one segment, and calls `on_record` for each valid record and `on_damaged` for each other one. Segments of one
-    /// incarnation have to be read in the order of their numbers.
+    /// Reads one segment, and calls `on_record` for each valid record and `on_damaged` for each other one. The segments
+    /// of an incarnation must be read in the order of their numbers.
     ///
     /// # Errors
     ///
-    /// Fails where the bytes cannot be read. Damaged records are no error.
+    /// If the bytes cannot be read. Damaged records are passed to `on_damaged` and are not an error.
     pub fn read(
         &mut self,
         file: &str,
-        mut from: impl BufRead,
+        mut input: impl BufRead,
         mut on_record: impl FnMut(Record),
         mut on_damaged: impl FnMut(DamagedRecord),
     ) -> io::Result<()> {
@@ -50,7 +52,7 @@
         let mut line = 0;
         loop {
             bytes.clear();
-            let complete = read_line(&mut from, &mut bytes)?;
+            let complete = read_line(&mut input, &mut bytes)?;
             if !complete && bytes.is_empty() {
                 return Ok(());
             }
@@ -60,8 +62,7 @@
             } else if bytes.len() > MAX_RECORD_BYTES {
                 Err(RecordError::TooLong)
             } else {
-                // A last line without its line feed does not count, even if it is cut right behind a checksum that
-                // matches.
+                // A last line without a line feed is torn, even if it is cut just after a matching checksum.
                 Err(RecordError::Torn)
             };
             match decoded {
@@ -88,11 +89,11 @@
     }
 }
 
-/// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only enough
-/// is kept to recognise it as too long.
-fn read_line(from: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
+/// Reads up to the end of a line; returns false at the end of the file. Of a line over [`MAX_RECORD_BYTES`], only
+/// enough bytes are kept to detect that it is too long.
+fn read_line(input: &mut impl BufRead, bytes: &mut Vec<u8>) -> io::Result<bool> {
     loop {
-        let chunk = match from.fill_buf() {
+        let chunk = match input.fill_buf() {
             Ok(chunk) => chunk,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             Err(error) => return Err(error),
@@ -100,12 +101,12 @@
         if chunk.is_empty() {
             return Ok(false);
         }
-        let end = chunk.iter().position(|byte| *byte == b'\n');
-        let used = end.map_or(chunk.len(), |end| end + 1);
+        let line_feed = chunk.iter().position(|byte| *byte == b'\n');
+        let consumed = line_feed.map_or(chunk.len(), |index| index + 1);
         let capacity = (MAX_RECORD_BYTES + 2).saturating_sub(bytes.len());
-        bytes.extend_from_slice(&chunk[..used.min(capacity)]);
-        from.consume(used);
-        if end.is_some() {
+        bytes.extend_from_slice(&chunk[..consumed.min(capacity)]);
+        input.consume(consumed);
+        if line_feed.is_some() {
             return Ok(true);
         }
     }
