--- a/src/main.rs
+++ b/src/main.rs
@@ -115,7 +115,7 @@
             if json {
                 println!("{}", report.json());
             } else {
-                std::fs::write(&out, report.html())?;
+                report.write_html(&out)?;
                 println!("{}: {}", out.display(), report.summary_line());
             }
             Ok(())
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -2,7 +2,7 @@
 //! both. It opens nothing but that file.
 
 use super::config_file::read_file;
-use super::errors::ConfigError;
+use super::errors::{ConfigError, ConfigFileKind, SOCKET_ADDRESS_FORM};
 use super::settings::{FlatSettings, InvalidSetting};
 use crate::limits::descriptors;
 use crate::protocol::discovery;
@@ -55,8 +55,9 @@
     /// `LB_CONFIG` is not set, or its file cannot be read or used.
     pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::MissingVariable(CONFIG_VARIABLE))?;
-        let json: Value = read_file(&path, std::fs::read, |bytes| Ok(serde_json::from_slice(&bytes)?))?;
-        Ok(Config::from_json(&json, variable)?)
+        read_file(&path, ConfigFileKind::Platform, std::fs::read, |bytes| {
+            Ok(Config::from_json(&serde_json::from_slice(&bytes)?, variable)?)
+        })
     }
 
     /// Checks the file's content.
@@ -97,8 +98,8 @@
 /// # Errors
 /// `LB_OPERATOR` is not set, or is no address.
 pub fn operator_address(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
-    let address = variable(OPERATOR_VARIABLE).and_then(|address| address.parse().ok());
-    address.ok_or(ConfigError::MissingVariable(OPERATOR_VARIABLE))
+    let value = variable(OPERATOR_VARIABLE).ok_or(ConfigError::MissingVariable(OPERATOR_VARIABLE))?;
+    value.parse().map_err(|_| ConfigError::InvalidAddressVariable { variable: OPERATOR_VARIABLE, value })
 }
 
 /// The file's content, and the variables that supply what it lacks.
@@ -108,26 +109,37 @@
 }
 
 impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
+    /// Whether the file sets `key`.
+    fn has(&self, key: &str) -> bool {
+        self.json.get(key).is_some_and(|value| !value.is_null())
+    }
+
     /// The text at `key`, or else that of the variable.
     fn text(&self, key: &str, variable: &str) -> Result<String, InvalidSetting> {
-        let text = match self.json.get(key).filter(|value| !value.is_null()) {
-            Some(value) => value.as_str().map(str::to_owned),
-            None => (self.variable)(variable),
-        };
-        text.ok_or_else(|| InvalidSetting::new(key, "missing, or no text"))
+        match self.json.get(key).filter(|value| !value.is_null()) {
+            Some(value) => value
+                .as_str()
+                .map(str::to_owned)
+                .ok_or_else(|| InvalidSetting::new(key, format!("found {value}, expected a text"))),
+            None => (self.variable)(variable).ok_or_else(|| {
+                InvalidSetting::new(key, format!("the key is missing, and {variable} is not set"))
+            }),
+        }
     }
 
     /// The address at `key`, or else that of the variable.
     fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, InvalidSetting> {
         let text = self.text(key, variable)?;
-        text.parse().map_err(|_| InvalidSetting::new(key, format!("no address {text:?}")))
+        text.parse().map_err(|_| {
+            let origin = if self.has(key) { String::new() } else { format!(" in {variable}") };
+            InvalidSetting::new(key, format!("found {text:?}{origin}, expected {SOCKET_ADDRESS_FORM}"))
+        })
     }
 
     /// The address of the operators' API, if there is one.
     fn operator_address(&self) -> Result<Option<SocketAddr>, InvalidSetting> {
-        let is_given = self.json.get("operator").is_some_and(|value| !value.is_null())
-            || (self.variable)(OPERATOR_VARIABLE).is_some();
-        is_given.then(|| self.address("operator", OPERATOR_VARIABLE)).transpose()
+        let is_configured = self.has("operator") || (self.variable)(OPERATOR_VARIABLE).is_some();
+        is_configured.then(|| self.address("operator", OPERATOR_VARIABLE)).transpose()
     }
 }
 
@@ -138,7 +150,9 @@
         Some(Value::Number(number)) => Ok(number.as_u64().unwrap_or(0)),
         Some(seed) => {
             let hex = seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
-            hex.ok_or_else(|| InvalidSetting::new("seed", format!("no hexadecimal number {seed}")))
+            hex.ok_or_else(|| {
+                InvalidSetting::new("seed", format!("found {seed}, expected a hexadecimal number of 64 bits"))
+            })
         }
     }
 }
@@ -147,29 +161,36 @@
 fn limit(json: &Value, key: &str, default: u64, min: u64) -> Result<u64, InvalidSetting> {
     let Some(count) = json.pointer(&format!("/limits/{key}")) else { return Ok(default) };
     count.as_u64().filter(|count| *count >= min).ok_or_else(|| {
-        InvalidSetting::new(&format!("limits.{key}"), format!("{count}: {min} at least are needed"))
+        let reason = format!("found {count}, expected a whole number of at least {min}");
+        InvalidSetting::new(&format!("limits.{key}"), reason)
     })
 }
 
 /// The list of workers to start with, in discovery's form.
 fn initial_workers(json: &Value) -> Result<Option<WorkerListUpdate>, InvalidSetting> {
     let Some(list) = json.get("known").filter(|list| !list.is_null()) else { return Ok(None) };
-    discovery::decode_endpoint_list(list.to_string().as_bytes())
-        .map(Some)
-        .map_err(|error| InvalidSetting::new("known", error.to_string()))
+    discovery::decode_endpoint_list(list.to_string().as_bytes()).map(Some).map_err(|error| {
+        InvalidSetting::new(
+            "known",
+            format!("invalid endpoint list (line and column in its compact form): {error}"),
+        )
+    })
 }
 
 /// The contracts that the section `settings` describes, within what the platform's protocol carries.
 fn contracts(json: &Value, seed: u64) -> Result<Contracts, InvalidSetting> {
-    let settings = json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "missing"))?;
+    let settings =
+        json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "the section is missing"))?;
     let mut contracts = FlatSettings::from_json(settings)
         .contracts(seed)
         .map_err(|error| InvalidSetting::new(&format!("settings.{}", error.path), error.reason))?;
     if contracts.settings.shards == 0 {
-        return Err(InvalidSetting::new("settings.domain.slices", "there must be one at least"));
+        let slices = settings.pointer("/domain/slices").unwrap_or(&Value::Null);
+        let reason = format!("found {slices}, expected a whole number of at least 1");
+        return Err(InvalidSetting::new("settings.domain.slices", reason));
     }
     if contracts.classes.is_empty() {
-        return Err(InvalidSetting::new("settings.categories", "there must be one at least"));
+        return Err(InvalidSetting::new("settings.categories", "found no class, expected at least one"));
     }
     // The protocol carries neither follow-up requests nor health checks.
     contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
--- a/src/program/errors.rs
+++ b/src/program/errors.rs
@@ -6,12 +6,15 @@
 use super::settings::InvalidSetting;
 use crate::limits::descriptors::DescriptorLimitTooLow;
 use crate::transport::errors::is_transient;
+use std::fmt;
 use std::io;
 
 /// Exit status of a command whose configuration cannot be used.
 const CONFIGURATION_EXIT_STATUS: u8 = 2;
 /// Exit status of a command that failed in any other way.
 const OTHER_EXIT_STATUS: u8 = 1;
+/// Form of a socket address, as error messages describe it.
+pub(super) const SOCKET_ADDRESS_FORM: &str = "IP:PORT";
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
@@ -26,10 +29,16 @@
     #[error(transparent)]
     System(#[from] io::Error),
     /// The number of damaged lines in the records that were read.
-    #[error("{0} lines do not count")]
+    #[error("records: {0} damaged lines")]
     DamagedRecords(u64),
 }
 
+/// Adds the object of a failed system call to its error, as in `map_err(with_context("cannot listen at 10.0.0.1:80"))`.
+/// The error that this makes has no code of the system: call it after [`is_transient`] has been asked.
+pub(super) fn with_context(context: impl fmt::Display) -> impl FnOnce(io::Error) -> io::Error {
+    move |error| io::Error::new(error.kind(), format!("{context}: {error}"))
+}
+
 impl CommandError {
     /// The exit status of the process: 2 for a configuration that cannot be used, else 1.
     #[must_use]
@@ -47,13 +56,23 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A variable of the environment is not set.
-    #[error("{0} is not set")]
+    #[error("environment variable {0} is not set")]
     MissingVariable(&'static str),
+    /// A variable of the environment holds no socket address.
+    #[error("environment variable {variable}: found {value:?}, expected {SOCKET_ADDRESS_FORM}")]
+    InvalidAddressVariable {
+        /// Name of the variable.
+        variable: &'static str,
+        /// Text that the variable holds.
+        value: String,
+    },
     /// A file cannot be read.
-    #[error("{path}: {error}")]
+    #[error("{path}: cannot read the {kind}: {error}")]
     Unreadable {
         /// The file's path.
         path: String,
+        /// What the file was read for.
+        kind: ConfigFileKind,
         /// Why it cannot be read.
         #[source]
         error: io::Error,
@@ -67,9 +86,6 @@
         #[source]
         error: FileContentError,
     },
-    /// The value of one key cannot be used.
-    #[error("configuration: {0}")]
-    InvalidSetting(#[from] InvalidSetting),
 }
 
 impl ConfigError {
@@ -80,19 +96,40 @@
     }
 }
 
+/// The kinds of configuration files, as error messages call them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConfigFileKind {
+    /// The JSON file of the platform's front, which `LB_CONFIG` names.
+    Platform,
+    /// The TOML file of an OpenSearch-style front.
+    OpenSearchFront,
+    /// The operator's TOML file.
+    Operator,
+    /// A TOML file that is checked and may be of either TOML kind.
+    Toml,
+}
+
+impl fmt::Display for ConfigFileKind {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            ConfigFileKind::Platform => "platform configuration file",
+            ConfigFileKind::OpenSearchFront => "OpenSearch-style front file",
+            ConfigFileKind::Operator => "operator file",
+            ConfigFileKind::Toml => "TOML file to check",
+        })
+    }
+}
+
 /// What is wrong with the content of a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileContentError {
     /// The platform's file is not JSON.
-    #[error(transparent)]
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// The OpenSearch-style front's file has not the form that its sections ask for.
+    /// A TOML file has a syntax error, or a key that is unknown, missing or of another type. The message shows the line and
+    /// the key over several lines.
     #[error(transparent)]
-    FrontToml(toml::de::Error),
-    /// The operator's file has not the form that its sections ask for. The message shows the line and the key over several
-    /// lines, and begins on a line of its own.
-    #[error("\n{0}")]
-    OperatorToml(#[source] toml::de::Error),
+    Toml(#[from] toml::de::Error),
     /// The value of one key cannot be used.
     #[error(transparent)]
     InvalidSetting(#[from] InvalidSetting),
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -2,7 +2,7 @@
 
 use super::config::{CONFIG_VARIABLE, Config};
 use super::config_file::read_file;
-use super::errors::ConfigError;
+use super::errors::{ConfigError, ConfigFileKind, with_context};
 use super::opensearch_file::FrontFile;
 use super::operator::OperatorFile;
 use crate::records::diagnosis::{Finding, diagnose};
@@ -28,14 +28,14 @@
             CONFIG_VARIABLE => Some(path.to_owned()),
             other => std::env::var(other).ok(),
         };
-        return Config::from_platform(variable).map(|_| "a configuration of the platform's, without a fault");
+        return Config::from_platform(variable).map(|_| "valid platform configuration file");
     }
     let has_listen =
         |text: String| text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("listen"));
-    if read_file(path, std::fs::read_to_string, |text| Ok(has_listen(text)))? {
-        return FrontFile::read(path, 0).map(|_| "an OpenSearch-style front's file, without a fault");
+    if read_file(path, ConfigFileKind::Toml, std::fs::read_to_string, |text| Ok(has_listen(text)))? {
+        return FrontFile::read(path, 0).map(|_| "valid OpenSearch-style front file");
     }
-    OperatorFile::read(path).map(|_| "an operator's file, without a fault")
+    OperatorFile::read(path).map(|_| "valid operator file")
 }
 
 /// The JSON schema of a record.
@@ -49,10 +49,9 @@
 fn segment_paths(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
     let mut found = Vec::new();
     for folder in folders {
-        let with_folder =
-            |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
-        for entry in std::fs::read_dir(folder).map_err(with_folder)? {
-            let file = entry?.file_name();
+        let context = || format!("{}: cannot read the folder of records", folder.display());
+        for entry in std::fs::read_dir(folder).map_err(with_context(context()))? {
+            let file = entry.map_err(with_context(context()))?.file_name();
             if let Some(name) = SegmentName::parse(&file.to_string_lossy()) {
                 found.push((name, folder.join(file)));
             }
@@ -69,14 +68,12 @@
 ) -> io::Result<Reader> {
     let mut reader = Reader::default();
     for path in segment_paths(folders)? {
-        let with_path = |path: &Path, error: io::Error| {
-            io::Error::new(error.kind(), format!("{}: {error}", path.display()))
-        };
-        let file = File::open(&path).map_err(|error| with_path(&path, error))?;
+        let context = || format!("{}: cannot read the records", path.display());
+        let file = File::open(&path).map_err(with_context(context()))?;
         let name = path.display().to_string();
         reader
             .read(&name, BufReader::new(file), &mut on_record, &mut on_damaged)
-            .map_err(|error| with_path(&path, error))?;
+            .map_err(with_context(context()))?;
     }
     Ok(reader)
 }
@@ -144,6 +141,15 @@
         html_report::render(&self.summary, &self.findings, &self.faults, self.damaged)
     }
 
+    /// Writes the HTML page to the file at `path`.
+    ///
+    /// # Errors
+    /// The file cannot be written.
+    pub fn write_html(&self, path: &Path) -> io::Result<()> {
+        let context = format!("{}: cannot write the report", path.display());
+        std::fs::write(path, self.html()).map_err(with_context(context))
+    }
+
     /// The findings in one line.
     #[must_use]
     pub fn summary_line(&self) -> String {
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -1,6 +1,7 @@
 //! Membership in this program: whether this gatherer takes part, and where changes of members go (the core, the log and
 //! the records); and the `members` sub-command, which prints the members that a gatherer knows.
 
+use super::errors::with_context;
 use super::operator::MembershipSettings;
 use super::recording::Recording;
 use crate::membership::{MemberChange, MemberState, MemberUpdate, Node, NodeConfig};
@@ -18,6 +19,10 @@
 
 /// Time-out of the connection and of each read of an operator's call.
 const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Path of the operators' call that lists the members.
+const MEMBERS_PATH: &str = "/-/members";
+/// Size of the largest list of members that is read.
+const MAX_MEMBERS_BODY_BYTES: usize = 64 * http::MAX_BODY_BYTES;
 
 /// Passes changes of members on to the core, the log and the records.
 struct MemberChanges {
@@ -96,30 +101,45 @@
 /// # Errors
 /// The call failed or timed out, or its status is not 200.
 pub fn query(operator: SocketAddr, json: bool) -> io::Result<String> {
+    let text = fetch_members(operator).map_err(with_context(format!("GET {MEMBERS_PATH} of {operator}")))?;
+    if json {
+        return Ok(text);
+    }
+    let view: Value = serde_json::from_str(&text).map_err(|error| {
+        io::Error::other(format!("the members that {operator} sent are no JSON: {error}"))
+    })?;
+    Ok(member_table(&view))
+}
+
+/// Requests the members from an operators' API, and returns the body of the response.
+fn fetch_members(operator: SocketAddr) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&operator, OPERATOR_CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(OPERATOR_CALL_TIMEOUT))?;
-    stream.write_all(&http::encode_request("GET", "/-/members", &operator.to_string(), None))?;
+    stream.write_all(&http::encode_request("GET", MEMBERS_PATH, &operator.to_string(), None))?;
     let (mut buffer, mut chunk) = (BytesMut::new(), [0; 4096]);
     let response = loop {
-        let parsed = http::take_response(&mut buffer, 64 * http::MAX_BODY_BYTES)
-            .map_err(|error| io::Error::other(error.to_string()))?;
+        let parsed = http::take_response(&mut buffer, MAX_MEMBERS_BODY_BYTES)
+            .map_err(|error| io::Error::other(format!("invalid HTTP response: {error}")))?;
         if let Some(response) = parsed {
             break response;
         }
         match stream.read(&mut chunk)? {
-            0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            0 => {
+                let reason = "the connection closed before the end of the response";
+                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, reason));
+            }
             count => buffer.extend_from_slice(&chunk[..count]),
         }
     };
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if response.status != 200 {
-        return Err(io::Error::other(text));
+        return Err(io::Error::other(format!(
+            "status {}, expected 200: {}",
+            response.status,
+            text.trim_end()
+        )));
     }
-    if json {
-        return Ok(text);
-    }
-    let view: Value = serde_json::from_str(&text)?;
-    Ok(member_table(&view))
+    Ok(text)
 }
 
 /// The members as a table for a person.
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,7 +1,7 @@
 //! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
 
 use super::config_file::read_file;
-use super::errors::{ConfigError, FileContentError};
+use super::errors::{ConfigError, ConfigFileKind, FileContentError, SOCKET_ADDRESS_FORM};
 use super::settings::InvalidSetting;
 use crate::fronts::opensearch::RequestNames;
 use crate::limits::descriptors;
@@ -155,7 +155,9 @@
     /// # Errors
     /// The file cannot be read, or one of its values cannot be used.
     pub fn read(path: &str, seed: u64) -> Result<FrontFile, ConfigError> {
-        read_file(path, std::fs::read_to_string, |text| FrontFile::parse(&text, seed))
+        read_file(path, ConfigFileKind::OpenSearchFront, std::fs::read_to_string, |text| {
+            FrontFile::parse(&text, seed)
+        })
     }
 
     /// Parses and checks the text of a file.
@@ -163,7 +165,7 @@
     /// # Errors
     /// Names the line or the key that cannot be used.
     pub fn parse(text: &str, seed: u64) -> Result<FrontFile, FileContentError> {
-        let file: FileContent = toml::from_str(text).map_err(FileContentError::FrontToml)?;
+        let file: FileContent = toml::from_str(text)?;
         Ok(file.check(seed)?)
     }
 }
@@ -171,9 +173,8 @@
 impl FileContent {
     /// Checks the sections in their order, and makes what they describe.
     fn check(&self, seed: u64) -> Result<FrontFile, InvalidSetting> {
-        let listen = self.listen.parse::<SocketAddr>();
-        let listen =
-            listen.map_err(|_| InvalidSetting::new("listen", format!("no address {:?}", self.listen)))?;
+        let invalid_listen = |_| InvalidSetting::unexpected("listen", &self.listen, SOCKET_ADDRESS_FORM);
+        let listen = self.listen.parse::<SocketAddr>().map_err(invalid_listen)?;
         self.check_layout()?;
         self.check_limits()?;
         let classes = self.classes()?;
@@ -187,35 +188,54 @@
 
     fn check_layout(&self) -> Result<(), InvalidSetting> {
         let LayoutSection { shards, cells, span } = self.layout;
-        if shards == 0 || cells == 0 || !(1..=cells).contains(&span) {
-            return Err(InvalidSetting::new("layout", "shards and cells are 1 at least, span is 1 to cells"));
+        for (key, count) in [("shards", shards), ("cells", cells)] {
+            if count == 0 {
+                return Err(InvalidSetting::new("layout", format!("{key} is 0, expected at least 1")));
+            }
+        }
+        if !(1..=cells).contains(&span) {
+            let reason = format!("span is {span}, expected 1 to layout.cells ({cells})");
+            return Err(InvalidSetting::new("layout", reason));
         }
         Ok(())
     }
 
     fn check_limits(&self) -> Result<(), InvalidSetting> {
         let LimitsSection { max_open, window, searches_per_server, attempts, .. } = self.limits;
-        if window == 0 || searches_per_server == 0 || attempts == 0 || max_open <= self.layout.shards as usize
-        {
-            return Err(InvalidSetting::new("limits", "1 at least; max_open over layout.shards"));
+        let positive = [
+            ("window", window),
+            ("searches_per_server", searches_per_server),
+            ("attempts", attempts as usize),
+        ];
+        for (key, count) in positive {
+            if count == 0 {
+                return Err(InvalidSetting::new("limits", format!("{key} is 0, expected at least 1")));
+            }
+        }
+        let shards = self.layout.shards;
+        if max_open <= shards as usize {
+            let reason = format!("max_open is {max_open}, expected more than layout.shards ({shards})");
+            return Err(InvalidSetting::new("limits", reason));
         }
         let LimitsSection { sockets, memory_mb, .. } = self.limits;
         if sockets < descriptors::MIN_DESCRIPTORS {
-            let what = format!("{sockets}: {} at least are needed", descriptors::MIN_DESCRIPTORS);
-            return Err(InvalidSetting::new("limits.sockets", what));
+            let expected = format!("at least {}", descriptors::MIN_DESCRIPTORS);
+            return Err(InvalidSetting::unexpected("limits.sockets", sockets, expected));
         }
         if memory_mb < MIN_MEMORY_MB {
-            let what = format!("{memory_mb}: {MIN_MEMORY_MB} at least are needed");
-            return Err(InvalidSetting::new("limits.memory_mb", what));
+            let expected = format!("at least {MIN_MEMORY_MB}");
+            return Err(InvalidSetting::unexpected("limits.memory_mb", memory_mb, expected));
         }
         // Leaves the descriptors that are guaranteed to clients, files and discovery.
         let max_connections = sockets / 16 * 7;
-        if self.server.len().saturating_mul(searches_per_server) > max_connections {
-            let what = format!(
-                "with {} servers more than {max_connections} connections, 7/16 of limits.sockets",
-                self.server.len()
+        let servers = self.server.len();
+        if servers.saturating_mul(searches_per_server) > max_connections {
+            let expected = format!(
+                "at most {}: all servers ({servers}) share {max_connections} connections, 7/16 of limits.sockets",
+                max_connections / servers
             );
-            return Err(InvalidSetting::new("limits.searches_per_server", what));
+            let key = "limits.searches_per_server";
+            return Err(InvalidSetting::unexpected(key, searches_per_server, expected));
         }
         Ok(())
     }
@@ -225,10 +245,12 @@
         for (at, class) in self.class.iter().enumerate() {
             let key = |name: &str| format!("class.{at}.{name}");
             if class.wanted_ms == 0 || class.wanted_ms > class.deadline_ms {
-                return Err(InvalidSetting::new(&key("wanted_ms"), "1 at least, and not past deadline_ms"));
+                let expected = format!("1 to deadline_ms ({})", class.deadline_ms);
+                return Err(InvalidSetting::unexpected(&key("wanted_ms"), class.wanted_ms, expected));
             }
             if !(class.floor > 0.0 && class.floor <= 1.0) {
-                return Err(InvalidSetting::new(&key("floor"), "a share over 0 and up to 1"));
+                let expected = "a share above 0 and at most 1";
+                return Err(InvalidSetting::unexpected(&key("floor"), class.floor, expected));
             }
             classes.push(Class {
                 latency_objective: Duration::from_millis(class.wanted_ms),
@@ -256,7 +278,8 @@
         let cells = self.layout.cells;
         for (at, server) in self.server.iter().enumerate() {
             if server.cell >= cells {
-                return Err(InvalidSetting::new(&format!("server.{at}.cell"), format!("there are {cells}")));
+                let expected = format!("0 to {}: layout.cells is {cells}", cells - 1);
+                return Err(InvalidSetting::unexpected(&format!("server.{at}.cell"), server.cell, expected));
             }
             workers.push(ListedWorker {
                 name: server.name.clone(),
@@ -328,14 +351,17 @@
         let mut names = RequestNames { window: self.limits.window, ..RequestNames::default() };
         for (at, index) in self.index.iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
-            let unknown =
-                || InvalidSetting::new(&format!("index.{at}.class"), format!("no class {:?}", index.class));
+            let unknown = || {
+                let expected = format!("the name of a class: {}", contracts.classes.join(", "));
+                InvalidSetting::unexpected(&format!("index.{at}.class"), &index.class, expected)
+            };
             names.indexes.insert(index.name.clone(), class.ok_or_else(unknown)?);
         }
         for (at, caller) in self.caller.iter().enumerate() {
             let tenant = contracts.tenant(&caller.tenant);
             let unknown = || {
-                InvalidSetting::new(&format!("caller.{at}.tenant"), format!("no tenant {:?}", caller.tenant))
+                let expected = format!("the name of a tenant: {}", contracts.tenants.join(", "));
+                InvalidSetting::unexpected(&format!("caller.{at}.tenant"), &caller.tenant, expected)
             };
             names.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
         }
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -2,7 +2,7 @@
 //! configuration. Everything in it is off where there is no such file.
 
 use super::config_file::read_file;
-use super::errors::{ConfigError, FileContentError};
+use super::errors::{ConfigError, ConfigFileKind, FileContentError};
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
@@ -12,6 +12,29 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// Shortest secret of a cluster, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// Highest number of other members that may be configured.
+const MAX_MEMBERS: usize = 10_000;
+/// Shortest time between two rounds of health checks, in milliseconds.
+const MIN_PERIOD_MS: u64 = 50;
+/// Longest time between two rounds of health checks, in milliseconds.
+const MAX_PERIOD_MS: u64 = 10_000;
+/// Shortest time from a member's suspected state to its dead one, in rounds of health checks.
+const MIN_DECLARE_DEAD_PERIODS: u64 = 4;
+/// Longest time from a member's suspected state to its dead one, in milliseconds.
+const MAX_DECLARE_DEAD_AFTER_MS: u64 = 600_000;
+/// Smallest size of a segment, in kB.
+const MIN_SEGMENT_KB: u64 = 64;
+/// Largest size of a segment, in kB.
+const MAX_SEGMENT_KB: u64 = 1 << 20;
+/// Highest age of a segment, in seconds.
+const MAX_SEGMENT_S: u64 = 7 * 86_400;
+/// Lowest total size of all segments, in segments.
+const MIN_SEGMENTS: u64 = 2;
+/// Highest total size of all segments, in kB.
+const MAX_ALL_KB: u64 = 1 << 30;
+
 /// Content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -82,28 +105,37 @@
 
     fn check(&self) -> Result<(), InvalidSetting> {
         if self.cluster.is_empty() {
-            return Err(InvalidSetting::new("membership.cluster", "it needs a name"));
+            return Err(InvalidSetting::new("membership.cluster", "found an empty text, expected a name"));
         }
-        if !self.secret.is_empty() && self.secret.len() < 16 {
-            return Err(InvalidSetting::new("membership.secret", "16 bytes at least, or none"));
+        if !self.secret.is_empty() && self.secret.len() < MIN_SECRET_BYTES {
+            // The secret itself stays out of the log.
+            let reason =
+                format!("found {} bytes, expected at least {MIN_SECRET_BYTES}, or none", self.secret.len());
+            return Err(InvalidSetting::new("membership.secret", reason));
         }
-        if !(1..=10_000).contains(&self.max_members) {
-            return Err(InvalidSetting::new("membership.most", "1 to 10,000"));
+        if !(1..=MAX_MEMBERS).contains(&self.max_members) {
+            let expected = format!("1 to {MAX_MEMBERS}");
+            return Err(InvalidSetting::unexpected("membership.most", self.max_members, expected));
         }
-        if !(50..=10_000).contains(&self.period_ms) {
-            return Err(InvalidSetting::new("membership.period_ms", "50 ms to 10 s"));
+        if !(MIN_PERIOD_MS..=MAX_PERIOD_MS).contains(&self.period_ms) {
+            let expected = format!("{MIN_PERIOD_MS} to {MAX_PERIOD_MS}");
+            return Err(InvalidSetting::unexpected("membership.period_ms", self.period_ms, expected));
         }
-        if self.declare_dead_after_ms < 4 * self.period_ms || self.declare_dead_after_ms > 600_000 {
-            return Err(InvalidSetting::new(
+        let min_declare_dead_after_ms = MIN_DECLARE_DEAD_PERIODS * self.period_ms;
+        if !(min_declare_dead_after_ms..=MAX_DECLARE_DEAD_AFTER_MS).contains(&self.declare_dead_after_ms) {
+            let expected = format!(
+                "{min_declare_dead_after_ms} ({MIN_DECLARE_DEAD_PERIODS} times period_ms) to {MAX_DECLARE_DEAD_AFTER_MS}"
+            );
+            return Err(InvalidSetting::unexpected(
                 "membership.bury_ms",
-                "four periods at least, 10 minutes at most",
+                self.declare_dead_after_ms,
+                expected,
             ));
         }
-        if self.advertise.unwrap_or(self.listen).ip().is_unspecified() {
-            return Err(InvalidSetting::new(
-                "membership.advertise",
-                "an address at which others reach this one",
-            ));
+        let advertised = self.advertise.unwrap_or(self.listen);
+        if advertised.ip().is_unspecified() {
+            let expected = "an IP address at which other members reach this one (membership.listen where the key is absent)";
+            return Err(InvalidSetting::unexpected("membership.advertise", advertised, expected));
         }
         Ok(())
     }
@@ -155,7 +187,7 @@
     /// # Errors
     /// The file cannot be read, or one of its values cannot be used.
     pub fn read(path: &str) -> Result<OperatorFile, ConfigError> {
-        read_file(path, std::fs::read_to_string, |text| OperatorFile::parse(&text))
+        read_file(path, ConfigFileKind::Operator, std::fs::read_to_string, |text| OperatorFile::parse(&text))
     }
 
     /// Parses and checks the text of a file.
@@ -163,7 +195,7 @@
     /// # Errors
     /// Names the line and the key that cannot be used.
     pub fn parse(text: &str) -> Result<OperatorFile, FileContentError> {
-        let file: OperatorFile = toml::from_str(text).map_err(FileContentError::OperatorToml)?;
+        let file: OperatorFile = toml::from_str(text)?;
         file.check().map_err(|error| match line_number_of(text, &error.path) {
             Some(line) => FileContentError::InvalidLine { line, error },
             None => FileContentError::InvalidSetting(error),
@@ -186,14 +218,18 @@
 
 impl RecordSettings {
     fn check(&self) -> Result<(), InvalidSetting> {
-        if !(64..=1 << 20).contains(&self.segment_kb) {
-            return Err(InvalidSetting::new("records.segment_kb", "64 kB to 1 GB"));
+        if !(MIN_SEGMENT_KB..=MAX_SEGMENT_KB).contains(&self.segment_kb) {
+            let expected = format!("{MIN_SEGMENT_KB} to {MAX_SEGMENT_KB} (1 GiB)");
+            return Err(InvalidSetting::unexpected("records.segment_kb", self.segment_kb, expected));
         }
-        if !(1..=7 * 86_400).contains(&self.segment_s) {
-            return Err(InvalidSetting::new("records.segment_s", "1 second to a week"));
+        if !(1..=MAX_SEGMENT_S).contains(&self.segment_s) {
+            let expected = format!("1 to {MAX_SEGMENT_S} (a week)");
+            return Err(InvalidSetting::unexpected("records.segment_s", self.segment_s, expected));
         }
-        if self.all_kb < 2 * self.segment_kb || self.all_kb > 1 << 30 {
-            return Err(InvalidSetting::new("records.all_kb", "two segments at least, 1 TB at most"));
+        let min_all_kb = MIN_SEGMENTS * self.segment_kb;
+        if !(min_all_kb..=MAX_ALL_KB).contains(&self.all_kb) {
+            let expected = format!("{min_all_kb} ({MIN_SEGMENTS} times segment_kb) to {MAX_ALL_KB} (1 TiB)");
+            return Err(InvalidSetting::unexpected("records.all_kb", self.all_kb, expected));
         }
         Ok(())
     }
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -1,6 +1,7 @@
 //! The records of one process: its start, its metrics each second, changes, and its stop. It decides when to write; the
 //! writer in `records` owns the files.
 
+use super::errors::with_context;
 use super::operator::RecordSettings;
 use crate::limits::DescriptorClass;
 use crate::records::folder::Recorder;
@@ -25,7 +26,7 @@
     /// Starts recording, if a folder is configured. `incarnation` identifies this start of this gatherer, and no other.
     ///
     /// # Errors
-    /// The folder cannot be created or written.
+    /// The thread that writes records cannot be started.
     pub fn start(
         records: Option<&RecordSettings>,
         gatherer: &str,
@@ -34,7 +35,9 @@
         broker: &Broker,
     ) -> io::Result<Recording> {
         let Some(records) = records else { return Ok(Recording::default()) };
-        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.bounds())?;
+        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.bounds()).map_err(
+            with_context(format!("{}: cannot write to the folder of records", records.folder.display())),
+        )?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
         let (classes, tenants) = broker.with_core(|core| {
             core.metrics = Some(Default::default());
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -7,10 +7,10 @@
 pub use opensearch::serve_opensearch;
 pub use platform::serve_platform;
 
-use super::errors::{CommandError, ConfigError};
+use super::errors::{CommandError, ConfigError, with_context};
 use super::recording::Recording;
 use super::resource_limits::ProcessLimits;
-use super::signals::ShutdownSignal;
+use super::signals::{self, ReloadSignal, ShutdownSignal};
 use super::upgrade::Upgrade;
 use crate::fronts::counters_text;
 use crate::limits::descriptors::DescriptorLimitTooLow;
@@ -44,6 +44,20 @@
     errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, call).await
 }
 
+/// Installs the signal handlers, and retries after transient errors.
+async fn install_signal_handlers() -> io::Result<(ReloadSignal, ShutdownSignal)> {
+    retry_at_startup(async || signals::install())
+        .await
+        .map_err(with_context("cannot install the signal handlers"))
+}
+
+/// Binds a listening socket, and retries after transient errors.
+async fn bind_at_startup(address: SocketAddr) -> io::Result<TcpListener> {
+    retry_at_startup(async || TcpListener::bind(address).await)
+        .await
+        .map_err(with_context(format!("cannot listen at {address}")))
+}
+
 /// Reads the configuration, and retries after transient errors.
 async fn read_at_startup<T>(read: &impl Fn() -> Result<T, ConfigError>) -> Result<T, ConfigError> {
     let (since, mut pauses) = (Instant::now(), RetryDelays::default());
@@ -61,6 +75,7 @@
 fn runtime() -> io::Result<Runtime> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     errors::retry_blocking(STARTUP_RETRY_LIMIT, errors::is_transient, build)
+        .map_err(with_context("cannot start the runtime"))
 }
 
 /// Runs `main` to its end on a runtime of one thread.
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -1,8 +1,8 @@
 //! The start of a process that serves the OpenSearch-style front: what it opens and spawns, in order.
 
 use super::{
-    ServingProcess, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
-    retry_at_startup,
+    ServingProcess, bind_at_startup, block_on_runtime, configuration_text, install_signal_handlers,
+    new_descriptor_pool, read_at_startup,
 };
 use crate::fronts::opensearch::OpenSearchFront;
 use crate::program::errors::{CommandError, ConfigError};
@@ -11,13 +11,11 @@
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
 use crate::program::resource_limits::ProcessLimits;
-use crate::program::signals;
 use crate::routing::{Broker, Clock, Core};
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::connector::TcpConnector;
 use crate::transport::index_servers::IndexServers;
 use std::rc::Rc;
-use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
 /// The gatherer's name in the log and in records, which the file does not give.
@@ -33,9 +31,9 @@
     read: impl Fn() -> Result<FrontFile, ConfigError> + 'static,
 ) -> Result<(), CommandError> {
     block_on_runtime(async move {
-        let (hangup, stop) = retry_at_startup(async || signals::install()).await?;
+        let (hangup, stop) = install_signal_handlers().await?;
         let file = read_at_startup(&read).await?;
-        let listener = Rc::new(retry_at_startup(async || TcpListener::bind(file.listen).await).await?);
+        let listener = Rc::new(bind_at_startup(file.listen).await?);
         if operator.membership.is_some() {
             log::warn!("membership stays off: the OpenSearch-style front does not support it");
         }
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -1,8 +1,8 @@
 //! The start of a process that serves the platform's front: what it opens and spawns, in order.
 
 use super::{
-    ServingProcess, block_on_runtime, configuration_text, new_descriptor_pool, read_at_startup,
-    retry_at_startup,
+    ServingProcess, bind_at_startup, block_on_runtime, configuration_text, install_signal_handlers,
+    new_descriptor_pool, read_at_startup,
 };
 use crate::fronts::operators::OperatorFront;
 use crate::fronts::platform::PlatformFront;
@@ -14,7 +14,7 @@
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
 use crate::program::resource_limits::ProcessLimits;
-use crate::program::signals::{self, ReloadSignal, ShutdownSignal};
+use crate::program::signals::{ReloadSignal, ShutdownSignal};
 use crate::program::upgrade::Upgrade;
 use crate::routing::{Broker, Clock, Core};
 use crate::transport::connection_manager::ConnectionManager;
@@ -45,7 +45,7 @@
     read: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> Result<(), CommandError> {
     block_on_runtime(async move {
-        let (hangup, mut stop) = retry_at_startup(async || signals::install()).await?;
+        let (hangup, mut stop) = install_signal_handlers().await?;
         let config = read_at_startup(&read).await?;
         let listeners = Listeners::bind(&config).await?;
         let components = Components::start(&config, &operator, &listeners)?;
@@ -73,11 +73,11 @@
     async fn bind(config: &Config) -> io::Result<Listeners> {
         match config.operator_address {
             Some(address) => {
-                let operators = retry_at_startup(async || TcpListener::bind(address).await).await?;
+                let operators = bind_at_startup(address).await?;
                 Ok(Listeners { operators: Some(operators), clients: None })
             }
             None => {
-                let clients = retry_at_startup(async || TcpListener::bind(config.listen).await).await?;
+                let clients = bind_at_startup(config.listen).await?;
                 Ok(Listeners { operators: None, clients: Some(Rc::new(clients)) })
             }
         }
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -6,6 +6,7 @@
 use crate::routing::{BrokerLimits, Contracts};
 use serde_json::Value;
 use std::collections::HashMap;
+use std::fmt;
 use std::time::Duration;
 
 /// Number of queries and parts that may be open, where `allowed.max-open` does not say.
@@ -34,6 +35,15 @@
     pub fn new(path: &str, what: impl Into<String>) -> InvalidSetting {
         InvalidSetting { path: path.to_owned(), reason: what.into() }
     }
+
+    /// An error for a key whose value is not one of those that `expected` describes.
+    pub(super) fn unexpected(
+        path: &str,
+        found: impl fmt::Debug,
+        expected: impl fmt::Display,
+    ) -> InvalidSetting {
+        InvalidSetting::new(path, format!("found {found:?}, expected {expected}"))
+    }
 }
 
 /// Settings keyed by path. An absent one takes the default that [`Settings`] states.
@@ -91,7 +101,7 @@
         let Some(value) = self.text(path) else { return Ok(None) };
         match value.parse::<f64>() {
             Ok(number) if number.is_finite() => Ok(Some(number)),
-            _ => Err(InvalidSetting::new(path, format!("bad number {value:?}"))),
+            _ => Err(InvalidSetting::unexpected(path, value, "a number")),
         }
     }
     fn count(&self, path: &str) -> Result<u32, InvalidSetting> {
@@ -104,7 +114,7 @@
         match self.text(path) {
             None | Some("false" | "0") => Ok(false),
             Some("true" | "1") => Ok(true),
-            Some(value) => Err(InvalidSetting::new(path, format!("bad value {value:?}"))),
+            Some(value) => Err(InvalidSetting::unexpected(path, value, "true, 1, false or 0")),
         }
     }
     /// The value for one class: from a numbered path, a comma-separated list, or one value for all classes.
@@ -115,7 +125,7 @@
         }
         let Some(list) = self.text(path) else { return Ok(None) };
         let item = list.split(',').nth(class).or_else(|| list.split(',').next_back());
-        item.map(|item| item.parse().map_err(|_| InvalidSetting::new(path, format!("bad number {item:?}"))))
+        item.map(|item| item.parse().map_err(|_| InvalidSetting::unexpected(path, item, "a number")))
             .transpose()
     }
     /// A list of names, from numbered paths or comma-separated.
@@ -174,7 +184,11 @@
                 Some("by_key") => Idempotency::Keyed,
                 Some("once") | None => Idempotency::NonIdempotent,
                 Some(other) => {
-                    return Err(InvalidSetting::new(&path("semantics"), format!("unknown value {other:?}")));
+                    return Err(InvalidSetting::unexpected(
+                        &path("semantics"),
+                        other,
+                        "repeatable, by_key or once",
+                    ));
                 }
             },
             repeat_window: self.duration(&path("window"))?.unwrap_or_default(),
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -3,6 +3,7 @@
 
 use super::Upgrade;
 use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
+use crate::program::errors::with_context;
 use crate::protocol::handover::{Message, TakeoverState};
 use crate::routing::Invariant;
 use crate::service::lifecycle::LifecycleRequest;
@@ -183,7 +184,9 @@
                 Err(error) if since.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
                     tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
-                bound => return bound,
+                result => {
+                    return result.map_err(with_context(format!("cannot listen at {}", self.listen)));
+                }
             }
         }
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -130,7 +130,7 @@
     let mut log = log;
     std::fs::write(&path, config.to_string().replace("\"seed\":\"07\"", "\"seed\":\"x\"")).expect("written");
     send_signal(&child, "-HUP");
-    assert!(wait_for_log(&mut log, "not read again").contains("seed: no hexadecimal"));
+    assert!(wait_for_log(&mut log, "not read again").contains("seed: found \"x\", expected a hexadecimal"));
     let new_address = start_discovery(list);
     config["discovery"] = new_address.clone().into();
     std::fs::write(&path, config.to_string()).expect("written");
@@ -269,12 +269,18 @@
 fn an_invalid_configuration_is_named_by_its_key() {
     let good: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
     let cases = [
-        ("/listen", "listen: no address"),
-        ("/seed", "seed: no hexadecimal"),
-        ("/known/members/0/phase", "known: unknown variant"),
-        ("/settings/domain/slices", "settings.domain.slices: bad number"),
-        ("/settings/categories/1/semantics", "settings.categories.1.semantics: unknown value"),
-        ("/settings/allowed/cancel", "settings.allowed.cancel: bad value"),
+        ("/listen", "listen: found \"x\", expected IP:PORT"),
+        ("/seed", "seed: found \"x\", expected a hexadecimal"),
+        (
+            "/known/members/0/phase",
+            "known: invalid endpoint list (line and column in its compact form): unknown variant",
+        ),
+        ("/settings/domain/slices", "settings.domain.slices: found \"x\", expected a number"),
+        (
+            "/settings/categories/1/semantics",
+            "settings.categories.1.semantics: found \"x\", expected repeatable",
+        ),
+        ("/settings/allowed/cancel", "settings.allowed.cancel: found \"x\", expected true"),
     ];
     for (at, message) in cases {
         let mut bad = good.clone();
@@ -305,7 +311,10 @@
         operator_address_of("127.0.0.1:7".into(), Some("127.0.0.1:8")),
         Ok(Some("127.0.0.1:7".to_owned()))
     );
-    assert_eq!(operator_address_of("x".into(), None), Err("operator: no address \"x\"".to_owned()));
+    assert_eq!(
+        operator_address_of("x".into(), None),
+        Err("operator: found \"x\", expected IP:PORT".to_owned())
+    );
 }
 
 #[test]
@@ -338,9 +347,9 @@
     // The added line comes after the file's last one.
     let added = format!("line {}: records.", operator.lines().count() + 1);
     let cases = [
-        ("segment_kb = 1", format!("{added}segment_kb: 64 kB")),
-        ("segment_s = 0", format!("{added}segment_s: 1 second")),
-        ("all_kb = 5000", format!("{added}all_kb: two segments")),
+        ("segment_kb = 1", format!("{added}segment_kb: found 1, expected 64 to")),
+        ("segment_s = 0", format!("{added}segment_s: found 0, expected 1 to")),
+        ("all_kb = 5000", format!("{added}all_kb: found 5000, expected 8192 (2 times segment_kb)")),
         ("segment_mb = 3", "unknown field `segment_mb`".to_owned()),
     ];
     for (line, message) in cases {
@@ -355,11 +364,14 @@
     let membership = "[membership]\nlisten = \"127.0.0.1:7946\"\ncluster = \"c\"\nseeds = []\n";
     assert!(parse(membership).is_ok_and(|operator| operator.membership.is_some()));
     let cases = [
-        ("secret = \"short\"", "line 5: membership.secret: 16 bytes"),
-        ("most = 0", "line 5: membership.most: 1 to"),
-        ("period_ms = 10", "line 5: membership.period_ms: 50 ms"),
-        ("bury_ms = 1000", "line 5: membership.bury_ms: four periods"),
-        ("advertise = \"0.0.0.0:7946\"", "line 5: membership.advertise: an address"),
+        ("secret = \"short\"", "line 5: membership.secret: found 5 bytes, expected at least 16"),
+        ("most = 0", "line 5: membership.most: found 0, expected 1 to"),
+        ("period_ms = 10", "line 5: membership.period_ms: found 10, expected 50 to"),
+        ("bury_ms = 1000", "line 5: membership.bury_ms: found 1000, expected 2000 (4 times period_ms)"),
+        (
+            "advertise = \"0.0.0.0:7946\"",
+            "line 5: membership.advertise: found 0.0.0.0:7946, expected an IP address",
+        ),
         ("seed = []", "unknown field `seed`"),
     ];
     for (line, message) in cases {
