--- a/src/program/reload.rs
+++ b/src/program/reload.rs
@@ -31,7 +31,7 @@
             tokio::select! {
                 biased;
                 () = hangups.received() => {
-                    log::info!("configuration not read again: SIGHUP received once more");
+                    log::info!("configuration: retries ended, another SIGHUP was received");
                 }
                 () = retry_reload(error, &descriptor_pool, &recording, &mut read) => break,
             }
@@ -60,7 +60,7 @@
 ) -> Result<(), ConfigError> {
     let result = read_and_record(descriptor_pool, recording, read).await;
     if let Err(error) = &result {
-        log::error!("configuration not read again, the old one holds: {error}");
+        log::error!("configuration not read again, the previous one stays in effect: {error}");
         recording.record(RecordBody::Reload { applied: false, detail: error.to_string() });
     }
     result
--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -2,7 +2,7 @@
 //! before any connection, and divides both among the processes of an upgrade.
 
 use crate::limits::DescriptorBudget;
-use crate::limits::descriptors::{DescriptorLimitTooLow, OPERATOR_DESCRIPTORS};
+use crate::limits::descriptors::{DESCRIPTOR_CLASSES, DescriptorLimitTooLow, OPERATOR_DESCRIPTORS};
 use rlimit::Resource;
 
 /// Number of descriptors taken to be open where the system does not say.
@@ -28,7 +28,7 @@
         }
         Ok((soft, _)) => soft,
         Err(error) => {
-            log::warn!("descriptors: the process's limit cannot be read: {error}");
+            log::warn!("file descriptors: cannot read the limit RLIMIT_NOFILE, assuming {wanted}: {error}");
             wanted
         }
     };
@@ -62,7 +62,9 @@
     ) -> ProcessLimits {
         let (descriptors, standing) = (raise_descriptor_limit(configured), open_descriptors() + opened_later);
         if descriptors < configured {
-            log::warn!("of {configured} descriptors configured the system allows {descriptors}");
+            log::warn!(
+                "file descriptors: the system allows {descriptors} of the configured {configured} (limits.sockets)"
+            );
         }
         ProcessLimits {
             descriptors,
@@ -77,20 +79,17 @@
     /// # Errors
     /// The share of one process is too small to serve with.
     pub fn descriptor_budget(&self, processes: u32) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
-        let plan = DescriptorBudget::new(
-            self.descriptors / processes.max(1) as usize,
-            self.standing,
-            self.operators,
-        )?;
+        let share = self.descriptors / processes.max(1) as usize;
+        let plan = DescriptorBudget::new(share, self.standing, self.operators)?;
+        let floors: Vec<String> = DESCRIPTOR_CLASSES
+            .iter()
+            .zip(plan.floors)
+            .map(|(class, floor)| format!("{class}={floor}"))
+            .collect();
         log::info!(
-            "{} descriptors, {} in use; floors: clients {}, workers {}, discovery {}, files {}, operators {}",
-            self.descriptors / processes.max(1) as usize,
+            "file descriptors: limit={share} in_use={}; guaranteed: {}",
             self.standing,
-            plan.floors[0],
-            plan.floors[1],
-            plan.floors[2],
-            plan.floors[3],
-            plan.floors[4]
+            floors.join(" ")
         );
         Ok(plan)
     }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -195,10 +195,10 @@
     log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
     if let Err(error) = connections.apply_lifecycle(stop) {
         // A second stop is the same as the first, and no error.
-        log::debug!("stopping: {stop:?} is not applied: {error}");
+        log::debug!("stopping: lifecycle request {stop:?} was not applied: {error}");
     }
     connections.wait_for_closing().await;
-    log::info!("stopping: nothing new is accepted");
+    log::info!("stopping: grace period over, new queries are rejected");
     let all_answered = async {
         // Whoever has connected must be accepted first: else the process could end between two waiting connections.
         if let Err(error) = accepting.await {
@@ -209,10 +209,13 @@
             tokio::time::sleep(COMPLETION_POLL_INTERVAL).await;
         }
     };
-    let all_answered =
-        tokio::time::timeout(longest_deadline + RESPONSE_READ_GRACE, all_answered).await.is_ok();
+    let time_limit = longest_deadline + RESPONSE_READ_GRACE;
+    let all_answered = tokio::time::timeout(time_limit, all_answered).await.is_ok();
     if !all_answered {
-        log::warn!("stopping: time is over, open_connections={}", connections.open_connections());
+        log::warn!(
+            "stopping: queries or connections still open after {time_limit:?}, open_connections={}",
+            connections.open_connections()
+        );
         let open = broker.with_core(|core| core.open_queries());
         if open > 0 {
             broker.report_violation(
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -101,7 +101,9 @@
             Ok(plan) => {
                 self.connections.descriptor_pool().set_budget(plan, self.limits.buffer_bytes(processes)).await
             }
-            Err(error) => log::warn!("upgrade: descriptors are not shared: {error}"),
+            Err(error) => {
+                log::warn!("upgrade: file descriptors were not divided among {processes} processes: {error}")
+            }
         }
     }
 
@@ -127,7 +129,7 @@
         self.takeover.borrow_mut().start_serving();
         if let Err(error) = self.send_to_peer(Message::Serving) {
             // The queue is full, which hundreds of operators' calls before this one would take.
-            log::debug!("upgrade: the predecessor is not notified that this process serves: {error}");
+            log::debug!("upgrade: the predecessor was not notified that this process serves: {error}");
         }
         self.accept_successors();
     }
@@ -137,7 +139,7 @@
         let stop = self.takeover.borrow().stop_signal_request();
         if let Err(error) = self.send_to_peer(Message::Stopping) {
             // The other process serves a moment later.
-            log::debug!("upgrade: the other process is not notified of the stop: {error}");
+            log::debug!("upgrade: the other process was not notified of the stop: {error}");
         }
         stop
     }
--- a/src/program/upgrade/messages.rs
+++ b/src/program/upgrade/messages.rs
@@ -53,7 +53,9 @@
     /// the other one, so that this is no error.
     pub(super) fn apply_peer_request(&self, request: LifecycleRequest) {
         if let Err(error) = self.connections.apply_lifecycle(request) {
-            log::debug!("upgrade: {request:?} is not applied: {error}");
+            log::debug!(
+                "upgrade: lifecycle request {request:?} of the other process was not applied: {error}"
+            );
         }
     }
 
@@ -75,7 +77,7 @@
                 self.serve_now.notify_one();
             }
             Message::TakeoverRequest { .. } | Message::TakeoverInProgress | Message::TakeoverState(_) => {
-                log::warn!("upgrade: unexpected message, dropped: {message:?}");
+                log::warn!("upgrade: unexpected message of the other process dropped: {message:?}");
             }
         }
     }
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -34,7 +34,7 @@
     /// Accepts further starting processes, once the takeover socket can be had.
     async fn wait_for_successors(self: Rc<Self>, mut opened: io::Result<UnixListener>) {
         if let Err(error) = &opened {
-            log::warn!("upgrade: the takeover socket cannot be opened yet, retrying: {error}");
+            log::warn!("upgrade: cannot open the takeover socket, retrying: {error}");
         }
         let listener = loop {
             match opened {
@@ -54,7 +54,9 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    log::debug!("upgrade: accept: {error}");
+                    log::debug!(
+                        "upgrade: cannot accept a connection at the takeover socket, retrying: {error}"
+                    );
                     if errors::is_out_of_descriptors(&error) {
                         // An idle client's descriptor helps: a successor waits.
                         self.connections.descriptor_pool().reclaim(DescriptorClass::Clients);
@@ -81,12 +83,14 @@
     async fn receive_join(&self, mut channel: TakeoverChannel) -> Option<TakeoverChannel> {
         let request = match timeout(REPLY_TIMEOUT, channel.receive()).await {
             Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
-            Ok(Ok(other)) => Err(format!("{other:?}")),
+            Ok(Ok(other)) => {
+                Err(format!("expected a takeover request for {}, received {other:?}", self.listen))
+            }
             Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err("it sends nothing".to_owned()),
+            Err(_) => Err(format!("no takeover request within {REPLY_TIMEOUT:?}")),
         };
         if let Err(reason) = request {
-            log::warn!("upgrade: a connection was rejected: {reason}");
+            log::warn!("upgrade: connection at the takeover socket rejected: {reason}");
             return None;
         }
         if !self.connections.lifecycle_state().is_stopping()
@@ -96,7 +100,7 @@
         }
         if !matches!(timeout(REPLY_TIMEOUT, channel.send(&Message::TakeoverInProgress)).await, Ok(Ok(()))) {
             // The other process retries all the same.
-            log::debug!("upgrade: a starting process is not notified that it has to wait");
+            log::debug!("upgrade: a starting process was not notified that it has to wait");
         }
         None
     }
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -59,7 +59,9 @@
 
     fn log_once(&mut self, reason: &str) {
         if !std::mem::replace(&mut self.logged, true) {
-            log::warn!("upgrade: the predecessor cannot be reached yet, retrying: {reason}");
+            log::warn!(
+                "upgrade: cannot reach the predecessor, retrying for {UNREACHABLE_TIMEOUT:?}: {reason}"
+            );
         }
     }
 }
@@ -74,7 +76,7 @@
                 TakeoverReply::NoPredecessor => return None,
                 TakeoverReply::MustWait => {
                     if !self.waiting_for_upgrade.replace(true) {
-                        log::warn!("upgrade: waiting, another upgrade is under way");
+                        log::warn!("upgrade: waiting for another upgrade to end");
                     }
                     unreachable = UnreachablePredecessor::default();
                 }
@@ -84,12 +86,15 @@
                     return Some(listener);
                 }
                 TakeoverReply::ListenerOnly(listener, reason) => {
-                    log::warn!("upgrade: only the listening socket was taken over: {reason}");
+                    log::warn!(
+                        "upgrade: took over the listening socket without the predecessor's state: {reason}"
+                    );
                     return Some(listener);
                 }
                 TakeoverReply::Unreachable(reason) if unreachable.is_timed_out() => {
                     log::error!(
-                        "upgrade: nothing was taken over, this process listens beside another: {reason}"
+                        "upgrade: takeover failed, this process listens at {} beside the predecessor: {reason}",
+                        self.listen
                     );
                     self.broker.report_violation(Invariant::SingleListeningProcess, &reason);
                     return None;
@@ -106,7 +111,11 @@
             Ok(Ok(Some(channel))) => channel,
             Ok(Ok(None)) => return TakeoverReply::NoPredecessor,
             Ok(Err(error)) => return TakeoverReply::Unreachable(error.to_string()),
-            Err(_) => return TakeoverReply::Unreachable("it accepts no connection".to_owned()),
+            Err(_) => {
+                return TakeoverReply::Unreachable(format!(
+                    "connection not accepted within {REPLY_TIMEOUT:?}"
+                ));
+            }
         };
         let join = Message::TakeoverRequest { listen: self.listen.to_string() };
         let exchange = async {
@@ -116,7 +125,7 @@
             }
         };
         let Ok((reply, socket)) = timeout(REPLY_TIMEOUT, exchange).await else {
-            return TakeoverReply::Unreachable("it does not reply".to_owned());
+            return TakeoverReply::Unreachable(format!("no reply within {REPLY_TIMEOUT:?}"));
         };
         let listener = socket.and_then(|socket| self.checked_listener(socket));
         match (reply, listener) {
@@ -124,13 +133,13 @@
                 TakeoverReply::HandsOver(state, listener, channel)
             }
             (Ok(Message::TakeoverState(_)), None) => {
-                TakeoverReply::Unreachable("its listening socket was not received".to_owned())
+                TakeoverReply::Unreachable("the state arrived without the listening socket".to_owned())
             }
             (Ok(Message::TakeoverInProgress), _) => TakeoverReply::MustWait,
             (Ok(other), Some(listener)) => {
-                TakeoverReply::ListenerOnly(listener, format!("unexpected {other:?}"))
+                TakeoverReply::ListenerOnly(listener, format!("unexpected reply {other:?}"))
             }
-            (Ok(other), None) => TakeoverReply::Unreachable(format!("unexpected {other:?}")),
+            (Ok(other), None) => TakeoverReply::Unreachable(format!("unexpected reply {other:?}")),
             (Err(error), Some(listener)) => TakeoverReply::ListenerOnly(listener, error.to_string()),
             (Err(error), None) => TakeoverReply::Unreachable(error.to_string()),
         }
@@ -155,8 +164,12 @@
     /// caller requests the takeover again.
     fn checked_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
-        if listener.local_addr().ok() != Some(self.listen) {
-            log::warn!("upgrade: a listening socket of another address was received and is not used");
+        let address = listener.local_addr();
+        if address.as_ref().ok() != Some(&self.listen) {
+            log::warn!(
+                "upgrade: received listening socket not used: expected {}, found {address:?}",
+                self.listen
+            );
             return None;
         }
         listener.set_nonblocking(true).ok()?;
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -130,7 +130,10 @@
     let mut log = log;
     std::fs::write(&path, config.to_string().replace("\"seed\":\"07\"", "\"seed\":\"x\"")).expect("written");
     send_signal(&child, "-HUP");
-    assert!(wait_for_log(&mut log, "not read again").contains("seed: found \"x\", expected a hexadecimal"));
+    assert!(
+        wait_for_log(&mut log, "configuration not read again, the previous one stays")
+            .contains("seed: found \"x\", expected a hexadecimal")
+    );
     let new_address = start_discovery(list);
     config["discovery"] = new_address.clone().into();
     std::fs::write(&path, config.to_string()).expect("written");
@@ -177,8 +180,8 @@
         (child, log, output)
     };
     let (child, log, output) = start_with_limit(100);
-    assert!(output.contains("of 1024 descriptors configured the system allows 100"), "{output}");
-    assert!(output.contains("100 descriptors, ") && output.contains(" serving on "), "{output}");
+    assert!(output.contains("the system allows 100 of the configured 1024"), "{output}");
+    assert!(output.contains("file descriptors: limit=100 ") && output.contains(" serving on "), "{output}");
     stop(child, log);
     let (mut child, _, output) = start_with_limit(40);
     assert!(
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -266,9 +266,10 @@
     let first = Gatherer::start(&fleet.folder, &fleet.config);
     first.signal("-STOP");
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
-    second.wait_for_log(
-        "upgrade: nothing was taken over, this process listens beside another: it does not reply",
-    );
+    second.wait_for_log(&format!(
+        "upgrade: takeover failed, this process listens at {} beside the predecessor: no reply within 2s",
+        first.clients
+    ));
     assert_eq!(metric_value(&second.operators, "gatherer.violations.started_alone"), 1, "it is counted");
     wait_until("ready", || is_ready(&second));
     first.signal("-CONT");
@@ -288,9 +289,10 @@
     let _silent = UnixStream::connect(fleet.takeover_socket_path()).expect("connected");
     let second = Gatherer::start(&fleet.folder, &fleet.next_config());
     second.wait_for_log("upgrade: taking over");
-    let timed_out = first.log.0.lock().expect("sound").iter().any(|line| line.contains("sends nothing"));
+    let timed_out =
+        first.log.0.lock().expect("sound").iter().any(|line| line.contains("no takeover request"));
     assert!(!timed_out, "the successor was received beside the silent connection, not after it");
-    first.wait_for_log("upgrade: a connection was rejected: it sends nothing");
+    first.wait_for_log("upgrade: connection at the takeover socket rejected: no takeover request within 2s");
 }
 
 #[test]
@@ -300,7 +302,7 @@
     let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
     wait_until("ready", || is_ready(&second));
     let third = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
-    third.wait_for_log("upgrade: waiting, another upgrade is under way");
+    third.wait_for_log("upgrade: waiting for another upgrade to end");
     let (status, text) = call_operator_api(&third.operators, "GET", "/-/ready");
     assert_eq!((status, text.as_str()), (503, "another upgrade is under way\n"));
     // A change that the predecessor's state would overwrite is rejected.
