--- a/src/main.rs
+++ b/src/main.rs
@@ -122,7 +122,7 @@
         }
         Some(Command::Members { operator, json }) => {
             let operator = operator.map_or_else(|| config::operator_address(environment_variable), Ok)?;
-            print!("{}", members::query(operator, json)?);
+            print!("{}", members::list(operator, json)?);
             Ok(())
         }
         Some(Command::Records { command: RecordsCommand::Schema }) => {
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -47,21 +47,21 @@
 
 /// Paths of all segments in these folders, those of each incarnation in the order in which they were written.
 fn segment_paths(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
-    let mut found = Vec::new();
+    let mut segments = Vec::new();
     for folder in folders {
         let context = || format!("{}: cannot read the folder of records", folder.display());
         for entry in std::fs::read_dir(folder).map_err(with_context(context()))? {
             let file = entry.map_err(with_context(context()))?.file_name();
             if let Some(name) = SegmentName::parse(&file.to_string_lossy()) {
-                found.push((name, folder.join(file)));
+                segments.push((name, folder.join(file)));
             }
         }
     }
-    found.sort();
-    Ok(found.into_iter().map(|(_, path)| path).collect())
+    segments.sort();
+    Ok(segments.into_iter().map(|(_, path)| path).collect())
 }
 
-fn read(
+fn read_records(
     folders: &[PathBuf],
     mut on_record: impl FnMut(Record),
     mut on_damaged: impl FnMut(DamagedRecord),
@@ -97,7 +97,7 @@
         damaged += 1;
         println!("{damaged_record}");
     };
-    let reader = read(folders, |_| {}, print_damaged)?;
+    let reader = read_records(folders, |_| {}, print_damaged)?;
     Ok(Verification { valid: reader.valid_records, damaged })
 }
 
@@ -107,8 +107,8 @@
     findings: Vec<Finding>,
     /// Number of damaged lines.
     damaged: u64,
-    faults: Vec<String>,
-    counted: u64,
+    damaged_records: Vec<String>,
+    valid: u64,
 }
 
 /// Damaged lines that a report names. Bounds the memory where all of the records are damaged.
@@ -121,24 +121,24 @@
     /// A folder or a file cannot be read.
     pub fn read(folders: &[PathBuf], range: Range<u64>, step: Duration) -> io::Result<Report> {
         let step = u64::try_from(step.as_millis()).unwrap_or(u64::MAX);
-        let (mut summary, mut faults) = (Summary::new(step, range.start, range.end), Vec::new());
+        let (mut summary, mut damaged_records) = (Summary::new(step, range.start, range.end), Vec::new());
         let mut damaged = 0;
         let on_damaged = |damaged_record: DamagedRecord| {
             damaged += 1;
-            if faults.len() < MAX_NAMED_RECORDS {
-                faults.push(damaged_record.to_string());
+            if damaged_records.len() < MAX_NAMED_RECORDS {
+                damaged_records.push(damaged_record.to_string());
             }
         };
-        let reader = read(folders, |line| summary.add_record(line), on_damaged)?;
+        let reader = read_records(folders, |line| summary.add_record(line), on_damaged)?;
         summary.finish();
         let findings = diagnose(&summary);
-        Ok(Report { summary, findings, damaged, faults, counted: reader.valid_records })
+        Ok(Report { summary, findings, damaged, damaged_records, valid: reader.valid_records })
     }
 
     /// The report as one HTML page.
     #[must_use]
     pub fn html(&self) -> String {
-        html_report::render(&self.summary, &self.findings, &self.faults, self.damaged)
+        html_report::render(&self.summary, &self.findings, &self.damaged_records, self.damaged)
     }
 
     /// Writes the HTML page to the file at `path`.
@@ -153,10 +153,10 @@
     /// The findings in one line.
     #[must_use]
     pub fn summary_line(&self) -> String {
-        let found: Vec<String> =
+        let titles: Vec<String> =
             self.findings.iter().map(|finding| html_report::finding_title(&finding.kind)).collect();
-        let found = if found.is_empty() { "no finding".to_owned() } else { found.join("; ") };
-        format!("{} lines, {} damaged; {found}", self.counted, self.damaged)
+        let findings = if titles.is_empty() { "no finding".to_owned() } else { titles.join("; ") };
+        format!("{} lines, {} damaged; {findings}", self.valid, self.damaged)
     }
 
     /// The report as JSON.
@@ -170,12 +170,13 @@
                 let tenants = classes.entry(class.clone()).or_insert_with(|| json!({}));
                 tenants[tenant] = json!(counts);
             }
-            let latency = |class: &String| {
-                let quantile = |share: f64| step.latency.get(class).map(|all| all.value_at_quantile(share));
+            let quantiles = |class: &String| {
+                let quantile =
+                    |share: f64| step.latency.get(class).map(|histogram| histogram.value_at_quantile(share));
                 json!({"p50_us": quantile(0.5), "p99_us": quantile(0.99)})
             };
             let latency: serde_json::Map<_, _> =
-                step.latency.keys().map(|class| (class.clone(), latency(class))).collect();
+                step.latency.keys().map(|class| (class.clone(), quantiles(class))).collect();
             let workers = &step.attempts;
             steps
                 .push(json!({"at_ms": begin_ms, "classes": classes, "latency": latency, "workers": workers}));
@@ -193,7 +194,7 @@
             "events_left_out": summary.timeline_dropped,
             "step_ms": summary.step_ms(),
             "steps": steps,
-            "lines": {"counted": self.counted, "damaged": self.damaged, "first_damaged": self.faults},
+            "lines": {"counted": self.valid, "damaged": self.damaged, "first_damaged": self.damaged_records},
         });
         format!("{report:#}")
     }
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -12,7 +12,7 @@
 
 /// Token bucket that bounds the rate of lines.
 struct RateLimit {
-    permits: f64,
+    tokens: f64,
     refilled_at: Instant,
     dropped: u64,
 }
@@ -24,19 +24,19 @@
 impl RateLimit {
     /// A full bucket.
     fn new(now: Instant) -> RateLimit {
-        RateLimit { permits: BURST_LINES, refilled_at: now, dropped: 0 }
+        RateLimit { tokens: BURST_LINES, refilled_at: now, dropped: 0 }
     }
 
     /// Number of lines dropped since the last one, if a line may be written now.
     fn try_acquire(&mut self, now: Instant) -> Option<u64> {
         let gained = now.saturating_duration_since(self.refilled_at).max(Duration::ZERO).as_secs_f64()
             * LINES_PER_SECOND;
-        (self.permits, self.refilled_at) = ((self.permits + gained).min(BURST_LINES), now);
-        if self.permits < 1.0 {
+        (self.tokens, self.refilled_at) = ((self.tokens + gained).min(BURST_LINES), now);
+        if self.tokens < 1.0 {
             self.dropped += 1;
             return None;
         }
-        self.permits -= 1.0;
+        self.tokens -= 1.0;
         Some(std::mem::take(&mut self.dropped))
     }
 }
--- a/src/program/log/tests.rs
+++ b/src/program/log/tests.rs
@@ -7,7 +7,7 @@
 fn lines_above_the_rate_limit_are_dropped_and_counted() {
     // Guards against a log that grows with the fault it reports: it counts as memory on the platform.
     let start = Instant::now();
-    let mut rate_limit = RateLimit { permits: BURST_LINES, refilled_at: start, dropped: 0 };
+    let mut rate_limit = RateLimit { tokens: BURST_LINES, refilled_at: start, dropped: 0 };
     let written = (0..1000).filter(|_| rate_limit.try_acquire(start).is_some()).count();
     assert_eq!(written, 100);
     assert_eq!(rate_limit.try_acquire(start + Duration::from_secs(1)), Some(900));
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -45,7 +45,7 @@
 /// This gatherer's membership, if the operator's file asks for it, the settings allow it, and the platform carries no
 /// datagrams of its own between gatherers.
 #[must_use]
-pub fn start(
+pub fn new_transport(
     settings: Option<&MembershipSettings>,
     peer_datagrams: bool,
     name: &str,
@@ -54,7 +54,7 @@
     recording: &Recording,
 ) -> Option<Rc<MembershipTransport>> {
     let settings = settings?;
-    let (stated_fleet_size, zone, may_gossip) = broker.with_core(|core| {
+    let (configured_fleet_size, zone, may_gossip) = broker.with_core(|core| {
         let contracts = core.contracts();
         let zone = contracts.zones.get(contracts.settings.zone.0 as usize).cloned();
         (contracts.settings.fleet_size, zone.unwrap_or_default(), contracts.limits.may_gossip)
@@ -86,21 +86,21 @@
         own,
         seeds: settings.seeds.clone(),
         timing: settings.timing(),
-        configured_gatherers: stated_fleet_size,
+        configured_gatherers: configured_fleet_size,
         max_members,
         random_seed: fastrand::u64(..),
     };
     let node = Node::new(clock.now(), config);
-    let seal = ClusterKey::new(&settings.cluster, &settings.secret);
+    let cluster_key = ClusterKey::new(&settings.cluster, &settings.secret);
     let observer = MemberChanges { broker: broker.clone(), recording: recording.clone() };
-    Some(MembershipTransport::new(node, seal, clock, settings.listen, max_members, Box::new(observer)))
+    Some(MembershipTransport::new(node, cluster_key, clock, settings.listen, max_members, Box::new(observer)))
 }
 
 /// Requests the members from a gatherer's operators' address; returns the JSON as received, or a table.
 ///
 /// # Errors
 /// The call failed or timed out, or its status is not 200.
-pub fn query(operator: SocketAddr, json: bool) -> io::Result<String> {
+pub fn list(operator: SocketAddr, json: bool) -> io::Result<String> {
     let text = fetch_members(operator).map_err(with_context(format!("GET {MEMBERS_PATH} of {operator}")))?;
     if json {
         return Ok(text);
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -242,8 +242,8 @@
 
     fn classes(&self) -> Result<Vec<Class>, InvalidSetting> {
         let mut classes = Vec::new();
-        for (at, class) in self.class.iter().enumerate() {
-            let key = |name: &str| format!("class.{at}.{name}");
+        for (position, class) in self.class.iter().enumerate() {
+            let key = |name: &str| format!("class.{position}.{name}");
             if class.wanted_ms == 0 || class.wanted_ms > class.deadline_ms {
                 let expected = format!("1 to deadline_ms ({})", class.deadline_ms);
                 return Err(InvalidSetting::unexpected(&key("wanted_ms"), class.wanted_ms, expected));
@@ -276,10 +276,14 @@
     fn listed_workers(&self) -> Result<Vec<ListedWorker>, InvalidSetting> {
         let mut workers = Vec::new();
         let cells = self.layout.cells;
-        for (at, server) in self.server.iter().enumerate() {
+        for (position, server) in self.server.iter().enumerate() {
             if server.cell >= cells {
                 let expected = format!("0 to {}: layout.cells is {cells}", cells - 1);
-                return Err(InvalidSetting::unexpected(&format!("server.{at}.cell"), server.cell, expected));
+                return Err(InvalidSetting::unexpected(
+                    &format!("server.{position}.cell"),
+                    server.cell,
+                    expected,
+                ));
             }
             workers.push(ListedWorker {
                 name: server.name.clone(),
@@ -349,21 +353,21 @@
 
     fn request_names(&self, contracts: &Contracts) -> Result<RequestNames, InvalidSetting> {
         let mut names = RequestNames { window: self.limits.window, ..RequestNames::default() };
-        for (at, index) in self.index.iter().enumerate() {
+        for (position, index) in self.index.iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
-            let unknown = || {
+            let unknown_class = || {
                 let expected = format!("the name of a class: {}", contracts.classes.join(", "));
-                InvalidSetting::unexpected(&format!("index.{at}.class"), &index.class, expected)
+                InvalidSetting::unexpected(&format!("index.{position}.class"), &index.class, expected)
             };
-            names.indexes.insert(index.name.clone(), class.ok_or_else(unknown)?);
+            names.indexes.insert(index.name.clone(), class.ok_or_else(unknown_class)?);
         }
-        for (at, caller) in self.caller.iter().enumerate() {
+        for (position, caller) in self.caller.iter().enumerate() {
             let tenant = contracts.tenant(&caller.tenant);
-            let unknown = || {
+            let unknown_tenant = || {
                 let expected = format!("the name of a tenant: {}", contracts.tenants.join(", "));
-                InvalidSetting::unexpected(&format!("caller.{at}.tenant"), &caller.tenant, expected)
+                InvalidSetting::unexpected(&format!("caller.{position}.tenant"), &caller.tenant, expected)
             };
-            names.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown)?);
+            names.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown_tenant)?);
         }
         Ok(names)
     }
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -171,13 +171,9 @@
 impl RecordSettings {
     /// The limits of segments.
     #[must_use]
-    pub fn bounds(&self) -> SegmentLimits {
-        let (segment, all) = (self.segment_kb << 10, self.all_kb << 10);
-        SegmentLimits {
-            segment_bytes: segment,
-            max_age: Duration::from_secs(self.segment_s),
-            total_bytes: all,
-        }
+    pub fn segment_limits(&self) -> SegmentLimits {
+        let (segment_bytes, total_bytes) = (self.segment_kb << 10, self.all_kb << 10);
+        SegmentLimits { segment_bytes, max_age: Duration::from_secs(self.segment_s), total_bytes }
     }
 }
 
@@ -212,8 +208,8 @@
 /// Number of the line that sets a key, found by the last name of its path.
 fn line_number_of(text: &str, path: &str) -> Option<usize> {
     let key = path.rsplit('.').next().unwrap_or(path);
-    let sets = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
-    text.lines().position(sets).map(|at| at + 1)
+    let sets_key = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
+    text.lines().position(sets_key).map(|index| index + 1)
 }
 
 impl RecordSettings {
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -35,9 +35,10 @@
         broker: &Broker,
     ) -> io::Result<Recording> {
         let Some(records) = records else { return Ok(Recording::default()) };
-        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.bounds()).map_err(
-            with_context(format!("{}: cannot write to the folder of records", records.folder.display())),
-        )?;
+        let recorder =
+            Recorder::start(&records.folder, gatherer, incarnation, records.segment_limits()).map_err(
+                with_context(format!("{}: cannot write to the folder of records", records.folder.display())),
+            )?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
         let (classes, tenants) = broker.with_core(|core| {
             core.metrics = Some(Default::default());
@@ -75,20 +76,20 @@
         overload: Option<&mut OverloadDetector>,
     ) {
         let snapshot = broker.with_core(|core| {
-            let second = core.metrics.as_mut().map(|figures| figures.take_snapshot())?;
-            Some((std::mem::take(&mut core.record_events), second, core.open_queries()))
+            let metrics = core.metrics.as_mut().map(|metrics| metrics.take_snapshot())?;
+            Some((std::mem::take(&mut core.record_events), metrics, core.open_queries()))
         });
-        let Some((events, mut second, open)) = snapshot else { return };
+        let Some((events, mut metrics, open_queries)) = snapshot else { return };
         events.into_iter().for_each(|body| self.record(body));
-        second.open = open;
-        (second.descriptors, second.clients) = connections
-            .descriptor_pool()
-            .descriptors(|all| (all.budget().usable - all.free(), all.held(DescriptorClass::Clients)));
-        second.buffered = connections.descriptor_pool().buffered_bytes();
-        if let Some(begins) = overload.and_then(|overload| overload.observe(&second)) {
+        metrics.open = open_queries;
+        (metrics.descriptors, metrics.clients) = connections.descriptor_pool().descriptors(|allocator| {
+            (allocator.budget().usable - allocator.free(), allocator.held(DescriptorClass::Clients))
+        });
+        metrics.buffered = connections.descriptor_pool().buffered_bytes();
+        if let Some(begins) = overload.and_then(|overload| overload.observe(&metrics)) {
             self.record(RecordBody::Overload { begins });
         }
-        self.record(RecordBody::Metrics(second));
+        self.record(RecordBody::Metrics(metrics));
     }
 
     /// Writes the rest and the stop, and closes the files. `all_answered` says whether every accepted query had its
--- a/src/program/reload.rs
+++ b/src/program/reload.rs
@@ -1,5 +1,5 @@
 //! Reload at SIGHUP: reads the configuration again, and logs and records the result. What a reload changes is decided by the
-//! caller's `read`.
+//! caller's `reload`.
 
 use super::errors::ConfigError;
 use super::recording::Recording;
@@ -20,33 +20,33 @@
 /// nothing. A file that cannot be read now, or may still be being written, is read again until that succeeds or SIGHUP is
 /// received once more: the previous discovery address may no longer answer.
 pub async fn reload_on_signal(
-    hangups: ReloadSignal,
+    reload_signal: ReloadSignal,
     descriptor_pool: Rc<DescriptorPool>,
     recording: Recording,
-    mut read: impl FnMut() -> Result<String, ConfigError>,
+    mut reload: impl FnMut() -> Result<String, ConfigError>,
 ) {
     loop {
-        hangups.received().await;
-        while let Err(error) = reload_once(&descriptor_pool, &recording, &mut read).await {
+        reload_signal.received().await;
+        while let Err(error) = reload_once(&descriptor_pool, &recording, &mut reload).await {
             tokio::select! {
                 biased;
-                () = hangups.received() => {
+                () = reload_signal.received() => {
                     log::info!("configuration: retries ended, another SIGHUP was received");
                 }
-                () = retry_reload(error, &descriptor_pool, &recording, &mut read) => break,
+                () = retry_reload(error, &descriptor_pool, &recording, &mut reload) => break,
             }
         }
     }
 }
 
 /// Reads the configuration; logs and records what changed, and returns the error if it cannot be used.
-async fn read_and_record(
+async fn reload_and_record(
     descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, ConfigError>,
+    reload: &mut impl FnMut() -> Result<String, ConfigError>,
 ) -> Result<(), ConfigError> {
     let _permit = descriptor_pool.acquire(DescriptorClass::Files).await;
-    let change = read()?;
+    let change = reload()?;
     log::info!("configuration read again: {change}");
     recording.record(RecordBody::Reload { applied: true, detail: change });
     Ok(())
@@ -56,9 +56,9 @@
 async fn reload_once(
     descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, ConfigError>,
+    reload: &mut impl FnMut() -> Result<String, ConfigError>,
 ) -> Result<(), ConfigError> {
-    let result = read_and_record(descriptor_pool, recording, read).await;
+    let result = reload_and_record(descriptor_pool, recording, reload).await;
     if let Err(error) = &result {
         log::error!("configuration not read again, the previous one stays in effect: {error}");
         recording.record(RecordBody::Reload { applied: false, detail: error.to_string() });
@@ -72,12 +72,12 @@
     mut error: ConfigError,
     descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
-    read: &mut impl FnMut() -> Result<String, ConfigError>,
+    reload: &mut impl FnMut() -> Result<String, ConfigError>,
 ) {
-    let since = Instant::now();
-    while error.is_transient() || since.elapsed() < RELOAD_RETRY_WINDOW {
+    let started_at = Instant::now();
+    while error.is_transient() || started_at.elapsed() < RELOAD_RETRY_WINDOW {
         tokio::time::sleep(RELOAD_RETRY_INTERVAL).await;
-        match read_and_record(descriptor_pool, recording, read).await {
+        match reload_and_record(descriptor_pool, recording, reload).await {
             Ok(()) => return,
             Err(latest) => error = latest,
         }
--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -46,21 +46,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
     descriptors: usize,
-    standing: usize,
-    operators: usize,
+    baseline: usize,
+    operator_descriptors: usize,
     memory_mb: u64,
 }
 
 impl ProcessLimits {
     /// Reads the system's limits. Call it once everything that stays open for good is open, except for the number of
     /// descriptors that are opened later.
-    pub fn read(
-        configured: usize,
-        memory_mb: u64,
-        opened_later: usize,
-        has_operator_api: bool,
-    ) -> ProcessLimits {
-        let (descriptors, standing) = (raise_descriptor_limit(configured), open_descriptors() + opened_later);
+    pub fn read(configured: usize, memory_mb: u64, reserved: usize, has_operator_api: bool) -> ProcessLimits {
+        let (descriptors, baseline) = (raise_descriptor_limit(configured), open_descriptors() + reserved);
         if descriptors < configured {
             log::warn!(
                 "file descriptors: the system allows {descriptors} of the configured {configured} (limits.sockets)"
@@ -68,8 +63,8 @@
         }
         ProcessLimits {
             descriptors,
-            standing,
-            operators: if has_operator_api { OPERATOR_DESCRIPTORS } else { 0 },
+            baseline,
+            operator_descriptors: if has_operator_api { OPERATOR_DESCRIPTORS } else { 0 },
             memory_mb,
         }
     }
@@ -80,18 +75,18 @@
     /// The share of one process is too small to serve with.
     pub fn descriptor_budget(&self, processes: u32) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
         let share = self.descriptors / processes.max(1) as usize;
-        let plan = DescriptorBudget::new(share, self.standing, self.operators)?;
+        let budget = DescriptorBudget::new(share, self.baseline, self.operator_descriptors)?;
         let floors: Vec<String> = DESCRIPTOR_CLASSES
             .iter()
-            .zip(plan.floors)
+            .zip(budget.floors)
             .map(|(class, floor)| format!("{class}={floor}"))
             .collect();
         log::info!(
             "file descriptors: limit={share} in_use={}; guaranteed: {}",
-            self.standing,
+            self.baseline,
             floors.join(" ")
         );
-        Ok(plan)
+        Ok(budget)
     }
 
     /// Bytes that one of `processes` processes may use for buffers of connections.
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -60,13 +60,13 @@
 
 /// Reads the configuration, and retries after transient errors.
 async fn read_at_startup<T>(read: &impl Fn() -> Result<T, ConfigError>) -> Result<T, ConfigError> {
-    let (since, mut pauses) = (Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (Instant::now(), RetryDelays::default());
     loop {
         match read() {
-            Err(error) if error.is_transient() && since.elapsed() < STARTUP_RETRY_LIMIT => {
-                tokio::time::sleep(pauses.next_delay()).await;
+            Err(error) if error.is_transient() && started_at.elapsed() < STARTUP_RETRY_LIMIT => {
+                tokio::time::sleep(delays.next_delay()).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
@@ -101,20 +101,21 @@
     async fn run(
         mut self,
         listener: Rc<TcpListener>,
-        carrier: impl WorkerTransport + 'static,
+        transport: impl WorkerTransport + 'static,
         front: impl Front + 'static,
     ) -> io::Result<()> {
         let longest_deadline = self.broker.with_core(|core| longest_deadline(core.contracts()));
         let address = listener.local_addr()?;
-        self.spawn_drivers(carrier);
+        self.spawn_background_tasks(transport);
         let recording_task = spawn_local(
             self.recording.clone().record_periodically(self.broker.clone(), self.connections.clone()),
         );
-        let accepting = self.spawn_accepting(listener, address, front);
+        let accept_task = self.spawn_accepting(listener, address, front);
         self.stop.received().await;
         let lifecycle_request = self.announce_stop();
         let all_answered =
-            shut_down(&self.broker, &self.connections, lifecycle_request, longest_deadline, accepting).await;
+            shut_down(&self.broker, &self.connections, lifecycle_request, longest_deadline, accept_task)
+                .await;
         recording_task.abort();
         self.recording.finish(&self.broker, &self.connections, all_answered);
         if let Some(upgrade) = self.upgrade {
@@ -125,9 +126,9 @@
     }
 
     /// Spawns what acts by itself: the broker's steps, evictions of connections, and the timers of the lifecycle.
-    fn spawn_drivers(&self, carrier: impl WorkerTransport + 'static) {
+    fn spawn_background_tasks(&self, transport: impl WorkerTransport + 'static) {
         let broker = self.broker.clone();
-        spawn_local(async move { broker.drive(&carrier).await });
+        spawn_local(async move { broker.drive(&transport).await });
         let connections = self.connections.clone();
         spawn_local(async move { connections.run_evictions().await });
         let connections = self.connections.clone();
@@ -142,14 +143,14 @@
         address: SocketAddr,
         front: impl Front + 'static,
     ) -> JoinHandle<()> {
-        let serving_line = format!("{} serving on {address}", self.name);
+        let log_line = format!("{} serving on {address}", self.name);
         let (connections, upgrade) = (self.connections.clone(), self.upgrade.clone());
         spawn_local(async move {
             if let Some(upgrade) = upgrade {
                 upgrade.wait_until_ready().await;
                 upgrade.announce_serving();
             }
-            log::info!("{serving_line}");
+            log::info!("{log_line}");
             listener::accept_connections(listener, Rc::new(front), connections).await;
         })
     }
@@ -179,8 +180,8 @@
 
 /// A descriptor pool for a process that shares its limits with no other.
 fn new_descriptor_pool(process_limits: &ProcessLimits) -> Result<Rc<DescriptorPool>, DescriptorLimitTooLow> {
-    let plan = process_limits.descriptor_budget(1)?;
-    Ok(DescriptorPool::new(plan, process_limits.buffer_bytes(1)))
+    let budget = process_limits.descriptor_budget(1)?;
+    Ok(DescriptorPool::new(budget, process_limits.buffer_bytes(1)))
 }
 
 /// Shuts down gracefully: serves the grace period, then accepts nothing new, and returns `true` once every accepted query
@@ -188,20 +189,20 @@
 async fn shut_down(
     broker: &Broker,
     connections: &ConnectionManager,
-    stop: LifecycleRequest,
+    request: LifecycleRequest,
     longest_deadline: Duration,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 ) -> bool {
     log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
-    if let Err(error) = connections.apply_lifecycle(stop) {
+    if let Err(error) = connections.apply_lifecycle(request) {
         // A second stop is the same as the first, and no error.
-        log::debug!("stopping: lifecycle request {stop:?} was not applied: {error}");
+        log::debug!("stopping: lifecycle request {request:?} was not applied: {error}");
     }
     connections.wait_for_closing().await;
     log::info!("stopping: grace period over, new queries are rejected");
-    let all_answered = async {
+    let wait_for_responses = async {
         // Whoever has connected must be accepted first: else the process could end between two waiting connections.
-        if let Err(error) = accepting.await {
+        if let Err(error) = accept_task.await {
             log::error!("stopping: the accept task failed: {error}");
         }
         // A non-idempotent search continues without its client, so that its outcome can be asked for.
@@ -210,7 +211,7 @@
         }
     };
     let time_limit = longest_deadline + RESPONSE_READ_GRACE;
-    let all_answered = tokio::time::timeout(time_limit, all_answered).await.is_ok();
+    let all_answered = tokio::time::timeout(time_limit, wait_for_responses).await.is_ok();
     if !all_answered {
         log::warn!(
             "stopping: queries or connections still open after {time_limit:?}, open_connections={}",
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -31,7 +31,7 @@
     read: impl Fn() -> Result<FrontFile, ConfigError> + 'static,
 ) -> Result<(), CommandError> {
     block_on_runtime(async move {
-        let (hangup, stop) = install_signal_handlers().await?;
+        let (reload_signal, stop) = install_signal_handlers().await?;
         let file = read_at_startup(&read).await?;
         let listener = Rc::new(bind_at_startup(file.listen).await?);
         if operator.membership.is_some() {
@@ -52,8 +52,8 @@
             &broker,
         )?;
         broker.apply_endpoint_update(&file.servers, true);
-        let apply = apply_servers(broker.clone(), read);
-        spawn_local(reload_on_signal(hangup, descriptor_pool.clone(), recording.clone(), apply));
+        let reload = reload_servers(broker.clone(), read);
+        spawn_local(reload_on_signal(reload_signal, descriptor_pool.clone(), recording.clone(), reload));
         let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
         spawn_local(servers.clone().close_idle_on_reclaim());
         let connections = ConnectionManager::new(descriptor_pool);
@@ -67,7 +67,7 @@
 }
 
 /// What a reload does: reads the file again, applies its list of index servers, and returns a description of the change.
-fn apply_servers(
+fn reload_servers(
     broker: Broker,
     read: impl Fn() -> Result<FrontFile, ConfigError>,
 ) -> impl FnMut() -> Result<String, ConfigError> {
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -45,7 +45,7 @@
     read: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> Result<(), CommandError> {
     block_on_runtime(async move {
-        let (hangup, mut stop) = install_signal_handlers().await?;
+        let (reload_signal, mut stop) = install_signal_handlers().await?;
         let config = read_at_startup(&read).await?;
         let listeners = Listeners::bind(&config).await?;
         let components = Components::start(&config, &operator, &listeners)?;
@@ -54,7 +54,7 @@
             spawn_local(members.run());
         }
         let discovery_address = components.follow_discovery(&config);
-        components.reload_at_hangup(hangup, read, discovery_address);
+        components.reload_on_hangup(reload_signal, read, discovery_address);
         // The list of workers in it may be long, and is not needed any more.
         drop(config);
         components.serve(listener, stop).await
@@ -85,12 +85,12 @@
 
     /// Reads the limits of the process, which divide what is open by now from what connections may use.
     fn read_process_limits(&self, config: &Config, operator: &OperatorFile) -> ProcessLimits {
-        let for_membership = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
-        let for_upgrade = if self.clients.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
+        let membership_descriptors = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
+        let upgrade_descriptors = if self.clients.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
         ProcessLimits::read(
             config.max_descriptors,
             config.memory_mb,
-            for_membership + for_upgrade,
+            membership_descriptors + upgrade_descriptors,
             self.operators.is_some(),
         )
     }
@@ -122,14 +122,14 @@
         let clock = Clock::system();
         let broker = Broker::new(Core::new(config.contracts.clone()), clock);
         let recording = start_recording(config, operator, &broker, clock)?;
-        if let Some(known) = &config.initial_workers {
-            broker.apply_endpoint_update(known, true);
+        if let Some(initial_workers) = &config.initial_workers {
+            broker.apply_endpoint_update(initial_workers, true);
         }
         let connector: Rc<dyn Connector> = Rc::new(TcpConnector);
         let workers = Workers::new(broker.clone(), connector.clone(), descriptor_pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
         let connections = ConnectionManager::new(descriptor_pool.clone());
-        let members = members::start(
+        let members = members::new_transport(
             operator.membership.as_ref(),
             config.peer_datagrams,
             &config.name,
@@ -196,8 +196,8 @@
         // Where discovery is polled, the complete list costs it twice as much as the changes since a revision: matters when
         // the whole fleet starts.
         let is_polled = config.max_poll_interval.is_some();
-        let known = config.initial_workers.as_ref().filter(|_| is_polled);
-        let known_revision = known.map(|known| known.revision);
+        let initial_workers = config.initial_workers.as_ref().filter(|_| is_polled);
+        let known_revision = initial_workers.map(|workers| workers.revision);
         let backoff = discovery_backoff(config);
         let (broker, connector) = (self.broker.clone(), self.connector.clone());
         let descriptor_pool = self.descriptor_pool.clone();
@@ -207,13 +207,13 @@
         discovery_address
     }
 
-    fn reload_at_hangup(
+    fn reload_on_hangup(
         &self,
-        hangup: ReloadSignal,
+        reload_signal: ReloadSignal,
         read: impl Fn() -> Result<Config, ConfigError> + 'static,
         discovery_address: watch::Sender<String>,
     ) {
-        let apply = move || {
+        let reload = move || {
             // Only the address of discovery takes effect now, all else at the next start.
             let config = read()?;
             let change = format!("discovery at {}", config.discovery_address);
@@ -221,7 +221,7 @@
             Ok(change)
         };
         let (descriptor_pool, recording) = (self.descriptor_pool.clone(), self.recording.clone());
-        spawn_local(reload_on_signal(hangup, descriptor_pool, recording, apply));
+        spawn_local(reload_on_signal(reload_signal, descriptor_pool, recording, reload));
     }
 
     /// Serves clients until SIGTERM, and shuts down.
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -32,8 +32,8 @@
 
 impl InvalidSetting {
     /// An error for the key at `path`.
-    pub fn new(path: &str, what: impl Into<String>) -> InvalidSetting {
-        InvalidSetting { path: path.to_owned(), reason: what.into() }
+    pub fn new(path: &str, reason: impl Into<String>) -> InvalidSetting {
+        InvalidSetting { path: path.to_owned(), reason: reason.into() }
     }
 
     /// An error for a key whose value is not one of those that `expected` describes.
@@ -56,32 +56,37 @@
     /// # Errors
     /// Names the first pair without `=`.
     pub fn from_text(text: &str) -> Result<FlatSettings, InvalidSetting> {
-        let mut map = HashMap::new();
+        let mut values = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
             let Some((path, value)) = pair.split_once('=') else {
                 return Err(InvalidSetting::new(&format!("{pair:?}"), "expected path=value"));
             };
-            map.insert(path.to_owned(), value.to_owned());
+            values.insert(path.to_owned(), value.to_owned());
         }
-        Ok(FlatSettings(map))
+        Ok(FlatSettings(values))
     }
 
     /// Flattens nested JSON: the paths are `a.b` for fields, `a.0` and `a.count` for lists.
     #[must_use]
     pub fn from_json(value: &Value) -> FlatSettings {
         let mut settings = FlatSettings::default();
-        settings.add("", value);
+        settings.flatten("", value);
         settings
     }
 
-    fn add(&mut self, path: &str, value: &Value) {
+    fn flatten(&mut self, path: &str, value: &Value) {
         let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
             Value::Null => {}
-            Value::Object(fields) => fields.iter().for_each(|(name, value)| self.add(&child(name), value)),
+            Value::Object(fields) => {
+                fields.iter().for_each(|(name, value)| self.flatten(&child(name), value))
+            }
             Value::Array(items) => {
                 self.0.insert(child("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(at, item)| self.add(&child(&at.to_string()), item));
+                items
+                    .iter()
+                    .enumerate()
+                    .for_each(|(index, item)| self.flatten(&child(&index.to_string()), item));
                 // A list of scalars is stored joined under its own path too, as the simulator writes it.
                 if items.iter().all(|item| !item.is_object() && !item.is_array()) {
                     let joined: Vec<String> = items.iter().map(scalar_text).collect();
@@ -131,7 +136,7 @@
     /// A list of names, from numbered paths or comma-separated.
     fn names(&self, path: &str) -> Vec<String> {
         let numbered: Vec<String> =
-            (0..).map_while(|at| self.text(&format!("{path}.{at}")).map(str::to_owned)).collect();
+            (0..).map_while(|index| self.text(&format!("{path}.{index}")).map(str::to_owned)).collect();
         if !numbered.is_empty() {
             return numbered;
         }
@@ -143,14 +148,14 @@
     /// # Errors
     /// Names the first setting whose value cannot be used.
     pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
-        let named = |list: &str, at: u32| {
-            self.text(&format!("{list}.{at}.name")).map_or_else(|| at.to_string(), str::to_owned)
+        let named = |list: &str, index: u32| {
+            self.text(&format!("{list}.{index}.name")).map_or_else(|| index.to_string(), str::to_owned)
         };
         let (classes, tenants) = (self.count("categories.count")?, self.count("tenants.count")?);
         Ok(Contracts {
             settings: self.settings(seed)?,
-            classes: (0..classes).map(|at| named("categories", at)).collect(),
-            tenants: (0..tenants).map(|at| named("tenants", at)).collect(),
+            classes: (0..classes).map(|index| named("categories", index)).collect(),
+            tenants: (0..tenants).map(|index| named("tenants", index)).collect(),
             zones: self.names("localities"),
             limits: BrokerLimits {
                 max_open_requests: match self.count("allowed.max-open")? {
@@ -171,10 +176,10 @@
         })
     }
 
-    fn class(&self, at: usize) -> Result<Class, InvalidSetting> {
-        let path = |name: &str| format!("categories.{at}.{name}");
+    fn class(&self, index: usize) -> Result<Class, InvalidSetting> {
+        let path = |name: &str| format!("categories.{index}.{name}");
         let deadline = self.duration(&path("deadline"))?.unwrap_or_default();
-        let whole_at = self.by_class("domain.whole-at", at)?.unwrap_or(1.0);
+        let complete_coverage = self.by_class("domain.whole-at", index)?.unwrap_or(1.0);
         Ok(Class {
             latency_objective: self.duration(&path("promise"))?.unwrap_or(deadline),
             objective_stretch: self.number(&path("aim-stretch"))?.unwrap_or(0.0),
@@ -194,15 +199,16 @@
             repeat_window: self.duration(&path("window"))?.unwrap_or_default(),
             priority_weight: self.number(&path("worth"))?.unwrap_or(1.0),
             late_weight: self.number(&path("late-worth"))?.unwrap_or(0.0),
-            min_coverage: self.by_class("domain.min-share", at)?.unwrap_or(whole_at),
-            complete_coverage: whole_at,
-            partial_weight: self.by_class("domain.short-worth", at)?.unwrap_or(0.0),
-            second_step_parts: self.by_class("domain.follow-up", at)?.unwrap_or(0.0).max(0.0) as u32,
+            min_coverage: self.by_class("domain.min-share", index)?.unwrap_or(complete_coverage),
+            complete_coverage,
+            partial_weight: self.by_class("domain.short-worth", index)?.unwrap_or(0.0),
+            second_step_parts: self.by_class("domain.follow-up", index)?.unwrap_or(0.0).max(0.0) as u32,
         })
     }
 
     fn tenants(&self) -> Result<Vec<Tenant>, InvalidSetting> {
-        let tenant = |at| Ok(Tenant { quota_per_s: self.number(&format!("tenants.{at}.quota-per-s"))? });
+        let tenant =
+            |index| Ok(Tenant { quota_per_s: self.number(&format!("tenants.{index}.quota-per-s"))? });
         (0..self.count("tenants.count")?).map(tenant).collect()
     }
 
@@ -239,7 +245,7 @@
             seed,
             fleet_size: self.count("balancers")?.max(1),
             zone: ZoneId(self.count("az")?),
-            classes: (0..class_count).map(|at| self.class(at)).collect::<Result<_, _>>()?,
+            classes: (0..class_count).map(|index| self.class(index)).collect::<Result<_, _>>()?,
             tenants,
             over_quota_weight: self.number("over-share-worth")?,
             min_step_interval: self.duration("quantum")?.unwrap_or_default(),
@@ -248,7 +254,7 @@
             may_cancel: self.flag("allowed.cancel")?,
             may_health_check: self.flag("allowed.probing")?,
             hedging_allowed: self.flag("allowed.second-copies")?,
-            max_attempts: self.number("allowed.most-tries")?.map(|most| most.max(1.0) as u32),
+            max_attempts: self.number("allowed.most-tries")?.map(|max| max.max(1.0) as u32),
             max_retry_after: self.max_retry_after()?,
             retry_budget,
             cells: self.count("domain.cells")?,
--- a/src/program/signals.rs
+++ b/src/program/signals.rs
@@ -48,23 +48,23 @@
 /// The system refuses a socket or a handler.
 pub fn install() -> io::Result<(ReloadSignal, ShutdownSignal)> {
     let (hangup_flag, stop_flag) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-    let (wake, waker) = std::os::unix::net::UnixStream::pair()?;
-    wake.set_nonblocking(true)?;
-    waker.set_nonblocking(true)?;
+    let (wake_receiver, wake_sender) = std::os::unix::net::UnixStream::pair()?;
+    wake_receiver.set_nonblocking(true)?;
+    wake_sender.set_nonblocking(true)?;
     for (signal, flag_to_set) in [(SIGHUP, &hangup_flag), (SIGTERM, &stop_flag), (SIGINT, &stop_flag)] {
         flag::register(signal, flag_to_set.clone())?;
-        pipe::register(signal, waker.try_clone()?)?;
+        pipe::register(signal, wake_sender.try_clone()?)?;
     }
-    let wake = Socket::new(UnixStream::from_std(wake)?);
+    let wake_receiver = Socket::new(UnixStream::from_std(wake_receiver)?);
     let (hangup, stop) = (Rc::new(Notify::new()), watch::Sender::new(false));
     let (stop_receiver, hangup_receiver) = (stop.subscribe(), hangup.clone());
-    spawn_local(forward_signals(wake, hangup_flag, stop_flag, hangup, stop));
+    spawn_local(forward_signals(wake_receiver, hangup_flag, stop_flag, hangup, stop));
     Ok((ReloadSignal(hangup_receiver), ShutdownSignal(stop_receiver)))
 }
 
 /// Forwards the flags to [`ShutdownSignal`] and [`ReloadSignal`], for the life of the process.
 async fn forward_signals(
-    mut wake: Socket<UnixStream>,
+    mut wake_receiver: Socket<UnixStream>,
     hangup_flag: Arc<AtomicBool>,
     stop_flag: Arc<AtomicBool>,
     hangup: Rc<Notify>,
@@ -73,7 +73,7 @@
     let mut discarded = [0; 64];
     loop {
         // The bytes carry nothing. If the socket is closed or fails, the flags are polled instead.
-        if tokio::time::timeout(FLAG_POLL_INTERVAL, wake.read(&mut discarded))
+        if tokio::time::timeout(FLAG_POLL_INTERVAL, wake_receiver.read(&mut discarded))
             .await
             .is_ok_and(|read| !matches!(read, Ok(1..)))
         {
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -98,8 +98,11 @@
         let processes = self.takeover.borrow().process_count();
         self.broker.with_core(|core| core.set_process_count(processes));
         match self.limits.descriptor_budget(processes) {
-            Ok(plan) => {
-                self.connections.descriptor_pool().set_budget(plan, self.limits.buffer_bytes(processes)).await
+            Ok(budget) => {
+                self.connections
+                    .descriptor_pool()
+                    .set_budget(budget, self.limits.buffer_bytes(processes))
+                    .await
             }
             Err(error) => {
                 log::warn!("upgrade: file descriptors were not divided among {processes} processes: {error}")
@@ -111,13 +114,13 @@
     /// longest wait is over, or the other process stops.
     pub async fn wait_until_ready(&self) {
         if self.takeover.borrow().process_count() > 1 {
-            let listed = async {
+            let list_received = async {
                 while self.broker.with_core(|core| !core.has_discovery_list()) {
                     tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
             };
             tokio::select! {
-                () = listed => {}
+                () = list_received => {}
                 () = self.serve_now.notified() => {}
                 () = tokio::time::sleep(MAX_DISCOVERY_WAIT) => {}
             }
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 /// Number of starting processes whose requests are received at the same time.
-const MAX_CONCURRENT_JOINS: usize = 2;
+const MAX_CONCURRENT_REQUESTS: usize = 2;
 
 impl Upgrade {
     /// Opens the takeover socket for further starting processes. One that starts right after this process is ready, or
@@ -45,11 +45,11 @@
                 }
             }
         };
-        self.accept_starts(listener).await;
+        self.accept_connections(listener).await;
     }
 
-    async fn accept_starts(self: &Rc<Self>, listener: UnixListener) {
-        let joins = Arc::new(Semaphore::new(MAX_CONCURRENT_JOINS));
+    async fn accept_connections(self: &Rc<Self>, listener: UnixListener) {
+        let request_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
@@ -67,10 +67,10 @@
             };
             let Some(channel) = TakeoverChannel::new(stream) else { continue };
             // A connection that sends nothing holds up no other, up to the bound.
-            let Ok(permit) = joins.clone().acquire_owned().await else { return };
+            let Ok(permit) = request_permits.clone().acquire_owned().await else { return };
             let upgrade = self.clone();
             spawn_local(async move {
-                let channel = upgrade.receive_join(channel).await;
+                let channel = upgrade.receive_request(channel).await;
                 drop(permit);
                 if let Some(channel) = channel {
                     upgrade.hand_over(channel).await;
@@ -80,7 +80,7 @@
     }
 
     /// Receives the request of a starting process; returns its connection if it is the successor from now on.
-    async fn receive_join(&self, mut channel: TakeoverChannel) -> Option<TakeoverChannel> {
+    async fn receive_request(&self, mut channel: TakeoverChannel) -> Option<TakeoverChannel> {
         let request = match timeout(REPLY_TIMEOUT, channel.receive()).await {
             Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
             Ok(Ok(other)) => {
@@ -121,13 +121,13 @@
         });
         let message = Message::TakeoverState(Box::new(state));
         let listener = self.listener.borrow().clone();
-        let sent = async {
+        let send_state = async {
             match &listener {
                 Some(listener) => channel.send_with_socket(&message, listener.as_fd()).await,
                 None => channel.send(&message).await,
             }
         };
-        let error = match timeout(REPLY_TIMEOUT, sent).await {
+        let error = match timeout(REPLY_TIMEOUT, send_state).await {
             Ok(Ok(())) => self.exchange_messages(channel, messages).await,
             Ok(Err(error)) => error,
             Err(_) => io::Error::from(io::ErrorKind::TimedOut).into(),
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -31,9 +31,9 @@
     /// There is no predecessor.
     NoPredecessor,
     /// Another upgrade is under way; try again later.
-    MustWait,
+    InProgress,
     /// The predecessor sent its state and its listening socket.
-    HandsOver(Box<TakeoverState>, TcpListener, TakeoverChannel),
+    StateAndListener(Box<TakeoverState>, TcpListener, TakeoverChannel),
     /// Only the listening socket can be used; the state is of another version or damaged. Says why.
     ListenerOnly(TcpListener, String),
     /// A predecessor seems to exist, and cannot be reached. Says why.
@@ -74,13 +74,13 @@
         loop {
             match self.request_takeover().await {
                 TakeoverReply::NoPredecessor => return None,
-                TakeoverReply::MustWait => {
+                TakeoverReply::InProgress => {
                     if !self.waiting_for_upgrade.replace(true) {
                         log::warn!("upgrade: waiting for another upgrade to end");
                     }
                     unreachable = UnreachablePredecessor::default();
                 }
-                TakeoverReply::HandsOver(state, listener, channel) => {
+                TakeoverReply::StateAndListener(state, listener, channel) => {
                     self.waiting_for_upgrade.set(false);
                     self.start_as_successor(*state, channel).await;
                     return Some(listener);
@@ -117,9 +117,9 @@
                 ));
             }
         };
-        let join = Message::TakeoverRequest { listen: self.listen.to_string() };
+        let request = Message::TakeoverRequest { listen: self.listen.to_string() };
         let exchange = async {
-            match channel.send(&join).await {
+            match channel.send(&request).await {
                 Ok(()) => channel.receive_with_socket().await,
                 Err(error) => (Err(error), None),
             }
@@ -127,15 +127,15 @@
         let Ok((reply, socket)) = timeout(REPLY_TIMEOUT, exchange).await else {
             return TakeoverReply::Unreachable(format!("no reply within {REPLY_TIMEOUT:?}"));
         };
-        let listener = socket.and_then(|socket| self.checked_listener(socket));
+        let listener = socket.and_then(|socket| self.verify_listener(socket));
         match (reply, listener) {
             (Ok(Message::TakeoverState(state)), Some(listener)) => {
-                TakeoverReply::HandsOver(state, listener, channel)
+                TakeoverReply::StateAndListener(state, listener, channel)
             }
             (Ok(Message::TakeoverState(_)), None) => {
                 TakeoverReply::Unreachable("the state arrived without the listening socket".to_owned())
             }
-            (Ok(Message::TakeoverInProgress), _) => TakeoverReply::MustWait,
+            (Ok(Message::TakeoverInProgress), _) => TakeoverReply::InProgress,
             (Ok(other), Some(listener)) => {
                 TakeoverReply::ListenerOnly(listener, format!("unexpected reply {other:?}"))
             }
@@ -147,7 +147,7 @@
 
     /// Applies the predecessor's state, and receives its messages until it ends.
     async fn start_as_successor(self: &Rc<Self>, state: TakeoverState, channel: TakeoverChannel) {
-        let taken_over = format!(
+        let summary = format!(
             "workers={} disabled={}",
             state.list.workers.len(),
             state.disabled_workers.names().count()
@@ -156,13 +156,13 @@
         self.apply_state(state);
         self.takeover.borrow_mut().begin_as_successor();
         self.divide_resources().await;
-        log::info!("upgrade: taking over, {taken_over}");
+        log::info!("upgrade: taking over, {summary}");
         spawn_local(async move { upgrade.follow_predecessor(channel, messages).await });
     }
 
     /// The received socket, if it listens at this gatherer's address. `None` too where the system refuses to use it: the
     /// caller requests the takeover again.
-    fn checked_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
+    fn verify_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
         let address = listener.local_addr();
         if address.as_ref().ok() != Some(&self.listen) {
@@ -188,13 +188,15 @@
 
     /// Binds a listening socket. It allows a second process to bind the same address, where no takeover is possible.
     pub(super) async fn bind(&self) -> io::Result<TcpListener> {
-        let since = Instant::now();
+        let started_at = Instant::now();
         loop {
             match self.try_bind() {
-                Err(error) if since.elapsed() < BIND_TIMEOUT && error.kind() == io::ErrorKind::AddrInUse => {
+                Err(error)
+                    if started_at.elapsed() < BIND_TIMEOUT && error.kind() == io::ErrorKind::AddrInUse =>
+                {
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
-                Err(error) if since.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
+                Err(error) if started_at.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
                     tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
                 result => {
