--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -35,10 +35,8 @@
         broker: &Broker,
     ) -> io::Result<Recording> {
         let Some(records) = records else { return Ok(Recording::default()) };
-        let recorder =
-            Recorder::start(&records.folder, gatherer, incarnation, records.segment_limits()).map_err(
-                with_context(format!("{}: cannot write to the folder of records", records.folder.display())),
-            )?;
+        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.segment_limits())
+            .map_err(with_context("cannot start the thread that writes records"))?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
         let (classes, tenants) = broker.with_core(|core| {
             core.metrics = Some(Default::default());
