--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
-//! The command line: `gatherer` serves the platform's front, `gatherer FILE` the OpenSearch-style front that the file
-//! describes; the other sub-commands check files, list members and read records. It parses arguments, prints results
-//! and sets the exit status; all work is done in the library.
+//! The command line: `gatherer` serves the platform's front, `gatherer FILE` the OpenSearch-style front of that file;
+//! the other sub-commands check files, list members and read records. This file parses arguments, prints results and
+//! sets the exit status; the library does the work.
 
 use clap::{Parser, Subcommand};
 use gatherer::program::config::{self, Config};
@@ -31,16 +31,16 @@
     Serve {
         /// File of an OpenSearch-style front to serve; without it, the platform's front is served (LB_CONFIG).
         file: Option<String>,
-        /// The operator's file: the optional features of this installation.
+        /// The operator's TOML file, which turns on the optional features of this installation (records, membership).
         #[arg(long)]
         operator: Option<String>,
     },
     /// Check a file: the platform's JSON, an OpenSearch-style front's TOML, or an operator's TOML.
     Check {
-        /// The file.
+        /// Path of the file.
         file: String,
     },
-    /// Summarise what happened, from the records of any number of gatherers.
+    /// Summarise queries, errors and events from the records of any number of gatherers.
     Report {
         /// Folders of records.
         #[arg(required = true)]
@@ -48,28 +48,28 @@
         /// Write the HTML report to this file.
         #[arg(long, default_value = "report.html")]
         out: PathBuf,
-        /// Print JSON instead.
+        /// Print JSON instead of writing the HTML report.
         #[arg(long)]
         json: bool,
-        /// Leave out everything before this Unix time, in seconds.
+        /// Ignore records before this Unix time, in seconds.
         #[arg(long, default_value_t = 0)]
         from: u64,
-        /// Leave out everything from this Unix time on, in seconds.
+        /// Ignore records from this Unix time on, in seconds.
         #[arg(long, default_value_t = u64::MAX / 1000)]
         to: u64,
-        /// Length of a step in seconds; it doubles until the number of steps is within bounds.
+        /// Length of a time step in seconds; doubled until the number of steps is within bounds.
         #[arg(long, default_value_t = 60)]
         step: u64,
     },
     /// List the members of the cluster, as one gatherer sees them.
     Members {
-        /// The gatherer's operators' address (LB_OPERATOR).
+        /// Address of the gatherer's operators' API (default: LB_OPERATOR).
         operator: Option<SocketAddr>,
-        /// Print JSON.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Read records.
+    /// Verify records, or print their schema.
     Records {
         #[command(subcommand)]
         command: RecordsCommand,
@@ -78,7 +78,7 @@
 
 #[derive(Subcommand)]
 enum RecordsCommand {
-    /// Read every line and report each damaged one, by file and line. The exit status is 1 if there is any.
+    /// Read every line and print each damaged one, with file, line and fault. The exit status is 1 if there is any.
     Verify {
         /// Folders of records.
         #[arg(required = true)]
@@ -94,7 +94,7 @@
     match start(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Not through the log, which writes one line for each event: an error in a file is shown over several lines.
+            // Written past the log, which puts each event on one line: an error in a TOML file spans several.
             eprintln!("ERROR {error}");
             ExitCode::from(error.exit_status())
         }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of the platform's front: reads the environment and the JSON file that `LB_CONFIG` names, and checks
-//! both. It opens nothing but that file.
+//! The configuration of the platform's front: reads the JSON file that `LB_CONFIG` names, fills missing keys from the
+//! environment, and checks every value. This module opens no file but that one, and binds no address.
 
 use super::config_file::read_file;
 use super::errors::{ConfigError, ConfigFileKind, SOCKET_ADDRESS_FORM};
@@ -11,48 +11,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The variable that names the platform's file.
+/// Environment variable with the path of the platform's configuration file.
 pub const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// The variable with the address of the operators' API, where the file has none.
+/// Environment variable with the address of the operators' API, for files without the key `operator`.
 const OPERATOR_VARIABLE: &str = "LB_OPERATOR";
-/// Number of descriptors that a process may hold, where the file does not say.
+/// Number of file descriptors that a process may hold, for files without `limits.sockets`.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Memory of a process in MB, where the file does not say.
+/// Memory of a process in MiB, for files without `limits.memory_mb`.
 const DEFAULT_MEMORY_MB: u64 = 256;
-/// The least memory that a process can serve with, in MB.
+/// Lowest `limits.memory_mb` that a process can serve with, in MiB.
 const MIN_MEMORY_MB: u64 = 16;
 
-/// What one gatherer is started with.
+/// The checked configuration with which one gatherer starts.
 #[derive(Debug)]
 pub struct Config {
-    /// The gatherer's name.
+    /// Name of the gatherer in the log, in records and in membership.
     pub name: String,
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The address of the operators' API; it is off where there is none.
+    /// The address of the operators' API; `None` turns the API off.
     pub operator_address: Option<SocketAddr>,
-    /// The address of discovery.
+    /// The address of the discovery agent, as host and port.
     pub discovery_address: String,
-    /// Number of descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Memory that the process may use, in MB.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: u64,
-    /// The list of workers to start with, until discovery sends one.
+    /// The endpoint list in use until discovery sends one.
     pub initial_workers: Option<WorkerListUpdate>,
-    /// Where discovery is polled: the longest time between two polls. `None` where discovery pushes its changes.
+    /// Longest time between two polls of discovery; `None` if discovery is watched.
     pub max_poll_interval: Option<Duration>,
-    /// Whether the platform itself carries datagrams between gatherers, of 256 bytes at most, and nothing else.
+    /// Whether the platform carries datagrams between gatherers. Those hold at most 256 bytes, and gatherers cannot open
+    /// connections to each other.
     pub peer_datagrams: bool,
     /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; other variables supply what the file lacks. The file takes precedence
-    /// because it alone can be replaced while the program runs.
+    /// Reads the file that `LB_CONFIG` names; other environment variables supply the keys that the file lacks. The file
+    /// takes precedence because, unlike the environment, it can be replaced while the program runs.
     ///
     /// # Errors
-    /// `LB_CONFIG` is not set, or its file cannot be read or used.
+    /// `LB_CONFIG` is not set, or its file cannot be read, is no JSON or has an invalid value.
     pub fn from_platform(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::MissingVariable(CONFIG_VARIABLE))?;
         read_file(&path, ConfigFileKind::Platform, std::fs::read, |bytes| {
@@ -60,10 +61,10 @@
         })
     }
 
-    /// Checks the file's content.
+    /// Checks the content of the file.
     ///
     /// # Errors
-    /// Names the first key whose value is missing or cannot be used.
+    /// The first key, in the order of the checks, whose value is missing or invalid.
     pub fn from_json(
         json: &Value,
         variable: impl Fn(&str) -> Option<String>,
@@ -76,7 +77,7 @@
         let memory_mb = limit(json, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
         let initial_workers = initial_workers(json)?;
         let mut contracts = contracts(json, seed)?;
-        // The transport polls discovery by itself, so that the decision module must not request polls too.
+        // The transport schedules the polls of discovery, so the decision module must not request polls as well.
         let is_polled = std::mem::replace(&mut contracts.settings.poll_discovery, false);
         Ok(Config {
             name: source.text("name", "LB_NAME")?,
@@ -93,28 +94,28 @@
     }
 }
 
-/// The address of a gatherer's operators' API, for a call to it from the command line.
+/// Reads the address of a gatherer's operators' API from `LB_OPERATOR`, for calls from the command line.
 ///
 /// # Errors
-/// `LB_OPERATOR` is not set, or is no address.
+/// `LB_OPERATOR` is not set, or holds no socket address.
 pub fn operator_address(variable: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
     let value = variable(OPERATOR_VARIABLE).ok_or(ConfigError::MissingVariable(OPERATOR_VARIABLE))?;
     value.parse().map_err(|_| ConfigError::InvalidAddressVariable { variable: OPERATOR_VARIABLE, value })
 }
 
-/// The file's content, and the variables that supply what it lacks.
+/// The content of the file, and the environment variables that supply the keys it lacks.
 struct Source<'a, V> {
     json: &'a Value,
     variable: V,
 }
 
 impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
-    /// Whether the file sets `key`.
+    /// Whether the file sets `key` to a value other than null.
     fn has(&self, key: &str) -> bool {
         self.json.get(key).is_some_and(|value| !value.is_null())
     }
 
-    /// The text at `key`, or else that of the variable.
+    /// The text at `key`, or else the value of the environment variable `variable`.
     fn text(&self, key: &str, variable: &str) -> Result<String, InvalidSetting> {
         match self.json.get(key).filter(|value| !value.is_null()) {
             Some(value) => value
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The address at `key`, or else that of the variable.
+    /// The socket address at `key`, or else in the environment variable `variable`.
     fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, InvalidSetting> {
         let text = self.text(key, variable)?;
         text.parse().map_err(|_| {
@@ -136,14 +137,15 @@
         })
     }
 
-    /// The address of the operators' API, if there is one.
+    /// The address of the operators' API, if the file or the environment sets one.
     fn operator_address(&self) -> Result<Option<SocketAddr>, InvalidSetting> {
         let is_configured = self.has("operator") || (self.variable)(OPERATOR_VARIABLE).is_some();
         is_configured.then(|| self.address("operator", OPERATOR_VARIABLE)).transpose()
     }
 }
 
-/// The seed: a hexadecimal text, or a number.
+/// The seed of random choices: a text of hexadecimal digits, or a number. 0 where the file has none, or a number that
+/// is no unsigned integer of 64 bits.
 fn seed(json: &Value) -> Result<u64, InvalidSetting> {
     match json.get("seed") {
         None => Ok(0),
@@ -157,7 +159,7 @@
     }
 }
 
-/// One of the process's limits.
+/// The limit at `limits.{key}`, which must be a whole number of at least `min`.
 fn limit(json: &Value, key: &str, default: u64, min: u64) -> Result<u64, InvalidSetting> {
     let Some(count) = json.pointer(&format!("/limits/{key}")) else { return Ok(default) };
     count.as_u64().filter(|count| *count >= min).ok_or_else(|| {
@@ -166,7 +168,7 @@
     })
 }
 
-/// The list of workers to start with, in discovery's form.
+/// Decodes the endpoint list in the section `known`, which has the form of a response of discovery.
 fn initial_workers(json: &Value) -> Result<Option<WorkerListUpdate>, InvalidSetting> {
     let Some(list) = json.get("known").filter(|list| !list.is_null()) else { return Ok(None) };
     discovery::decode_endpoint_list(list.to_string().as_bytes()).map(Some).map_err(|error| {
@@ -177,7 +179,7 @@
     })
 }
 
-/// The contracts that the section `settings` describes, within what the platform's protocol carries.
+/// Builds the contracts from the section `settings`, without the features that the platform's protocol cannot carry.
 fn contracts(json: &Value, seed: u64) -> Result<Contracts, InvalidSetting> {
     let settings =
         json.get("settings").ok_or_else(|| InvalidSetting::new("settings", "the section is missing"))?;
@@ -192,7 +194,7 @@
     if contracts.classes.is_empty() {
         return Err(InvalidSetting::new("settings.categories", "found no class, expected at least one"));
     }
-    // The protocol carries neither follow-up requests nor health checks.
+    // The platform's protocol has messages for neither second steps nor health checks.
     contracts.settings.classes.iter_mut().for_each(|class| class.second_step_parts = 0);
     contracts.settings.may_health_check = false;
     Ok(contracts)
--- a/src/program/config_file.rs
+++ b/src/program/config_file.rs
@@ -1,12 +1,13 @@
-//! Reads a configuration file and has its content parsed: one function for all three kinds of files.
+//! Reads configuration files of all kinds, so that every error names the file and its kind. It knows no format: the
+//! caller passes the parser.
 
 use super::errors::{ConfigError, ConfigFileKind, FileContentError};
 use std::io;
 
-/// Reads the file at `path` by `read`, as bytes or as text, and parses its content by `parse`.
+/// Reads the file at `path` with `read`, as bytes or as text, and parses its content with `parse`.
 ///
 /// # Errors
-/// The file cannot be read, or its content cannot be used; the error names the file.
+/// The file cannot be read, or `parse` rejects its content. The error names the file.
 pub(super) fn read_file<'path, Content, Parsed>(
     path: &'path str,
     kind: ConfigFileKind,
--- a/src/program/errors.rs
+++ b/src/program/errors.rs
@@ -1,7 +1,7 @@
 //! The errors of the program's commands, and the exit status that reports each.
 //!
-//! [`CommandError`] is what a command fails with. It wraps one error of each layer below: [`ConfigError`] where a file or the
-//! environment cannot be used, which wraps [`FileContentError`] where a file was read and its content is wrong.
+//! A command returns [`CommandError`]. It wraps [`ConfigError`] for an invalid file or environment, which wraps
+//! [`FileContentError`] for a file that was read and has invalid content.
 
 use super::settings::InvalidSetting;
 use crate::limits::descriptors::DescriptorLimitTooLow;
@@ -9,38 +9,38 @@
 use std::fmt;
 use std::io;
 
-/// Exit status of a command whose configuration cannot be used.
+/// Exit status of a command with an invalid configuration.
 const CONFIGURATION_EXIT_STATUS: u8 = 2;
 /// Exit status of a command that failed in any other way.
 const OTHER_EXIT_STATUS: u8 = 1;
 /// Form of a socket address, as error messages describe it.
 pub(super) const SOCKET_ADDRESS_FORM: &str = "IP:PORT";
 
-/// Why a command failed.
+/// The reason for which a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The configuration cannot be used.
+    /// A file or the environment is missing or invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The system allows too few descriptors to serve with.
+    /// The system allows too few file descriptors to serve with.
     #[error(transparent)]
     TooFewDescriptors(#[from] DescriptorLimitTooLow),
-    /// A call to the operating system failed.
+    /// A system call failed.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The number of damaged lines in the records that were read.
+    /// The records that were read have this number of damaged lines.
     #[error("records: {0} damaged lines")]
     DamagedRecords(u64),
 }
 
-/// Adds the object of a failed system call to its error, as in `map_err(with_context("cannot listen at 10.0.0.1:80"))`.
-/// The error that this makes has no code of the system: call it after [`is_transient`] has been asked.
+/// Prepends what failed to the message of an error, as in `map_err(with_context("cannot listen at 10.0.0.1:80"))`.
+/// The new error has no error code of the system, so [`is_transient`] must be called on the original.
 pub(super) fn with_context(context: impl fmt::Display) -> impl FnOnce(io::Error) -> io::Error {
     move |error| io::Error::new(error.kind(), format!("{context}: {error}"))
 }
 
 impl CommandError {
-    /// The exit status of the process: 2 for a configuration that cannot be used, else 1.
+    /// The exit status of the process: 2 for an invalid configuration, 1 for all other errors.
     #[must_use]
     pub fn exit_status(&self) -> u8 {
         match self {
@@ -52,18 +52,18 @@
     }
 }
 
-/// Why a configuration cannot be used.
+/// The reason for which a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable of the environment is not set.
+    /// An environment variable is not set.
     #[error("environment variable {0} is not set")]
     MissingVariable(&'static str),
-    /// A variable of the environment holds no socket address.
+    /// An environment variable holds no socket address.
     #[error("environment variable {variable}: found {value:?}, expected {SOCKET_ADDRESS_FORM}")]
     InvalidAddressVariable {
         /// Name of the variable.
         variable: &'static str,
-        /// Text that the variable holds.
+        /// Value of the variable.
         value: String,
     },
     /// A file cannot be read.
@@ -71,25 +71,25 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the file was read for.
+        /// Kind of the file.
         kind: ConfigFileKind,
-        /// Why it cannot be read.
+        /// Error of the system call.
         #[source]
         error: io::Error,
     },
-    /// A file is not well-formed, or one of its values cannot be used.
+    /// A file has a syntax error, or one of its values is invalid.
     #[error("{path}: {error}")]
     Malformed {
         /// The file's path.
         path: String,
-        /// What is wrong with its content.
+        /// Fault in the content of the file.
         #[source]
         error: FileContentError,
     },
 }
 
 impl ConfigError {
-    /// Whether reading the file again in a moment may succeed.
+    /// Whether the file could not be read for a reason that may pass by itself, such as a lack of descriptors.
     #[must_use]
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { error, .. } if is_transient(error))
@@ -120,25 +120,25 @@
     }
 }
 
-/// What is wrong with the content of a configuration file.
+/// A fault in the content of a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileContentError {
-    /// The platform's file is not JSON.
+    /// The platform's file is no valid JSON.
     #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A TOML file has a syntax error, or a key that is unknown, missing or of another type. The message shows the line and
-    /// the key over several lines.
+    /// A TOML file has a syntax error, or a key that is unknown, missing or of another type. The message shows the line
+    /// and the key over several lines.
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
-    /// The value of one key cannot be used.
+    /// The value of a key is invalid.
     #[error(transparent)]
     InvalidSetting(#[from] InvalidSetting),
-    /// The value that a line sets cannot be used.
+    /// The value of a key is invalid, and the line that sets it was found.
     #[error("line {line}: {error}")]
     InvalidLine {
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// The key, and what is wrong with its value.
+        /// The key, and the fault in its value.
         #[source]
         error: InvalidSetting,
     },
--- a/src/program/inspect.rs
+++ b/src/program/inspect.rs
@@ -1,4 +1,5 @@
-//! The sub-commands that serve nothing: `check`, `report` and `records`. They read files and return what is to be printed.
+//! The sub-commands `check`, `report` and `records`: they read files and return or print text. Nothing here serves
+//! queries or connects to a gatherer.
 
 use super::config::{CONFIG_VARIABLE, Config};
 use super::config_file::read_file;
@@ -18,10 +19,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Checks a file and returns a description of its kind.
+/// Checks a configuration file and returns the result to print. Files that end in `.json` are platform files; a TOML
+/// file with the key `listen` is that of an OpenSearch-style front, any other one an operator's.
 ///
 /// # Errors
-/// The file cannot be read, or one of its values cannot be used.
+/// The file cannot be read, or is invalid.
 pub fn check(path: &str) -> Result<&'static str, ConfigError> {
     if path.ends_with(".json") {
         let variable = |name: &str| match name {
@@ -41,11 +43,11 @@
 /// The JSON schema of a record.
 #[must_use]
 pub fn schema() -> String {
-    // A schema holds only what JSON can express: writing it to memory does not fail.
+    // A schema is plain JSON, which always serialises into memory.
     serde_json::to_string_pretty(&schemars::schema_for!(Record)).unwrap_or_default()
 }
 
-/// Paths of all segments in these folders, those of each incarnation in the order in which they were written.
+/// Lists the paths of all segments in these folders; the segments of an incarnation are in the order of writing.
 fn segment_paths(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
     let mut segments = Vec::new();
     for folder in folders {
@@ -61,6 +63,7 @@
     Ok(segments.into_iter().map(|(_, path)| path).collect())
 }
 
+/// Reads all segments of these folders, and passes each line to `on_record` if it is valid, else to `on_damaged`.
 fn read_records(
     folders: &[PathBuf],
     mut on_record: impl FnMut(Record),
@@ -78,16 +81,17 @@
     Ok(reader)
 }
 
-/// Number of lines in records that were read.
+/// Number of valid and damaged lines in the records that were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verification {
-    /// Lines that are whole and in order.
+    /// Lines that are complete and in order.
     pub valid: u64,
-    /// Lines that do not count.
+    /// Lines that are damaged or out of order. A report ignores them.
     pub damaged: u64,
 }
 
-/// Reads every line, prints each damaged one, and returns how many there are.
+/// Reads every line of the records in these folders, prints the place and fault of each damaged one, and returns the
+/// number of valid and damaged lines.
 ///
 /// # Errors
 /// A folder or a file cannot be read.
@@ -101,21 +105,24 @@
     Ok(Verification { valid: reader.valid_records, damaged })
 }
 
-/// A summary of what happened, made from records.
+/// The summary and the findings of a number of records.
 pub struct Report {
     summary: Summary,
     findings: Vec<Finding>,
     /// Number of damaged lines.
     damaged: u64,
+    /// Place and fault of the first damaged lines, at most [`MAX_NAMED_RECORDS`].
     damaged_records: Vec<String>,
+    /// Number of valid lines.
     valid: u64,
 }
 
-/// Damaged lines that a report names. Bounds the memory where all of the records are damaged.
+/// Number of damaged lines that a report names, so that memory stays bounded if all records are damaged.
 const MAX_NAMED_RECORDS: usize = 100;
 
 impl Report {
-    /// Reads all segments of these folders, in one pass.
+    /// Reads all segments of these folders in one pass. `range` is in Unix milliseconds; `step` is the shortest length
+    /// of a time step of the report.
     ///
     /// # Errors
     /// A folder or a file cannot be read.
@@ -135,7 +142,7 @@
         Ok(Report { summary, findings, damaged, damaged_records, valid: reader.valid_records })
     }
 
-    /// The report as one HTML page.
+    /// The report as an HTML page.
     #[must_use]
     pub fn html(&self) -> String {
         html_report::render(&self.summary, &self.findings, &self.damaged_records, self.damaged)
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,16 +1,16 @@
-//! The log for the people on call: one line for each event on standard error, at a bounded rate.
+//! The log on standard error: one line for each event, bounded in rate and in length.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-/// Number of lines that may be written at once.
+/// Number of lines that may be written in a burst.
 const BURST_LINES: f64 = 100.0;
-/// Number of lines that may be written each second after a burst.
+/// Number of lines per second that may be written after a burst.
 const LINES_PER_SECOND: f64 = 20.0;
-/// Length of the longest line in characters; longer ones are truncated.
+/// Longest line in characters; longer ones are truncated.
 const MAX_LINE_CHARS: usize = 600;
 
-/// Token bucket that bounds the rate of lines.
+/// Token bucket that bounds the rate of lines, and counts those that it drops.
 struct RateLimit {
     tokens: f64,
     refilled_at: Instant,
@@ -22,12 +22,13 @@
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// Creates a full bucket.
     fn new(now: Instant) -> RateLimit {
         RateLimit { tokens: BURST_LINES, refilled_at: now, dropped: 0 }
     }
 
-    /// Number of lines dropped since the last one, if a line may be written now.
+    /// Takes a token for one line. Returns the number of lines dropped since the last token was taken, or `None` if
+    /// this line is dropped too.
     fn try_acquire(&mut self, now: Instant) -> Option<u64> {
         let gained = now.saturating_duration_since(self.refilled_at).max(Duration::ZERO).as_secs_f64()
             * LINES_PER_SECOND;
@@ -64,9 +65,9 @@
     fn flush(&self) {}
 }
 
-/// Installs the logger for lines of this level and above; a second call changes only the level.
+/// Installs the logger for lines of this level and above. A second call only changes the level.
 pub fn install(level: log::LevelFilter) {
-    // Fails only where a logger is installed already, which is then this one.
+    // Fails only if a logger is installed already, and the program installs no other than this one.
     let _ = log::set_logger(&StderrLogger);
     log::set_max_level(level);
 }
--- a/src/program/members.rs
+++ b/src/program/members.rs
@@ -1,5 +1,6 @@
-//! Membership in this program: whether this gatherer takes part, and where changes of members go (the core, the log and
-//! the records); and the `members` sub-command, which prints the members that a gatherer knows.
+//! Membership in this program: decides whether this gatherer takes part, and passes changes of members to the core, the
+//! log and the records. Also the `members` sub-command, which prints the members that a running gatherer knows. The
+//! protocol is in [`crate::membership`], its sockets are in [`crate::transport::membership`].
 
 use super::errors::with_context;
 use super::operator::MembershipSettings;
@@ -17,14 +18,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time-out of the connection and of each read of an operator's call.
+/// Time-out of connecting to an operators' API, and of each read from it.
 const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Path of the operators' call that lists the members.
 const MEMBERS_PATH: &str = "/-/members";
-/// Size of the largest list of members that is read.
+/// Largest list of members that is read, in bytes.
 const MAX_MEMBERS_BODY_BYTES: usize = 64 * http::MAX_BODY_BYTES;
 
-/// Passes changes of members on to the core, the log and the records.
+/// Passes changes of members to the core, the log and the records.
 struct MemberChanges {
     broker: Broker,
     recording: Recording,
@@ -42,8 +43,8 @@
     }
 }
 
-/// This gatherer's membership, if the operator's file asks for it, the settings allow it, and the platform carries no
-/// datagrams of its own between gatherers.
+/// Creates the membership transport of this gatherer. `None` if the operator's file has no section `membership`, if the
+/// settings forbid gossip, or if the platform carries the datagrams between gatherers (`peer_datagrams`).
 #[must_use]
 pub fn new_transport(
     settings: Option<&MembershipSettings>,
@@ -65,7 +66,7 @@
         );
         return None;
     }
-    // Membership needs datagrams of up to 1,200 bytes, and connections; neither is allowed there.
+    // Membership needs datagrams of up to 1,200 bytes, and connections between gatherers: such a platform has neither.
     if peer_datagrams {
         log::warn!(
             "membership stays off: the platform carries datagrams between gatherers, of at most 256 bytes, \
@@ -96,10 +97,11 @@
     Some(MembershipTransport::new(node, cluster_key, clock, settings.listen, max_members, Box::new(observer)))
 }
 
-/// Requests the members from a gatherer's operators' address; returns the JSON as received, or a table.
+/// Requests the members from a gatherer's operators' API, and returns the JSON as received if `json` is set, else a
+/// table.
 ///
 /// # Errors
-/// The call failed or timed out, or its status is not 200.
+/// The call failed or timed out, its status is not 200, or the response is no JSON.
 pub fn list(operator: SocketAddr, json: bool) -> io::Result<String> {
     let text = fetch_members(operator).map_err(with_context(format!("GET {MEMBERS_PATH} of {operator}")))?;
     if json {
@@ -142,7 +144,7 @@
     Ok(text)
 }
 
-/// The members as a table for a person.
+/// Formats the members as a table for the terminal.
 fn member_table(view: &Value) -> String {
     let mut summary = format!("{} gatherers share the fleet", view["gatherers"]);
     if view["alone"] == true {
@@ -157,7 +159,7 @@
     lines.join("\n") + "\n"
 }
 
-/// One member as a row of the table.
+/// Formats a member as a row of the table; `-` stands for a value that the response lacks.
 fn member_row(member: &Value) -> String {
     let text = |key: &str| member[key].as_str().unwrap_or("-").to_owned();
     let age = |key: &str| member[key].as_f64().map_or("-".to_owned(), |age| format!("{age:.1} s"));
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -1,4 +1,5 @@
-//! The file of the OpenSearch-style front: its sections, their checks, and the contracts that they make.
+//! The TOML file of the OpenSearch-style front: reads its sections, checks them, and builds the contracts, the request
+//! names and the list of index servers from them.
 
 use super::config_file::read_file;
 use super::errors::{ConfigError, ConfigFileKind, FileContentError, SOCKET_ADDRESS_FORM};
@@ -11,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The file as it is written.
+/// Content of the file, before the checks.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileContent {
@@ -129,41 +130,41 @@
     cell: u32,
 }
 
-/// What the file describes, checked.
+/// The checked configuration of an OpenSearch-style front.
 #[derive(Debug)]
 pub struct FrontFile {
     /// The address at which clients connect.
     pub listen: SocketAddr,
     /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
-    /// Names of indexes and callers in requests.
+    /// Indexes and callers by their names in requests.
     pub names: RequestNames,
     /// The index servers.
     pub servers: WorkerListUpdate,
-    /// Number of descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// Memory that the process may use, in MB.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: u64,
 }
 
-/// The least memory that a process can serve with, in MB.
+/// Lowest `limits.memory_mb` that a process can serve with, in MiB.
 const MIN_MEMORY_MB: u64 = 16;
 
 impl FrontFile {
-    /// Reads and checks the file at `path`.
+    /// Reads and checks the file at `path`. `seed` is the seed of random choices.
     ///
     /// # Errors
-    /// The file cannot be read, or one of its values cannot be used.
+    /// The file cannot be read, is no valid TOML, or has an unknown key or an invalid value.
     pub fn read(path: &str, seed: u64) -> Result<FrontFile, ConfigError> {
         read_file(path, ConfigFileKind::OpenSearchFront, std::fs::read_to_string, |text| {
             FrontFile::parse(&text, seed)
         })
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and checks the text of a file. `seed` is the seed of random choices.
     ///
     /// # Errors
-    /// Names the line or the key that cannot be used.
+    /// Names the line with a syntax error or an unknown key, or else the first key with an invalid value.
     pub fn parse(text: &str, seed: u64) -> Result<FrontFile, FileContentError> {
         let file: FileContent = toml::from_str(text)?;
         Ok(file.check(seed)?)
@@ -171,7 +172,7 @@
 }
 
 impl FileContent {
-    /// Checks the sections in their order, and makes what they describe.
+    /// Checks the sections in their order, and builds the configuration from them.
     fn check(&self, seed: u64) -> Result<FrontFile, InvalidSetting> {
         let invalid_listen = |_| InvalidSetting::unexpected("listen", &self.listen, SOCKET_ADDRESS_FORM);
         let listen = self.listen.parse::<SocketAddr>().map_err(invalid_listen)?;
@@ -226,7 +227,7 @@
             let expected = format!("at least {MIN_MEMORY_MB}");
             return Err(InvalidSetting::unexpected("limits.memory_mb", memory_mb, expected));
         }
-        // Leaves the descriptors that are guaranteed to clients, files and discovery.
+        // The rest is for the descriptors that are guaranteed to clients, files and discovery.
         let max_connections = sockets / 16 * 7;
         let servers = self.server.len();
         if servers.saturating_mul(searches_per_server) > max_connections {
@@ -272,7 +273,7 @@
         Ok(classes)
     }
 
-    /// The index servers, in the form in which discovery lists workers.
+    /// Checks the index servers, and lists them as discovery lists workers.
     fn listed_workers(&self) -> Result<Vec<ListedWorker>, InvalidSetting> {
         let mut workers = Vec::new();
         let cells = self.layout.cells;
@@ -298,7 +299,7 @@
         Ok(workers)
     }
 
-    /// Names of zones; the first is the gatherer's own.
+    /// Lists the names of all zones; the first is the gatherer's own, which the settings name as zone 0.
     fn zones(&self) -> Vec<String> {
         let mut zones = vec![self.zone.clone()];
         for server in &self.server {
@@ -344,13 +345,14 @@
                 connect_timeout: Duration::from_millis(self.limits.connect_timeout_ms),
                 connection_idle_timeout: Duration::from_millis(self.limits.idle_ms),
                 max_parts_per_connection: self.limits.searches_per_server,
-                // The file itself is the list of servers: no server drains.
+                // The file is the list of servers and has no draining state.
                 drain_grace: Duration::ZERO,
                 may_gossip: true,
             },
         }
     }
 
+    /// Resolves the class of each index and the tenant of each caller.
     fn request_names(&self, contracts: &Contracts) -> Result<RequestNames, InvalidSetting> {
         let mut names = RequestNames { window: self.limits.window, ..RequestNames::default() };
         for (position, index) in self.index.iter().enumerate() {
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's file: the optional features of an installation (records and membership), beside the platform's
-//! configuration. Everything in it is off where there is no such file.
+//! The operator's TOML file, which turns on the optional features of an installation: records and membership. Without
+//! the file, or without the section of a feature, the feature is off. All other settings are in the file of the front.
 
 use super::config_file::read_file;
 use super::errors::{ConfigError, ConfigFileKind, FileContentError};
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Shortest secret of a cluster, in bytes.
+/// Shortest secret of a cluster that may be configured, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 /// Highest number of other members that may be configured.
 const MAX_MEMBERS: usize = 10_000;
@@ -24,24 +24,24 @@
 const MIN_DECLARE_DEAD_PERIODS: u64 = 4;
 /// Longest time from a member's suspected state to its dead one, in milliseconds.
 const MAX_DECLARE_DEAD_AFTER_MS: u64 = 600_000;
-/// Smallest size of a segment, in kB.
+/// Smallest size of a segment, in KiB.
 const MIN_SEGMENT_KB: u64 = 64;
-/// Largest size of a segment, in kB.
+/// Largest size of a segment, in KiB.
 const MAX_SEGMENT_KB: u64 = 1 << 20;
 /// Highest age of a segment, in seconds.
 const MAX_SEGMENT_S: u64 = 7 * 86_400;
-/// Lowest total size of all segments, in segments.
+/// Lowest total size of all segments, as a number of segments of full size.
 const MIN_SEGMENTS: u64 = 2;
-/// Highest total size of all segments, in kB.
+/// Highest total size of all segments, in KiB.
 const MAX_ALL_KB: u64 = 1 << 30;
 
-/// Content of the file.
+/// Content of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorFile {
-    /// Where records are stored; none are where this is absent.
+    /// Where records are stored, and how many; `None` turns records off.
     pub records: Option<RecordSettings>,
-    /// How this gatherer takes part in membership; it does not where this is absent.
+    /// How this gatherer takes part in membership; `None` turns membership off.
     pub membership: Option<MembershipSettings>,
 }
 
@@ -49,24 +49,25 @@
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipSettings {
-    /// The address at which it receives datagrams and connections.
+    /// The address at which this gatherer receives datagrams and connections of other members.
     pub listen: SocketAddr,
-    /// The address at which others reach it, if that is another one.
+    /// The address at which other members reach this gatherer; `listen` where it is absent.
     pub advertise: Option<SocketAddr>,
-    /// Messages from members of other clusters are dropped.
+    /// Name of the cluster. Messages of members of other clusters are dropped.
     pub cluster: String,
-    /// Shared by all members of the cluster and nobody else; without it, whoever reaches the address can take part.
+    /// Secret that authenticates messages, shared by all members of the cluster. Without one, every process that
+    /// reaches the address can take part.
     #[serde(default)]
     pub secret: String,
-    /// Addresses of some members, with which this one joins.
+    /// Addresses of some members, through which this gatherer joins the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Number of other members that are stored at most. The key keeps its name in the file.
+    /// Highest number of other members that are stored. The key in the file is `most`.
     #[serde(rename = "most", default = "default_max_members")]
     pub max_members: usize,
     /// Time between two rounds of health checks, in milliseconds.
     #[serde(default = "default_period_ms")]
     pub period_ms: u64,
-    /// Time from a member's suspected state to its dead one, in milliseconds. The key keeps its name in the file.
+    /// Time after which a suspected member is declared dead, in milliseconds. The key in the file is `bury_ms`.
     #[serde(rename = "bury_ms", default = "default_declare_dead_after_ms")]
     pub declare_dead_after_ms: u64,
 }
@@ -83,13 +84,13 @@
 
 impl fmt::Debug for MembershipSettings {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Omits the secret: what is printed may be stored.
+        // Leaves out the secret, since debug output may be logged or stored.
         out.debug_struct("Membership").field("listen", &self.listen).field("cluster", &self.cluster).finish()
     }
 }
 
 impl MembershipSettings {
-    /// The protocol's times.
+    /// The intervals and time-outs of the membership protocol.
     #[must_use]
     pub fn timing(&self) -> Timing {
         let (period, declare_dead_after) =
@@ -108,7 +109,7 @@
             return Err(InvalidSetting::new("membership.cluster", "found an empty text, expected a name"));
         }
         if !self.secret.is_empty() && self.secret.len() < MIN_SECRET_BYTES {
-            // The secret itself stays out of the log.
+            // The secret itself must not reach the log.
             let reason =
                 format!("found {} bytes, expected at least {MIN_SECRET_BYTES}, or none", self.secret.len());
             return Err(InvalidSetting::new("membership.secret", reason));
@@ -123,9 +124,8 @@
         }
         let min_declare_dead_after_ms = MIN_DECLARE_DEAD_PERIODS * self.period_ms;
         if !(min_declare_dead_after_ms..=MAX_DECLARE_DEAD_AFTER_MS).contains(&self.declare_dead_after_ms) {
-            let expected = format!(
-                "{min_declare_dead_after_ms} ({MIN_DECLARE_DEAD_PERIODS} times period_ms) to {MAX_DECLARE_DEAD_AFTER_MS}"
-            );
+            let min = format!("{min_declare_dead_after_ms} ({MIN_DECLARE_DEAD_PERIODS} times period_ms)");
+            let expected = format!("{min} to {MAX_DECLARE_DEAD_AFTER_MS}");
             return Err(InvalidSetting::unexpected(
                 "membership.bury_ms",
                 self.declare_dead_after_ms,
@@ -134,26 +134,27 @@
         }
         let advertised = self.advertise.unwrap_or(self.listen);
         if advertised.ip().is_unspecified() {
-            let expected = "an IP address at which other members reach this one (membership.listen where the key is absent)";
+            let expected = "an IP address at which other members reach this one (membership.listen where the key is \
+                            absent)";
             return Err(InvalidSetting::unexpected("membership.advertise", advertised, expected));
         }
         Ok(())
     }
 }
 
-/// Where records are stored, and how many.
+/// Where records are stored, and in segments of which size and age.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordSettings {
-    /// The folder; it is created where it does not exist.
+    /// The folder of the segments. It is created if it does not exist.
     pub folder: PathBuf,
-    /// Size of a segment, in kB.
+    /// Size of a segment, in KiB.
     #[serde(default = "default_segment_kb")]
     pub segment_kb: u64,
     /// Age of a segment at which the next one begins, in seconds.
     #[serde(default = "default_segment_s")]
     pub segment_s: u64,
-    /// Total size of all segments of one gatherer, in kB.
+    /// Total size of all segments of one gatherer, in KiB.
     #[serde(default = "default_all_kb")]
     pub all_kb: u64,
 }
@@ -169,7 +170,7 @@
 }
 
 impl RecordSettings {
-    /// The limits of segments.
+    /// The size and age limits of segments.
     #[must_use]
     pub fn segment_limits(&self) -> SegmentLimits {
         let (segment_bytes, total_bytes) = (self.segment_kb << 10, self.all_kb << 10);
@@ -181,7 +182,7 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// The file cannot be read, or one of its values cannot be used.
+    /// The file cannot be read, is no valid TOML, or has an unknown key or an invalid value.
     pub fn read(path: &str) -> Result<OperatorFile, ConfigError> {
         read_file(path, ConfigFileKind::Operator, std::fs::read_to_string, |text| OperatorFile::parse(&text))
     }
@@ -189,7 +190,7 @@
     /// Parses and checks the text of a file.
     ///
     /// # Errors
-    /// Names the line and the key that cannot be used.
+    /// Names the line, and for an unknown key or an invalid value also the key.
     pub fn parse(text: &str) -> Result<OperatorFile, FileContentError> {
         let file: OperatorFile = toml::from_str(text)?;
         file.check().map_err(|error| match line_number_of(text, &error.path) {
@@ -205,7 +206,7 @@
     }
 }
 
-/// Number of the line that sets a key, found by the last name of its path.
+/// Number of the first line that sets a key with the last name of this path, counted from 1.
 fn line_number_of(text: &str, path: &str) -> Option<usize> {
     let key = path.rsplit('.').next().unwrap_or(path);
     let sets_key = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
