--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -41,8 +41,7 @@
     pub initial_workers: Option<WorkerListUpdate>,
     /// Longest time between two polls of discovery; `None` if discovery is watched.
     pub max_poll_interval: Option<Duration>,
-    /// Whether the platform carries datagrams between gatherers. Those hold at most 256 bytes, and gatherers cannot open
-    /// connections to each other.
+    /// Whether the platform carries datagrams between gatherers: at most 256 bytes each, and no connections.
     pub peer_datagrams: bool,
     /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -1,5 +1,5 @@
-//! The records of one process: its start, its metrics each second, changes, and its stop. It decides when to write; the
-//! writer in `records` owns the files.
+//! Decides which records a process writes and when: its start, its metrics each second, events, and its stop. The
+//! writer in [`crate::records`] owns the files.
 
 use super::errors::with_context;
 use super::operator::RecordSettings;
@@ -15,15 +15,16 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between two records of metrics.
+/// Interval between two records of metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The records of one process; nothing is written where no folder is configured.
+/// The recorder of one process, or nothing if no folder is configured: then every call does nothing.
 #[derive(Clone, Default)]
 pub struct Recording(Rc<RefCell<Option<Recorder>>>);
 
 impl Recording {
-    /// Starts recording, if a folder is configured. `incarnation` identifies this start of this gatherer, and no other.
+    /// Starts the recorder if a folder is configured, and writes the start record with a digest of `configuration`.
+    /// `incarnation` must be unique among the starts of this gatherer.
     ///
     /// # Errors
     /// The thread that writes records cannot be started.
@@ -47,14 +48,15 @@
         Ok(recording)
     }
 
-    /// Writes one record.
+    /// Queues one record for the writer.
     pub fn record(&self, body: RecordBody) {
         if let Some(recorder) = &mut *self.0.borrow_mut() {
             recorder.record(body);
         }
     }
 
-    /// Writes metrics each second; ends only with its task, or at once where nothing is recorded.
+    /// Writes a record of metrics each second. Returns at once if nothing is recorded, else runs until its task is
+    /// aborted.
     pub async fn record_periodically(self, broker: Broker, connections: Rc<ConnectionManager>) {
         if self.0.borrow().is_none() {
             return;
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Writes what has happened since the last call.
+    /// Writes the events and the metrics since the last call, and the begin or end of an overload where `overload` is
+    /// given.
     fn record_metrics(
         &self,
         broker: &Broker,
@@ -90,12 +93,12 @@
         self.record(RecordBody::Metrics(metrics));
     }
 
-    /// Writes the rest and the stop, and closes the files. `all_answered` says whether every accepted query had its
-    /// response.
+    /// Writes the last events and metrics, and the stop record if every accepted query got its response
+    /// (`all_answered`); then closes the recorder.
     pub fn finish(self, broker: &Broker, connections: &ConnectionManager, all_answered: bool) {
-        // The rest of a second is too short for the detection of overload.
+        // A partial interval is too short to detect an overload.
         self.record_metrics(broker, connections, None);
-        // Without the stop record the unanswered queries are reported as unknown instead of being hidden.
+        // Without the stop record, the report counts the unanswered queries as unknown instead of hiding them.
         if all_answered {
             self.record(RecordBody::Stop);
         }
--- a/src/program/reload.rs
+++ b/src/program/reload.rs
@@ -1,5 +1,5 @@
-//! Reload at SIGHUP: reads the configuration again, and logs and records the result. What a reload changes is decided by the
-//! caller's `reload`.
+//! Reload at SIGHUP: calls the caller's `reload`, which reads the configuration again and applies it, retries it where
+//! the file may still be incomplete, and logs and records the result.
 
 use super::errors::ConfigError;
 use super::recording::Recording;
@@ -11,14 +11,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after SIGHUP an invalid configuration file may be one that is still being written.
+/// How long after SIGHUP an invalid file is read again, since it may still be being written.
 const RELOAD_RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// How often such a file is read again.
+/// Interval between two retries of a reload.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reloads the configuration at each SIGHUP and logs what changed; nothing in flight is affected. An invalid file changes
-/// nothing. A file that cannot be read now, or may still be being written, is read again until that succeeds or SIGHUP is
-/// received once more: the previous discovery address may no longer answer.
+/// Reloads the configuration at each SIGHUP and logs the change. Queries in flight are not affected, and an invalid
+/// file changes nothing. An invalid file is read again for [`RELOAD_RETRY_WINDOW`], since it may still be being
+/// written. After a transient error, such as a lack of descriptors, the file is read again until that succeeds or the
+/// next SIGHUP is received: the previous discovery address may no longer answer.
 pub async fn reload_on_signal(
     reload_signal: ReloadSignal,
     descriptor_pool: Rc<DescriptorPool>,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Reads the configuration; logs and records what changed, and returns the error if it cannot be used.
+/// Calls `reload` once, and logs and records the change. Errors are only returned.
 async fn reload_and_record(
     descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// The first read after SIGHUP: logs and records an error too.
+/// Makes the first attempt after a SIGHUP, whose error is logged and recorded too.
 async fn reload_once(
     descriptor_pool: &Rc<DescriptorPool>,
     recording: &Recording,
@@ -66,8 +67,8 @@
     result
 }
 
-/// Reads again and again, while the error is transient or the file may still be being written. These errors are not logged:
-/// the first one was.
+/// Retries the reload for as long as the error is transient, or the file may still be being written. Errors of retries
+/// are not logged, since the error of the first attempt was.
 async fn retry_reload(
     mut error: ConfigError,
     descriptor_pool: &Rc<DescriptorPool>,
--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -1,20 +1,20 @@
-//! The descriptors and the memory that the process may use: reads the system's limit and the descriptors that are open
-//! before any connection, and divides both among the processes of an upgrade.
+//! The file descriptors and the memory that the process may use: raises and reads the system's limit of descriptors,
+//! counts those that are open before any connection, and divides the limits among the processes of an upgrade. How
+//! descriptors are shared by connections is in [`crate::limits`].
 
 use crate::limits::DescriptorBudget;
 use crate::limits::descriptors::{DESCRIPTOR_CLASSES, DescriptorLimitTooLow, OPERATOR_DESCRIPTORS};
 use rlimit::Resource;
 
-/// Number of descriptors taken to be open where the system does not say.
+/// Number of descriptors assumed to be open if `/proc/self/fd` cannot be read.
 const ASSUMED_OPEN_DESCRIPTORS: usize = 16;
-/// One descriptor for a client that is rejected on connecting, and one that the runtime may still open.
+/// Reserve: one descriptor for a client that is rejected on connecting, and one that the runtime may still open.
 const SPARE_DESCRIPTORS: usize = 2;
-/// One part in so many of the memory may be used for buffers of connections; the rest is for queries, responses and the
-/// program.
+/// Share of the memory for buffers of connections, as a divisor. The rest is for queries, responses and the program.
 const BUFFER_MEMORY_DIVISOR: u64 = 4;
 
-/// Raises the process's own limit of descriptors to the configured number, as far as the system allows; returns the
-/// limit that holds then.
+/// Raises the soft limit of descriptors (RLIMIT_NOFILE) to the configured number, or to the hard limit if that is
+/// lower. Returns the number of descriptors that the process may use, at most the configured one.
 fn raise_descriptor_limit(configured: usize) -> usize {
     let wanted = configured as u64;
     let soft = match Resource::NOFILE.get() {
@@ -35,44 +35,62 @@
     usize::try_from(soft.min(wanted)).unwrap_or(configured)
 }
 
-/// Number of descriptors that are open now, and spare ones.
+/// Counts the descriptors that are open now, and adds the reserve.
 fn open_descriptors() -> usize {
-    // Reading the folder itself takes one descriptor.
+    // One entry is the descriptor with which the folder is read.
     let open = std::fs::read_dir("/proc/self/fd").map(|entries| entries.count().saturating_sub(1));
     open.unwrap_or(ASSUMED_OPEN_DESCRIPTORS) + SPARE_DESCRIPTORS
 }
 
-/// The descriptors and the memory of the gatherer, which its processes share.
+/// The limits that the configuration asks for.
+#[derive(Clone, Copy, Debug)]
+pub struct ConfiguredLimits {
+    /// Number of descriptors that all processes of the gatherer may use.
+    pub descriptors: usize,
+    /// Memory that all processes of the gatherer may use, in MiB.
+    pub memory_mb: u64,
+    /// Number of descriptors that stay open for good, but are opened after the limits are read.
+    pub reserved_descriptors: usize,
+    /// Whether the process serves the operators' API.
+    pub has_operator_api: bool,
+}
+
+/// The descriptors and the memory of a gatherer, which the processes of an upgrade share.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessLimits {
+    /// Number of descriptors that all processes may use.
     descriptors: usize,
+    /// Number of descriptors of each process that are not for connections of clients, workers or operators.
     baseline: usize,
+    /// Number of descriptors guaranteed to operators' calls.
     operator_descriptors: usize,
+    /// Memory that all processes may use, in MiB.
     memory_mb: u64,
 }
 
 impl ProcessLimits {
-    /// Reads the system's limits. Call it once everything that stays open for good is open, except for the number of
-    /// descriptors that are opened later.
-    pub fn read(configured: usize, memory_mb: u64, reserved: usize, has_operator_api: bool) -> ProcessLimits {
-        let (descriptors, baseline) = (raise_descriptor_limit(configured), open_descriptors() + reserved);
-        if descriptors < configured {
+    /// Raises and reads the system's limits. Must be called once all descriptors are open that stay open, except for
+    /// the reserved ones.
+    pub fn read(configured: ConfiguredLimits) -> ProcessLimits {
+        let descriptors = raise_descriptor_limit(configured.descriptors);
+        if descriptors < configured.descriptors {
             log::warn!(
-                "file descriptors: the system allows {descriptors} of the configured {configured} (limits.sockets)"
+                "file descriptors: the system allows {descriptors} of the configured {} (limits.sockets)",
+                configured.descriptors
             );
         }
         ProcessLimits {
             descriptors,
-            baseline,
-            operator_descriptors: if has_operator_api { OPERATOR_DESCRIPTORS } else { 0 },
-            memory_mb,
+            baseline: open_descriptors() + configured.reserved_descriptors,
+            operator_descriptors: if configured.has_operator_api { OPERATOR_DESCRIPTORS } else { 0 },
+            memory_mb: configured.memory_mb,
         }
     }
 
-    /// The descriptor budget of one of `processes` processes.
+    /// The descriptor budget of each of `processes` processes.
     ///
     /// # Errors
-    /// The share of one process is too small to serve with.
+    /// The share of a process is too small to serve with.
     pub fn descriptor_budget(&self, processes: u32) -> Result<DescriptorBudget, DescriptorLimitTooLow> {
         let share = self.descriptors / processes.max(1) as usize;
         let budget = DescriptorBudget::new(share, self.baseline, self.operator_descriptors)?;
@@ -89,7 +107,7 @@
         Ok(budget)
     }
 
-    /// Bytes that one of `processes` processes may use for buffers of connections.
+    /// Number of bytes that each of `processes` processes may use for buffers of connections.
     pub fn buffer_bytes(&self, processes: u32) -> usize {
         usize::try_from((self.memory_mb << 20) / BUFFER_MEMORY_DIVISOR / u64::from(processes.max(1)))
             .unwrap_or(usize::MAX)
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -1,5 +1,5 @@
-//! The life of a process that serves. `platform` and `opensearch` start one with either front; this module has what both
-//! share: retries at the start, the runtime, serving until SIGTERM, and the shutdown.
+//! The life of a serving process. `platform` and `opensearch` start one with their front; this module owns what both
+//! share: retries at the start, the runtime, serving until SIGTERM, and the graceful shutdown.
 
 mod opensearch;
 mod platform;
@@ -31,15 +31,15 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// How often a shutdown checks whether every query has its response.
+/// Interval at which a shutdown checks whether every query has its response.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time after the longest deadline in which clients may still read their responses; then the process ends.
+/// Time after the longest deadline in which clients may still read their responses, before the process ends.
 const RESPONSE_READ_GRACE: Duration = Duration::from_millis(300);
 
-/// How long a call that the start needs is retried after transient errors, before the start fails.
+/// How long a system call that the start needs is retried after transient errors, before the start fails.
 pub const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(8);
 
-/// Makes a call that the start needs, and retries it after transient errors.
+/// Makes a system call that the start needs, and retries it after transient errors.
 async fn retry_at_startup<T>(call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, call).await
 }
@@ -84,9 +84,9 @@
     LocalSet::new().block_on(&runtime, main)
 }
 
-/// What serving needs beside a front and its listener, and what a shutdown ends.
+/// The parts of a serving process that do not depend on its front, and that a shutdown ends.
 struct ServingProcess {
-    /// The gatherer's name in the log.
+    /// Name of the gatherer in the log.
     name: String,
     broker: Broker,
     connections: Rc<ConnectionManager>,
@@ -97,7 +97,7 @@
 }
 
 impl ServingProcess {
-    /// Serves one front, from its first connection to its last response.
+    /// Serves a front until SIGTERM, and then shuts down gracefully.
     async fn run(
         mut self,
         listener: Rc<TcpListener>,
@@ -125,7 +125,8 @@
         Ok(())
     }
 
-    /// Spawns what acts by itself: the broker's steps, evictions of connections, and the timers of the lifecycle.
+    /// Spawns the tasks that run until the process ends: steps of the broker, evictions of connections, and timers of
+    /// the lifecycle.
     fn spawn_background_tasks(&self, transport: impl WorkerTransport + 'static) {
         let broker = self.broker.clone();
         spawn_local(async move { broker.drive(&transport).await });
@@ -135,8 +136,8 @@
         spawn_local(async move { connections.run_lifecycle_timers().await });
     }
 
-    /// Accepts clients once an upgrade, if there is one, lets this process serve. The task owns the listener: it is closed
-    /// when nothing new is accepted.
+    /// Spawns the task that accepts clients, in an upgrade once this process may serve. The task owns the listener,
+    /// which closes when the task ends.
     fn spawn_accepting(
         &self,
         listener: Rc<TcpListener>,
@@ -155,37 +156,39 @@
         })
     }
 
-    /// Announces the stop to the other process of an upgrade and to the members; returns how this process has to stop.
+    /// Announces the stop to the other process of an upgrade and to the members of the cluster. Returns the request
+    /// with which this process stops: a hand-over if the other process continues the gatherer.
     fn announce_stop(&self) -> LifecycleRequest {
         let lifecycle_request =
             self.upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.announce_stop());
         if let Some(members) = &self.members {
-            // In an upgrade the other process takes over the address and the name.
+            // After a hand-over, the other process takes over the address and the name of the member.
             members.leave(lifecycle_request == LifecycleRequest::HandOver);
         }
         lifecycle_request
     }
 }
 
-/// The configuration as text, to identify it by. It omits the seed, which is new with each start.
+/// Formats the configuration as text for its digest in the records. The seed is left out, since it may differ at each
+/// start.
 fn configuration_text(contracts: &Contracts) -> String {
     let settings = Settings { seed: 0, ..contracts.settings.clone() };
     format!("{:?}", Contracts { settings, ..contracts.clone() })
 }
 
-/// The longest deadline of any class.
+/// The longest deadline of all classes.
 fn longest_deadline(contracts: &Contracts) -> Duration {
     contracts.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-/// A descriptor pool for a process that shares its limits with no other.
+/// Creates the descriptor pool of a process that shares its limits with no other one yet.
 fn new_descriptor_pool(process_limits: &ProcessLimits) -> Result<Rc<DescriptorPool>, DescriptorLimitTooLow> {
     let budget = process_limits.descriptor_budget(1)?;
     Ok(DescriptorPool::new(budget, process_limits.buffer_bytes(1)))
 }
 
-/// Shuts down gracefully: serves the grace period, then accepts nothing new, and returns `true` once every accepted query
-/// has its response, or `false` once the time for that is over.
+/// Shuts down gracefully: serves until the grace period is over, then rejects new queries and waits for the open ones.
+/// Returns whether every accepted query got its response within the longest deadline and [`RESPONSE_READ_GRACE`].
 async fn shut_down(
     broker: &Broker,
     connections: &ConnectionManager,
@@ -195,17 +198,18 @@
 ) -> bool {
     log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
     if let Err(error) = connections.apply_lifecycle(request) {
-        // A second stop is the same as the first, and no error.
+        // The process is stopping already, for example after a first SIGTERM.
         log::debug!("stopping: lifecycle request {request:?} was not applied: {error}");
     }
     connections.wait_for_closing().await;
     log::info!("stopping: grace period over, new queries are rejected");
     let wait_for_responses = async {
-        // Whoever has connected must be accepted first: else the process could end between two waiting connections.
+        // Connections in the backlog must be accepted first: the process could otherwise end between two of them.
         if let Err(error) = accept_task.await {
             log::error!("stopping: the accept task failed: {error}");
         }
-        // A non-idempotent search continues without its client, so that its outcome can be asked for.
+        // A non-idempotent query continues after its client has disconnected, so that its outcome can be asked for
+        // later.
         while connections.open_connections() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
             tokio::time::sleep(COMPLETION_POLL_INTERVAL).await;
         }
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -1,4 +1,4 @@
-//! The start of a process that serves the OpenSearch-style front: what it opens and spawns, in order.
+//! Starts a process that serves the OpenSearch-style front: opens its files and sockets and spawns its tasks, in order.
 
 use super::{
     ServingProcess, bind_at_startup, block_on_runtime, configuration_text, install_signal_handlers,
@@ -10,7 +10,7 @@
 use crate::program::operator::OperatorFile;
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
-use crate::program::resource_limits::ProcessLimits;
+use crate::program::resource_limits::{ConfiguredLimits, ProcessLimits};
 use crate::routing::{Broker, Clock, Core};
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::connector::TcpConnector;
@@ -18,13 +18,13 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The gatherer's name in the log and in records, which the file does not give.
+/// Name of the gatherer in the log and in records; the file has no key for it.
 const FRONT_NAME: &str = "opensearch";
 
 /// Serves the OpenSearch-style front until SIGTERM, and reloads its file at SIGHUP.
 ///
 /// # Errors
-/// The file cannot be used, or the system refuses what the start needs.
+/// The file is invalid, or a system call that the start needs fails.
 pub fn serve_opensearch(
     seed: u64,
     operator: OperatorFile,
@@ -37,8 +37,13 @@
         if operator.membership.is_some() {
             log::warn!("membership stays off: the OpenSearch-style front does not support it");
         }
-        let descriptor_pool =
-            new_descriptor_pool(&ProcessLimits::read(file.sockets, file.memory_mb, 0, false))?;
+        let limits = ConfiguredLimits {
+            descriptors: file.sockets,
+            memory_mb: file.memory_mb,
+            reserved_descriptors: 0,
+            has_operator_api: false,
+        };
+        let descriptor_pool = new_descriptor_pool(&ProcessLimits::read(limits))?;
         let clock = Clock::system();
         let configuration_text = configuration_text(&file.contracts);
         let broker = Broker::new(Core::new(file.contracts), clock);
@@ -66,13 +71,14 @@
     })
 }
 
-/// What a reload does: reads the file again, applies its list of index servers, and returns a description of the change.
+/// Returns the function for reloads: it reads the file again, applies its list of index servers, and describes the
+/// change.
 fn reload_servers(
     broker: Broker,
     read: impl Fn() -> Result<FrontFile, ConfigError>,
 ) -> impl FnMut() -> Result<String, ConfigError> {
     move || {
-        // Only the list of index servers takes effect now, all else at the next start.
+        // All other settings take effect at the next start.
         let servers = read()?.servers;
         broker.apply_endpoint_update(&servers, false);
         Ok(format!("{} index servers", servers.workers.len()))
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -1,4 +1,4 @@
-//! The start of a process that serves the platform's front: what it opens and spawns, in order.
+//! Starts a process that serves the platform's front: opens its files and sockets and spawns its tasks, in order.
 
 use super::{
     ServingProcess, bind_at_startup, block_on_runtime, configuration_text, install_signal_handlers,
@@ -13,7 +13,7 @@
 use crate::program::operator::OperatorFile;
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
-use crate::program::resource_limits::ProcessLimits;
+use crate::program::resource_limits::{ConfiguredLimits, ProcessLimits};
 use crate::program::signals::{ReloadSignal, ShutdownSignal};
 use crate::program::upgrade::Upgrade;
 use crate::routing::{Broker, Clock, Core};
@@ -30,8 +30,8 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Number of descriptors that a process with an operators' API opens after it has read its limits: the clients' listener,
-/// the takeover socket, and the connection to the other process of an upgrade.
+/// Number of descriptors that a process with an operators' API opens after it has read its limits: the clients'
+/// listener, the takeover socket, and the connection to the other process of an upgrade.
 const UPGRADE_DESCRIPTORS: usize = 3;
 /// Number of descriptors for membership: its two sockets, and connections to and from other members.
 const MEMBERSHIP_DESCRIPTORS: usize = 2 + MEMBERSHIP_CONNECTIONS;
@@ -39,7 +39,7 @@
 /// Serves the platform's front until SIGTERM, and reloads its configuration at SIGHUP.
 ///
 /// # Errors
-/// The configuration cannot be used, or the system refuses what the start needs.
+/// The configuration is invalid, or a system call that the start needs fails.
 pub fn serve_platform(
     operator: OperatorFile,
     read: impl Fn() -> Result<Config, ConfigError> + 'static,
@@ -55,17 +55,18 @@
         }
         let discovery_address = components.follow_discovery(&config);
         components.reload_on_hangup(reload_signal, read, discovery_address);
-        // The list of workers in it may be long, and is not needed any more.
+        // The initial endpoint list may be long, and is no longer needed.
         drop(config);
         components.serve(listener, stop).await
     })
 }
 
-/// What is bound before the process reads its limits.
+/// The listening sockets that are bound before the process reads its limits.
 struct Listeners {
-    /// The operators' API, where one is configured.
+    /// The listener of the operators' API, if one is configured.
     operators: Option<TcpListener>,
-    /// The clients' address, where there is no operators' API: with one, an upgrade may take the listener over.
+    /// The clients' listener, if there is no operators' API. With one, the listener is obtained later, since an upgrade
+    /// may take it over from another process.
     clients: Option<Rc<TcpListener>>,
 }
 
@@ -83,22 +84,22 @@
         }
     }
 
-    /// Reads the limits of the process, which divide what is open by now from what connections may use.
+    /// Reads the limits of the process. The descriptors that are open by now do not count as free for connections.
     fn read_process_limits(&self, config: &Config, operator: &OperatorFile) -> ProcessLimits {
         let membership_descriptors = if operator.membership.is_some() { MEMBERSHIP_DESCRIPTORS } else { 0 };
         let upgrade_descriptors = if self.clients.is_some() { 0 } else { UPGRADE_DESCRIPTORS };
-        ProcessLimits::read(
-            config.max_descriptors,
-            config.memory_mb,
-            membership_descriptors + upgrade_descriptors,
-            self.operators.is_some(),
-        )
+        ProcessLimits::read(ConfiguredLimits {
+            descriptors: config.max_descriptors,
+            memory_mb: config.memory_mb,
+            reserved_descriptors: membership_descriptors + upgrade_descriptors,
+            has_operator_api: self.operators.is_some(),
+        })
     }
 }
 
-/// What the tasks of the process share.
+/// The components that the tasks of the process share.
 struct Components {
-    /// The gatherer's name.
+    /// Name of the gatherer.
     name: String,
     broker: Broker,
     descriptor_pool: Rc<DescriptorPool>,
@@ -111,7 +112,7 @@
 }
 
 impl Components {
-    /// Makes the components, which serve nobody yet. Opens the records, if there are any.
+    /// Creates the components and starts recording. Nothing is served yet.
     fn start(
         config: &Config,
         operator: &OperatorFile,
@@ -155,8 +156,8 @@
         })
     }
 
-    /// Starts the operators' API, if there is one, and obtains the clients' listener, which an upgrade may take over from
-    /// another process. `None` if the process has to stop before it has one.
+    /// Starts the operators' API, if there is one, and obtains the clients' listener, in an upgrade from the
+    /// predecessor. `None` if SIGTERM is received first.
     async fn obtain_listener(
         &self,
         listeners: Listeners,
@@ -169,7 +170,7 @@
             (Some(listener), _) => Ok(Some(listener)),
             (None, Some(upgrade)) => tokio::select! {
                 biased;
-                // No client has been accepted yet: there is nothing to shut down.
+                // No client has been accepted yet, so the process can end without a shutdown.
                 () = stop.received() => Ok(None),
                 listener = upgrade.obtain_listener() => listener.map(Some),
             },
@@ -189,11 +190,12 @@
         Ok(())
     }
 
-    /// Follows discovery; returns the sender of its address, which a reload may change.
+    /// Spawns the task that follows discovery. Returns the sender of discovery's address, with which a reload changes
+    /// it.
     fn follow_discovery(&self, config: &Config) -> watch::Sender<String> {
         let discovery_address = watch::Sender::new(config.discovery_address.clone());
         let address = discovery_address.subscribe();
-        // Where discovery is polled, the complete list costs it twice as much as the changes since a revision: matters when
+        // A complete list costs a polled discovery twice as much as the changes since a revision, which matters when
         // the whole fleet starts.
         let is_polled = config.max_poll_interval.is_some();
         let initial_workers = config.initial_workers.as_ref().filter(|_| is_polled);
@@ -214,7 +216,7 @@
         discovery_address: watch::Sender<String>,
     ) {
         let reload = move || {
-            // Only the address of discovery takes effect now, all else at the next start.
+            // All other settings take effect at the next start.
             let config = read()?;
             let change = format!("discovery at {}", config.discovery_address);
             discovery_address.send_replace(config.discovery_address);
@@ -224,7 +226,7 @@
         spawn_local(reload_on_signal(reload_signal, descriptor_pool, recording, reload));
     }
 
-    /// Serves clients until SIGTERM, and shuts down.
+    /// Serves clients until SIGTERM, and then shuts down.
     async fn serve(self, listener: Rc<TcpListener>, stop: ShutdownSignal) -> Result<(), CommandError> {
         let front = PlatformFront { broker: self.broker.clone(), connections: self.connections.clone() };
         let serving = ServingProcess {
@@ -240,7 +242,7 @@
     }
 }
 
-/// Starts recording, under a name of this start that no other has.
+/// Starts recording, with the time and the process id as the unique name of this incarnation.
 fn start_recording(
     config: &Config,
     operator: &OperatorFile,
@@ -252,7 +254,7 @@
     Recording::start(operator.records.as_ref(), &config.name, &incarnation, &configuration_text, broker)
 }
 
-/// How long discovery is left alone between two polls.
+/// The delays between two polls of discovery, or two attempts to reach it.
 fn discovery_backoff(config: &Config) -> Backoff {
     let settings = &config.contracts.settings;
     match config.max_poll_interval {
