--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of one instance, keyed by path: the only place that parses, checks and defaults them, both for the
-//! simulator's `path=value` pairs and for nested JSON. It reads no file.
+//! The settings of an instance, keyed by path. The only module that parses, checks and defaults them, from the
+//! simulator's `path=value` pairs as well as from nested JSON. It reads no file.
 
 use crate::policy::{Class, Idempotency, ReportSource, RetryBudget, Settings, Tenant, ZoneId};
 use crate::protocol::frame;
@@ -9,34 +9,34 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Number of queries and parts that may be open, where `allowed.max-open` does not say.
+/// Number of queries and parts that may be open, where `allowed.max-open` is absent or 0.
 const DEFAULT_MAX_OPEN_REQUESTS: u32 = 10_000;
-/// Time-out of a connection attempt, where `allowed.connect-timeout` does not say.
+/// Time-out of a connection attempt, where `allowed.connect-timeout` is absent.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time between a worker's draining state and the last query it accepts, where `rules.drain-grace` does not say.
+/// Time for which a draining worker still accepts queries, where `rules.drain-grace` is absent.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Idle time-out of a connection to a worker, where `allowed.conn-idle` does not say.
+/// Idle time-out of a connection to a worker, where `allowed.conn-idle` is absent.
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Number of parts in flight on one connection, where `allowed.multiplex` does not say.
+/// Number of parts in flight on one connection, where `allowed.multiplex` is absent or 0.
 const DEFAULT_PARTS_PER_CONNECTION: u32 = 32;
 
-/// A setting whose value is missing or cannot be used.
+/// A setting whose value is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {reason}")]
 pub struct InvalidSetting {
     /// Path of the key.
     pub path: String,
-    /// What is wrong with the value.
+    /// Fault in the value, and the values that are accepted.
     pub reason: String,
 }
 
 impl InvalidSetting {
-    /// An error for the key at `path`.
+    /// Creates an error for the key at `path`.
     pub fn new(path: &str, reason: impl Into<String>) -> InvalidSetting {
         InvalidSetting { path: path.to_owned(), reason: reason.into() }
     }
 
-    /// An error for a key whose value is not one of those that `expected` describes.
+    /// Creates an error for the key at `path` that names the value found and describes the accepted ones.
     pub(super) fn unexpected(
         path: &str,
         found: impl fmt::Debug,
@@ -46,15 +46,15 @@
     }
 }
 
-/// Settings keyed by path. An absent one takes the default that [`Settings`] states.
+/// Settings keyed by path, as texts. Durations are in nanoseconds. An absent setting takes the default of [`Settings`].
 #[derive(Debug, Default)]
 pub struct FlatSettings(HashMap<String, String>);
 
 impl FlatSettings {
-    /// Parses `path=value` pairs separated by spaces.
+    /// Parses `path=value` pairs separated by spaces. A `-` stands for no pair.
     ///
     /// # Errors
-    /// Names the first pair without `=`.
+    /// The first pair without `=`.
     pub fn from_text(text: &str) -> Result<FlatSettings, InvalidSetting> {
         let mut values = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
@@ -66,7 +66,7 @@
         Ok(FlatSettings(values))
     }
 
-    /// Flattens nested JSON: the paths are `a.b` for fields, `a.0` and `a.count` for lists.
+    /// Flattens nested JSON: a field has the path `a.b`, an item of a list `a.0`, and the length of the list `a.count`.
     #[must_use]
     pub fn from_json(value: &Value) -> FlatSettings {
         let mut settings = FlatSettings::default();
@@ -74,6 +74,7 @@
         settings
     }
 
+    /// Adds the value at `path` and all values below it.
     fn flatten(&mut self, path: &str, value: &Value) {
         let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         match value {
@@ -87,7 +88,7 @@
                     .iter()
                     .enumerate()
                     .for_each(|(index, item)| self.flatten(&child(&index.to_string()), item));
-                // A list of scalars is stored joined under its own path too, as the simulator writes it.
+                // A list of scalars is also stored under its own path, joined by commas, as the simulator writes it.
                 if items.iter().all(|item| !item.is_object() && !item.is_array()) {
                     let joined: Vec<String> = items.iter().map(scalar_text).collect();
                     self.0.insert(path.to_owned(), joined.join(","));
@@ -99,9 +100,11 @@
         }
     }
 
+    /// The text at `path`; `None` if it is absent, empty or `-`.
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(String::as_str).filter(|value| !value.is_empty() && *value != "-")
     }
+    /// The number at `path`, which must be finite.
     fn number(&self, path: &str) -> Result<Option<f64>, InvalidSetting> {
         let Some(value) = self.text(path) else { return Ok(None) };
         match value.parse::<f64>() {
@@ -109,12 +112,15 @@
             _ => Err(InvalidSetting::unexpected(path, value, "a number")),
         }
     }
+    /// The number at `path` without its fraction; 0 if it is absent or negative.
     fn count(&self, path: &str) -> Result<u32, InvalidSetting> {
         Ok(self.number(path)?.unwrap_or(0.0).max(0.0) as u32)
     }
+    /// The duration at `path`, given in nanoseconds; a negative one counts as zero.
     fn duration(&self, path: &str) -> Result<Option<Duration>, InvalidSetting> {
         Ok(self.number(path)?.map(|nanoseconds| Duration::from_nanos(nanoseconds.max(0.0) as u64)))
     }
+    /// The flag at `path`; false if it is absent.
     fn flag(&self, path: &str) -> Result<bool, InvalidSetting> {
         match self.text(path) {
             None | Some("false" | "0") => Ok(false),
@@ -122,7 +128,8 @@
             Some(value) => Err(InvalidSetting::unexpected(path, value, "true, 1, false or 0")),
         }
     }
-    /// The value for one class: from a numbered path, a comma-separated list, or one value for all classes.
+    /// The number for one class: at its numbered path, or else in the comma-separated list at `path`, whose last item
+    /// holds for all further classes.
     fn by_class(&self, path: &str, class: usize) -> Result<Option<f64>, InvalidSetting> {
         let numbered = format!("{path}.{class}");
         if self.text(&numbered).is_some() {
@@ -133,7 +140,7 @@
         item.map(|item| item.parse().map_err(|_| InvalidSetting::unexpected(path, item, "a number")))
             .transpose()
     }
-    /// A list of names, from numbered paths or comma-separated.
+    /// The names at the numbered paths `path.0` and so on, or else in the comma-separated list at `path`.
     fn names(&self, path: &str) -> Vec<String> {
         let numbered: Vec<String> =
             (0..).map_while(|index| self.text(&format!("{path}.{index}")).map(str::to_owned)).collect();
@@ -143,10 +150,10 @@
         self.text(path).map(|list| list.split(',').map(str::to_owned).collect()).unwrap_or_default()
     }
 
-    /// The contracts that these settings describe, for an instance with this seed.
+    /// Builds the contracts of an instance with this seed.
     ///
     /// # Errors
-    /// Names the first setting whose value cannot be used.
+    /// The first setting, in the order of the checks, whose value is invalid.
     pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
         let named = |list: &str, index: u32| {
             self.text(&format!("{list}.{index}.name")).map_or_else(|| index.to_string(), str::to_owned)
@@ -236,7 +243,8 @@
         }
     }
 
-    /// The settings of the decision module. Where several values cannot be used, the first in this order is named.
+    /// Builds the settings of the decision module. If several values are invalid, the error names the first in the
+    /// order in which they are read here.
     fn settings(&self, seed: u64) -> Result<Settings, InvalidSetting> {
         let class_count = self.count("categories.count")? as usize;
         let tenants = self.tenants()?;
@@ -278,6 +286,7 @@
     }
 }
 
+/// Formats a JSON value that is no object and no list as the simulator writes it; null is `-`.
 fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/src/program/signals.rs
+++ b/src/program/signals.rs
@@ -1,7 +1,7 @@
 //! The signals that the process handles: SIGHUP (reload), SIGTERM and SIGINT (shutdown).
 //!
-//! A handler sets a flag and writes a byte to a socket, which wakes the process. Only the flag decides: if the byte cannot
-//! be written or read, the signal is noticed later, and never lost.
+//! A handler sets a flag and writes a byte to a socket, which wakes the process. The flag alone decides: if the byte
+//! cannot be written or read, the signal is handled up to [`FLAG_POLL_INTERVAL`] later, but never lost.
 
 use crate::transport::socket::Socket;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -16,36 +16,36 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::spawn_local;
 
-/// How often the flags are polled where no byte wakes the process.
+/// Interval at which the flags are polled, in case no byte wakes the process.
 const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports SIGTERM or SIGINT.
+/// Notifies of SIGTERM or SIGINT.
 #[derive(Clone)]
 pub struct ShutdownSignal(watch::Receiver<bool>);
 
 impl ShutdownSignal {
-    /// Returns once either has been received.
+    /// Returns once SIGTERM or SIGINT has been received, at once if that was earlier.
     pub async fn received(&mut self) {
-        // The sender lives as long as the process listens for signals.
+        // An error means that the sender was dropped, which lives as long as the process.
         let _ = self.0.wait_for(|received| *received).await;
     }
 }
 
-/// Reports SIGHUP. Several of them before the first is handled count as one.
+/// Notifies of SIGHUP. Several signals that arrive before the first is handled count as one.
 pub struct ReloadSignal(Rc<Notify>);
 
 impl ReloadSignal {
-    /// Returns at the next one.
+    /// Returns at the next SIGHUP, or at once if one has arrived since the last call.
     pub async fn received(&self) {
         self.0.notified().await;
     }
 }
 
-/// Installs the handlers. Call it first: before, SIGHUP ends the process like a crash, and SIGTERM leaves clients that have
-/// connected without a response.
+/// Installs the signal handlers. Must be called before anything else is opened: without the handlers, SIGHUP kills the
+/// process, and SIGTERM leaves clients that have connected without a response.
 ///
 /// # Errors
-/// The system refuses a socket or a handler.
+/// The socket pair cannot be created, or a handler cannot be registered.
 pub fn install() -> io::Result<(ReloadSignal, ShutdownSignal)> {
     let (hangup_flag, stop_flag) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let (wake_receiver, wake_sender) = std::os::unix::net::UnixStream::pair()?;
@@ -62,7 +62,7 @@
     Ok((ReloadSignal(hangup_receiver), ShutdownSignal(stop_receiver)))
 }
 
-/// Forwards the flags to [`ShutdownSignal`] and [`ReloadSignal`], for the life of the process.
+/// Forwards the flags to [`ShutdownSignal`] and [`ReloadSignal`] until the process ends.
 async fn forward_signals(
     mut wake_receiver: Socket<UnixStream>,
     hangup_flag: Arc<AtomicBool>,
@@ -72,7 +72,7 @@
 ) {
     let mut discarded = [0; 64];
     loop {
-        // The bytes carry nothing. If the socket is closed or fails, the flags are polled instead.
+        // The value of a byte means nothing. If the socket is closed or fails, the flags are polled instead.
         if tokio::time::timeout(FLAG_POLL_INTERVAL, wake_receiver.read(&mut discarded))
             .await
             .is_ok_and(|read| !matches!(read, Ok(1..)))
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -1,7 +1,9 @@
-//! Upgrades without downtime (hot restart): a second process takes over from the first one's listening socket and state,
-//! and both share the limits while both run. [`crate::service::takeover`] decides what either may do; docs/service.md
-//! compares the alternatives. This module owns what both sides share; `successor` takes over, `predecessor` hands over, and
-//! `messages` is what they send to each other.
+//! Upgrades without downtime (hot restart): a second process, the successor, takes over the listening socket and the
+//! state of the first one, the predecessor. Both share the limits of the gatherer while both run.
+//!
+//! This module owns what both sides share; `successor` takes over, `predecessor` hands over, and `messages` exchanges
+//! messages afterwards. [`crate::service::takeover`] decides what either process may do; docs/service.md compares the
+//! alternatives.
 
 mod messages;
 mod predecessor;
@@ -24,17 +26,18 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
 
-/// How long the other process may take to reply before it counts as hung.
+/// Time-out of connecting to the other process, and of sending to it and receiving from it during a takeover.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two requests of a process that has to wait.
+/// Interval between two attempts that depend on another process, such as requests for a takeover.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two attempts that need nothing of the other process: a look for a list, a call of the system that failed for
-/// a moment.
+/// Interval between two attempts that do not depend on another process: checks for an endpoint list, and system calls
+/// that failed with a transient error.
 const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a successor waits for discovery at most: it already has the predecessor's endpoint list.
+/// Longest time for which a successor waits for discovery. It may serve without, with the predecessor's endpoint list.
 const MAX_DISCOVERY_WAIT: Duration = Duration::from_secs(1);
 
-/// One process's part in upgrades: the takeover socket, the other process, and who may serve.
+/// The state of upgrades in one process: its takeover socket, the connection to the other process, and which of the two
+/// may serve.
 pub struct Upgrade {
     broker: Broker,
     connections: Rc<ConnectionManager>,
@@ -43,18 +46,21 @@
     listen: SocketAddr,
     takeover_socket: TakeoverSocket,
     takeover: RefCell<Takeover>,
-    /// Sends to the other process, while there is one.
+    /// Queue of messages to the other process, while there is one.
     peer: RefCell<Option<mpsc::Sender<Message>>>,
-    /// Ends the wait for discovery: the other process has stopped or is stopping.
+    /// Notified when the other process has stopped or is stopping, so that this one serves without waiting for
+    /// discovery.
     serve_now: Notify,
+    /// Whether a takeover request was rejected because another upgrade was under way, and none has succeeded since.
     waiting_for_upgrade: Cell<bool>,
+    /// The clients' listener, once it has been obtained.
     listener: RefCell<Option<Rc<TcpListener>>>,
     /// The task that accepts further starting processes.
     accept_task: RefCell<Option<AbortHandle>>,
 }
 
 impl Upgrade {
-    /// For the gatherer whose clients connect to `listen`.
+    /// Creates the state of upgrades for the gatherer whose clients connect to `listen`.
     pub fn new(
         broker: Broker,
         connections: Rc<ConnectionManager>,
@@ -79,7 +85,7 @@
         })
     }
 
-    /// Takes the listening socket over from a process that serves this address, or binds a new one where there is none.
+    /// Takes over the listening socket from a process that serves this address, or binds a new one if there is none.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -93,7 +99,7 @@
         Ok(listener)
     }
 
-    /// Divides descriptors, buffers and load among the processes that run.
+    /// Divides descriptors, memory of buffers and load limits by the number of running processes.
     pub(super) async fn divide_resources(&self) {
         let processes = self.takeover.borrow().process_count();
         self.broker.with_core(|core| core.set_process_count(processes));
@@ -110,8 +116,8 @@
         }
     }
 
-    /// Returns once this process may serve: at once where it is the only one; else once discovery has sent a list, the
-    /// longest wait is over, or the other process stops.
+    /// Returns once this process may serve: at once if it is the only one, else once discovery has sent a list, the
+    /// other process stops, or [`MAX_DISCOVERY_WAIT`] is over.
     pub async fn wait_until_ready(&self) {
         if self.takeover.borrow().process_count() > 1 {
             let list_received = async {
@@ -127,27 +133,28 @@
         }
     }
 
-    /// Records that this process accepts clients, notifies the predecessor, and accepts successors from now on.
+    /// Marks this process as serving, notifies the predecessor, and accepts successors from now on.
     pub fn announce_serving(self: &Rc<Self>) {
         self.takeover.borrow_mut().start_serving();
         if let Err(error) = self.send_to_peer(Message::Serving) {
-            // The queue is full, which hundreds of operators' calls before this one would take.
+            // The queue is full, which takes hundreds of operators' calls before this message.
             log::debug!("upgrade: the predecessor was not notified that this process serves: {error}");
         }
         self.accept_successors();
     }
 
-    /// What SIGTERM means now; notifies the other process.
+    /// Notifies the other process that this one stops. Returns the lifecycle request that SIGTERM stands for: a stop,
+    /// or a hand-over if the other process continues the gatherer.
     pub fn announce_stop(&self) -> LifecycleRequest {
         let stop = self.takeover.borrow().stop_signal_request();
         if let Err(error) = self.send_to_peer(Message::Stopping) {
-            // The other process serves a moment later.
+            // The other process notices the end of the connection instead, and serves later.
             log::debug!("upgrade: the other process was not notified of the stop: {error}");
         }
         stop
     }
 
-    /// Removes this process's socket file, at the end of the process.
+    /// Removes the file of this process's takeover socket, at the end of the process.
     pub fn remove_socket_file(&self) {
         self.takeover_socket.remove_socket_file();
     }
--- a/src/program/upgrade/messages.rs
+++ b/src/program/upgrade/messages.rs
@@ -1,4 +1,5 @@
-//! The messages between the two processes of an upgrade, once one has taken over: their queue, and what a received one does.
+//! The messages between the two processes of an upgrade after the takeover: queues and sends them, and applies received
+//! ones. Their form is in [`crate::protocol::handover`].
 
 use super::Upgrade;
 use crate::protocol::handover::Message;
@@ -8,18 +9,19 @@
 use std::io;
 use tokio::sync::mpsc::{self, error::TrySendError};
 
-/// Number of messages that may wait to be sent to the other process; few, for operators cause them.
+/// Number of messages that may wait to be sent to the other process. Only operators' calls and changes of the lifecycle
+/// cause messages, so few wait.
 const MAX_PENDING_MESSAGES: usize = 256;
 
 impl Upgrade {
-    /// Opens the queue of messages to the other process.
+    /// Opens the queue of messages to the other process, in place of an earlier one.
     pub(super) fn open_message_queue(&self) -> mpsc::Receiver<Message> {
         let (sender, receiver) = mpsc::channel(MAX_PENDING_MESSAGES);
         self.peer.replace(Some(sender));
         receiver
     }
 
-    /// Sends queued messages and applies received ones until the connection ends; returns why it did.
+    /// Sends queued messages and applies received ones until the connection fails or ends, and returns the error.
     pub(super) async fn exchange_messages(
         &self,
         mut channel: TakeoverChannel,
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Queues a message to the other process, if there is one.
+    /// Queues a message to the other process; does nothing if there is none.
     pub(super) fn send_to_peer(&self, message: Message) -> Result<(), TrySendError<Message>> {
         self.peer.borrow().as_ref().map_or(Ok(()), |peer| peer.try_send(message))
     }
 
-    /// Applies what the other process requests. A process that is stopping rejects to drain and to resume: both concern
-    /// the other one, so that this is no error.
+    /// Applies a lifecycle request of the other process. A stopping process rejects requests to drain and to resume.
+    /// That is no error, since the other process continues the gatherer and has applied them itself.
     pub(super) fn apply_peer_request(&self, request: LifecycleRequest) {
         if let Err(error) = self.connections.apply_lifecycle(request) {
             log::debug!(
--- a/src/program/upgrade/predecessor.rs
+++ b/src/program/upgrade/predecessor.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side of an upgrade: accepts starting processes at the takeover socket, admits one successor, and sends it
-//! the listening socket and the state.
+//! The predecessor's side of an upgrade: accepts starting processes at the takeover socket, admits one of them as the
+//! successor, and sends it the listening socket and the state.
 
 use super::Upgrade;
 use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
@@ -17,12 +17,13 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Number of starting processes whose requests are received at the same time.
+/// Number of connections from which takeover requests are received at the same time.
 const MAX_CONCURRENT_REQUESTS: usize = 2;
 
 impl Upgrade {
-    /// Opens the takeover socket for further starting processes. One that starts right after this process is ready, or
-    /// after a successor that had replaced the socket has died, would otherwise listen beside this process.
+    /// Opens the takeover socket and spawns the task that accepts starting processes there. The socket is opened before
+    /// this function returns: a process that starts right after this one is ready, or after the death of a successor
+    /// that had replaced the socket, would otherwise listen beside this process without its state.
     pub(super) fn accept_successors(self: &Rc<Self>) {
         let (listener, upgrade) = (self.takeover_socket.listen(), self.clone());
         let task = spawn_local(async move { upgrade.wait_for_successors(listener).await });
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Accepts further starting processes, once the takeover socket can be had.
+    /// Retries to open the takeover socket until that succeeds, then accepts starting processes.
     async fn wait_for_successors(self: Rc<Self>, mut opened: io::Result<UnixListener>) {
         if let Err(error) = &opened {
             log::warn!("upgrade: cannot open the takeover socket, retrying: {error}");
@@ -48,6 +49,7 @@
         self.accept_connections(listener).await;
     }
 
+    /// Accepts starting processes, and hands over to the one that is admitted.
     async fn accept_connections(self: &Rc<Self>, listener: UnixListener) {
         let request_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
         loop {
@@ -58,7 +60,7 @@
                         "upgrade: cannot accept a connection at the takeover socket, retrying: {error}"
                     );
                     if errors::is_out_of_descriptors(&error) {
-                        // An idle client's descriptor helps: a successor waits.
+                        // The successor is waiting: an idle client's descriptor is reclaimed for its connection.
                         self.connections.descriptor_pool().reclaim(DescriptorClass::Clients);
                     }
                     tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
@@ -66,7 +68,7 @@
                 }
             };
             let Some(channel) = TakeoverChannel::new(stream) else { continue };
-            // A connection that sends nothing holds up no other, up to the bound.
+            // Requests are received concurrently, so that a silent connection does not delay the successor.
             let Ok(permit) = request_permits.clone().acquire_owned().await else { return };
             let upgrade = self.clone();
             spawn_local(async move {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Receives the request of a starting process; returns its connection if it is the successor from now on.
+    /// Receives the request of a starting process. Returns its connection if the process is admitted as the successor.
     async fn receive_request(&self, mut channel: TakeoverChannel) -> Option<TakeoverChannel> {
         let request = match timeout(REPLY_TIMEOUT, channel.receive()).await {
             Ok(Ok(Message::TakeoverRequest { listen })) if listen == self.listen.to_string() => Ok(()),
@@ -99,13 +101,13 @@
             return Some(channel);
         }
         if !matches!(timeout(REPLY_TIMEOUT, channel.send(&Message::TakeoverInProgress)).await, Ok(Ok(()))) {
-            // The other process retries all the same.
+            // The other process also retries when its connection ends without a reply.
             log::debug!("upgrade: a starting process was not notified that it has to wait");
         }
         None
     }
 
-    /// The predecessor's side: sends the state and exchanges messages, until the successor or this process ends.
+    /// Sends the state to the successor and exchanges messages with it until its connection ends.
     async fn hand_over(self: Rc<Self>, mut channel: TakeoverChannel) {
         log::info!("upgrade: a successor has started");
         self.divide_resources().await;
@@ -135,7 +137,7 @@
         log::warn!("upgrade: the successor has ended, this process continues: {error}");
         self.takeover.borrow_mut().on_successor_exited();
         self.peer.take();
-        // A process that listens beside this one keeps the takeover socket.
+        // The takeover socket may belong to a process that listens beside this one, which then keeps it.
         let socket_exists = self.takeover_socket.owns_socket_file()
             || matches!(self.takeover_socket.connect().await, Ok(Some(_)));
         if !socket_exists && !self.connections.lifecycle_state().is_stopping() {
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -1,5 +1,5 @@
-//! The successor's side of an upgrade: finds the predecessor, takes its listening socket and state over, and follows it until it
-//! ends. Where there is none it binds the address.
+//! The successor's side of an upgrade: finds the predecessor, takes over its listening socket and its state, and
+//! exchanges messages with it until it ends. Binds the address itself if there is no predecessor.
 
 use super::Upgrade;
 use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
@@ -18,29 +18,30 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// How long an unreachable predecessor is retried before this process listens beside it: one that hangs must not keep this
-/// one from serving.
+/// How long an unreachable predecessor is retried before this process listens beside it: a predecessor that hangs must
+/// not keep this process from serving.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long binding an address that is in use is retried: its process may be about to end.
+/// How long binding is retried while the address is in use, whose process may be about to end.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Number of connections that may wait to be accepted.
+/// Length of the backlog of the listening socket, in connections.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Result of one request to a predecessor to hand over.
+/// The result of one takeover request.
 enum TakeoverReply {
     /// There is no predecessor.
     NoPredecessor,
-    /// Another upgrade is under way; try again later.
+    /// Another upgrade is under way; the request must be repeated later.
     InProgress,
     /// The predecessor sent its state and its listening socket.
     StateAndListener(Box<TakeoverState>, TcpListener, TakeoverChannel),
-    /// Only the listening socket can be used; the state is of another version or damaged. Says why.
+    /// The predecessor sent its listening socket without a usable state: the state is damaged or of another version, or
+    /// another message came in its place. The text names the reason.
     ListenerOnly(TcpListener, String),
-    /// A predecessor seems to exist, and cannot be reached. Says why.
+    /// A predecessor seems to exist, but cannot be reached. The text names the reason.
     Unreachable(String),
 }
 
-/// How long a predecessor has been unreachable, and whether that has been logged.
+/// Since when a predecessor has been unreachable, and whether that has been logged.
 struct UnreachablePredecessor {
     since: Instant,
     logged: bool,
@@ -67,8 +68,9 @@
 }
 
 impl Upgrade {
-    /// Requests the takeover for as long as the predecessor says to wait. An unreachable one is retried for a while: two
-    /// processes that do not know of each other would each use the limits of both.
+    /// Requests the takeover until it succeeds or there is no predecessor; returns the listening socket if one was
+    /// taken over. An unreachable predecessor is retried for [`UNREACHABLE_TIMEOUT`], because two processes that are
+    /// not in contact would each use the whole limits of the gatherer.
     pub(super) async fn take_over(self: &Rc<Self>) -> Option<TcpListener> {
         let mut unreachable = UnreachablePredecessor::default();
         loop {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Applies the predecessor's state, and receives its messages until it ends.
+    /// Applies the predecessor's state, and spawns the task that exchanges messages with it.
     async fn start_as_successor(self: &Rc<Self>, state: TakeoverState, channel: TakeoverChannel) {
         let summary = format!(
             "workers={} disabled={}",
@@ -160,8 +162,8 @@
         spawn_local(async move { upgrade.follow_predecessor(channel, messages).await });
     }
 
-    /// The received socket, if it listens at this gatherer's address. `None` too where the system refuses to use it: the
-    /// caller requests the takeover again.
+    /// Returns the received socket if it listens at this gatherer's address. `None` also if the system call to use it
+    /// fails: the caller then requests the takeover again.
     fn verify_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
         let address = listener.local_addr();
@@ -186,7 +188,8 @@
         }
     }
 
-    /// Binds a listening socket. It allows a second process to bind the same address, where no takeover is possible.
+    /// Binds the listening socket, and retries while the address is in use or the error is transient. A second process
+    /// may bind the same address (SO_REUSEPORT), for the case that a takeover fails.
     pub(super) async fn bind(&self) -> io::Result<TcpListener> {
         let started_at = Instant::now();
         loop {
@@ -214,7 +217,7 @@
         socket.listen(LISTEN_BACKLOG)
     }
 
-    /// The successor's side: exchanges messages with the predecessor until it ends.
+    /// Exchanges messages with the predecessor until it ends, and takes over its share of the limits then.
     async fn follow_predecessor(self: Rc<Self>, channel: TakeoverChannel, messages: mpsc::Receiver<Message>) {
         let error = self.exchange_messages(channel, messages).await;
         log::info!("upgrade: the predecessor has ended: {error}");
