--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn two_processes_send_a_warming_up_worker_no_more_than_one() {
+fn two_processes_send_a_worker_in_slow_start_no_more_parts_than_one_process() {
     // The slow-start budget holds for the gatherer, so both processes of an upgrade share one.
     let sent_by = |processes: u32| {
         let mut cores: Vec<Core> = (0..processes).map(|_| core(processes, [Some(START), None])).collect();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_successor_keeps_the_workers_ejected_that_its_predecessor_ejected() {
+fn a_worker_that_the_predecessor_ejected_stays_ejected_in_the_successor() {
     let mut first = core(1, [None, None]);
     // A worker that accepts no connection is ejected.
     let tried: Vec<String> =
@@ -137,7 +137,7 @@
 
 proptest! {
     #[test]
-    fn shared_descriptors_leave_no_class_below_its_floor(
+    fn halving_the_descriptor_budget_reclaims_no_class_below_its_floor(
         acquired in prop::collection::vec(0..5_usize, 0..200),
         limit in 128..600_usize,
     ) {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_list_names_three_tests_at_most_each_with_cause_and_issue() {
+fn a_list_has_at_most_three_lines_each_with_test_cause_and_issue() {
     let names = |text: Option<&str>| {
         let output = check(text);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_lower_descriptor_limit_of_the_system_holds() {
+fn a_descriptor_limit_of_the_system_below_the_configured_one_is_respected() {
     // With a budget above the system's limit, accepting would fail under many connections.
     let path = std::env::temp_dir().join(format!("clayshore-limit-{}.toml", std::process::id()));
     std::fs::write(&path, include_str!("scenario/opensearch.toml")).expect("written");
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_killed_gatherer_is_found_in_its_records() {
+fn the_report_on_records_of_a_killed_gatherer_names_its_death() {
     let folder = std::env::temp_dir().join(format!("clayshore-records-{}", std::process::id()));
     let (front, operator) = (folder.join("front.toml"), folder.join("operator.toml"));
     std::fs::create_dir_all(&folder).expect("a folder");
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -74,8 +74,8 @@
 
 #[test]
 fn clients_notice_nothing_of_three_upgrades_in_a_row() {
-    let fleet = UpgradeFixture::new("upgrades");
-    let mut serving = Gatherer::start(&fleet.folder, &fleet.config);
+    let fixture = UpgradeFixture::new("upgrades");
+    let mut serving = Gatherer::start(&fixture.folder, &fixture.config);
     let (running, answers) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..4)
         .map(|number| {
@@ -92,7 +92,7 @@
     let mut accepted = 0;
     for _ in 0..3 {
         wait_for_answers(40);
-        let next = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
+        let next = Gatherer::start_without_waiting(&fixture.folder, &fixture.next_config());
         next.wait_for_log(" serving on ");
         wait_until("ready", || is_ready(&next));
         wait_for_answers(40);
@@ -110,8 +110,8 @@
     // At the clients and at the gatherers: each query was accepted once and answered once. At the workers:
     // each non-idempotent part was delivered once.
     assert_eq!(accepted, queries);
-    assert!(fleet.parts_received() >= queries);
-    for worker in [&fleet.first_worker, &fleet.second_worker] {
+    assert!(fixture.parts_received() >= queries);
+    for worker in [&fixture.first_worker, &fixture.second_worker] {
         let deliveries = worker.received.lock().expect("sound");
         let delivered_twice = deliveries.iter().filter(|(id, times)| {
             let number = id.split('.').nth(1).and_then(|number| number.parse::<usize>().ok());
@@ -123,10 +123,10 @@
 
 #[test]
 fn disabled_workers_survive_an_upgrade_and_changes_reach_both_processes() {
-    let fleet = UpgradeFixture::new("handed");
-    let mut first = Gatherer::start(&fleet.folder, &fleet.config);
+    let fixture = UpgradeFixture::new("handed");
+    let mut first = Gatherer::start(&fixture.folder, &fixture.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
-    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let second = Gatherer::start(&fixture.folder, &fixture.next_config());
     second.wait_for_log("upgrade: taking over, workers=2 disabled=1");
     let ejected = |gatherer: &Gatherer| metric_value(&gatherer.operators, "gatherer.ejected");
     wait_until("ready", || is_ready(&second));
@@ -144,25 +144,25 @@
         query(&mut client, &format!("a{number}"), "search").expect("written");
         let status = response(&mut client).expect("an answer").status;
         assert!(status == 200 || status == 503, "{status}");
-        if fleet.first_worker.parts_received() >= 5 {
+        if fixture.first_worker.parts_received() >= 5 {
             break;
         }
     }
-    assert_eq!(fleet.second_worker.parts_received(), 0);
+    assert_eq!(fixture.second_worker.parts_received(), 0);
     // A worker that is disabled and no longer listed is still known to the next process.
-    fleet.discovery.publish(&member("w1", &fleet.first_worker.address));
+    fixture.discovery.publish(&member("w1", &fixture.first_worker.address));
     wait_until("the list is received", || metric_value(&second.operators, "gatherer.discovered") == 1);
-    let third = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let third = Gatherer::start(&fixture.folder, &fixture.next_config());
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w2/enable").0, 200);
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w3/enable").0, 404);
 }
 
 #[test]
 fn a_drain_is_handed_over_and_does_not_hold_up_the_upgrade() {
-    let fleet = UpgradeFixture::new("drained");
-    let mut first = Gatherer::start(&fleet.folder, &fleet.config);
+    let fixture = UpgradeFixture::new("drained");
+    let mut first = Gatherer::start(&fixture.folder, &fixture.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
-    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let second = Gatherer::start(&fixture.folder, &fixture.next_config());
     wait_until("ready", || is_ready(&second));
     first.signal("-TERM");
     assert!(first.wait_for_exit());
@@ -174,10 +174,10 @@
 
 #[test]
 fn drain_and_resume_during_an_upgrade_apply_to_both_processes() {
-    let fleet = UpgradeFixture::new("both");
-    let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
+    let fixture = UpgradeFixture::new("both");
+    let first = Gatherer::start(&fixture.folder, &fixture.config);
+    let (config_with_silent_discovery, _silent) = fixture.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.wait_for_log(" serving on ");
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/drain").0, 200);
@@ -190,9 +190,9 @@
 
 #[test]
 fn the_predecessor_continues_if_the_successor_is_stopped() {
-    let fleet = UpgradeFixture::new("undone");
-    let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let fixture = UpgradeFixture::new("undone");
+    let first = Gatherer::start(&fixture.folder, &fixture.config);
+    let mut second = Gatherer::start(&fixture.folder, &fixture.next_config());
     wait_until("ready", || is_ready(&second));
     second.signal("-TERM");
     assert!(second.wait_for_exit());
@@ -200,32 +200,32 @@
     assert_one_query_is_answered(&first, "seal");
     assert_eq!(counter_at_exit(&second, "refused_stopping"), 0);
     // It can hand over again.
-    Gatherer::start(&fleet.folder, &fleet.next_config()).wait_for_log("upgrade: taking over");
+    Gatherer::start(&fixture.folder, &fixture.next_config()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
-fn a_successor_that_dies_before_it_is_ready_changes_nothing() {
-    let fleet = UpgradeFixture::new("stillborn");
-    let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
-    let mut second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
+fn a_successor_that_is_killed_before_it_is_ready_changes_nothing() {
+    let fixture = UpgradeFixture::new("stillborn");
+    let first = Gatherer::start(&fixture.folder, &fixture.config);
+    let (config_with_silent_discovery, _silent) = fixture.config_with_silent_discovery();
+    let mut second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
     first.wait_for_log("upgrade: a successor has started");
     second.signal("-KILL");
     assert!(!second.wait_for_exit());
     first.wait_for_log("upgrade: the successor has ended, this process continues");
     assert_one_query_is_answered(&first, "seal");
     // The next process can take over.
-    let third = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let third = Gatherer::start(&fixture.folder, &fixture.next_config());
     third.wait_for_log("upgrade: taking over");
     wait_until("ready", || is_ready(&third));
 }
 
 #[test]
 fn a_paused_successor_serves_the_connections_that_waited_for_it() {
-    let fleet = UpgradeFixture::new("hung");
-    let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
+    let fixture = UpgradeFixture::new("hung");
+    let mut first = Gatherer::start(&fixture.folder, &fixture.config);
+    let (config_with_silent_discovery, _silent) = fixture.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.signal("-STOP");
     // SIGTERM before the successor is ready: the first process ends as usual, and the queue of connections
@@ -237,35 +237,35 @@
     second.signal("-CONT");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
     assert_eq!(
-        fleet.first_worker.max_deliveries_of_a_part().max(fleet.second_worker.max_deliveries_of_a_part()),
+        fixture.first_worker.max_deliveries_of_a_part().max(fixture.second_worker.max_deliveries_of_a_part()),
         1
     );
 }
 
 #[test]
-fn a_predecessor_that_dies_midway_leaves_its_connection_queue_and_its_disabled_workers() {
-    let fleet = UpgradeFixture::new("midway");
-    let mut first = Gatherer::start(&fleet.folder, &fleet.config);
+fn a_predecessor_that_is_killed_midway_leaves_its_backlog_and_its_disabled_workers() {
+    let fixture = UpgradeFixture::new("midway");
+    let mut first = Gatherer::start(&fixture.folder, &fixture.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
-    let (config_with_silent_discovery, _silent) = fleet.config_with_silent_discovery();
-    let second = Gatherer::start_without_waiting(&fleet.folder, &config_with_silent_discovery);
+    let (config_with_silent_discovery, _silent) = fixture.config_with_silent_discovery();
+    let second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     first.signal("-KILL");
     first.wait_for_exit();
     assert_one_query_is_answered(&first, "search");
     second.wait_for_log("upgrade: the predecessor has ended");
     assert_eq!(
-        (fleet.first_worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")),
+        (fixture.first_worker.parts_received(), metric_value(&second.operators, "gatherer.ejected")),
         (0, 1)
     );
 }
 
 #[test]
-fn a_predecessor_that_hangs_is_not_waited_for_forever() {
-    let fleet = UpgradeFixture::new("deaf");
-    let first = Gatherer::start(&fleet.folder, &fleet.config);
+fn a_successor_serves_beside_a_predecessor_that_hangs() {
+    let fixture = UpgradeFixture::new("deaf");
+    let first = Gatherer::start(&fixture.folder, &fixture.config);
     first.signal("-STOP");
-    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let second = Gatherer::start(&fixture.folder, &fixture.next_config());
     second.wait_for_log(&format!(
         "upgrade: takeover failed, this process listens at {} beside the predecessor: no reply within 2s",
         first.clients
@@ -279,15 +279,15 @@
     let mut first = first;
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    Gatherer::start(&fleet.folder, &fleet.next_config()).wait_for_log("upgrade: taking over");
+    Gatherer::start(&fixture.folder, &fixture.next_config()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
-fn a_silent_connection_holds_up_no_upgrade() {
-    let fleet = UpgradeFixture::new("mute");
-    let first = Gatherer::start(&fleet.folder, &fleet.config);
-    let _silent = UnixStream::connect(fleet.takeover_socket_path()).expect("connected");
-    let second = Gatherer::start(&fleet.folder, &fleet.next_config());
+fn a_silent_connection_does_not_delay_an_upgrade() {
+    let fixture = UpgradeFixture::new("mute");
+    let first = Gatherer::start(&fixture.folder, &fixture.config);
+    let _silent = UnixStream::connect(fixture.takeover_socket_path()).expect("connected");
+    let second = Gatherer::start(&fixture.folder, &fixture.next_config());
     second.wait_for_log("upgrade: taking over");
     let timed_out =
         first.log.0.lock().expect("sound").iter().any(|line| line.contains("no takeover request"));
@@ -297,11 +297,11 @@
 
 #[test]
 fn a_third_start_waits_for_the_end_of_the_upgrade() {
-    let fleet = UpgradeFixture::new("third");
-    let mut first = Gatherer::start(&fleet.folder, &fleet.config);
-    let mut second = Gatherer::start(&fleet.folder, &fleet.next_config());
+    let fixture = UpgradeFixture::new("third");
+    let mut first = Gatherer::start(&fixture.folder, &fixture.config);
+    let mut second = Gatherer::start(&fixture.folder, &fixture.next_config());
     wait_until("ready", || is_ready(&second));
-    let third = Gatherer::start_without_waiting(&fleet.folder, &fleet.next_config());
+    let third = Gatherer::start_without_waiting(&fixture.folder, &fixture.next_config());
     third.wait_for_log("upgrade: waiting for another upgrade to end");
     let (status, text) = call_operator_api(&third.operators, "GET", "/-/ready");
     assert_eq!((status, text.as_str()), (503, "another upgrade is under way\n"));
@@ -319,11 +319,11 @@
 
 #[test]
 fn upgrades_work_without_a_writable_folder() {
-    let fleet = UpgradeFixture::new("unwritable");
-    let missing = TempFolder(fleet.folder.0.join("missing"));
-    let mut first = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.config, &missing);
+    let fixture = UpgradeFixture::new("unwritable");
+    let missing = TempFolder(fixture.folder.0.join("missing"));
+    let mut first = Gatherer::start_with_temp_folder(&fixture.folder, &fixture.config, &missing);
     first.wait_for_log("further starts find this one by name");
-    let second = Gatherer::start_with_temp_folder(&fleet.folder, &fleet.next_config(), &missing);
+    let second = Gatherer::start_with_temp_folder(&fixture.folder, &fixture.next_config(), &missing);
     second.wait_for_log("upgrade: taking over");
     wait_until("ready", || is_ready(&second));
     first.signal("-TERM");
@@ -333,8 +333,8 @@
 
 #[test]
 fn an_invalid_hand_over_is_rejected_with_one_log_line() {
-    let fleet = UpgradeFixture::new("foreign");
-    let path = fleet.takeover_socket_path();
+    let fixture = UpgradeFixture::new("foreign");
+    let path = fixture.takeover_socket_path();
     let cases: [(&[u8], &str); 4] = [
         (b"HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nConnection: close\r\nServer: other\r\n\r\n", "form of a hand-over"),
         (b"clayshore-handover 0 2 0\n{}", "version 0, not 1"),
@@ -352,7 +352,7 @@
             assert!(line.starts_with("clayshore-handover 1 "), "{line}");
             stream.write_all(bytes).expect("written");
         });
-        let mut gatherer = Gatherer::start(&fleet.folder, &fleet.next_config());
+        let mut gatherer = Gatherer::start(&fixture.folder, &fixture.next_config());
         predecessor.join().expect("it has replied");
         let lines = gatherer.log.0.lock().expect("sound").clone();
         let warnings: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
