--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,5 +1,5 @@
-//! The two processes of a hot restart: together they use no more than one process may, and the successor
-//! continues with the snapshot of its predecessor.
+//! Limits and state in a hot restart: both processes together use no more than one process may, and the
+//! successor continues with the snapshot of its predecessor.
 
 mod common;
 
@@ -14,12 +14,12 @@
 
 const START: Time = Time(1_700_000_000_000_000_000);
 
-/// The time so many milliseconds after the start.
+/// The time that is `milliseconds` after the start of the test.
 fn after(milliseconds: u64) -> Time {
     START.after(Duration::from_millis(milliseconds))
 }
 
-/// The list of two workers with these starts.
+/// An endpoint list of the workers w1 and w2, with the times at which they started.
 fn list(started_at: [Option<Time>; 2]) -> WorkerListUpdate {
     let worker = |(name, started_at): (&str, Option<Time>)| ListedWorker {
         name: name.to_owned(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The core of one of so many processes.
+/// The core of one of `processes` processes, with two workers.
 fn core(processes: u32, started_at: [Option<Time>; 2]) -> Core {
     let mut core = Core::new(platform_config().contracts);
     core.set_process_count(processes);
@@ -46,12 +46,13 @@
     core
 }
 
-/// Submits a query with one part of 0.2 s and completes its attempts at once; at an unreachable worker the
-/// connection fails. Returns the names of the workers that received an attempt.
+/// Submits a query with one part of 0.2 s and finishes its attempts at once: those at the worker
+/// `unreachable` fail to connect, all others succeed. Returns the names of the workers that received an
+/// attempt.
 fn submit(core: &mut Core, now: Time, unreachable: &str) -> Vec<String> {
     let part = single_part(Some(Duration::from_millis(200)));
     let request = search_request(ClassId(0), vec![part]);
-    core.submit(now, request).expect("it is accepted");
+    core.submit(now, request).expect("the query is accepted");
     let mut tried = Vec::new();
     for _ in 0..4 {
         for command in core.step(now) {
@@ -68,7 +69,7 @@
     tried
 }
 
-/// The state that the first process hands over, as the second reads it.
+/// The state that a process hands over, encoded and decoded as the successor receives it.
 fn handed_over(core: &Core) -> TakeoverState {
     let (list, disabled_workers, policy_snapshot) =
         (core.endpoint_list(), core.disabled_workers().clone(), core.policy_snapshot());
@@ -81,11 +82,11 @@
     let mut bytes = BytesMut::from(&handover::encode(&message).expect("encoded")[..]);
     match handover::take_message(&mut bytes) {
         Ok(Some(Message::TakeoverState(state))) => *state,
-        other => panic!("{other:?}"),
+        other => panic!("expected the takeover state, found {other:?}"),
     }
 }
 
-/// The core of a second process that takes over this state.
+/// The core of a successor that takes over this state.
 fn successor(state: TakeoverState, now: Time) -> Core {
     let mut core = Core::new(platform_config().contracts);
     core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot);
@@ -95,7 +96,7 @@
 
 #[test]
 fn two_processes_send_a_worker_in_slow_start_no_more_parts_than_one_process() {
-    // The slow-start budget holds for the gatherer, so both processes of an upgrade share one.
+    // The slow-start budget is that of the gatherer, which both processes share.
     let sent_by = |processes: u32| {
         let mut cores: Vec<Core> = (0..processes).map(|_| core(processes, [Some(START), None])).collect();
         (0..150_u64).fold(0, |sent, number| {
@@ -111,7 +112,7 @@
 #[test]
 fn a_worker_that_the_predecessor_ejected_stays_ejected_in_the_successor() {
     let mut first = core(1, [None, None]);
-    // A worker that accepts no connection is ejected.
+    // A worker to which connections fail is ejected.
     let tried: Vec<String> =
         (0..20).flat_map(|number| submit(&mut first, after(number * 20), "w1")).collect();
     assert!(tried.iter().any(|name| name == "w1"));
@@ -119,7 +120,7 @@
     let mut second = successor(handed_over(&first), after(400));
     assert_eq!(second.avoided_workers(), 1);
     assert!((0..20).all(|number| submit(&mut second, after(400 + number * 5), "w1") == ["w2"]));
-    // A process without a snapshot has to eject it anew.
+    // A process without the snapshot sends attempts to the worker again.
     let mut fresh = core(1, [None, None]);
     let tried: Vec<String> =
         (0..20).flat_map(|number| submit(&mut fresh, after(400 + number * 5), "w1")).collect();
@@ -150,16 +151,17 @@
         ];
         let mut descriptors = DescriptorAllocator::new(DescriptorBudget::new(limit, 20, 8).expect("enough"));
         for class in acquired {
-            // It fails where all are in use.
+            // An error means that no descriptor is free.
             let _ = descriptors.acquire(classes[class]);
         }
         descriptors.set_budget(DescriptorBudget::new(limit / 2, 20, 8).expect("enough"));
-        // Every class lends: descriptors are reclaimed one at a time until half of them are in use.
+        // Descriptors are reclaimed one at a time, from any class above its floor, until the lower limit
+        // holds.
         while descriptors.excess() > 0 {
             let before = descriptors.excess();
             let class = descriptors.class_to_reclaim_from().expect("a class holds more than its floor");
             prop_assert!(descriptors.held(class) > descriptors.budget().floors[class as usize]);
-            prop_assert!(descriptors.acquire(class).is_err(), "no class gets more meanwhile");
+            prop_assert!(descriptors.acquire(class).is_err(), "no class acquires more meanwhile");
             descriptors.release(class);
             prop_assert_eq!(descriptors.excess(), before - 1);
         }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,8 +1,9 @@
-//! The list of tests that are known to fail: a malformed list is rejected, so that it excludes no test.
+//! Tests of `.ci/known-red`, which reads the list of tests that are known to fail. A malformed list must be
+//! rejected, since it could exclude the wrong tests from CI.
 
 use std::process::{Command, Output};
 
-/// Runs the check on a list with this text, or without a list.
+/// Runs the script on a list with this text, or on a missing file.
 fn check(text: Option<&str>) -> Output {
     let file = std::env::temp_dir().join(format!("clayshore-known-red-{}.txt", std::process::id()));
     match text {
@@ -10,7 +11,7 @@
         None => drop(std::fs::remove_file(&file)),
     }
     let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red");
-    let output = Command::new(script).arg(&file).output().expect("it runs");
+    let output = Command::new(script).arg(&file).output().expect("the script runs");
     drop(std::fs::remove_file(&file));
     output
 }
@@ -23,7 +24,7 @@
         String::from_utf8(output.stdout).expect("text")
     };
     assert_eq!(names(None), "");
-    assert_eq!(names(Some("a::b | it waits in vain | 28\nc | lost at the end | issue 9")), "a::b\nc\n");
+    assert_eq!(names(Some("a::b | test times out | 28\nc | response lost | issue 9")), "a::b\nc\n");
     let line = "a | cause | 1\n";
     let cases = [
         (line.repeat(4), "more than three lines"),
@@ -35,7 +36,7 @@
     ];
     for (text, fault) in cases {
         let output = check(Some(&text));
-        let words = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && words.contains(fault), "{text:?}: {words}");
+        let errors = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && errors.contains(fault), "{text:?}: {errors}");
     }
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' calls to a real process: readiness, metrics, drain and resume, and disabling workers, while
-//! silent callers hold connections.
+//! Tests of the operators' API of a real process: readiness, metrics, drain and resume, and disabling
+//! workers, also while silent callers hold connections.
 
 mod common;
 
@@ -17,7 +17,8 @@
     let folder = TempFolder::new("operators");
     let gatherer = Gatherer::start(&folder, &config(&discovery));
     let address = &gatherer.operators;
-    // Many times as many callers as may be connected at once, silent or in the middle of a request.
+    // Many times as many callers as may be connected at once; half of them are silent, half send part of a
+    // request.
     let mut silent: Vec<TcpStream> =
         (0..40).map(|_| TcpStream::connect(address).expect("connected")).collect();
     silent.iter_mut().step_by(2).for_each(|caller| caller.write_all(b"GET /-/rea").expect("written"));
@@ -34,7 +35,7 @@
     let mut malformed = TcpStream::connect(address).expect("connected");
     malformed.write_all(b"\x00\x01 nothing\r\n\r\n").expect("written");
     assert_eq!(response(&mut malformed).expect("an answer").status, 400);
-    // One call for each connection.
+    // The API closes each connection after one call.
     let mut end = Vec::new();
     assert_eq!(malformed.read_to_end(&mut end).expect("the end"), 0);
 
@@ -59,8 +60,8 @@
         assert_eq!(metric_value(address, &format!("gatherer.{name}")), value, "{name}");
     }
 
-    // Draining: unhealthy at once, accepted queries are answered, and their connections end after the
-    // response.
+    // A drained process is unhealthy at once, answers accepted queries, and closes their connections after
+    // the response.
     assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     assert_eq!(call_operator_api(address, "GET", "/-/ready"), (503, "drained\n".to_owned()));
@@ -77,7 +78,7 @@
     assert_eq!(response(&mut resumed).expect("an answer").status, 200);
     assert_eq!(metric_value(address, "gatherer.succeeded.search"), 3);
 
-    // SIGTERM during a drain ends the process, and no call undoes it.
+    // SIGTERM during a drain stops the process, and resume is rejected.
     assert_eq!(call_operator_api(address, "PUT", "/-/drain").0, 200);
     worker.set_paused(true);
     let mut last_client = gatherer.connect();
@@ -114,7 +115,7 @@
         }
     };
     send_queries(40);
-    assert!(first.parts_received() > 0 && second.parts_received() > 0, "both are in use");
+    assert!(first.parts_received() > 0 && second.parts_received() > 0, "both workers receive parts");
     for (method, path, status) in [
         ("PUT", "/-/workers/w9/disable", 404),
         ("PUT", "/-/workers//enable", 404),
@@ -125,8 +126,8 @@
         let (answered, text) = call_operator_api(address, method, path);
         assert_eq!((answered, text.lines().count()), (status, 1), "{method} {path}");
     }
-    assert_eq!(metric_value(address, "gatherer.ejected"), 0, "none of these changes anything");
-    // Disabled twice; no update of discovery in between undoes it, nor does a restart of the worker.
+    assert_eq!(metric_value(address, "gatherer.ejected"), 0, "a rejected call changes no worker");
+    // The worker is disabled twice. Neither an update of discovery nor a restart of the worker enables it.
     assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/disable").0, 200);
     assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/disable").0, 200);
     assert_eq!(metric_value(address, "gatherer.ejected"), 1);
@@ -139,7 +140,7 @@
         send_queries(20);
     }
     assert_eq!(first.parts_received(), before);
-    // One call to enable it undoes both.
+    // A single call enables the worker that was disabled twice.
     assert_eq!(call_operator_api(address, "PUT", "/-/workers/w%251/enable").0, 200);
     assert_eq!(metric_value(address, "gatherer.ejected"), 0);
     while first.parts_received() == before {
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,5 +1,5 @@
-//! The program itself, on loopback sockets: start, one query, reload, SIGTERM, exit; the sub-commands; and
-//! the errors that name a key of a file.
+//! Tests of the program as a process on loopback sockets: start, query, reload, SIGTERM and exit; its
+//! sub-commands; and the errors that name the invalid key of a file.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, ReceivedResponse};
@@ -8,7 +8,8 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// A discovery that sends this list once and then nothing more, as when it is down.
+/// Starts a discovery server that sends this list once and no further response, as if it were down; returns
+/// its address.
 fn start_discovery(list: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -24,7 +25,7 @@
     address
 }
 
-/// A worker that answers every part with the same value.
+/// Starts a worker that answers every part with the same value; returns its address.
 fn start_worker() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -47,15 +48,15 @@
     address
 }
 
-/// Reads what has arrived into the buffer; the connection must not end.
+/// Appends the next bytes of the connection, which must not end, to the buffer.
 fn read(stream: &mut TcpStream, buffer: &mut BytesMut) {
     let mut bytes = [0; 4096];
     let count = stream.read(&mut bytes).expect("readable");
-    assert!(count > 0, "the connection ended");
+    assert!(count > 0, "the connection ended before the end of the message");
     buffer.extend_from_slice(&bytes[..count]);
 }
 
-/// Reads the response on this connection.
+/// Reads a response from the connection.
 fn response(stream: &mut TcpStream) -> ReceivedResponse {
     let mut buffer = BytesMut::new();
     loop {
@@ -66,7 +67,8 @@
     }
 }
 
-/// Starts the program; returns the address at which it serves, and the rest of its log.
+/// Starts the program and waits until it serves; returns the process, its address for clients, and its log
+/// from there on.
 fn start(command: &mut Command) -> (Child, String, impl BufRead + use<>) {
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
@@ -75,23 +77,24 @@
     (child, address.expect("the program serves"), log)
 }
 
-/// Sends a signal, by its option of `kill`.
+/// Sends a signal, given as the option of `kill` (`-TERM`).
 fn send_signal(child: &Child, name: &str) {
     let kill = Command::new("kill").args([name, &child.id().to_string()]).status().expect("kill runs");
     assert!(kill.success());
 }
 
-/// The next line of the log that contains these words.
-fn wait_for_log(log: &mut impl BufRead, words: &str) -> String {
-    log.lines().map(|line| line.expect("a line")).find(|line| line.contains(words)).expect("such a line")
+/// Reads the log up to the next line that contains this text, and returns that line.
+fn wait_for_log(log: &mut impl BufRead, text: &str) -> String {
+    let found = log.lines().map(|line| line.expect("a line")).find(|line| line.contains(text));
+    found.unwrap_or_else(|| panic!("no log line contains {text:?}"))
 }
 
-/// Stops the program by SIGTERM; returns the rest of its log.
+/// Stops the program with SIGTERM, checks that its exit status is 0, and returns the rest of its log.
 fn stop(mut child: Child, mut log: impl BufRead) -> String {
     send_signal(&child, "-TERM");
     let mut rest = String::new();
     log.read_to_string(&mut rest).expect("the rest of the log");
-    assert!(child.wait().expect("it ends").success(), "{rest}");
+    assert!(child.wait().expect("the program exits").success(), "{rest}");
     rest
 }
 
@@ -108,9 +111,10 @@
     let path = std::env::temp_dir().join(format!("clayshore-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
-    // The file takes precedence over the variables: it alone can be replaced while the program runs.
-    let first = config["discovery"].as_str().expect("an address").to_owned();
-    let (child, address, log) = start(command.env_clear().env("LB_CONFIG", &path).env("LB_DISCOVERY", first));
+    // The file takes precedence over the environment, since it alone can be replaced while the program runs.
+    let first_discovery = config["discovery"].as_str().expect("an address").to_owned();
+    command.env_clear().env("LB_CONFIG", &path).env("LB_DISCOVERY", first_discovery);
+    let (child, address, mut log) = start(&mut command);
 
     let mut client = TcpStream::connect(&address).expect("connected");
     client.write_all(&http::encode_request("GET", "/_health", "x", None)).expect("written");
@@ -126,8 +130,7 @@
     client.write_all(&http::encode_request("GET", "/_counters", "x", None)).expect("written");
     assert!(response(&mut client).body.starts_with(b"counters: taken=1 "));
 
-    // SIGHUP must not end the process, and an invalid file must not replace a valid configuration.
-    let mut log = log;
+    // SIGHUP must not kill the process, and an invalid file must not replace a valid configuration.
     std::fs::write(&path, config.to_string().replace("\"seed\":\"07\"", "\"seed\":\"x\"")).expect("written");
     send_signal(&child, "-HUP");
     assert!(
@@ -162,7 +165,7 @@
 
 #[test]
 fn a_descriptor_limit_of_the_system_below_the_configured_one_is_respected() {
-    // With a budget above the system's limit, accepting would fail under many connections.
+    // With a descriptor budget above the system's limit, accepts would fail under many connections.
     let path = std::env::temp_dir().join(format!("clayshore-limit-{}.toml", std::process::id()));
     std::fs::write(&path, include_str!("scenario/opensearch.toml")).expect("written");
     let start_with_limit = |max_descriptors: u32| {
@@ -188,13 +191,14 @@
         output.contains("40 descriptors, of which ") && output.contains("64 at least are needed"),
         "{output}"
     );
-    assert_eq!(child.wait().expect("it ends").code(), Some(1));
+    assert_eq!(child.wait().expect("the program exits").code(), Some(1));
     std::fs::remove_file(path).expect("removed");
 }
 
-/// Runs the program to its end; returns its exit status and its output.
+/// Runs the program until it exits; returns its exit status, and its standard output and error in one text.
 fn run_to_end(arguments: &[&str]) -> (Option<i32>, String) {
-    let run = Command::new(env!("CARGO_BIN_EXE_gatherer")).args(arguments).output().expect("it runs");
+    let run =
+        Command::new(env!("CARGO_BIN_EXE_gatherer")).args(arguments).output().expect("the program runs");
     let text = [run.stdout, run.stderr].concat();
     (run.status.code(), String::from_utf8(text).expect("text"))
 }
@@ -232,12 +236,12 @@
     };
     let (mut killed, address, log) = serve();
     send_searches(&address, 3);
-    // The start, the list and its worker, and the first record of metrics.
+    // Four records: the start, the endpoint list, its worker, and the first metrics.
     while lines() < 4 {
         thread::yield_now();
     }
     killed.kill().expect("killed");
-    killed.wait().expect("it ends");
+    killed.wait().expect("the program exits");
     drop(log);
     let (child, address, log) = serve();
     send_searches(&address, 2);
@@ -255,7 +259,7 @@
     assert_eq!(run_to_end(&["report", &records, "--out", &page]).0, Some(0));
     let page = std::fs::read_to_string(page).expect("a page");
     assert!(page.contains("died") && ["src=", "href=", "<script"].iter().all(|other| !page.contains(other)));
-    // One changed byte is reported by file and line, and the line is no longer counted.
+    // A changed byte is reported with file and line, and makes the exit status 1.
     let file = std::fs::read_dir(&records).expect("a folder").next().expect("one").expect("one").path();
     let mut bytes = std::fs::read(&file).expect("read");
     bytes[20] ^= 1;
@@ -285,18 +289,19 @@
         ),
         ("/settings/allowed/cancel", "settings.allowed.cancel: found \"x\", expected true"),
     ];
-    for (at, message) in cases {
+    for (pointer, message) in cases {
         let mut bad = good.clone();
-        *bad.pointer_mut(at).expect("a key") = "x".into();
-        let error = gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(at).to_string();
-        assert!(error.contains(message), "{at}: {error}");
+        *bad.pointer_mut(pointer).expect("a key") = "x".into();
+        let error =
+            gatherer::program::config::Config::from_json(&bad, |_| None).expect_err(pointer).to_string();
+        assert!(error.contains(message), "{pointer}: {error}");
     }
 }
 
 #[test]
 fn the_operators_address_is_that_of_the_file_or_else_of_the_environment() {
     let good: serde_json::Value = serde_json::from_str(include_str!("scenario/platform.json")).expect("JSON");
-    // Without either, the API is off.
+    // The API is off if neither sets an address.
     let operator_address_of = |value: serde_json::Value, variable: Option<&str>| {
         let mut json = good.clone();
         json["operator"] = value;
@@ -347,7 +352,7 @@
     let operator = include_str!("../deploy/operator.toml");
     let parse = gatherer::program::operator::OperatorFile::parse;
     assert!(parse(operator).is_ok_and(|operator| operator.records.is_some()));
-    // The added line comes after the file's last one.
+    // The invalid line is appended to the file.
     let added = format!("line {}: records.", operator.lines().count() + 1);
     let cases = [
         ("segment_kb = 1", format!("{added}segment_kb: found 1, expected 64 to")),
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,6 +1,6 @@
-//! Upgrades with real processes: two or three on one address, killed, paused and restarted at every stage,
-//! while clients send queries. No request is lost and none runs twice, counted at the clients and at the
-//! workers.
+//! Upgrades (hot restarts) with real processes: two or three on one address are killed, paused and restarted
+//! at each stage, while clients send queries. The counts of clients, gatherers and workers show that no
+//! request is lost and that no non-idempotent part is delivered twice.
 
 mod common;
 
@@ -14,21 +14,21 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::{self, JoinHandle};
 
-/// Whether its readiness check succeeds.
+/// Whether the readiness check of the process succeeds.
 fn is_ready(gatherer: &Gatherer) -> bool {
     call_operator_api(&gatherer.operators, "GET", "/-/ready").0 == 200
 }
 
-/// Sends one query on a new connection, which is answered.
+/// Sends a query on a new connection, and checks that it is answered.
 fn assert_one_query_is_answered(gatherer: &Gatherer, class: &str) {
     let mut client = gatherer.connect();
     query(&mut client, "a1", class).expect("written");
     assert_eq!(response(&mut client).expect("an answer").status, 200);
 }
 
-/// A client that sends queries without a pause, on connections that it keeps, while `running` is set; returns
-/// the number of its queries. Where a connection is closed between two requests it retries once on a new one,
-/// as the protocol allows.
+/// Spawns a client that sends queries without a pause, on persistent connections, while `running` is set; its
+/// result is the number of its queries. If a connection is closed between two requests, the client retries
+/// once on a new one, as the protocol allows.
 fn spawn_client(
     address: String,
     name: String,
@@ -60,12 +60,15 @@
                 stream = connect();
             }
         }
-        assert!(retries <= 1, "{name}: {retries} requests met a closed connection");
+        assert!(
+            retries <= 1,
+            "{name}: {retries} requests were sent on a closed connection, at most 1 is expected"
+        );
         queries
     })
 }
 
-/// A counter of a process, from the log line at its exit.
+/// A counter of the process, read from the log line that it writes before its exit.
 fn counter_at_exit(gatherer: &Gatherer, name: &str) -> usize {
     let line = gatherer.wait_for_log("counters: ");
     let value = line.split(' ').find_map(|pair| pair.strip_prefix(&format!("{name}=")));
@@ -103,12 +106,13 @@
     }
     wait_for_answers(40);
     running.store(false, Ordering::Relaxed);
-    let queries: usize = clients.into_iter().map(|client| client.join().expect("it lost no request")).sum();
+    let queries: usize =
+        clients.into_iter().map(|client| client.join().expect("the client lost no request")).sum();
     serving.signal("-TERM");
     assert!(serving.wait_for_exit());
     accepted += counter_at_exit(&serving, "taken");
-    // At the clients and at the gatherers: each query was accepted once and answered once. At the workers:
-    // each non-idempotent part was delivered once.
+    // Clients and gatherers count as many queries, so each was accepted once and answered once. Workers
+    // received no non-idempotent part twice.
     assert_eq!(accepted, queries);
     assert!(fixture.parts_received() >= queries);
     for worker in [&fixture.first_worker, &fixture.second_worker] {
@@ -123,7 +127,7 @@
 
 #[test]
 fn disabled_workers_survive_an_upgrade_and_changes_reach_both_processes() {
-    let fixture = UpgradeFixture::new("handed");
+    let fixture = UpgradeFixture::new("disabled");
     let mut first = Gatherer::start(&fixture.folder, &fixture.config);
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w1/disable").0, 200);
     let second = Gatherer::start(&fixture.folder, &fixture.next_config());
@@ -131,7 +135,7 @@
     let ejected = |gatherer: &Gatherer| metric_value(&gatherer.operators, "gatherer.ejected");
     wait_until("ready", || is_ready(&second));
     assert_eq!(ejected(&second), 1);
-    // While both run, a call to either applies to both.
+    // While both processes run, an operator's call to either applies to both.
     assert_eq!(call_operator_api(&first.operators, "PUT", "/-/workers/w2/disable").0, 200);
     wait_until("disabled at both", || ejected(&second) == 2);
     assert_eq!(call_operator_api(&second.operators, "PUT", "/-/workers/w1/enable").0, 200);
@@ -139,7 +143,7 @@
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     let mut client = second.connect();
-    // The worker that was enabled again is warming up, so that some queries are rejected.
+    // The worker that was enabled again is in slow start, so some queries are rejected.
     for number in 0.. {
         query(&mut client, &format!("a{number}"), "search").expect("written");
         let status = response(&mut client).expect("an answer").status;
@@ -149,7 +153,7 @@
         }
     }
     assert_eq!(fixture.second_worker.parts_received(), 0);
-    // A worker that is disabled and no longer listed is still known to the next process.
+    // The next process also takes over a disabled worker that is no longer listed.
     fixture.discovery.publish(&member("w1", &fixture.first_worker.address));
     wait_until("the list is received", || metric_value(&second.operators, "gatherer.discovered") == 1);
     let third = Gatherer::start(&fixture.folder, &fixture.next_config());
@@ -167,7 +171,7 @@
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     second.wait_for_log("upgrade: the predecessor has ended");
-    assert!(!is_ready(&second), "it is still drained");
+    assert!(!is_ready(&second), "the successor is still drained");
     assert_eq!(call_operator_api(&second.operators, "PUT", "/-/resume").0, 200);
     assert!(is_ready(&second));
 }
@@ -199,13 +203,13 @@
     first.wait_for_log("upgrade: the successor has ended, this process continues");
     assert_one_query_is_answered(&first, "seal");
     assert_eq!(counter_at_exit(&second, "refused_stopping"), 0);
-    // It can hand over again.
+    // The first process can hand over again.
     Gatherer::start(&fixture.folder, &fixture.next_config()).wait_for_log("upgrade: taking over");
 }
 
 #[test]
 fn a_successor_that_is_killed_before_it_is_ready_changes_nothing() {
-    let fixture = UpgradeFixture::new("stillborn");
+    let fixture = UpgradeFixture::new("killed-early");
     let first = Gatherer::start(&fixture.folder, &fixture.config);
     let (config_with_silent_discovery, _silent) = fixture.config_with_silent_discovery();
     let mut second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
@@ -228,8 +232,8 @@
     let second = Gatherer::start_without_waiting(&fixture.folder, &config_with_silent_discovery);
     second.wait_for_log("upgrade: taking over");
     second.signal("-STOP");
-    // SIGTERM before the successor is ready: the first process ends as usual, and the queue of connections
-    // outlives it.
+    // SIGTERM arrives before the successor is ready: the first process exits as usual, and the backlog of the
+    // listening socket stays.
     first.signal("-TERM");
     assert!(first.wait_for_exit());
     let mut client = first.connect();
@@ -262,7 +266,7 @@
 
 #[test]
 fn a_successor_serves_beside_a_predecessor_that_hangs() {
-    let fixture = UpgradeFixture::new("deaf");
+    let fixture = UpgradeFixture::new("hung-first");
     let first = Gatherer::start(&fixture.folder, &fixture.config);
     first.signal("-STOP");
     let second = Gatherer::start(&fixture.folder, &fixture.next_config());
@@ -270,12 +274,16 @@
         "upgrade: takeover failed, this process listens at {} beside the predecessor: no reply within 2s",
         first.clients
     ));
-    assert_eq!(metric_value(&second.operators, "gatherer.violations.started_alone"), 1, "it is counted");
+    assert_eq!(
+        metric_value(&second.operators, "gatherer.violations.started_alone"),
+        1,
+        "the violation is counted"
+    );
     wait_until("ready", || is_ready(&second));
     first.signal("-CONT");
     first.wait_for_log("upgrade: a successor has started");
     first.wait_for_log("upgrade: the successor has ended, this process continues");
-    // The end of the first process does not affect the second: a third one still finds it.
+    // The exit of the first process does not affect the second, from which a third one can take over.
     let mut first = first;
     first.signal("-TERM");
     assert!(first.wait_for_exit());
@@ -284,14 +292,14 @@
 
 #[test]
 fn a_silent_connection_does_not_delay_an_upgrade() {
-    let fixture = UpgradeFixture::new("mute");
+    let fixture = UpgradeFixture::new("silent");
     let first = Gatherer::start(&fixture.folder, &fixture.config);
     let _silent = UnixStream::connect(fixture.takeover_socket_path()).expect("connected");
     let second = Gatherer::start(&fixture.folder, &fixture.next_config());
     second.wait_for_log("upgrade: taking over");
     let timed_out =
         first.log.0.lock().expect("sound").iter().any(|line| line.contains("no takeover request"));
-    assert!(!timed_out, "the successor was received beside the silent connection, not after it");
+    assert!(!timed_out, "the successor was admitted only after the silent connection had timed out");
     first.wait_for_log("upgrade: connection at the takeover socket rejected: no takeover request within 2s");
 }
 
@@ -305,7 +313,7 @@
     third.wait_for_log("upgrade: waiting for another upgrade to end");
     let (status, text) = call_operator_api(&third.operators, "GET", "/-/ready");
     assert_eq!((status, text.as_str()), (503, "another upgrade is under way\n"));
-    // A change that the predecessor's state would overwrite is rejected.
+    // Changes by operators are rejected, since the predecessor's state would overwrite them.
     assert_eq!(call_operator_api(&third.operators, "PUT", "/-/workers/w1/disable").0, 503);
     assert!(is_ready(&second));
     first.signal("-TERM");
@@ -342,18 +350,18 @@
         (b"clayshore-handover 1 900 0\n{\"state\":", "unexpected end of file"),
     ];
     for (bytes, reason) in cases {
-        // There is none before the first case.
+        // The first case finds no file to remove.
         let _ = std::fs::remove_file(&path);
         let other = UnixListener::bind(&path).expect("bound");
         let predecessor = thread::spawn(move || {
             let (mut stream, _) = other.accept().expect("a starting process");
             let mut line = String::new();
-            BufReader::new(&stream).read_line(&mut line).expect("it requests to join");
+            BufReader::new(&stream).read_line(&mut line).expect("a takeover request");
             assert!(line.starts_with("clayshore-handover 1 "), "{line}");
             stream.write_all(bytes).expect("written");
         });
         let mut gatherer = Gatherer::start(&fixture.folder, &fixture.next_config());
-        predecessor.join().expect("it has replied");
+        predecessor.join().expect("the predecessor has replied");
         let lines = gatherer.log.0.lock().expect("sound").clone();
         let warnings: Vec<_> = lines.iter().filter(|line| line.starts_with("WARN upgrade")).collect();
         assert!(warnings.len() == 1 && warnings[0].contains(reason), "{warnings:?}");
