--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn records_of_the_version_before_are_whole_and_in_order() {
+fn records_of_an_earlier_version_are_valid_and_in_order() {
     let (status, output, errors) = run(&fixtures(), &["records", "verify", "records"]);
     assert_eq!((status, output.as_str()), (Some(0), fixture("verify.txt").as_str()), "{errors}");
 }
 
 #[test]
-fn damage_to_records_of_the_version_before_is_found_at_the_same_places() {
+fn damage_to_records_of_an_earlier_version_is_found_at_the_same_lines() {
     let (status, output, _) = run(&fixtures(), &["records", "verify", "records-damaged"]);
     let places = |text: &str| text.lines().map(place).collect::<Vec<_>>();
     assert_eq!((status, places(&output)), (Some(1), places(&fixture("verify-damaged.txt"))));
 }
 
 #[test]
-fn the_report_on_records_of_the_version_before_has_the_same_keys_and_figures() {
+fn the_report_on_records_of_an_earlier_version_has_the_same_keys_and_values() {
     for (folder, expected) in [("records", "report.json"), ("records-damaged", "report-damaged.json")] {
         let (status, output, errors) = run(&fixtures(), &["report", "--json", folder]);
         assert_eq!(status, Some(0), "{errors}");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn names_in_records_are_those_of_the_version_before() {
+fn names_in_records_are_those_of_the_earlier_version() {
     let (status, output, _) = run(&fixtures(), &["records", "schema"]);
     assert_eq!(status, Some(0));
     let mut names = BTreeSet::new();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn check_prints_the_same_errors_and_exits_with_the_same_status() {
+fn check_prints_the_expected_errors_and_exits_with_the_expected_status() {
     let expected = fixture("check.txt");
     let files: Vec<&str> = expected
         .lines()
@@ -126,25 +126,25 @@
     let folder = TestFolder::new("compatible-counters");
     let list = endpoint_list(&["w1"]);
     let gatherer = Gatherer::start(&folder, &config("g0", &start_discovery(&list), &list), None);
-    let counters = call(&gatherer.clients, "GET", "/_counters").expect("an answer");
-    assert_eq!(without_numbers(&counters.body), without_numbers(&fixture("counters.txt")));
+    let response = call(&gatherer.clients, "GET", "/_counters").expect("an answer");
+    assert_eq!(without_numbers(&response.body), without_numbers(&fixture("counters.txt")));
 }
 
 #[test]
-fn operators_calls_have_the_same_answers() {
+fn operators_calls_get_the_same_responses() {
     let folder = TestFolder::new("compatible-operators");
     let list = endpoint_list(&["w1", "w2"]);
     let gatherer = Gatherer::start(&folder, &config("g0", &start_discovery(&list), &list), None);
     let expected = fixture("operators.txt");
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for (request, _) in expected.lines().filter_map(|line| line.split_once(" -> ")) {
         let (method, path) = request.split_once(' ').expect("a method and a path");
-        let answer = gatherer.operate(method, path);
-        let header = |name| answer.header(name).unwrap_or("-");
-        let head = format!("{request} -> {} {} {}", answer.status, header("Content-Type"), header("Allow"));
-        answers.push(format!("{head}\n{}\n", answer.body.trim_end()));
+        let response = gatherer.operate(method, path);
+        let header = |name| response.header(name).unwrap_or("-");
+        let head = format!("{request} -> {} {} {}", response.status, header("Content-Type"), header("Allow"));
+        responses.push(format!("{head}\n{}\n", response.body.trim_end()));
     }
-    assert_eq!(answers.join("\n"), expected);
+    assert_eq!(responses.join("\n"), expected);
 }
 
 #[test]
--- a/tests/compatibility/process.rs
+++ b/tests/compatibility/process.rs
@@ -21,10 +21,10 @@
     std::fs::read_to_string(fixtures().join(name)).expect("a fixture")
 }
 
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let since = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TIMEOUT, "timed out: {what}");
+        assert!(since.elapsed() < TIMEOUT, "timed out: {description}");
         thread::sleep(POLL_INTERVAL);
     }
 }
@@ -104,30 +104,30 @@
     }
 }
 
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<String>,
     pub body: String,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().filter_map(|line| line.split_once(": "));
         found.filter(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value).next()
     }
 }
 
-pub fn call(address: &str, method: &str, path: &str) -> std::io::Result<Answer> {
+pub fn call(address: &str, method: &str, path: &str) -> std::io::Result<Response> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n")?;
     let mut reader = BufReader::new(stream);
     let (status, headers) = read_head(&mut reader).ok_or(std::io::ErrorKind::UnexpectedEof)?;
     let status = status.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
-    let mut answer = Answer { status, headers, body: String::new() };
-    let length = answer.header("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
-    reader.take(length).read_to_string(&mut answer.body)?;
-    Ok(answer)
+    let mut response = Response { status, headers, body: String::new() };
+    let length = response.header("Content-Length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    reader.take(length).read_to_string(&mut response.body)?;
+    Ok(response)
 }
 
 /// A serving process of the program; it is killed at the end of the test.
@@ -154,12 +154,12 @@
         let address = |key: &str| config[key].as_str().expect("an address").to_owned();
         let gatherer = Gatherer { child, clients: address("listen"), operators: address("operator") };
         wait_until("the program is ready", || {
-            call(&gatherer.operators, "GET", "/-/ready").is_ok_and(|answer| answer.status == 200)
+            call(&gatherer.operators, "GET", "/-/ready").is_ok_and(|response| response.status == 200)
         });
         gatherer
     }
 
-    pub fn operate(&self, method: &str, path: &str) -> Answer {
+    pub fn operate(&self, method: &str, path: &str) -> Response {
         call(&self.operators, method, path).expect("an answer")
     }
 }
--- a/tests/compatibility/takeover.rs
+++ b/tests/compatibility/takeover.rs
@@ -105,7 +105,7 @@
     /// Where the process waits for a successor in its turn.
     path: PathBuf,
     /// What a successor says first.
-    join: String,
+    takeover_request: String,
 }
 
 /// Hands over the recorded state and a listening socket to a new process, and waits until it serves.
@@ -118,8 +118,8 @@
     let discovery_address = discovery.local_addr().expect("an address").to_string();
     let mut config = config("g0", &discovery_address, &Value::Null);
     config["listen"] = listen.clone().into();
-    let join = message(&format!(r#"{{"join":{{"listen":"{listen}"}}}}"#));
-    let expected = join.clone();
+    let takeover_request = message(&format!(r#"{{"join":{{"listen":"{listen}"}}}}"#));
+    let expected = takeover_request.clone();
     let predecessor = thread::spawn(move || {
         let (stream, _) = waiting.accept().expect("a connection");
         stream.set_read_timeout(Some(TIMEOUT)).expect("set");
@@ -130,7 +130,7 @@
     });
     let gatherer = Gatherer::start(&folder, &config, None);
     let predecessor = predecessor.join().expect("it hands over");
-    Takeover { _folder: folder, _discovery: discovery, gatherer, predecessor, path, join }
+    Takeover { _folder: folder, _discovery: discovery, gatherer, predecessor, path, takeover_request }
 }
 
 impl Takeover {
@@ -152,8 +152,8 @@
 }
 
 #[test]
-fn the_state_of_the_version_before_is_taken_over_and_handed_on_unchanged() {
-    let Takeover { gatherer, predecessor, path, join, .. } = &take_over("compatible-state");
+fn the_state_of_an_earlier_version_is_taken_over_and_handed_over_again_unchanged() {
+    let Takeover { gatherer, predecessor, path, takeover_request, .. } = &take_over("compatible-state");
     let metrics = gatherer.operate("GET", "/-/metrics").body;
     assert!(metrics.contains("gatherer.discovered:3|g\n"), "{metrics}");
     assert_eq!(gatherer.operate("GET", "/-/ready").body, "ready, drained\n");
@@ -166,14 +166,14 @@
     });
     let mut successor = successor.expect("connected");
     successor.set_read_timeout(Some(TIMEOUT)).expect("set");
-    successor.write_all(join.as_bytes()).expect("written");
+    successor.write_all(takeover_request.as_bytes()).expect("written");
     let (text, socket) = read_message(&successor);
     assert!(socket.is_some(), "the listening socket comes beside the state");
-    let (handed_on, recorded) = (state(&text), state(&fixture("handover-state.txt")));
-    assert!(is_same(&handed_on, &recorded), "{handed_on:#}\nis not\n{recorded:#}");
+    let (handed_over, recorded) = (state(&text), state(&fixture("handover-state.txt")));
+    assert!(is_same(&handed_over, &recorded), "{handed_over:#}\nis not\n{recorded:#}");
     let mut early = UnixStream::connect(path).expect("connected");
     early.set_read_timeout(Some(TIMEOUT)).expect("set");
-    early.write_all(join.as_bytes()).expect("written");
+    early.write_all(takeover_request.as_bytes()).expect("written");
     assert_eq!(read_message(&early).0, message("\"busy\""));
     let stop = Command::new("kill").args(["-TERM", &gatherer.child.id().to_string()]).status();
     assert!(stop.expect("kill runs").success());
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn changes_during_a_takeover_reach_the_version_before_and_come_from_it() {
+fn changes_during_a_takeover_are_sent_to_and_received_from_an_earlier_version() {
     let takeover = take_over("compatible-changes");
     let mut predecessor = &takeover.predecessor;
     let ejected = takeover.ejected();
