--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,8 +1,9 @@
-//! What other programs and earlier versions read or write stays as it is: records, the messages of a takeover, the
-//! operators' API, the counters, and the errors and exit statuses of `check`. The files under `fixtures/compatibility`
-//! were written by the program of 1 December 2026 (records, messages, answers) or hold what it printed about them.
+//! Tests that the formats which other programs and earlier versions read or write do not change: records, the
+//! messages of a takeover, the operators' API, the counters, and the errors and exit statuses of `check`. The
+//! files under `fixtures/compatibility` were written by the program of 1 December 2026 (records, messages,
+//! responses) or hold its output on those. `check.txt` holds the present errors of `check`.
 //!
-//! These tests use processes and files alone, so that no name in the code is part of what they prove.
+//! The tests use processes and files alone, so that renames in the code cannot hide a changed format.
 
 mod process;
 mod takeover;
@@ -14,37 +15,38 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The text with each number replaced by one 0, so that names, order and punctuation are what is left.
+/// Replaces each number in the text by one 0, so that names, order and punctuation remain.
 fn without_numbers(text: &str) -> String {
     let mut shape = String::new();
-    for sign in text.chars() {
-        let digit = sign.is_ascii_digit();
+    for character in text.chars() {
+        let is_digit = character.is_ascii_digit();
         let in_number = shape.ends_with('0');
-        match sign {
-            _ if digit && in_number => {}
-            _ if digit => shape.push('0'),
+        match character {
+            _ if is_digit && in_number => {}
+            _ if is_digit => shape.push('0'),
             '.' if in_number => {}
-            sign => shape.push(sign),
+            character => shape.push(character),
         }
     }
     shape
 }
 
-/// Replaces sentences for people, which name the same things in other words, by an empty text.
+/// Empties the sentences of a report, whose wording may change, and cuts the texts of damaged lines to their
+/// place.
 fn without_sentences(report: &str) -> Value {
     let mut report: Value = serde_json::from_str(report).expect("JSON");
-    let blank = |list: &mut Value, key: &str| {
+    let clear_field = |list: &mut Value, key: &str| {
         list.as_array_mut().expect("a list").iter_mut().for_each(|entry| entry[key] = "".into());
     };
-    blank(&mut report["events"], "what");
-    blank(&mut report["findings"], "evidence");
+    clear_field(&mut report["events"], "what");
+    clear_field(&mut report["findings"], "evidence");
     for fault in report["lines"]["first_damaged"].as_array_mut().expect("a list") {
         *fault = place(fault.as_str().expect("text")).into();
     }
     report
 }
 
-/// The file and line that a fault of the records names.
+/// The file and line at the front of a message about a damaged record, as `file:line`.
 fn place(fault: &str) -> String {
     fault.splitn(3, ':').take(2).collect::<Vec<_>>().join(":")
 }
@@ -81,7 +83,7 @@
     assert_eq!(names, expected);
 }
 
-/// All names of fields and all fixed texts of a JSON schema.
+/// Collects the names of fields and the constant texts of a JSON schema.
 fn collect_names(schema: &Value, names: &mut BTreeSet<String>) {
     match schema {
         Value::Object(entries) => {
@@ -110,9 +112,9 @@
         .filter_map(|line| line.strip_prefix("## ").and_then(|rest| rest.split_once(": status ")))
         .map(|(file, _)| file)
         .collect();
-    // Each file that is there is named, and two that are not.
-    let there = std::fs::read_dir(fixtures().join("files")).expect("a folder").count();
-    assert_eq!(files.len(), there + 2);
+    // The list names each file of the folder, and two files that do not exist.
+    let existing = std::fs::read_dir(fixtures().join("files")).expect("a folder").count();
+    assert_eq!(files.len(), existing + 2);
     let mut printed = String::new();
     for file in files {
         let (status, _, errors) = run(&fixtures().join("files"), &["check", file]);
@@ -126,7 +128,7 @@
     let folder = TestFolder::new("compatible-counters");
     let list = endpoint_list(&["w1"]);
     let gatherer = Gatherer::start(&folder, &config("g0", &start_discovery(&list), &list), None);
-    let response = call(&gatherer.clients, "GET", "/_counters").expect("an answer");
+    let response = call(&gatherer.clients, "GET", "/_counters").expect("a response");
     assert_eq!(without_numbers(&response.body), without_numbers(&fixture("counters.txt")));
 }
 
@@ -153,14 +155,18 @@
     let list = endpoint_list(&["w1"]);
     let discovery = start_discovery(&list);
     let addresses = [free_address(), free_address()];
-    let operator_file = |own: usize| {
+    let operator_file = |member: usize| {
         let table = "period_ms = 50\ncluster = \"c\"";
-        format!("[membership]\n{table}\nlisten = {:?}\nseeds = [{:?}]\n", addresses[own], addresses[1 - own])
+        format!(
+            "[membership]\n{table}\nlisten = {:?}\nseeds = [{:?}]\n",
+            addresses[member],
+            addresses[1 - member]
+        )
     };
     let first = Gatherer::start(&folder, &config("g0", &discovery, &list), Some(&operator_file(0)));
     let _second = Gatherer::start(&folder, &config("g1", &discovery, &list), Some(&operator_file(1)));
     let mut view = String::new();
-    wait_until("the two know each other", || {
+    wait_until("the first member has received messages of the second", || {
         view = first.operate("GET", "/-/members").body;
         let json: Value = serde_json::from_str(&view).expect("JSON");
         json["members"][0]["state"] == "alive" && json["members"][0]["heard_s"].is_number()
--- a/tests/compatibility/process.rs
+++ b/tests/compatibility/process.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process, its files, and the services around it.
+//! Runs the program as a process, with its files and a discovery server, and sends HTTP requests to it.
 
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,28 +8,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No event takes longer, however busy the machine is.
+/// Time-out of every wait, long enough for a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks at something that is waited for.
+/// Interval at which a condition is polled.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 pub fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/compatibility")
 }
 
+/// Reads the text of a fixture.
 pub fn fixture(name: &str) -> String {
     std::fs::read_to_string(fixtures().join(name)).expect("a fixture")
 }
 
+/// Polls a condition until it holds. Panics with its description after [`TIMEOUT`].
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let since = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TIMEOUT, "timed out: {description}");
+        assert!(started_at.elapsed() < TIMEOUT, "timed out after {TIMEOUT:?}: {description}");
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Runs the program to its end, in this folder; its exit status, standard output and standard error.
+/// Runs the program in this folder until it exits; returns its exit status, standard output and standard
+/// error.
 pub fn run(folder: &Path, arguments: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
     let output = command.env_clear().current_dir(folder).args(arguments).output().expect("the program runs");
@@ -37,7 +40,7 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// A folder of a test's own, removed at its end.
+/// A folder for one test, which is removed when it is dropped.
 pub struct TestFolder(pub PathBuf);
 
 impl TestFolder {
@@ -54,17 +57,19 @@
     }
 }
 
-/// A listener on a loopback address that no other test uses.
+/// Binds a listener on a random loopback address, so that tests do not use the same one.
 pub fn bind() -> TcpListener {
     let [a, b, c, ..] = fastrand::u32(..).to_le_bytes();
     TcpListener::bind((Ipv4Addr::new(127, a.max(1), b, c), 0)).expect("a port")
 }
 
+/// Returns an address at which nothing listens, on a random loopback address.
 pub fn free_address() -> String {
     bind().local_addr().expect("an address").to_string()
 }
 
-/// Discovery that answers each poll with this list and never answers a watch.
+/// Starts a discovery server that answers each poll with this list and never answers a watch; returns its
+/// address.
 pub fn start_discovery(list: &Value) -> String {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -78,6 +83,8 @@
     address
 }
 
+/// Answers the polls of one connection with `body` until the connection ends. Requests with `index=` are
+/// watches.
 pub fn answer_polls(stream: TcpStream, body: &str) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     let mut writer = stream;
@@ -89,7 +96,7 @@
     }
 }
 
-/// The first line and the header lines of a request or response; `None` at the end of the connection.
+/// Reads the first line and the header lines of a request or response; `None` at the end of the connection.
 pub fn read_head(reader: &mut impl BufRead) -> Option<(String, Vec<String>)> {
     let mut lines = Vec::new();
     loop {
@@ -104,6 +111,7 @@
     }
 }
 
+/// An HTTP response.
 pub struct Response {
     pub status: u16,
     pub headers: Vec<String>,
@@ -117,6 +125,7 @@
     }
 }
 
+/// Sends a request without a body on a new connection, and reads the response.
 pub fn call(address: &str, method: &str, path: &str) -> std::io::Result<Response> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -130,7 +139,7 @@
     Ok(response)
 }
 
-/// A serving process of the program; it is killed at the end of the test.
+/// A serving process of the program, which is killed when it is dropped.
 pub struct Gatherer {
     pub child: Child,
     pub clients: String,
@@ -138,7 +147,8 @@
 }
 
 impl Gatherer {
-    /// Starts the platform's front, with the text of an operator's file if there is one.
+    /// Starts the platform's front with this configuration, and with an operator's file of this text if there
+    /// is one. Waits until the process is ready.
     pub fn start(folder: &TestFolder, config: &Value, operator_file: Option<&str>) -> Gatherer {
         let name = format!("{}", fastrand::u64(..));
         let (config_path, operator_path) =
@@ -159,8 +169,9 @@
         gatherer
     }
 
+    /// Sends a request to the operators' API.
     pub fn operate(&self, method: &str, path: &str) -> Response {
-        call(&self.operators, method, path).expect("an answer")
+        call(&self.operators, method, path).expect("a response")
     }
 }
 
@@ -171,7 +182,8 @@
     }
 }
 
-/// The platform's configuration with addresses of its own.
+/// A configuration of the platform's front with this name, discovery and initial endpoint list, and with free
+/// addresses for clients and operators.
 pub fn config(name: &str, discovery: &str, list: &Value) -> Value {
     let mut config: Value = serde_json::from_str(&fixture("files/platform.json")).expect("JSON");
     config["name"] = name.into();
@@ -181,8 +193,12 @@
     config
 }
 
-/// An endpoint list of workers that are never called.
+/// An endpoint list of these workers, at an address where nothing listens.
 pub fn endpoint_list(workers: &[&str]) -> Value {
-    let member = |id: &&str| serde_json::json!({"id": id, "host_port": "127.9.8.7:4001", "cell": 0, "phase": "SERVING"});
-    serde_json::json!({"revision": 1, "complete": true, "members": workers.iter().map(member).collect::<Vec<_>>()})
+    let member = |id: &&str| {
+        let address = "127.9.8.7:4001";
+        serde_json::json!({"id": id, "host_port": address, "cell": 0, "phase": "SERVING"})
+    };
+    let members: Vec<Value> = workers.iter().map(member).collect();
+    serde_json::json!({"revision": 1, "complete": true, "members": members})
 }
--- a/tests/compatibility/takeover.rs
+++ b/tests/compatibility/takeover.rs
@@ -1,4 +1,5 @@
-//! Takeovers between the version before, which a test plays, and this one.
+//! Takeovers between this version and an earlier one. The tests play the earlier version with recorded
+//! messages.
 
 use crate::process::{Gatherer, TIMEOUT, TestFolder, bind, config, fixture, wait_until};
 use rustix::net::{
@@ -16,13 +17,13 @@
 use std::process::Command;
 use std::thread;
 
-/// A message of a takeover, as both versions write it.
+/// Encodes a takeover message as both versions write it.
 fn message(body: &str) -> String {
     let checksum = xxhash_rust::xxh3::xxh3_64(body.as_bytes());
     format!("clayshore-handover 1 {} {checksum:016x}\n{body}", body.len())
 }
 
-/// Reads one message: its bytes as text, and the socket that came beside it.
+/// Reads one message; returns its text, and the socket that was passed beside it.
 fn read_message(stream: &UnixStream) -> (String, Option<OwnedFd>) {
     let (mut text, mut socket) = (String::new(), None);
     loop {
@@ -44,7 +45,7 @@
             RecvFlags::CMSG_CLOEXEC,
         );
         let count = received.expect("readable").bytes;
-        assert!(count > 0, "the connection ended behind {text:?}");
+        assert!(count > 0, "the connection ended after {text:?}");
         text += std::str::from_utf8(&bytes[..count]).expect("text");
         for message in ancillary.drain() {
             if let RecvAncillaryMessage::ScmRights(sockets) = message {
@@ -54,6 +55,7 @@
     }
 }
 
+/// Sends a text, and passes a socket beside it (SCM_RIGHTS).
 fn send_with_socket(stream: &UnixStream, text: &str, socket: &TcpListener) {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
@@ -64,19 +66,21 @@
     assert_eq!(sent, text.len());
 }
 
-/// The socket at which the processes of one gatherer find each other.
+/// Path of the takeover socket of the gatherer that listens at `listen`.
 fn takeover_path(folder: &TestFolder, listen: &str) -> PathBuf {
     let user = std::fs::metadata(&folder.0).expect("a folder").uid();
     folder.0.join(format!("clayshore-{user}-{}.sock", listen.replace(':', "-")))
 }
 
+/// The state in a takeover message.
 fn state(text: &str) -> Value {
     let (_, body) = text.split_once('\n').expect("a first line");
     serde_json::from_str::<Value>(body).expect("JSON")["state"].take()
 }
 
-/// Whether two values are the same. The release build reads the last digit of a fraction otherwise than it was written:
-/// `float_roundtrip` of `serde_json` is on in test builds alone, by a dependency of theirs.
+/// Whether two values are equal, up to the last digit of fractions: the release build does not read that
+/// digit as it was written, because `float_roundtrip` of `serde_json` is only turned on by a dependency of
+/// test builds.
 fn is_same(one: &Value, other: &Value) -> bool {
     match (one, other) {
         (Value::Array(one), Value::Array(other)) => {
@@ -94,21 +98,21 @@
     }
 }
 
-/// A process that has just taken over from the version before, which this test plays.
+/// A process that has just taken over from the earlier version, which the test plays.
 struct Takeover {
     _folder: TestFolder,
-    /// Discovery that never answers: what is known is what was handed over.
+    /// Discovery that never responds, so that the process has only the state that was handed over.
     _discovery: TcpListener,
     gatherer: Gatherer,
-    /// The predecessor's end of the connection.
+    /// The predecessor's end of the connection between the two processes.
     predecessor: UnixStream,
-    /// Where the process waits for a successor in its turn.
+    /// Path of the takeover socket, at which the process later accepts a successor.
     path: PathBuf,
-    /// What a successor says first.
+    /// The first message of a successor, its takeover request.
     takeover_request: String,
 }
 
-/// Hands over the recorded state and a listening socket to a new process, and waits until it serves.
+/// Hands over the recorded state and a listening socket to a new process, and waits until the process serves.
 fn take_over(name: &str) -> Takeover {
     let folder = TestFolder::new(name);
     let (listener, discovery) = (bind(), bind());
@@ -129,7 +133,7 @@
         stream
     });
     let gatherer = Gatherer::start(&folder, &config, None);
-    let predecessor = predecessor.join().expect("it hands over");
+    let predecessor = predecessor.join().expect("the predecessor hands over");
     Takeover { _folder: folder, _discovery: discovery, gatherer, predecessor, path, takeover_request }
 }
 
@@ -138,7 +142,7 @@
         self.gatherer.operate("GET", "/-/metrics").body
     }
 
-    /// Workers that are disabled by an operator or ejected as outliers.
+    /// Number of workers that are disabled by an operator or ejected as outliers.
     fn ejected(&self) -> u32 {
         let metrics = self.metrics();
         let line = metrics.lines().find_map(|line| line.strip_prefix("gatherer.ejected:"));
@@ -146,6 +150,7 @@
         count.parse().expect("a number")
     }
 
+    /// Waits until the readiness check responds with this text.
     fn wait_until_ready_says(&self, text: &str) {
         wait_until(text, || self.gatherer.operate("GET", "/-/ready").body.trim_end() == text);
     }
@@ -158,9 +163,9 @@
     assert!(metrics.contains("gatherer.discovered:3|g\n"), "{metrics}");
     assert_eq!(gatherer.operate("GET", "/-/ready").body, "ready, drained\n");
     predecessor.shutdown(Shutdown::Both).expect("shut down");
-    // Now this test plays a later start of the version before, and beside it one that comes too early.
+    // The test now plays a successor of the earlier version, and beside it a second one, which must wait.
     let mut successor = None;
-    wait_until("it can be taken over from", || {
+    wait_until("the process accepts a successor", || {
         successor = UnixStream::connect(path).ok();
         successor.is_some()
     });
@@ -168,9 +173,9 @@
     successor.set_read_timeout(Some(TIMEOUT)).expect("set");
     successor.write_all(takeover_request.as_bytes()).expect("written");
     let (text, socket) = read_message(&successor);
-    assert!(socket.is_some(), "the listening socket comes beside the state");
+    assert!(socket.is_some(), "the listening socket was passed beside the state");
     let (handed_over, recorded) = (state(&text), state(&fixture("handover-state.txt")));
-    assert!(is_same(&handed_over, &recorded), "{handed_over:#}\nis not\n{recorded:#}");
+    assert!(is_same(&handed_over, &recorded), "{handed_over:#}\ndiffers from\n{recorded:#}");
     let mut early = UnixStream::connect(path).expect("connected");
     early.set_read_timeout(Some(TIMEOUT)).expect("set");
     early.write_all(takeover_request.as_bytes()).expect("written");
