--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -60,7 +60,7 @@
 pub struct ProcessLimits {
     /// Number of descriptors that all processes may use.
     descriptors: usize,
-    /// Number of descriptors of each process that are not for connections of clients, workers or operators.
+    /// Number of descriptors of each process that stay open for good, and the reserve.
     baseline: usize,
     /// Number of descriptors guaranteed to operators' calls.
     operator_descriptors: usize,
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -136,8 +136,8 @@
         spawn_local(async move { connections.run_lifecycle_timers().await });
     }
 
-    /// Spawns the task that accepts clients, in an upgrade once this process may serve. The task owns the listener,
-    /// which closes when the task ends.
+    /// Spawns the task that accepts clients, in an upgrade once this process may serve. The listener closes when the
+    /// task ends, unless it is also held for a successor (see [`Upgrade`]).
     fn spawn_accepting(
         &self,
         listener: Rc<TcpListener>,
@@ -188,7 +188,8 @@
 }
 
 /// Shuts down gracefully: serves until the grace period is over, then rejects new queries and waits for the open ones.
-/// Returns whether every accepted query got its response within the longest deadline and [`RESPONSE_READ_GRACE`].
+/// Returns whether every query got its response and every connection closed within the longest deadline and
+/// [`RESPONSE_READ_GRACE`] after the grace period.
 async fn shut_down(
     broker: &Broker,
     connections: &ConnectionManager,
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -174,7 +174,9 @@
                 () = stop.received() => Ok(None),
                 listener = upgrade.obtain_listener() => listener.map(Some),
             },
-            (None, None) => Err(io::ErrorKind::NotFound.into()),
+            (None, None) => {
+                Err(io::Error::new(io::ErrorKind::NotFound, "no listening socket for clients was bound"))
+            }
         }
     }
 
--- a/src/program/settings.rs
+++ b/src/program/settings.rs
@@ -155,14 +155,14 @@
     /// # Errors
     /// The first setting, in the order of the checks, whose value is invalid.
     pub fn contracts(&self, seed: u64) -> Result<Contracts, InvalidSetting> {
-        let named = |list: &str, index: u32| {
+        let name_or_index = |list: &str, index: u32| {
             self.text(&format!("{list}.{index}.name")).map_or_else(|| index.to_string(), str::to_owned)
         };
         let (classes, tenants) = (self.count("categories.count")?, self.count("tenants.count")?);
         Ok(Contracts {
             settings: self.settings(seed)?,
-            classes: (0..classes).map(|index| named("categories", index)).collect(),
-            tenants: (0..tenants).map(|index| named("tenants", index)).collect(),
+            classes: (0..classes).map(|index| name_or_index("categories", index)).collect(),
+            tenants: (0..tenants).map(|index| name_or_index("tenants", index)).collect(),
             zones: self.names("localities"),
             limits: BrokerLimits {
                 max_open_requests: match self.count("allowed.max-open")? {
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -53,7 +53,7 @@
     serve_now: Notify,
     /// Whether a takeover request was rejected because another upgrade was under way, and none has succeeded since.
     waiting_for_upgrade: Cell<bool>,
-    /// The clients' listener, once it has been obtained.
+    /// The clients' listener, once it has been obtained. A successor receives a copy of it.
     listener: RefCell<Option<Rc<TcpListener>>>,
     /// The task that accepts further starting processes.
     accept_task: RefCell<Option<AbortHandle>>,
@@ -146,12 +146,12 @@
     /// Notifies the other process that this one stops. Returns the lifecycle request that SIGTERM stands for: a stop,
     /// or a hand-over if the other process continues the gatherer.
     pub fn announce_stop(&self) -> LifecycleRequest {
-        let stop = self.takeover.borrow().stop_signal_request();
+        let request = self.takeover.borrow().stop_signal_request();
         if let Err(error) = self.send_to_peer(Message::Stopping) {
             // The other process notices the end of the connection instead, and serves later.
             log::debug!("upgrade: the other process was not notified of the stop: {error}");
         }
-        stop
+        request
     }
 
     /// Removes the file of this process's takeover socket, at the end of the process.
@@ -174,13 +174,13 @@
     }
 
     fn notify(&self, change: OperatorChange<'_>) {
-        let change = match change {
+        let message = match change {
             OperatorChange::Disabled(worker) => Message::WorkerDisabled { worker: worker.to_owned() },
             OperatorChange::Enabled(worker) => Message::WorkerEnabled { worker: worker.to_owned() },
             OperatorChange::Drained => Message::Drain,
             OperatorChange::Resumed => Message::Resume,
         };
-        if let Err(error) = self.send_to_peer(change) {
+        if let Err(error) = self.send_to_peer(message) {
             log::error!("upgrade: an operator's change was not sent to the other process: {error}");
         }
     }
