--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -57,7 +57,7 @@
             return;
         };
         if dropped > 0 {
-            eprintln!("WARN log: {dropped} lines dropped");
+            eprintln!("WARN log: {dropped} lines dropped, limit is {LINES_PER_SECOND} lines per second");
         }
         let line: String = record.args().to_string().chars().take(MAX_LINE_CHARS).collect();
         eprintln!("{} {}", record.level(), line.replace(['\n', '\r'], " "));
--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -51,7 +51,7 @@
 pub struct MembershipSettings {
     /// The address at which this gatherer receives datagrams and connections of other members.
     pub listen: SocketAddr,
-    /// The address at which other members reach this gatherer; `listen` where it is absent.
+    /// The address at which other members reach this gatherer; `listen` if this key is absent.
     pub advertise: Option<SocketAddr>,
     /// Name of the cluster. Messages of members of other clusters are dropped.
     pub cluster: String,
--- a/src/program/resource_limits.rs
+++ b/src/program/resource_limits.rs
@@ -49,7 +49,7 @@
     pub descriptors: usize,
     /// Memory that all processes of the gatherer may use, in MiB.
     pub memory_mb: u64,
-    /// Number of descriptors that stay open for good, but are opened after the limits are read.
+    /// Number of descriptors that are opened after the limits are read, and stay open until the process ends.
     pub reserved_descriptors: usize,
     /// Whether the process serves the operators' API.
     pub has_operator_api: bool,
@@ -60,7 +60,7 @@
 pub struct ProcessLimits {
     /// Number of descriptors that all processes may use.
     descriptors: usize,
-    /// Number of descriptors of each process that stay open for good, and the reserve.
+    /// Number of descriptors of each process that stay open until it ends, and the reserve.
     baseline: usize,
     /// Number of descriptors guaranteed to operators' calls.
     operator_descriptors: usize,
--- a/src/program/upgrade/messages.rs
+++ b/src/program/upgrade/messages.rs
@@ -52,7 +52,7 @@
     }
 
     /// Applies a lifecycle request of the other process. A stopping process rejects requests to drain and to resume.
-    /// That is no error, since the other process continues the gatherer and has applied them itself.
+    /// The rejection is no error, since the other process continues the gatherer and has applied them itself.
     pub(super) fn apply_peer_request(&self, request: LifecycleRequest) {
         if let Err(error) = self.connections.apply_lifecycle(request) {
             log::debug!(
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -34,7 +34,7 @@
     }
     let mut malformed = TcpStream::connect(address).expect("connected");
     malformed.write_all(b"\x00\x01 nothing\r\n\r\n").expect("written");
-    assert_eq!(response(&mut malformed).expect("an answer").status, 400);
+    assert_eq!(response(&mut malformed).expect("a response").status, 400);
     // The API closes each connection after one call.
     let mut end = Vec::new();
     assert_eq!(malformed.read_to_end(&mut end).expect("the end"), 0);
@@ -42,7 +42,7 @@
     let mut client = gatherer.connect();
     for id in ["a1", "a2", "a3"] {
         query(&mut client, id, if id == "a3" { "seal" } else { "search" }).expect("written");
-        assert_eq!(response(&mut client).expect("an answer").status, 200);
+        assert_eq!(response(&mut client).expect("a response").status, 200);
     }
     worker.set_paused(true);
     query(&mut client, "a4", "search").expect("written");
@@ -67,15 +67,15 @@
     assert_eq!(call_operator_api(address, "GET", "/-/ready"), (503, "drained\n".to_owned()));
     let mut idle = gatherer.connect();
     idle.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
-    assert_eq!(response(&mut idle).expect("an answer").status, 503);
+    assert_eq!(response(&mut idle).expect("a response").status, 503);
     assert_eq!(idle.read(&mut [0]).expect("the end"), 0, "an idle connection is closed once drained");
     worker.set_paused(false);
-    assert_eq!(response(&mut client).expect("an answer").status, 200);
+    assert_eq!(response(&mut client).expect("a response").status, 200);
     assert_eq!(client.read(&mut [0]).expect("the end"), 0);
     assert_eq!(call_operator_api(address, "PUT", "/-/resume").0, 200);
     let mut resumed = gatherer.connect();
     resumed.write_all(b"GET /_health HTTP/1.1\r\n\r\n").expect("written");
-    assert_eq!(response(&mut resumed).expect("an answer").status, 200);
+    assert_eq!(response(&mut resumed).expect("a response").status, 200);
     assert_eq!(metric_value(address, "gatherer.succeeded.search"), 3);
 
     // SIGTERM during a drain stops the process, and resume is rejected.
@@ -88,7 +88,7 @@
     gatherer.wait_for_log("stopping: ");
     assert_eq!(call_operator_api(address, "PUT", "/-/resume").0, 409);
     worker.set_paused(false);
-    assert_eq!(response(&mut last_client).expect("an answer").status, 200);
+    assert_eq!(response(&mut last_client).expect("a response").status, 200);
     let mut gatherer = gatherer;
     assert!(gatherer.wait_for_exit());
 }
@@ -111,7 +111,7 @@
         for _ in 0..times {
             number += 1;
             query(&mut client, &format!("a{number}"), "search").expect("written");
-            assert_eq!(response(&mut client).expect("an answer").status, 200);
+            assert_eq!(response(&mut client).expect("a response").status, 200);
         }
     };
     send_queries(40);
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -23,7 +23,7 @@
 fn assert_one_query_is_answered(gatherer: &Gatherer, class: &str) {
     let mut client = gatherer.connect();
     query(&mut client, "a1", class).expect("written");
-    assert_eq!(response(&mut client).expect("an answer").status, 200);
+    assert_eq!(response(&mut client).expect("a response").status, 200);
 }
 
 /// Spawns a client that sends queries without a pause, on persistent connections, while `running` is set; its
@@ -146,7 +146,7 @@
     // The worker that was enabled again is in slow start, so some queries are rejected.
     for number in 0.. {
         query(&mut client, &format!("a{number}"), "search").expect("written");
-        let status = response(&mut client).expect("an answer").status;
+        let status = response(&mut client).expect("a response").status;
         assert!(status == 200 || status == 503, "{status}");
         if fixture.first_worker.parts_received() >= 5 {
             break;
@@ -239,7 +239,7 @@
     let mut client = first.connect();
     query(&mut client, "a1", "seal").expect("written");
     second.signal("-CONT");
-    assert_eq!(response(&mut client).expect("an answer").status, 200);
+    assert_eq!(response(&mut client).expect("a response").status, 200);
     assert_eq!(
         fixture.first_worker.max_deliveries_of_a_part().max(fixture.second_worker.max_deliveries_of_a_part()),
         1
