--- a/src/program/operator.rs
+++ b/src/program/operator.rs
@@ -1,8 +1,8 @@
-//! The operator's file: the optional features of an installation (records and membership), beside the platform's
-//! configuration. Everything in it is off where there is no such file.
+//! The operator's TOML file, which turns on the optional features of an installation: records and membership. Without
+//! the file, or without the section of a feature, the feature is off. All other settings are in the file of the front.
 
 use super::config_file::read_file;
-use super::errors::{ConfigError, FileContentError};
+use super::errors::{ConfigError, ConfigFileKind, FileContentError};
 use super::settings::InvalidSetting;
 use crate::membership::Timing;
 use crate::records::SegmentLimits;
@@ -12,13 +12,36 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Content of the file.
+/// Shortest secret of a cluster that may be configured, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// Highest number of other members that may be configured.
+const MAX_MEMBERS: usize = 10_000;
+/// Shortest time between two rounds of health checks, in milliseconds.
+const MIN_PERIOD_MS: u64 = 50;
+/// Longest time between two rounds of health checks, in milliseconds.
+const MAX_PERIOD_MS: u64 = 10_000;
+/// Shortest time from a member's suspected state to its dead one, in rounds of health checks.
+const MIN_DECLARE_DEAD_PERIODS: u64 = 4;
+/// Longest time from a member's suspected state to its dead one, in milliseconds.
+const MAX_DECLARE_DEAD_AFTER_MS: u64 = 600_000;
+/// Smallest size of a segment, in KiB.
+const MIN_SEGMENT_KB: u64 = 64;
+/// Largest size of a segment, in KiB.
+const MAX_SEGMENT_KB: u64 = 1 << 20;
+/// Highest age of a segment, in seconds.
+const MAX_SEGMENT_S: u64 = 7 * 86_400;
+/// Lowest total size of all segments, as a number of segments of full size.
+const MIN_SEGMENTS: u64 = 2;
+/// Highest total size of all segments, in KiB.
+const MAX_ALL_KB: u64 = 1 << 30;
+
+/// Content of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorFile {
-    /// Where records are stored; none are where this is absent.
+    /// Where records are stored, and how many; `None` turns records off.
     pub records: Option<RecordSettings>,
-    /// How this gatherer takes part in membership; it does not where this is absent.
+    /// How this gatherer takes part in membership; `None` turns membership off.
     pub membership: Option<MembershipSettings>,
 }
 
@@ -26,24 +49,25 @@
 #[derive(Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipSettings {
-    /// The address at which it receives datagrams and connections.
+    /// The address at which this gatherer receives datagrams and connections of other members.
     pub listen: SocketAddr,
-    /// The address at which others reach it, if that is another one.
+    /// The address at which other members reach this gatherer; `listen` if this key is absent.
     pub advertise: Option<SocketAddr>,
-    /// Messages from members of other clusters are dropped.
+    /// Name of the cluster. Messages of members of other clusters are dropped.
     pub cluster: String,
-    /// Shared by all members of the cluster and nobody else; without it, whoever reaches the address can take part.
+    /// Secret that authenticates messages, shared by all members of the cluster. Without one, every process that
+    /// reaches the address can take part.
     #[serde(default)]
     pub secret: String,
-    /// Addresses of some members, with which this one joins.
+    /// Addresses of some members, through which this gatherer joins the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Number of other members that are stored at most. The key keeps its name in the file.
+    /// Highest number of other members that are stored. The key in the file is `most`.
     #[serde(rename = "most", default = "default_max_members")]
     pub max_members: usize,
     /// Time between two rounds of health checks, in milliseconds.
     #[serde(default = "default_period_ms")]
     pub period_ms: u64,
-    /// Time from a member's suspected state to its dead one, in milliseconds. The key keeps its name in the file.
+    /// Time after which a suspected member is declared dead, in milliseconds. The key in the file is `bury_ms`.
     #[serde(rename = "bury_ms", default = "default_declare_dead_after_ms")]
     pub declare_dead_after_ms: u64,
 }
@@ -60,13 +84,13 @@
 
 impl fmt::Debug for MembershipSettings {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Omits the secret: what is printed may be stored.
+        // Leaves out the secret, since debug output may be logged or stored.
         out.debug_struct("Membership").field("listen", &self.listen).field("cluster", &self.cluster).finish()
     }
 }
 
 impl MembershipSettings {
-    /// The protocol's times.
+    /// The intervals and time-outs of the membership protocol.
     #[must_use]
     pub fn timing(&self) -> Timing {
         let (period, declare_dead_after) =
@@ -82,46 +106,55 @@
 
     fn check(&self) -> Result<(), InvalidSetting> {
         if self.cluster.is_empty() {
-            return Err(InvalidSetting::new("membership.cluster", "it needs a name"));
+            return Err(InvalidSetting::new("membership.cluster", "found an empty text, expected a name"));
         }
-        if !self.secret.is_empty() && self.secret.len() < 16 {
-            return Err(InvalidSetting::new("membership.secret", "16 bytes at least, or none"));
+        if !self.secret.is_empty() && self.secret.len() < MIN_SECRET_BYTES {
+            // The secret itself must not reach the log.
+            let reason =
+                format!("found {} bytes, expected at least {MIN_SECRET_BYTES}, or none", self.secret.len());
+            return Err(InvalidSetting::new("membership.secret", reason));
         }
-        if !(1..=10_000).contains(&self.max_members) {
-            return Err(InvalidSetting::new("membership.most", "1 to 10,000"));
+        if !(1..=MAX_MEMBERS).contains(&self.max_members) {
+            let expected = format!("1 to {MAX_MEMBERS}");
+            return Err(InvalidSetting::unexpected("membership.most", self.max_members, expected));
         }
-        if !(50..=10_000).contains(&self.period_ms) {
-            return Err(InvalidSetting::new("membership.period_ms", "50 ms to 10 s"));
+        if !(MIN_PERIOD_MS..=MAX_PERIOD_MS).contains(&self.period_ms) {
+            let expected = format!("{MIN_PERIOD_MS} to {MAX_PERIOD_MS}");
+            return Err(InvalidSetting::unexpected("membership.period_ms", self.period_ms, expected));
         }
-        if self.declare_dead_after_ms < 4 * self.period_ms || self.declare_dead_after_ms > 600_000 {
-            return Err(InvalidSetting::new(
+        let min_declare_dead_after_ms = MIN_DECLARE_DEAD_PERIODS * self.period_ms;
+        if !(min_declare_dead_after_ms..=MAX_DECLARE_DEAD_AFTER_MS).contains(&self.declare_dead_after_ms) {
+            let min = format!("{min_declare_dead_after_ms} ({MIN_DECLARE_DEAD_PERIODS} times period_ms)");
+            let expected = format!("{min} to {MAX_DECLARE_DEAD_AFTER_MS}");
+            return Err(InvalidSetting::unexpected(
                 "membership.bury_ms",
-                "four periods at least, 10 minutes at most",
+                self.declare_dead_after_ms,
+                expected,
             ));
         }
-        if self.advertise.unwrap_or(self.listen).ip().is_unspecified() {
-            return Err(InvalidSetting::new(
-                "membership.advertise",
-                "an address at which others reach this one",
-            ));
+        let advertised = self.advertise.unwrap_or(self.listen);
+        if advertised.ip().is_unspecified() {
+            let expected = "an IP address at which other members reach this one (membership.listen where the key is \
+                            absent)";
+            return Err(InvalidSetting::unexpected("membership.advertise", advertised, expected));
         }
         Ok(())
     }
 }
 
-/// Where records are stored, and how many.
+/// Where records are stored, and in segments of which size and age.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordSettings {
-    /// The folder; it is created where it does not exist.
+    /// The folder of the segments. It is created if it does not exist.
     pub folder: PathBuf,
-    /// Size of a segment, in kB.
+    /// Size of a segment, in KiB.
     #[serde(default = "default_segment_kb")]
     pub segment_kb: u64,
     /// Age of a segment at which the next one begins, in seconds.
     #[serde(default = "default_segment_s")]
     pub segment_s: u64,
-    /// Total size of all segments of one gatherer, in kB.
+    /// Total size of all segments of one gatherer, in KiB.
     #[serde(default = "default_all_kb")]
     pub all_kb: u64,
 }
@@ -137,15 +170,11 @@
 }
 
 impl RecordSettings {
-    /// The limits of segments.
+    /// The size and age limits of segments.
     #[must_use]
-    pub fn bounds(&self) -> SegmentLimits {
-        let (segment, all) = (self.segment_kb << 10, self.all_kb << 10);
-        SegmentLimits {
-            segment_bytes: segment,
-            max_age: Duration::from_secs(self.segment_s),
-            total_bytes: all,
-        }
+    pub fn segment_limits(&self) -> SegmentLimits {
+        let (segment_bytes, total_bytes) = (self.segment_kb << 10, self.all_kb << 10);
+        SegmentLimits { segment_bytes, max_age: Duration::from_secs(self.segment_s), total_bytes }
     }
 }
 
@@ -153,17 +182,17 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// The file cannot be read, or one of its values cannot be used.
+    /// The file cannot be read, is no valid TOML, or has an unknown key or an invalid value.
     pub fn read(path: &str) -> Result<OperatorFile, ConfigError> {
-        read_file(path, std::fs::read_to_string, |text| OperatorFile::parse(&text))
+        read_file(path, ConfigFileKind::Operator, std::fs::read_to_string, |text| OperatorFile::parse(&text))
     }
 
     /// Parses and checks the text of a file.
     ///
     /// # Errors
-    /// Names the line and the key that cannot be used.
+    /// Names the line, and for an unknown key or an invalid value also the key.
     pub fn parse(text: &str) -> Result<OperatorFile, FileContentError> {
-        let file: OperatorFile = toml::from_str(text).map_err(FileContentError::OperatorToml)?;
+        let file: OperatorFile = toml::from_str(text)?;
         file.check().map_err(|error| match line_number_of(text, &error.path) {
             Some(line) => FileContentError::InvalidLine { line, error },
             None => FileContentError::InvalidSetting(error),
@@ -177,23 +206,27 @@
     }
 }
 
-/// Number of the line that sets a key, found by the last name of its path.
+/// Number of the first line that sets a key with the last name of this path, counted from 1.
 fn line_number_of(text: &str, path: &str) -> Option<usize> {
     let key = path.rsplit('.').next().unwrap_or(path);
-    let sets = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
-    text.lines().position(sets).map(|at| at + 1)
+    let sets_key = |line: &str| line.split('=').next().is_some_and(|name| name.trim() == key);
+    text.lines().position(sets_key).map(|index| index + 1)
 }
 
 impl RecordSettings {
     fn check(&self) -> Result<(), InvalidSetting> {
-        if !(64..=1 << 20).contains(&self.segment_kb) {
-            return Err(InvalidSetting::new("records.segment_kb", "64 kB to 1 GB"));
+        if !(MIN_SEGMENT_KB..=MAX_SEGMENT_KB).contains(&self.segment_kb) {
+            let expected = format!("{MIN_SEGMENT_KB} to {MAX_SEGMENT_KB} (1 GiB)");
+            return Err(InvalidSetting::unexpected("records.segment_kb", self.segment_kb, expected));
         }
-        if !(1..=7 * 86_400).contains(&self.segment_s) {
-            return Err(InvalidSetting::new("records.segment_s", "1 second to a week"));
+        if !(1..=MAX_SEGMENT_S).contains(&self.segment_s) {
+            let expected = format!("1 to {MAX_SEGMENT_S} (a week)");
+            return Err(InvalidSetting::unexpected("records.segment_s", self.segment_s, expected));
         }
-        if self.all_kb < 2 * self.segment_kb || self.all_kb > 1 << 30 {
-            return Err(InvalidSetting::new("records.all_kb", "two segments at least, 1 TB at most"));
+        let min_all_kb = MIN_SEGMENTS * self.segment_kb;
+        if !(min_all_kb..=MAX_ALL_KB).contains(&self.all_kb) {
+            let expected = format!("{min_all_kb} ({MIN_SEGMENTS} times segment_kb) to {MAX_ALL_KB} (1 TiB)");
+            return Err(InvalidSetting::unexpected("records.all_kb", self.all_kb, expected));
         }
         Ok(())
     }
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -1,6 +1,7 @@
-//! The records of one process: its start, its metrics each second, changes, and its stop. It decides when to write; the
-//! writer in `records` owns the files.
+//! Decides which records a process writes and when: its start, its metrics each second, events, and its stop. The
+//! writer in [`crate::records`] owns the files.
 
+use super::errors::with_context;
 use super::operator::RecordSettings;
 use crate::limits::DescriptorClass;
 use crate::records::folder::Recorder;
@@ -14,18 +15,19 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time between two records of metrics.
+/// Interval between two records of metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The records of one process; nothing is written where no folder is configured.
+/// The recorder of one process, or nothing if no folder is configured: then every call does nothing.
 #[derive(Clone, Default)]
 pub struct Recording(Rc<RefCell<Option<Recorder>>>);
 
 impl Recording {
-    /// Starts recording, if a folder is configured. `incarnation` identifies this start of this gatherer, and no other.
+    /// Starts the recorder if a folder is configured, and writes the start record with a digest of `configuration`.
+    /// `incarnation` must be unique among the starts of this gatherer.
     ///
     /// # Errors
-    /// The folder cannot be created or written.
+    /// The thread that writes records cannot be started.
     pub fn start(
         records: Option<&RecordSettings>,
         gatherer: &str,
@@ -34,7 +36,8 @@
         broker: &Broker,
     ) -> io::Result<Recording> {
         let Some(records) = records else { return Ok(Recording::default()) };
-        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.bounds())?;
+        let recorder = Recorder::start(&records.folder, gatherer, incarnation, records.segment_limits())
+            .map_err(with_context("cannot start the thread that writes records"))?;
         let recording = Recording(Rc::new(RefCell::new(Some(recorder))));
         let (classes, tenants) = broker.with_core(|core| {
             core.metrics = Some(Default::default());
@@ -45,14 +48,15 @@
         Ok(recording)
     }
 
-    /// Writes one record.
+    /// Queues one record for the writer.
     pub fn record(&self, body: RecordBody) {
         if let Some(recorder) = &mut *self.0.borrow_mut() {
             recorder.record(body);
         }
     }
 
-    /// Writes metrics each second; ends only with its task, or at once where nothing is recorded.
+    /// Writes a record of metrics each second. Returns at once if nothing is recorded, else runs until its task is
+    /// aborted.
     pub async fn record_periodically(self, broker: Broker, connections: Rc<ConnectionManager>) {
         if self.0.borrow().is_none() {
             return;
@@ -64,7 +68,8 @@
         }
     }
 
-    /// Writes what has happened since the last call.
+    /// Writes the events and the metrics since the last call, and the begin or end of an overload where `overload` is
+    /// given.
     fn record_metrics(
         &self,
         broker: &Broker,
@@ -72,28 +77,28 @@
         overload: Option<&mut OverloadDetector>,
     ) {
         let snapshot = broker.with_core(|core| {
-            let second = core.metrics.as_mut().map(|figures| figures.take_snapshot())?;
-            Some((std::mem::take(&mut core.record_events), second, core.open_queries()))
+            let metrics = core.metrics.as_mut().map(|metrics| metrics.take_snapshot())?;
+            Some((std::mem::take(&mut core.record_events), metrics, core.open_queries()))
         });
-        let Some((events, mut second, open)) = snapshot else { return };
+        let Some((events, mut metrics, open_queries)) = snapshot else { return };
         events.into_iter().for_each(|body| self.record(body));
-        second.open = open;
-        (second.descriptors, second.clients) = connections
-            .descriptor_pool()
-            .descriptors(|all| (all.budget().usable - all.free(), all.held(DescriptorClass::Clients)));
-        second.buffered = connections.descriptor_pool().buffered_bytes();
-        if let Some(begins) = overload.and_then(|overload| overload.observe(&second)) {
+        metrics.open = open_queries;
+        (metrics.descriptors, metrics.clients) = connections.descriptor_pool().descriptors(|allocator| {
+            (allocator.budget().usable - allocator.free(), allocator.held(DescriptorClass::Clients))
+        });
+        metrics.buffered = connections.descriptor_pool().buffered_bytes();
+        if let Some(begins) = overload.and_then(|overload| overload.observe(&metrics)) {
             self.record(RecordBody::Overload { begins });
         }
-        self.record(RecordBody::Metrics(second));
+        self.record(RecordBody::Metrics(metrics));
     }
 
-    /// Writes the rest and the stop, and closes the files. `all_answered` says whether every accepted query had its
-    /// response.
+    /// Writes the last events and metrics, and the stop record if every accepted query got its response
+    /// (`all_answered`); then closes the recorder.
     pub fn finish(self, broker: &Broker, connections: &ConnectionManager, all_answered: bool) {
-        // The rest of a second is too short for the detection of overload.
+        // A partial interval is too short to detect an overload.
         self.record_metrics(broker, connections, None);
-        // Without the stop record the unanswered queries are reported as unknown instead of being hidden.
+        // Without the stop record, the report counts the unanswered queries as unknown instead of hiding them.
         if all_answered {
             self.record(RecordBody::Stop);
         }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -1,5 +1,5 @@
-//! The life of a process that serves. `platform` and `opensearch` start one with either front; this module has what both
-//! share: retries at the start, the runtime, serving until SIGTERM, and the shutdown.
+//! The life of a serving process. `platform` and `opensearch` start one with their front; this module owns what both
+//! share: retries at the start, the runtime, serving until SIGTERM, and the graceful shutdown.
 
 mod opensearch;
 mod platform;
@@ -7,10 +7,10 @@
 pub use opensearch::serve_opensearch;
 pub use platform::serve_platform;
 
-use super::errors::{CommandError, ConfigError};
+use super::errors::{CommandError, ConfigError, with_context};
 use super::recording::Recording;
 use super::resource_limits::ProcessLimits;
-use super::signals::ShutdownSignal;
+use super::signals::{self, ReloadSignal, ShutdownSignal};
 use super::upgrade::Upgrade;
 use crate::fronts::counters_text;
 use crate::limits::descriptors::DescriptorLimitTooLow;
@@ -31,28 +31,42 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// How often a shutdown checks whether every query has its response.
+/// Interval at which a shutdown checks whether every query has its response.
 const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time after the longest deadline in which clients may still read their responses; then the process ends.
+/// Time after the longest deadline in which clients may still read their responses, before the process ends.
 const RESPONSE_READ_GRACE: Duration = Duration::from_millis(300);
 
-/// How long a call that the start needs is retried after transient errors, before the start fails.
+/// How long a system call that the start needs is retried after transient errors, before the start fails.
 pub const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(8);
 
-/// Makes a call that the start needs, and retries it after transient errors.
+/// Makes a system call that the start needs, and retries it after transient errors.
 async fn retry_at_startup<T>(call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     errors::retry(STARTUP_RETRY_LIMIT, errors::is_transient, call).await
 }
 
+/// Installs the signal handlers, and retries after transient errors.
+async fn install_signal_handlers() -> io::Result<(ReloadSignal, ShutdownSignal)> {
+    retry_at_startup(async || signals::install())
+        .await
+        .map_err(with_context("cannot install the signal handlers"))
+}
+
+/// Binds a listening socket, and retries after transient errors.
+async fn bind_at_startup(address: SocketAddr) -> io::Result<TcpListener> {
+    retry_at_startup(async || TcpListener::bind(address).await)
+        .await
+        .map_err(with_context(format!("cannot listen at {address}")))
+}
+
 /// Reads the configuration, and retries after transient errors.
 async fn read_at_startup<T>(read: &impl Fn() -> Result<T, ConfigError>) -> Result<T, ConfigError> {
-    let (since, mut pauses) = (Instant::now(), RetryDelays::default());
+    let (started_at, mut delays) = (Instant::now(), RetryDelays::default());
     loop {
         match read() {
-            Err(error) if error.is_transient() && since.elapsed() < STARTUP_RETRY_LIMIT => {
-                tokio::time::sleep(pauses.next_delay()).await;
+            Err(error) if error.is_transient() && started_at.elapsed() < STARTUP_RETRY_LIMIT => {
+                tokio::time::sleep(delays.next_delay()).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
@@ -61,6 +75,7 @@
 fn runtime() -> io::Result<Runtime> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     errors::retry_blocking(STARTUP_RETRY_LIMIT, errors::is_transient, build)
+        .map_err(with_context("cannot start the runtime"))
 }
 
 /// Runs `main` to its end on a runtime of one thread.
@@ -69,9 +84,9 @@
     LocalSet::new().block_on(&runtime, main)
 }
 
-/// What serving needs beside a front and its listener, and what a shutdown ends.
+/// The parts of a serving process that do not depend on its front, and that a shutdown ends.
 struct ServingProcess {
-    /// The gatherer's name in the log.
+    /// Name of the gatherer in the log.
     name: String,
     broker: Broker,
     connections: Rc<ConnectionManager>,
@@ -82,24 +97,25 @@
 }
 
 impl ServingProcess {
-    /// Serves one front, from its first connection to its last response.
+    /// Serves a front until SIGTERM, and then shuts down gracefully.
     async fn run(
         mut self,
         listener: Rc<TcpListener>,
-        carrier: impl WorkerTransport + 'static,
+        transport: impl WorkerTransport + 'static,
         front: impl Front + 'static,
     ) -> io::Result<()> {
         let longest_deadline = self.broker.with_core(|core| longest_deadline(core.contracts()));
         let address = listener.local_addr()?;
-        self.spawn_drivers(carrier);
+        self.spawn_background_tasks(transport);
         let recording_task = spawn_local(
             self.recording.clone().record_periodically(self.broker.clone(), self.connections.clone()),
         );
-        let accepting = self.spawn_accepting(listener, address, front);
+        let accept_task = self.spawn_accepting(listener, address, front);
         self.stop.received().await;
         let lifecycle_request = self.announce_stop();
         let all_answered =
-            shut_down(&self.broker, &self.connections, lifecycle_request, longest_deadline, accepting).await;
+            shut_down(&self.broker, &self.connections, lifecycle_request, longest_deadline, accept_task)
+                .await;
         recording_task.abort();
         self.recording.finish(&self.broker, &self.connections, all_answered);
         if let Some(upgrade) = self.upgrade {
@@ -109,95 +125,103 @@
         Ok(())
     }
 
-    /// Spawns what acts by itself: the broker's steps, evictions of connections, and the timers of the lifecycle.
-    fn spawn_drivers(&self, carrier: impl WorkerTransport + 'static) {
+    /// Spawns the tasks that run until the process ends: steps of the broker, evictions of connections, and timers of
+    /// the lifecycle.
+    fn spawn_background_tasks(&self, transport: impl WorkerTransport + 'static) {
         let broker = self.broker.clone();
-        spawn_local(async move { broker.drive(&carrier).await });
+        spawn_local(async move { broker.drive(&transport).await });
         let connections = self.connections.clone();
         spawn_local(async move { connections.run_evictions().await });
         let connections = self.connections.clone();
         spawn_local(async move { connections.run_lifecycle_timers().await });
     }
 
-    /// Accepts clients once an upgrade, if there is one, lets this process serve. The task owns the listener: it is closed
-    /// when nothing new is accepted.
+    /// Spawns the task that accepts clients, in an upgrade once this process may serve. The listener closes when the
+    /// task ends, unless it is also held for a successor (see [`Upgrade`]).
     fn spawn_accepting(
         &self,
         listener: Rc<TcpListener>,
         address: SocketAddr,
         front: impl Front + 'static,
     ) -> JoinHandle<()> {
-        let serving_line = format!("{} serving on {address}", self.name);
+        let log_line = format!("{} serving on {address}", self.name);
         let (connections, upgrade) = (self.connections.clone(), self.upgrade.clone());
         spawn_local(async move {
             if let Some(upgrade) = upgrade {
                 upgrade.wait_until_ready().await;
                 upgrade.announce_serving();
             }
-            log::info!("{serving_line}");
+            log::info!("{log_line}");
             listener::accept_connections(listener, Rc::new(front), connections).await;
         })
     }
 
-    /// Announces the stop to the other process of an upgrade and to the members; returns how this process has to stop.
+    /// Announces the stop to the other process of an upgrade and to the members of the cluster. Returns the request
+    /// with which this process stops: a hand-over if the other process continues the gatherer.
     fn announce_stop(&self) -> LifecycleRequest {
         let lifecycle_request =
             self.upgrade.as_ref().map_or(LifecycleRequest::Stop, |upgrade| upgrade.announce_stop());
         if let Some(members) = &self.members {
-            // In an upgrade the other process takes over the address and the name.
+            // After a hand-over, the other process takes over the address and the name of the member.
             members.leave(lifecycle_request == LifecycleRequest::HandOver);
         }
         lifecycle_request
     }
 }
 
-/// The configuration as text, to identify it by. It omits the seed, which is new with each start.
+/// Formats the configuration as text for its digest in the records. The seed is left out, since it may differ at each
+/// start.
 fn configuration_text(contracts: &Contracts) -> String {
     let settings = Settings { seed: 0, ..contracts.settings.clone() };
     format!("{:?}", Contracts { settings, ..contracts.clone() })
 }
 
-/// The longest deadline of any class.
+/// The longest deadline of all classes.
 fn longest_deadline(contracts: &Contracts) -> Duration {
     contracts.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
 }
 
-/// A descriptor pool for a process that shares its limits with no other.
+/// Creates the descriptor pool of a process that shares its limits with no other one yet.
 fn new_descriptor_pool(process_limits: &ProcessLimits) -> Result<Rc<DescriptorPool>, DescriptorLimitTooLow> {
-    let plan = process_limits.descriptor_budget(1)?;
-    Ok(DescriptorPool::new(plan, process_limits.buffer_bytes(1)))
+    let budget = process_limits.descriptor_budget(1)?;
+    Ok(DescriptorPool::new(budget, process_limits.buffer_bytes(1)))
 }
 
-/// Shuts down gracefully: serves the grace period, then accepts nothing new, and returns `true` once every accepted query
-/// has its response, or `false` once the time for that is over.
+/// Shuts down gracefully: serves until the grace period is over, then rejects new queries and waits for the open ones.
+/// Returns whether every query got its response and every connection closed within the longest deadline and
+/// [`RESPONSE_READ_GRACE`] after the grace period.
 async fn shut_down(
     broker: &Broker,
     connections: &ConnectionManager,
-    stop: LifecycleRequest,
+    request: LifecycleRequest,
     longest_deadline: Duration,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 ) -> bool {
     log::info!("stopping: grace period begins, open_connections={}", connections.open_connections());
-    if let Err(error) = connections.apply_lifecycle(stop) {
-        // A second stop is the same as the first, and no error.
-        log::debug!("stopping: {stop:?} is not applied: {error}");
+    if let Err(error) = connections.apply_lifecycle(request) {
+        // The process is stopping already, for example after a first SIGTERM.
+        log::debug!("stopping: lifecycle request {request:?} was not applied: {error}");
     }
     connections.wait_for_closing().await;
-    log::info!("stopping: nothing new is accepted");
-    let all_answered = async {
-        // Whoever has connected must be accepted first: else the process could end between two waiting connections.
-        if let Err(error) = accepting.await {
+    log::info!("stopping: grace period over, new queries are rejected");
+    let wait_for_responses = async {
+        // Connections in the backlog must be accepted first: the process could otherwise end between two of them.
+        if let Err(error) = accept_task.await {
             log::error!("stopping: the accept task failed: {error}");
         }
-        // A non-idempotent search continues without its client, so that its outcome can be asked for.
+        // A non-idempotent query continues after its client has disconnected, so that its outcome can be asked for
+        // later.
         while connections.open_connections() > 0 || broker.with_core(|core| core.open_queries()) > 0 {
             tokio::time::sleep(COMPLETION_POLL_INTERVAL).await;
         }
     };
-    let all_answered =
-        tokio::time::timeout(longest_deadline + RESPONSE_READ_GRACE, all_answered).await.is_ok();
+    let time_limit = longest_deadline + RESPONSE_READ_GRACE;
+    let all_answered = tokio::time::timeout(time_limit, wait_for_responses).await.is_ok();
     if !all_answered {
-        log::warn!("stopping: time is over, open_connections={}", connections.open_connections());
+        log::warn!(
+            "stopping: queries or connections still open after {time_limit:?}, open_connections={}",
+            connections.open_connections()
+        );
         let open = broker.with_core(|core| core.open_queries());
         if open > 0 {
             broker.report_violation(
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -1,8 +1,9 @@
-//! The successor's side of an upgrade: finds the predecessor, takes its listening socket and state over, and follows it until it
-//! ends. Where there is none it binds the address.
+//! The successor's side of an upgrade: finds the predecessor, takes over its listening socket and its state, and
+//! exchanges messages with it until it ends. Binds the address itself if there is no predecessor.
 
 use super::Upgrade;
 use super::{LOCAL_RETRY_INTERVAL, REPLY_TIMEOUT, RETRY_INTERVAL};
+use crate::program::errors::with_context;
 use crate::protocol::handover::{Message, TakeoverState};
 use crate::routing::Invariant;
 use crate::service::lifecycle::LifecycleRequest;
@@ -17,29 +18,30 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// How long an unreachable predecessor is retried before this process listens beside it: one that hangs must not keep this
-/// one from serving.
+/// How long an unreachable predecessor is retried before this process listens beside it: a predecessor that hangs must
+/// not keep this process from serving.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long binding an address that is in use is retried: its process may be about to end.
+/// How long binding is retried while the address is in use, whose process may be about to end.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Number of connections that may wait to be accepted.
+/// Length of the backlog of the listening socket, in connections.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Result of one request to a predecessor to hand over.
+/// The result of one takeover request.
 enum TakeoverReply {
     /// There is no predecessor.
     NoPredecessor,
-    /// Another upgrade is under way; try again later.
-    MustWait,
+    /// Another upgrade is under way; the request must be repeated later.
+    InProgress,
     /// The predecessor sent its state and its listening socket.
-    HandsOver(Box<TakeoverState>, TcpListener, TakeoverChannel),
-    /// Only the listening socket can be used; the state is of another version or damaged. Says why.
+    StateAndListener(Box<TakeoverState>, TcpListener, TakeoverChannel),
+    /// The predecessor sent its listening socket without a usable state: the state is damaged or of another version, or
+    /// another message came in its place. The text names the reason.
     ListenerOnly(TcpListener, String),
-    /// A predecessor seems to exist, and cannot be reached. Says why.
+    /// A predecessor seems to exist, but cannot be reached. The text names the reason.
     Unreachable(String),
 }
 
-/// How long a predecessor has been unreachable, and whether that has been logged.
+/// Since when a predecessor has been unreachable, and whether that has been logged.
 struct UnreachablePredecessor {
     since: Instant,
     logged: bool,
@@ -58,37 +60,43 @@
 
     fn log_once(&mut self, reason: &str) {
         if !std::mem::replace(&mut self.logged, true) {
-            log::warn!("upgrade: the predecessor cannot be reached yet, retrying: {reason}");
+            log::warn!(
+                "upgrade: cannot reach the predecessor, retrying for {UNREACHABLE_TIMEOUT:?}: {reason}"
+            );
         }
     }
 }
 
 impl Upgrade {
-    /// Requests the takeover for as long as the predecessor says to wait. An unreachable one is retried for a while: two
-    /// processes that do not know of each other would each use the limits of both.
+    /// Requests the takeover until it succeeds or there is no predecessor; returns the listening socket if one was
+    /// taken over. An unreachable predecessor is retried for [`UNREACHABLE_TIMEOUT`], because two processes that are
+    /// not in contact would each use the whole limits of the gatherer.
     pub(super) async fn take_over(self: &Rc<Self>) -> Option<TcpListener> {
         let mut unreachable = UnreachablePredecessor::default();
         loop {
             match self.request_takeover().await {
                 TakeoverReply::NoPredecessor => return None,
-                TakeoverReply::MustWait => {
+                TakeoverReply::InProgress => {
                     if !self.waiting_for_upgrade.replace(true) {
-                        log::warn!("upgrade: waiting, another upgrade is under way");
+                        log::warn!("upgrade: waiting for another upgrade to end");
                     }
                     unreachable = UnreachablePredecessor::default();
                 }
-                TakeoverReply::HandsOver(state, listener, channel) => {
+                TakeoverReply::StateAndListener(state, listener, channel) => {
                     self.waiting_for_upgrade.set(false);
                     self.start_as_successor(*state, channel).await;
                     return Some(listener);
                 }
                 TakeoverReply::ListenerOnly(listener, reason) => {
-                    log::warn!("upgrade: only the listening socket was taken over: {reason}");
+                    log::warn!(
+                        "upgrade: took over the listening socket without the predecessor's state: {reason}"
+                    );
                     return Some(listener);
                 }
                 TakeoverReply::Unreachable(reason) if unreachable.is_timed_out() => {
                     log::error!(
-                        "upgrade: nothing was taken over, this process listens beside another: {reason}"
+                        "upgrade: takeover failed, this process listens at {} beside the predecessor: {reason}",
+                        self.listen
                     );
                     self.broker.report_violation(Invariant::SingleListeningProcess, &reason);
                     return None;
@@ -105,39 +113,43 @@
             Ok(Ok(Some(channel))) => channel,
             Ok(Ok(None)) => return TakeoverReply::NoPredecessor,
             Ok(Err(error)) => return TakeoverReply::Unreachable(error.to_string()),
-            Err(_) => return TakeoverReply::Unreachable("it accepts no connection".to_owned()),
+            Err(_) => {
+                return TakeoverReply::Unreachable(format!(
+                    "connection not accepted within {REPLY_TIMEOUT:?}"
+                ));
+            }
         };
-        let join = Message::TakeoverRequest { listen: self.listen.to_string() };
+        let request = Message::TakeoverRequest { listen: self.listen.to_string() };
         let exchange = async {
-            match channel.send(&join).await {
+            match channel.send(&request).await {
                 Ok(()) => channel.receive_with_socket().await,
                 Err(error) => (Err(error), None),
             }
         };
         let Ok((reply, socket)) = timeout(REPLY_TIMEOUT, exchange).await else {
-            return TakeoverReply::Unreachable("it does not reply".to_owned());
+            return TakeoverReply::Unreachable(format!("no reply within {REPLY_TIMEOUT:?}"));
         };
-        let listener = socket.and_then(|socket| self.checked_listener(socket));
+        let listener = socket.and_then(|socket| self.verify_listener(socket));
         match (reply, listener) {
             (Ok(Message::TakeoverState(state)), Some(listener)) => {
-                TakeoverReply::HandsOver(state, listener, channel)
+                TakeoverReply::StateAndListener(state, listener, channel)
             }
             (Ok(Message::TakeoverState(_)), None) => {
-                TakeoverReply::Unreachable("its listening socket was not received".to_owned())
+                TakeoverReply::Unreachable("the state arrived without the listening socket".to_owned())
             }
-            (Ok(Message::TakeoverInProgress), _) => TakeoverReply::MustWait,
+            (Ok(Message::TakeoverInProgress), _) => TakeoverReply::InProgress,
             (Ok(other), Some(listener)) => {
-                TakeoverReply::ListenerOnly(listener, format!("unexpected {other:?}"))
+                TakeoverReply::ListenerOnly(listener, format!("unexpected reply {other:?}"))
             }
-            (Ok(other), None) => TakeoverReply::Unreachable(format!("unexpected {other:?}")),
+            (Ok(other), None) => TakeoverReply::Unreachable(format!("unexpected reply {other:?}")),
             (Err(error), Some(listener)) => TakeoverReply::ListenerOnly(listener, error.to_string()),
             (Err(error), None) => TakeoverReply::Unreachable(error.to_string()),
         }
     }
 
-    /// Applies the predecessor's state, and receives its messages until it ends.
+    /// Applies the predecessor's state, and spawns the task that exchanges messages with it.
     async fn start_as_successor(self: &Rc<Self>, state: TakeoverState, channel: TakeoverChannel) {
-        let taken_over = format!(
+        let summary = format!(
             "workers={} disabled={}",
             state.list.workers.len(),
             state.disabled_workers.names().count()
@@ -146,16 +158,20 @@
         self.apply_state(state);
         self.takeover.borrow_mut().begin_as_successor();
         self.divide_resources().await;
-        log::info!("upgrade: taking over, {taken_over}");
+        log::info!("upgrade: taking over, {summary}");
         spawn_local(async move { upgrade.follow_predecessor(channel, messages).await });
     }
 
-    /// The received socket, if it listens at this gatherer's address. `None` too where the system refuses to use it: the
-    /// caller requests the takeover again.
-    fn checked_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
+    /// Returns the received socket if it listens at this gatherer's address. `None` also if the system call to use it
+    /// fails: the caller then requests the takeover again.
+    fn verify_listener(&self, socket: OwnedFd) -> Option<TcpListener> {
         let listener = std::net::TcpListener::from(socket);
-        if listener.local_addr().ok() != Some(self.listen) {
-            log::warn!("upgrade: a listening socket of another address was received and is not used");
+        let address = listener.local_addr();
+        if address.as_ref().ok() != Some(&self.listen) {
+            log::warn!(
+                "upgrade: received listening socket not used: expected {}, found {address:?}",
+                self.listen
+            );
             return None;
         }
         listener.set_nonblocking(true).ok()?;
@@ -172,18 +188,23 @@
         }
     }
 
-    /// Binds a listening socket. It allows a second process to bind the same address, where no takeover is possible.
+    /// Binds the listening socket, and retries while the address is in use or the error is transient. A second process
+    /// may bind the same address (SO_REUSEPORT), for the case that a takeover fails.
     pub(super) async fn bind(&self) -> io::Result<TcpListener> {
-        let since = Instant::now();
+        let started_at = Instant::now();
         loop {
             match self.try_bind() {
-                Err(error) if since.elapsed() < BIND_TIMEOUT && error.kind() == io::ErrorKind::AddrInUse => {
+                Err(error)
+                    if started_at.elapsed() < BIND_TIMEOUT && error.kind() == io::ErrorKind::AddrInUse =>
+                {
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
-                Err(error) if since.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
+                Err(error) if started_at.elapsed() < BIND_TIMEOUT && errors::is_transient(&error) => {
                     tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
                 }
-                bound => return bound,
+                result => {
+                    return result.map_err(with_context(format!("cannot listen at {}", self.listen)));
+                }
             }
         }
     }
@@ -196,7 +217,7 @@
         socket.listen(LISTEN_BACKLOG)
     }
 
-    /// The successor's side: exchanges messages with the predecessor until it ends.
+    /// Exchanges messages with the predecessor until it ends, and takes over its share of the limits then.
     async fn follow_predecessor(self: Rc<Self>, channel: TakeoverChannel, messages: mpsc::Receiver<Message>) {
         let error = self.exchange_messages(channel, messages).await;
         log::info!("upgrade: the predecessor has ended: {error}");
