--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -199,7 +199,7 @@
 
 /// The outcomes of an experiment in each of the [`PROTOCOLS`].
 fn run_each(experiment: &Experiment) -> [Outcome; 3] {
-    let nodes = Simulation::<Node>::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let nodes = Simulation::<Node>::with_nodes(experiment.members, experiment.seed, experiment.timing());
     [
         simulation::run(experiment, nodes, |_| {}),
         simulation::run(experiment, foca_members(experiment, false), |_| {}),
@@ -238,12 +238,12 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for members in sizes {
-        let seconds_played = if *members > 300 { 60.0 } else { 200.0 };
+        let simulated_s = if *members > 300 { 60.0 } else { 200.0 };
         let step = |at: f64, action: &str| {
             format!("[[step]]\nat = {at:.1}\nevery = 20.0\ndo = \"{action}\"\nwho = [3]\n")
         };
         let text = format!(
-            "members = {members}\nseconds = {seconds_played:.1}\n{}{}",
+            "members = {members}\nseconds = {simulated_s:.1}\n{}{}",
             step(1.0, "kill"),
             step(16.0, "start")
         );
--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Parser, Subcommand};
 use gatherer::simulation::chart::{self, ChartError};
-use gatherer::simulation::experiment::{Error, Experiment};
+use gatherer::simulation::experiment::{Experiment, ExperimentError};
 use gatherer::simulation::{self, Outcome, Simulation};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -57,7 +57,7 @@
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
-    Experiment(#[from] Error),
+    Experiment(#[from] ExperimentError),
     #[error("{path}: {source}")]
     File { path: String, source: std::io::Error },
     #[error("{path}: {source}")]
@@ -112,7 +112,9 @@
     for file in files {
         let mut experiment = Experiment::read(file)?;
         experiment.members = members.unwrap_or(experiment.members);
-        experiment.check().map_err(|source| Error::Form { path: file.display().to_string(), source })?;
+        experiment
+            .check()
+            .map_err(|source| ExperimentError::Invalid { path: file.display().to_string(), source })?;
         let seeds = if seeds.is_empty() { vec![experiment.seed] } else { seeds.to_vec() };
         for seed in seeds {
             experiment.seed = seed;
@@ -139,17 +141,17 @@
 
 /// Runs an experiment, and shows its progress where standard error is a terminal.
 fn run_one(experiment: &Experiment) -> Outcome {
-    let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
-    let is_watched = std::io::stderr().is_terminal();
+    let members = Simulation::with_nodes(experiment.members, experiment.seed, experiment.timing());
+    let shows_progress = std::io::stderr().is_terminal();
     let outcome = simulation::run(experiment, members, |at| {
-        if is_watched {
+        if shows_progress {
             eprint!(
                 "\r{} (seed {}): {at:.0} of {:.0} s ",
                 experiment.title, experiment.seed, experiment.seconds
             );
         }
     });
-    if is_watched {
+    if shows_progress {
         eprintln!();
     }
     outcome
--- a/src/membership/gossip_queue.rs
+++ b/src/membership/gossip_queue.rs
@@ -60,7 +60,7 @@
     }
 
     /// Offers names in their order until `accept` returns false for one; each accepted name counts as passed on once more.
-    pub fn pass_on(&mut self, mut accept: impl FnMut(&str) -> bool) {
+    pub fn transmit_while(&mut self, mut accept: impl FnMut(&str) -> bool) {
         let accepted: Vec<Position> =
             self.order.iter().take_while(|position| accept(&position.name)).cloned().collect();
         for position in accepted {
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -142,7 +142,7 @@
     #[must_use]
     pub fn next_due(&self) -> Time {
         let gossip = (!self.gossip_queue.is_empty()).then_some(self.next_gossip_at);
-        let probes = self.probes.values().map(|probe| probe.due(self.timing.probe_interval));
+        let probes = self.probes.values().map(|probe| probe.next_action_at(self.timing.probe_interval));
         let suspects = self.suspect_deadlines.values().copied();
         let timers = [self.next_probe_at, self.next_exchange_at, self.next_rejoin_at];
         probes.chain(suspects).chain(gossip).chain(timers).min().unwrap_or(self.next_probe_at)
@@ -155,7 +155,7 @@
         if gap > self.timing.pause_threshold {
             self.resume_after_pause(now, gap);
         }
-        self.follow_up_due(now);
+        self.retry_or_expire_due_probes(now);
         if self.next_probe_at <= now {
             self.begin_probe_interval(now);
         }
@@ -165,11 +165,11 @@
             self.gossip();
         }
         if self.next_exchange_at <= now {
-            self.exchange(now);
+            self.request_table_exchange(now);
         }
         if self.next_rejoin_at <= now {
             self.next_rejoin_at = now.after(self.timing.rejoin_interval);
-            self.rejoin_lost();
+            self.contact_failed_member_and_missing_seed();
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Requests an exchange of tables with one of the present members.
-    fn exchange(&mut self, now: Time) {
+    fn request_table_exchange(&mut self, now: Time) {
         let factor = (self.table.iter().count() / FULL_EXCHANGE_RATE_MEMBERS).max(1) as u32;
         self.next_exchange_at = now.after(self.timing.exchange_interval * factor);
         if let Some(with) = self.pick_members(1, |_| true).first() {
@@ -224,7 +224,7 @@
     }
 
     /// Probes one of the failed members, and requests an exchange with one of the seeds that are not present.
-    fn rejoin_lost(&mut self) {
+    fn contact_failed_member_and_missing_seed(&mut self) {
         let failed: Vec<(String, SocketAddr)> = self
             .table
             .iter()
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -14,7 +14,7 @@
     Gossip,
     /// In a whole table, or in a message of a member that was lost until now: the sender may have been on the other side of
     /// a partition.
-    OtherSide,
+    PossiblyPartitioned,
 }
 
 impl Node {
@@ -28,7 +28,7 @@
         }
         let mut available_bytes = MAX_UPDATES_BYTES.saturating_sub(message.max_encoded_bytes());
         let table = &self.table;
-        self.gossip_queue.pass_on(|name| {
+        self.gossip_queue.transmit_while(|name| {
             // A member that was removed meanwhile has no update any more, and takes no space.
             let Some(member) = table.get(name) else { return true };
             let update = &member.update;
@@ -70,18 +70,18 @@
             return;
         }
         self.last_message_at = self.last_message_at.max(now);
-        let was_lost = known.is_some_and(|member| !member.update.state.is_present());
-        let source = if was_lost { UpdateSource::OtherSide } else { UpdateSource::Gossip };
+        let was_gone = known.is_some_and(|member| !member.update.state.is_present());
+        let source = if was_gone { UpdateSource::PossiblyPartitioned } else { UpdateSource::Gossip };
         self.apply(now, &from);
-        self.note_message_from(now, &from);
+        self.record_message_from(now, &from);
         for update in &updates {
             self.receive_update(now, update, source);
         }
-        self.handle_kind(now, kind, &from);
+        self.handle_message_kind(now, kind, &from);
     }
 
     /// Answers a message of a member, or handles it as an answer.
-    fn handle_kind(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
+    fn handle_message_kind(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
         match kind {
             MessageKind::Ping { number, receives_peer } => {
                 self.update_reachability(&from.name, |reachability| match (reachability, receives_peer) {
@@ -111,7 +111,7 @@
     }
 
     /// Notes that a message came from the member itself.
-    fn note_message_from(&mut self, now: Time, from: &MemberUpdate) {
+    fn record_message_from(&mut self, now: Time, from: &MemberUpdate) {
         let Some(member) = self.table.get_mut(&from.name) else { return };
         let before = member.state();
         member.last_message_at = Some(now);
@@ -126,7 +126,7 @@
         let Message { from, updates, .. } = message;
         self.receive(now, Message { from, kind: MessageKind::Table, updates: Vec::new() });
         for update in &updates {
-            self.receive_update(now, update, UpdateSource::OtherSide);
+            self.receive_update(now, update, UpdateSource::PossiblyPartitioned);
         }
     }
 
@@ -141,15 +141,15 @@
         }
         let is_death = matches!(update.state, MemberState::Failed | MemberState::Dead);
         let was_unknown = self.table.get(&update.name).is_none();
-        let from_other_side = source == UpdateSource::OtherSide;
-        if from_other_side && is_death {
+        let possibly_partitioned = source == UpdateSource::PossiblyPartitioned;
+        if possibly_partitioned && is_death {
             self.apply(now, &update.with_state(MemberState::Suspect));
         } else {
             self.apply(now, update);
         }
         // The sender of a whole table sends it to others too: guards against each member of a fleet that starts at once
         // passing the whole table on.
-        if from_other_side && was_unknown {
+        if possibly_partitioned && was_unknown {
             self.gossip_queue.remove(&update.name);
         }
     }
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -47,8 +47,8 @@
 }
 
 impl Probe {
-    /// When the probe is next to be [followed up](Node::follow_up_due), with this probe interval.
-    pub fn due(&self, interval: Duration) -> Time {
+    /// When the probe is next to be [followed up](Node::retry_or_expire_due_probes), with this probe interval.
+    pub fn next_action_at(&self, interval: Duration) -> Time {
         let timeout = if self.retried { interval } else { interval / PROBE_RETRY_DIVISOR };
         let due = self.sent_at.after(timeout);
         let connection_retry = self.refused.as_ref().filter(|refused| !refused.retried);
@@ -110,15 +110,15 @@
     }
 
     /// Sends probes that were not answered in time again, and suspects members where that was in vain.
-    pub(super) fn follow_up_due(&mut self, now: Time) {
+    pub(super) fn retry_or_expire_due_probes(&mut self, now: Time) {
         let interval = self.timing.probe_interval;
-        let due = self.probes.iter().filter(|(_, probe)| probe.due(interval) <= now);
+        let due = self.probes.iter().filter(|(_, probe)| probe.next_action_at(interval) <= now);
         for number in due.map(|(number, _)| *number).collect::<Vec<_>>() {
-            self.follow_up(now, number);
+            self.retry_or_expire_probe(now, number);
         }
     }
 
-    fn follow_up(&mut self, now: Time, number: u32) {
+    fn retry_or_expire_probe(&mut self, now: Time, number: u32) {
         let Some(probe) = self.probes.get_mut(&number) else { return };
         let (name, start) = (probe.name.clone(), probe.start);
         let known = self.table.get(&name);
@@ -128,10 +128,10 @@
         };
         let address = member.update.address;
         let receives_peer = member.reachability != Reachability::Indirect;
-        let probe_connection = Command::ProbeConnection { name: name.clone(), start, address };
+        let connection_probe = Command::ProbeConnection { name: name.clone(), start, address };
         if probe.begin_connection_retry(now) {
-            self.commands.push(probe_connection.clone());
-            if probe.due(self.timing.probe_interval) > now {
+            self.commands.push(connection_probe.clone());
+            if probe.next_action_at(self.timing.probe_interval) > now {
                 return;
             }
         }
@@ -140,7 +140,7 @@
             return self.suspect(now, &name);
         }
         self.send(address, MessageKind::Ping { number, receives_peer }, Some(&name));
-        self.commands.push(probe_connection);
+        self.commands.push(connection_probe);
         for helper in self.pick_members(INDIRECT_PROBES, |update| update.name != name) {
             let request = MessageKind::PingRequest { number, target: name.clone() };
             self.send(helper.address, request, None);
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -176,7 +176,7 @@
     /// Inserts an unknown member if it is present and there is capacity. The death of an unknown member is ignored: guards
     /// against passing on members that nobody remembers.
     fn insert(&mut self, now: Time, update: &MemberUpdate) -> bool {
-        if !update.state.is_present() || !self.make_room() {
+        if !update.state.is_present() || !self.ensure_capacity() {
             return false;
         }
         let member = KnownMember {
@@ -190,7 +190,7 @@
     }
 
     /// Removes the member that has been gone longest if the table is full; returns whether there is capacity for one more.
-    fn make_room(&mut self) -> bool {
+    fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.max_members {
             return true;
         }
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -1,6 +1,6 @@
 //! The outcomes of experiments for people: a table, and a chart of what the members knew beside the truth.
 
-use super::outcome::{Moment, Outcome};
+use super::outcome::{Outcome, Sample};
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
@@ -27,7 +27,7 @@
 struct Curve {
     label: &'static str,
     colour: RGBColor,
-    value: fn(&Moment) -> f64,
+    value: fn(&Sample) -> f64,
 }
 
 /// The chart's lines, in the order in which they are drawn.
@@ -35,18 +35,18 @@
     Curve {
         label: "highest estimate of gatherers",
         colour: MAX_ESTIMATE_COLOUR,
-        value: |moment| f64::from(moment.max_estimate),
+        value: |sample| f64::from(sample.max_estimate),
     },
     Curve {
         label: "lowest estimate of gatherers",
         colour: MIN_ESTIMATE_COLOUR,
-        value: |moment| f64::from(moment.min_estimate),
+        value: |sample| f64::from(sample.min_estimate),
     },
-    Curve { label: "living members (the truth)", colour: TRUTH_COLOUR, value: |moment| moment.living as f64 },
+    Curve { label: "living members (the truth)", colour: TRUTH_COLOUR, value: |sample| sample.living as f64 },
     Curve {
         label: "members that observe exactly those",
         colour: CONVERGED_COLOUR,
-        value: |moment| moment.converged as f64,
+        value: |sample| sample.converged as f64,
     },
 ];
 
@@ -93,8 +93,8 @@
 fn draw(outcome: &Outcome, text: &mut String) -> Result<(), ChartError> {
     let area = SVGBackend::with_string(text, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let end = outcome.moments.last().map_or(1.0, |moment| moment.at);
-    let max_estimate = outcome.moments.iter().map(|moment| moment.max_estimate).max();
+    let end = outcome.samples.last().map_or(1.0, |sample| sample.at);
+    let max_estimate = outcome.samples.iter().map(|sample| sample.max_estimate).max();
     let top = max_estimate.unwrap_or(0).max(outcome.members as u32);
     let caption = format!("{}: {} members, seed {}", outcome.title, outcome.members, outcome.seed);
     let mut chart = ChartBuilder::on(&area)
@@ -105,7 +105,7 @@
         .build_cartesian_2d(0.0..end, 0.0..f64::from(top) * 1.1)?;
     chart.configure_mesh().x_desc("seconds").y_desc("members").disable_x_mesh().draw()?;
     for Curve { label, colour, value } in CURVES {
-        let points = outcome.moments.iter().map(|moment| (moment.at, value(moment)));
+        let points = outcome.samples.iter().map(|sample| (sample.at, value(sample)));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(label)
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -87,7 +87,7 @@
 impl Simulation<Node> {
     /// Members of the program's own protocol, which know the first two and have had 20 s to find each other.
     #[must_use]
-    pub fn of_nodes(count: usize, seed: u64, timing: Timing) -> Simulation<Node> {
+    pub fn with_nodes(count: usize, seed: u64, timing: Timing) -> Simulation<Node> {
         let start_peer = move |start: PeerStart<'_>| {
             let own = MemberUpdate {
                 name: name(start.id),
@@ -245,7 +245,7 @@
             Event::Table { message, is_reply, from, .. } => {
                 let own = node.table_message();
                 node.receive_table(now, message);
-                if !is_reply && !self.is_link_partitioned(id, from) {
+                if !is_reply && !self.is_link_blocked(id, from) {
                     let reply = Event::Table { to: from, from: id, message: own, is_reply: true };
                     self.schedule(now.after(CONNECTION_DELAY), reply);
                 }
@@ -314,17 +314,17 @@
     }
 
     /// Whether a connection between two members cannot come up, as nothing passes one way at least.
-    fn is_partitioned(&self, a: usize, b: usize) -> bool {
-        self.is_link_partitioned(a, b) || self.is_link_partitioned(b, a)
+    fn is_connection_blocked(&self, a: usize, b: usize) -> bool {
+        self.is_link_blocked(a, b) || self.is_link_blocked(b, a)
     }
 
     /// Whether nothing passes from a member to another.
-    fn is_link_partitioned(&self, from: usize, to: usize) -> bool {
+    fn is_link_blocked(&self, from: usize, to: usize) -> bool {
         self.partitions.contains(&Link { from, to })
     }
 
     fn probe_connection(&mut self, by: usize, to: usize, name: String, start: u64) {
-        let (result, delay) = match (self.is_partitioned(by, to), self.node(to).is_some()) {
+        let (result, delay) = match (self.is_connection_blocked(by, to), self.node(to).is_some()) {
             (true, _) if self.partitions_refuse => (ConnectionProbeResult::Refused, CONNECTION_DELAY),
             (true, _) => (ConnectionProbeResult::NoResponse, CONNECTION_TIMEOUT),
             (false, true) => (ConnectionProbeResult::Connected, CONNECTION_DELAY),
@@ -334,7 +334,7 @@
     }
 
     fn exchange_tables(&mut self, by: usize, to: usize) {
-        if !self.is_partitioned(by, to)
+        if !self.is_connection_blocked(by, to)
             && let Some(node) = self.node(by)
         {
             let table = Event::Table { to, from: by, message: node.table_message(), is_reply: false };
@@ -348,7 +348,7 @@
         self.traffic.bytes += size.bytes as u64;
         self.traffic.updates += size.updates as u64;
         let is_lost = self.scripted_losses.pop_front().unwrap_or(false);
-        if is_lost || self.is_link_partitioned(from, to) {
+        if is_lost || self.is_link_blocked(from, to) {
             return;
         }
         for at in self.faults.arrivals(self.now, &mut self.random) {
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -21,7 +21,7 @@
 
 /// Why a file is not an experiment.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum ExperimentError {
     /// The file cannot be read.
     #[error("{path}: {source}")]
     File {
@@ -32,7 +32,7 @@
     },
     /// The file's text is not an experiment.
     #[error("{path}: {source}")]
-    Form {
+    Invalid {
         /// The file.
         path: String,
         /// The fault.
@@ -137,11 +137,11 @@
     ///
     /// # Errors
     /// The file cannot be read, is not in the form, or its experiment cannot be run.
-    pub fn read(path: &Path) -> Result<Experiment, Error> {
+    pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let name = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|source| Error::File { path: name.clone(), source })?;
-        Experiment::parse(&text).map_err(|source| Error::Form { path: name, source })
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ExperimentError::File { path: name.clone(), source })?;
+        Experiment::parse(&text).map_err(|source| ExperimentError::Invalid { path: name, source })
     }
 
     /// Reads an experiment's text, and checks it.
--- a/src/simulation/experiment/step.rs
+++ b/src/simulation/experiment/step.rs
@@ -17,10 +17,10 @@
     OutsideExperiment,
     /// It lacks the members that its action needs, or names members that its action does not need.
     #[error("`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere")]
-    Members,
+    MisplacedMembers,
     /// A pause has no length, or another action has one.
     #[error("`seconds` is the length of a pause")]
-    PauseLength,
+    MisplacedPauseDuration,
     /// A change of the network has no valid faults, or another action has some.
     #[error("`net` is the network of a `net` step, in shares between 0 and 1")]
     NetworkFaults,
@@ -90,10 +90,10 @@
             return Err(InvalidStep::OutsideExperiment);
         }
         if needs_members != self.members.is_some() || is_partition != self.to.is_some() {
-            return Err(InvalidStep::Members);
+            return Err(InvalidStep::MisplacedMembers);
         }
         if (self.action == Action::Pause) != self.seconds.is_some() {
-            return Err(InvalidStep::PauseLength);
+            return Err(InvalidStep::MisplacedPauseDuration);
         }
         let has_network = self.network.is_some_and(|network| network.is_valid());
         if (self.action == Action::SetNetwork) != has_network {
--- a/src/simulation/experiment/tests.rs
+++ b/src/simulation/experiment/tests.rs
@@ -16,7 +16,7 @@
     assert!(step("at = 1.0\ndo = \"cut\"\nwho = [1]").contains("`to`"));
     let complete = format!("{head}[[step]]\nat = 1.0\ndo = \"cut\"\nwho = [1]\nto = {{ from = 2, to = 4 }}");
     assert_eq!(
-        Experiment::parse(&complete).map(|it| it.steps[0].to.as_ref().map(MemberSet::ids)),
+        Experiment::parse(&complete).map(|experiment| experiment.steps[0].to.as_ref().map(MemberSet::ids)),
         Ok(Some(vec![2, 3, 4]))
     );
 }
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -18,6 +18,6 @@
 pub use engine::Simulation;
 pub use experiment::Experiment;
 pub use network::NetworkFaults;
-pub use outcome::{Moment, Outcome};
+pub use outcome::{Outcome, Sample};
 pub use peer::Peer;
 pub use runner::run;
--- a/src/simulation/outcome.rs
+++ b/src/simulation/outcome.rs
@@ -10,7 +10,7 @@
 
 /// What was observed at one second of the experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Moment {
+pub struct Sample {
     /// The time, in seconds.
     pub at: f64,
     /// Members whose process runs: the truth.
@@ -59,8 +59,9 @@
     /// Processor time for a second of one member, in microseconds: all of the run's, the simulated network's
     /// part too.
     pub cpu_us: f64,
-    /// One moment for each second.
-    pub moments: Vec<Moment>,
+    /// One sample for each second.
+    #[serde(rename = "moments")]
+    pub samples: Vec<Sample>,
     /// The rules that were broken, in words.
     #[serde(rename = "broken")]
     pub broken_rules: Vec<String>,
@@ -91,9 +92,9 @@
         self.false_positives.values().sum()
     }
 
-    /// The highest sum of shares at any moment.
+    /// The highest sum of shares at any sample.
     pub fn max_total_share(&self) -> f64 {
-        self.moments.iter().map(|moment| moment.total_share).fold(0.0, f64::max)
+        self.samples.iter().map(|sample| sample.total_share).fold(0.0, f64::max)
     }
 
     /// The experiment's rules that this outcome breaks, in words.
@@ -117,7 +118,7 @@
                 ));
             }
         }
-        let converged = self.moments.last().is_some_and(|last| last.converged >= last.living);
+        let converged = self.samples.last().is_some_and(|last| last.converged >= last.living);
         if rules.must_converge && !converged {
             broken.push("at the end not all members observe exactly the living ones".to_owned());
         }
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -3,7 +3,7 @@
 use super::engine::Simulation;
 use super::experiment::{Action, Experiment, MemberSet, Step};
 use super::network::Traffic;
-use super::outcome::{Moment, Outcome};
+use super::outcome::{Outcome, Sample};
 use super::peer::Peer;
 use crate::policy::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,8 +11,8 @@
 
 /// The time between two observations of what all members know.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Nanoseconds between two moments of an outcome.
-const MOMENT_INTERVAL_NS: u64 = 1_000_000_000;
+/// Nanoseconds between two samples of an outcome.
+const SAMPLE_INTERVAL_NS: u64 = 1_000_000_000;
 
 /// A step at one of its times, from the experiment's start.
 struct DueStep {
@@ -21,7 +21,7 @@
 }
 
 /// A killed member whose death not all know of yet.
-struct OpenDeath {
+struct UndetectedDeath {
     /// The start of the killed process.
     start: u64,
     killed_at: Time,
@@ -61,8 +61,8 @@
             run.apply(&due.step);
         }
         run.advance(OBSERVATION_INTERVAL.min(end.since(run.now)));
-        if run.now.0.is_multiple_of(MOMENT_INTERVAL_NS) {
-            progress(run.observe_moment());
+        if run.now.0.is_multiple_of(SAMPLE_INTERVAL_NS) {
+            progress(run.record_sample());
         }
     }
     run.finish(experiment, started)
@@ -78,7 +78,7 @@
     last_step_at: Time,
     /// The sum of the seconds in which each member's process ran.
     member_seconds: f64,
-    open_deaths: BTreeMap<usize, OpenDeath>,
+    undetected_deaths: BTreeMap<usize, UndetectedDeath>,
     outcome: Outcome,
 }
 
@@ -99,7 +99,7 @@
             now: Time(0),
             last_step_at: Time(0),
             member_seconds: 0.0,
-            open_deaths: BTreeMap::new(),
+            undetected_deaths: BTreeMap::new(),
             outcome,
         }
     }
@@ -139,8 +139,8 @@
 
     fn kill(&mut self, id: usize) {
         if let Some(node) = self.simulation.node(id) {
-            let death = OpenDeath { start: node.start(), killed_at: self.now };
-            self.open_deaths.insert(id, death);
+            let death = UndetectedDeath { start: node.start(), killed_at: self.now };
+            self.undetected_deaths.insert(id, death);
             self.outcome.killed += 1;
         }
         self.simulation.kill(id);
@@ -154,7 +154,7 @@
         let (simulation, now) = (&self.simulation, self.now);
         self.member_seconds += simulation.living().count() as f64 * duration.as_secs_f64();
         let detection_s = &mut self.outcome.detection_s;
-        self.open_deaths.retain(|id, death| {
+        self.undetected_deaths.retain(|id, death| {
             let restarted = simulation.node(*id).is_some_and(|node| node.start() > death.start);
             let is_present =
                 |by: usize| simulation.observed_state(by, *id).is_some_and(|state| state.is_present());
@@ -166,12 +166,12 @@
         });
     }
 
-    /// Adds a moment to the outcome; returns its time in seconds.
-    fn observe_moment(&mut self) -> f64 {
+    /// Adds a sample to the outcome; returns its time in seconds.
+    fn record_sample(&mut self) -> f64 {
         let simulation = &self.simulation;
         let estimates: Vec<u32> = simulation.living().filter_map(|id| simulation.gatherers(id)).collect();
         let share = |estimate: &u32| 1.0 / f64::from((*estimate).max(1));
-        let moment = Moment {
+        let sample = Sample {
             at: self.now.since(Time(0)).as_secs_f64(),
             living: estimates.len(),
             converged: simulation.converged_members(),
@@ -179,12 +179,12 @@
             max_estimate: estimates.iter().copied().max().unwrap_or(0),
             total_share: estimates.iter().map(share).sum(),
         };
-        let at = moment.at;
-        if moment.converged == moment.living && self.outcome.converged_after_s.is_none() {
+        let at = sample.at;
+        if sample.converged == sample.living && self.outcome.converged_after_s.is_none() {
             let elapsed = self.now.since(self.last_step_at);
             self.outcome.converged_after_s = Some(elapsed.as_secs_f64());
         }
-        self.outcome.moments.push(moment);
+        self.outcome.samples.push(sample);
         at
     }
 
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -114,7 +114,7 @@
         };
         let worker = |_| Worker { started_at: None, free_at: Time(0), received_at: VecDeque::new() };
         Fleet {
-            membership: Simulation::of_nodes(GATHERERS, seed, Timing::default()),
+            membership: Simulation::with_nodes(GATHERERS, seed, Timing::default()),
             gatherers: (0..GATHERERS).map(gatherer).collect(),
             workers: (0..WORKERS).map(worker).collect(),
             random: fastrand::Rng::with_seed(seed),
@@ -136,9 +136,9 @@
     }
 
     /// Advances time by a span in milliseconds; queries are submitted to running gatherers.
-    fn advance(&mut self, span: u64) -> Counts {
+    fn advance(&mut self, duration_ms: u64) -> Counts {
         let mut counts = Counts { answered: [0; 2], rejected: [0; 2], peak_budget_use: 0.0 };
-        for _ in 0..span / STEP_MS {
+        for _ in 0..duration_ms / STEP_MS {
             self.membership.advance(Duration::from_millis(STEP_MS));
             let running: Vec<usize> = self.membership.living().collect();
             // More than one a step is not needed: a tenth of a second's queries come in ten steps.
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -15,7 +15,7 @@
 
 /// A fleet in which every member has learned of all others, with its reports cleared.
 fn converged_members(count: usize, seed: u64) -> Members {
-    let mut simulation = Members::of_nodes(count, seed, Timing::default());
+    let mut simulation = Members::with_nodes(count, seed, Timing::default());
     let first = simulation.living().next().expect("a running member");
     assert!(simulation.has_converged(), "seed {seed}: {:?}", simulation.node(first).map(state_counts));
     assert!(simulation.false_positives().is_empty());
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -32,7 +32,7 @@
 /// What may happen. All that keeps a member from answering together stays under the suspicion timeout.
 #[derive(Clone, Debug)]
 enum Fault {
-    Pause { member: usize, ms: u64 },
+    Pause { member: usize, pause_ms: u64 },
     Partition { from: usize, to: usize, both_ways: bool },
     Restart { member: usize, down_ms: u64 },
     Upgrade { member: usize, gap_ms: u64 },
@@ -44,7 +44,7 @@
 fn any_fault() -> impl Strategy<Value = Fault> {
     let member = 0..MEMBERS;
     prop_oneof![
-        3 => (member.clone(), 50..1900_u64).prop_map(|(member, ms)| Fault::Pause { member, ms }),
+        3 => (member.clone(), 50..1900_u64).prop_map(|(member, pause_ms)| Fault::Pause { member, pause_ms }),
         3 => (member.clone(), member.clone(), any::<bool>())
             .prop_map(|(from, to, both_ways)| Fault::Partition { from, to, both_ways }),
         2 => (member.clone(), 0..3000_u64).prop_map(|(member, down_ms)| Fault::Restart { member, down_ms }),
@@ -56,11 +56,11 @@
 
 /// Applies faults one after the other, and lets the given milliseconds pass after each.
 fn simulate(seed: u64, faults: &[(Fault, u64)]) -> Members {
-    let mut simulation = Members::of_nodes(MEMBERS, seed, Timing::default());
+    let mut simulation = Members::with_nodes(MEMBERS, seed, Timing::default());
     simulation.reports.clear();
-    for (fault, then_ms) in faults {
+    for (fault, wait_ms) in faults {
         match fault {
-            Fault::Pause { member, ms: span } => simulation.pause(*member, ms(*span)),
+            Fault::Pause { member, pause_ms } => simulation.pause(*member, ms(*pause_ms)),
             Fault::Partition { from, to, both_ways } => {
                 // Between two members only, so that others reach both.
                 simulation.partition(|id| id == *from, |id| id == *to);
@@ -83,7 +83,7 @@
             }
             Fault::Heal => simulation.partitions.clear(),
         }
-        simulation.advance(ms(*then_ms));
+        simulation.advance(ms(*wait_ms));
     }
     simulation
 }
@@ -111,7 +111,7 @@
 #[test]
 fn without_the_isolation_guard_a_partitioned_member_declares_the_fleet_dead() {
     let declared_dead_by_isolated = |timing: Timing| {
-        let mut simulation = Members::of_nodes(MEMBERS, 5, timing);
+        let mut simulation = Members::with_nodes(MEMBERS, 5, timing);
         simulation.partition(|id| id == 0, |_| true);
         simulation.partition(|_| true, |id| id == 0);
         simulation.advance(Duration::from_secs(40));
@@ -131,7 +131,7 @@
     // of a third before it runs its timers.
     let declared_dead_by_resumed = |timing: Timing| -> usize {
         let false_positives = (0..8).map(|seed| {
-            let mut simulation = Members::of_nodes(MEMBERS, seed, timing);
+            let mut simulation = Members::with_nodes(MEMBERS, seed, timing);
             simulation.pause(1, ms(5000));
             let suspected = simulation.run_until(ms(5000), |simulation| {
                 simulation.observed_state(0, 1) == Some(ObservedState::Suspect)
@@ -184,7 +184,7 @@
     fn forged_updates_are_refuted_and_all_running_members_are_present_again(
         forgeries in prop::collection::vec((0..MEMBERS, forged_update(), forged_update(), 0..900_u64), 1..12),
     ) {
-        let mut simulation = Members::of_nodes(MEMBERS, 1, Timing::default());
+        let mut simulation = Members::with_nodes(MEMBERS, 1, Timing::default());
         let starts: Vec<u64> = (0..MEMBERS).filter_map(|id| Some(simulation.node(id)?.own().start)).collect();
         let resolve_start = |update: MemberUpdate| {
             let id: usize = update.name[9..].parse().expect("a count");
@@ -192,10 +192,10 @@
             let start = if update.start == u64::MAX { u64::MAX } else { base.saturating_add(update.start) };
             MemberUpdate { start, ..update }
         };
-        for (to, from, update, then_ms) in forgeries {
+        for (to, from, update, wait_ms) in forgeries {
             let (from, updates) = (resolve_start(from), vec![resolve_start(update)]);
             simulation.forge(to, Message { from, kind: MessageKind::Gossip, updates });
-            simulation.advance(ms(then_ms));
+            simulation.advance(ms(wait_ms));
         }
         // Invented members fail or are found dead; no other member stays dead.
         let all_present = |simulation: &Members| {
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -12,29 +12,33 @@
 const MESSAGES: u32 = 7;
 
 /// What all patterns of loss gave.
-struct Explored {
+struct ExplorationResult {
     runs: usize,
     /// Different histories: which member reported which state of which other, in order.
     histories: BTreeSet<Vec<(usize, String, ObservedState)>>,
 }
 
 /// Applies a fault under all patterns of loss; `check` asserts what has to hold in each.
-fn explore(members: usize, fault: impl Fn(&mut Members), check: impl Fn(&mut Members, &str)) -> Explored {
-    let mut explored = Explored { runs: 0, histories: BTreeSet::new() };
+fn explore(
+    members: usize,
+    fault: impl Fn(&mut Members),
+    check: impl Fn(&mut Members, &str),
+) -> ExplorationResult {
+    let mut result = ExplorationResult { runs: 0, histories: BTreeSet::new() };
     for pattern in 0..1_u32 << MESSAGES {
-        let mut simulation = Members::of_nodes(members, 3, Timing::default());
+        let mut simulation = Members::with_nodes(members, 3, Timing::default());
         simulation.reports.clear();
         fault(&mut simulation);
         simulation.scripted_losses = (0..MESSAGES).map(|message| pattern >> message & 1 == 1).collect();
         check(&mut simulation, &format!("pattern {pattern:07b}"));
-        explored.runs += 1;
+        result.runs += 1;
         let history = simulation
             .reports
             .iter()
             .map(|report| (report.by, report.change.name.clone(), report.change.state));
-        explored.histories.insert(history.collect());
+        result.histories.insert(history.collect());
     }
-    explored
+    result
 }
 
 /// Whether all running members observe this one as dead or failed.
@@ -56,8 +60,8 @@
             "{pattern}: its share is redistributed at once"
         );
     };
-    let explored = explore(4, |simulation| simulation.kill(2), check);
-    assert!(explored.runs == 128 && explored.histories.len() > 3, "{} histories", explored.histories.len());
+    let result = explore(4, |simulation| simulation.kill(2), check);
+    assert!(result.runs == 128 && result.histories.len() > 3, "{} histories", result.histories.len());
 }
 
 #[test]
@@ -100,6 +104,6 @@
             simulation.reports
         );
     };
-    let explored = explore(3, |simulation| simulation.pause(1, Duration::from_secs(8)), check);
-    assert!(explored.histories.len() > 1);
+    let result = explore(3, |simulation| simulation.pause(1, Duration::from_secs(8)), check);
+    assert!(result.histories.len() > 1);
 }
--- a/tests/membership_simulation.rs
+++ b/tests/membership_simulation.rs
@@ -6,7 +6,7 @@
 
 /// Runs an experiment.
 fn outcome(experiment: &Experiment) -> Outcome {
-    let members = Simulation::of_nodes(experiment.members, experiment.seed, experiment.timing());
+    let members = Simulation::with_nodes(experiment.members, experiment.seed, experiment.timing());
     let outcome = simulation::run(experiment, members, |_| {});
     // The processor time differs from run to run.
     Outcome { cpu_us: 0.0, ..outcome }
@@ -30,7 +30,7 @@
         experiment.steps.retain(|step| step.at <= 180.0);
         let outcome = outcome(&experiment);
         assert_eq!(outcome.broken_rules, Vec::<String>::new(), "{file}");
-        assert_eq!(outcome.moments.len(), experiment.seconds as usize, "{file}");
+        assert_eq!(outcome.samples.len(), experiment.seconds as usize, "{file}");
         run_count += 1;
     }
     assert!(run_count >= 8);
