--- a/src/membership/command.rs
+++ b/src/membership/command.rs
@@ -1,4 +1,5 @@
-//! The commands that a member's state machine gives to its host, and the result that comes back of a connection probe.
+//! The commands that a member's state machine returns to its host, and the result of a connection probe that the host
+//! passes back.
 
 use super::table::MemberChange;
 use super::update::Message;
@@ -9,13 +10,14 @@
 pub enum ConnectionProbeResult {
     /// The member's machine refused the connection: no process listens there.
     Refused,
-    /// The connection came up: the process is there, whether it makes progress or not.
+    /// The connection was established: the process exists, although it may be paused or hung.
     Connected,
-    /// No response came in time, or the probe could not be made.
+    /// The attempt timed out, or the host could not make it.
     NoResponse,
 }
 
-/// What the host is to do. `M` is the form of a message; the simulator plays other forms beside the program's own.
+/// An action that the host has to take. `M` is the message type: the simulator also runs protocols with other
+/// messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command<M = Message> {
     /// Send a message as a datagram.
@@ -29,19 +31,20 @@
     ProbeConnection {
         /// The member's name.
         name: String,
-        /// The start of its process.
+        /// The start of the member's process, as in [`super::MemberUpdate::start`].
         start: u64,
-        /// Its address.
+        /// The member's address.
         address: SocketAddr,
     },
-    /// Exchange tables over a connection: send [`super::Node::table_message`], and pass what comes back to
+    /// Exchange tables over a connection: send [`super::Node::table_message`], and pass the table in the reply to
     /// [`super::Node::receive_table`].
     ExchangeTables {
         /// The other member's address.
         with: SocketAddr,
     },
-    /// Report a member's change to people and records.
+    /// Report a change of a member's observed state in the log and the records.
     Notify(MemberChange),
-    /// Report that another process uses this member's name, which took it back with a later start.
+    /// Report that another process uses this member's name, and that this member reclaimed the name with a later
+    /// start.
     NameReclaimed,
 }
--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -1,36 +1,39 @@
-//! Estimates how many gatherers share the fleet: one number, which errs to the side that is safe for workers.
+//! Estimates how many gatherers share the fleet. When in doubt the estimate is too high, so that each gatherer takes
+//! a smaller share and workers are not overloaded.
 //!
-//! Owns the configured fleet size only; the members are read from the table at each call. Never changes the table.
+//! Owns the configured fleet size only; the members are read from the table at each call, and the table is never
+//! changed.
 
 use super::table::MemberTable;
 use super::update::MemberState;
 use crate::policy::Time;
 use std::time::Duration;
 
-/// How long failed members still count where the present ones are the majority: longer than most partitions last.
+/// How long the majority side of a possible partition still counts failed members: longer than most partitions last.
 pub const FAILED_MEMBER_HOLD: Duration = Duration::from_secs(30);
 /// The estimate stays between the configured fleet size divided by this factor and that size multiplied by it.
 const MAX_DEVIATION_FACTOR: u32 = 4;
 
-/// Estimates the number of gatherers, in place of the settings' fixed figure.
+/// Estimates the number of gatherers, in place of the fixed number in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSizeEstimate {
     configured: u32,
 }
 
 impl FleetSizeEstimate {
-    /// An estimate for a fleet of this configured size.
+    /// Creates an estimate for a fleet with this number of gatherers in the settings; 0 counts as 1.
     #[must_use]
     pub fn new(configured: u32) -> FleetSizeEstimate {
         FleetSizeEstimate { configured: configured.max(1) }
     }
 
-    /// The estimate now. A member that joins counts at once, and one that is known to be gone no longer counts: both are
-    /// certain. A failed member may be behind a partition, where the others continue with this gatherer's share as well.
-    /// Only a majority stops counting it, and only after [`FAILED_MEMBER_HOLD`]: there is one majority at most.
+    /// The estimate at `now`, this gatherer included. Present members count at once; members that died or left do not
+    /// count. A failed member may be partitioned and still send traffic to the same workers. Therefore only a
+    /// majority stops counting failed members, after [`FAILED_MEMBER_HOLD`]: at most one side of a partition has the
+    /// majority.
     #[must_use]
     pub fn gatherers(&self, now: Time, table: &MemberTable) -> u32 {
-        // Without any known member, the configured size is all there is.
+        // Without any known member, only the configured size is available.
         if table.iter().next().is_none() {
             return self.configured;
         }
--- a/src/membership/fleet_size/tests.rs
+++ b/src/membership/fleet_size/tests.rs
@@ -6,7 +6,7 @@
 
 const NANOS_PER_S: u64 = 1_000_000_000;
 
-/// A table of so many other members, some of which failed or died at a time.
+/// Creates a table of `others` members, of which `failed` failed and `dead` died at the time `at`.
 fn table(others: u32, failed: u32, dead: u32, at: Time) -> MemberTable {
     let mut table = MemberTable::new(1000);
     for id in 0..others {
@@ -31,7 +31,7 @@
     assert_eq!(
         estimate.gatherers(now, &MemberTable::new(9)),
         10,
-        "with nobody known, the configured size holds"
+        "with no known member, the configured size is used"
     );
     assert_eq!(estimate.gatherers(now, &table(9, 0, 7, now)), 3);
     assert_eq!(estimate.gatherers(now, &table(9, 4, 0, now)), 10);
@@ -46,7 +46,7 @@
 }
 
 proptest! {
-    // However a fleet is partitioned, all parts together take less than one and a half times the available share.
+    // However a fleet is partitioned, the shares of all gatherers add up to less than 1.5.
     #[test]
     fn partitions_of_a_fleet_never_take_more_than_one_and_a_half_shares(partitions in prop::collection::vec(1..60_u32, 1..6)) {
         let all: u32 = partitions.iter().sum();
--- a/src/membership/gossip_queue.rs
+++ b/src/membership/gossip_queue.rs
@@ -1,26 +1,27 @@
-//! The queue of members with updates to pass on. The least often passed-on goes first, at random among equals, so that a
-//! message costs what it carries, however many updates are queued.
+//! The queue of members whose updates are piggybacked on outgoing messages. The least often transmitted comes first,
+//! in a random order among equals. The queue is kept in order, so that the cost of a message depends on the updates
+//! that it carries and not on the length of the queue.
 //!
-//! Owns names and counts only; the updates themselves are in the member table.
+//! The queue owns names and transmission counts only; the updates themselves are in the member table.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A queued name's position; the fields' order is the order in which names go out.
+/// The sort key of a queued name; names are sent in the order of these fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
-    /// How often the update has been passed on.
+    /// The number of times that the update was sent.
     transmissions: u32,
-    /// A random number that orders names of as many transmissions.
+    /// A random number that orders names with equal `transmissions`.
     tie_break: u64,
     name: String,
 }
 
-/// What is known of a queued name.
+/// The state of a queued name.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     transmissions: u32,
     tie_break: u64,
-    /// How often the update is to be passed on.
+    /// The number of transmissions after which the name is removed.
     max_transmissions: u32,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Names of the members with updates to pass on.
+/// The names of the members whose updates still have to be sent.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
     order: BTreeSet<Position>,
@@ -38,13 +39,13 @@
 }
 
 impl GossipQueue {
-    /// Whether there is nothing to pass on.
+    /// Whether no updates are queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Queues a member's update for so many transmissions; it replaces an earlier one of the same member.
+    /// Queues a member's update for `max_transmissions`, in place of an earlier update of the same member.
     pub fn add(&mut self, name: &str, max_transmissions: u32, tie_break: u64) {
         self.remove(name);
         let entry = Entry { transmissions: 0, tie_break, max_transmissions };
@@ -52,14 +53,15 @@
         self.entries.insert(name.to_owned(), entry);
     }
 
-    /// Takes a member's update off the queue.
+    /// Removes a member's update from the queue.
     pub fn remove(&mut self, name: &str) {
         if let Some(entry) = self.entries.remove(name) {
             self.order.remove(&entry.position(name));
         }
     }
 
-    /// Offers names in their order until `accept` returns false for one; each accepted name counts as passed on once more.
+    /// Calls `accept` with each name in order until it returns false. Each accepted name counts as transmitted once
+    /// more, and is removed after its last transmission.
     pub fn transmit_while(&mut self, mut accept: impl FnMut(&str) -> bool) {
         let accepted: Vec<Position> =
             self.order.iter().take_while(|position| accept(&position.name)).cloned().collect();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! Which gatherers are alive, which have died, which only seem to have, and how many share the fleet.
+//! Gossip-based membership with failure detection (SWIM): which gatherers are running, suspected, failed or dead, and
+//! how many of them share the fleet.
 //!
-//! Messages, times and random seeds go in; commands go out ([`Command`]). This module owns what a member knows of the others;
-//! it has no socket, no task and no clock. The design and its reasons: docs/membership.md.
+//! The input is messages, times and random seeds; the output is commands for the host ([`Command`]). This module owns
+//! one member's table of the others; it has no socket, no task and no clock. docs/membership.md explains the design.
 
 pub mod command;
 pub mod fleet_size;
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -1,9 +1,8 @@
-//! The state machine of one member: which members it probes, what it concludes from answers and their absence, and which
-//! updates it passes on.
+//! The state machine of one member: it probes other members, detects failures, and gossips updates.
 //!
 //! [`Node`] owns the member table, the open probes and all deadlines. This file holds the state and the timers;
 //! `node/probing.rs` sends probes and evaluates them, `node/messages.rs` sends and receives messages,
-//! `node/member_states.rs` changes what is known of others. A node does no I/O: it gives [`Command`]s to its host.
+//! `node/member_states.rs` updates the table. A node does no I/O: it returns [`Command`]s to its host.
 
 mod member_states;
 mod messages;
@@ -23,32 +22,33 @@
 
 /// Members probed in each interval.
 const PROBES_PER_INTERVAL: usize = 2;
-/// Members asked to probe an unresponsive one on this member's behalf.
+/// Members that are asked to probe an unresponsive member on this member's behalf.
 const INDIRECT_PROBES: usize = 3;
-/// Members that gossip goes to at once.
+/// Receivers of each round of gossip.
 const GOSSIP_FANOUT: usize = 3;
-/// Members up to which tables are exchanged at [`Timing::exchange_interval`]; beyond, the interval grows in proportion.
+/// The largest table for which tables are exchanged every [`Timing::exchange_interval`]. For larger ones the interval
+/// is multiplied by the number of known members divided by this number, rounded down.
 const FULL_EXCHANGE_RATE_MEMBERS: usize = 64;
-/// Members that the leave broadcast goes to.
+/// Receivers of the leave broadcast.
 const LEAVE_FANOUT: usize = 8;
 
-/// What a member is started with.
+/// The configuration of a member.
 pub struct NodeConfig {
-    /// What it reports about itself.
+    /// The member's first update about itself.
     pub own: MemberUpdate,
-    /// The addresses that it knows at first; its own may be among them.
+    /// The addresses that the member contacts first; the member's own address may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// Its intervals and time-outs.
+    /// The intervals and time-outs of the protocol.
     pub timing: Timing,
-    /// The fleet size in the settings.
+    /// The number of gatherers in the settings, from which the fleet-size estimate starts.
     pub configured_gatherers: u32,
-    /// The most other members that it remembers.
+    /// The capacity of the member table.
     pub max_members: usize,
-    /// Seed of its random choices.
+    /// The seed of the member's random choices.
     pub random_seed: u64,
 }
 
-/// The state of one member.
+/// The state machine of one member.
 pub struct Node {
     own: MemberUpdate,
     timing: Timing,
@@ -56,20 +56,20 @@
     table: MemberTable,
     fleet_size: FleetSizeEstimate,
     random: fastrand::Rng,
-    /// The members that are still to be probed in this round, in a random order; the last goes first.
+    /// The names of the members still to be probed in this round, in a random order; taken from the end.
     probe_order: Vec<String>,
     last_probe_number: u32,
-    /// Probes without an answer yet, by number.
+    /// The probes that are not answered yet, by number.
     probes: BTreeMap<u32, Probe>,
-    /// Probes sent on other members' behalf, by this member's number.
+    /// The probes sent on other members' behalf, by the number that this member gave them.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
-    /// Members with updates to pass on, which are added to outgoing messages.
+    /// The members whose updates are piggybacked on outgoing messages.
     gossip_queue: GossipQueue,
-    /// When each suspect is declared dead.
+    /// The time at which each suspect is declared failed, by name.
     suspect_deadlines: BTreeMap<String, Time>,
-    /// When a message last came from any member.
+    /// The time of the last message from any member.
     last_message_at: Time,
-    /// When [`Node::tick`] was last called.
+    /// The time of the last call of [`Node::tick`].
     last_tick_at: Time,
     next_probe_at: Time,
     next_gossip_at: Time,
@@ -79,7 +79,7 @@
 }
 
 impl Node {
-    /// A member that starts now and knows the addresses of some seeds only.
+    /// Creates a member that starts now with an empty table and the addresses of the seeds.
     #[must_use]
     pub fn new(now: Time, config: NodeConfig) -> Node {
         let NodeConfig { own, mut seeds, timing, configured_gatherers, max_members, random_seed } = config;
@@ -107,13 +107,13 @@
         }
     }
 
-    /// What the member reports about itself.
+    /// The member's current update about itself.
     #[must_use]
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
-    /// What the member knows of the others.
+    /// The table of the other members.
     #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
@@ -125,20 +125,21 @@
         self.fleet_size.gatherers(now, &self.table)
     }
 
-    /// Whether no message has come for so long that this member takes itself for the one that is cut off.
+    /// Whether this member considers itself isolated: it knows present members, and no message has arrived for
+    /// [`Timing::isolation_timeout`].
     #[must_use]
     pub fn is_isolated(&self, now: Time) -> bool {
         now.since(self.last_message_at) >= self.timing.isolation_timeout
             && self.table.present().next().is_some()
     }
 
-    /// Takes the commands that have accumulated.
+    /// Returns the pending commands and clears them.
     #[must_use]
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// When [`Node::tick`] is next to be called.
+    /// The time of the next deadline, at which [`Node::tick`] has to be called.
     #[must_use]
     pub fn next_due(&self) -> Time {
         let gossip = (!self.gossip_queue.is_empty()).then_some(self.next_gossip_at);
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Requests an exchange of tables with one of the present members.
+    /// Requests an exchange of tables with a random present member.
     fn request_table_exchange(&mut self, now: Time) {
         let factor = (self.table.iter().count() / FULL_EXCHANGE_RATE_MEMBERS).max(1) as u32;
         self.next_exchange_at = now.after(self.timing.exchange_interval * factor);
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Discards conclusions from before a time in which the local process did not run: guards against taking its own pause
-    /// for the others' silence.
+    /// Drops the open probes and moves deadlines forward by the time in which the local process did not run.
+    /// Otherwise this member would take its own pause for a failure of the others.
     fn resume_after_pause(&mut self, now: Time, pause: Duration) {
         self.probes.clear();
         self.indirect_probes.clear();
@@ -216,14 +217,14 @@
         }
     }
 
-    /// Sends gossip, and with it what this member reports about itself, to some members at random.
+    /// Sends gossip, which includes this member's update about itself, to `fanout` random present members.
     fn broadcast(&mut self, fanout: usize) {
         for to in self.pick_members(fanout, |_| true) {
             self.send(to.address, MessageKind::Gossip, None);
         }
     }
 
-    /// Probes one of the failed members, and requests an exchange with one of the seeds that are not present.
+    /// Probes a random failed member, and requests an exchange of tables with a random seed that is not present.
     fn contact_failed_member_and_missing_seed(&mut self) {
         let failed: Vec<(String, SocketAddr)> = self
             .table
@@ -243,8 +244,8 @@
         }
     }
 
-    /// Announces that this member stops, for good or for another process of the same name; returns the last commands, the
-    /// leave broadcast.
+    /// Announces that this member stops, and returns the last commands, the leave broadcast. With `handing_over`,
+    /// another process of the same name takes over.
     #[must_use]
     pub fn leave(&mut self, handing_over: bool) -> Vec<Command> {
         self.own.state = if handing_over { MemberState::HandingOver } else { MemberState::Left };
--- a/src/membership/node/member_states.rs
+++ b/src/membership/node/member_states.rs
@@ -1,5 +1,5 @@
-//! Changes of what is known of members: the one place where the table changes, the end of suspicions, and how this member
-//! refutes updates about itself.
+//! Changes of the members' states: applies updates to the table, declares suspects failed when their deadlines pass,
+//! and refutes updates about this member itself.
 
 use super::{GOSSIP_FANOUT, Node};
 use crate::membership::command::Command;
@@ -8,17 +8,19 @@
 use crate::policy::Time;
 use std::time::Duration;
 
-/// Members that on average probe a newly suspected one at once, so that it learns of the suspicion.
+/// The average number of members, over the fleet, that probe a new suspect at once, so that it learns of the
+/// suspicion.
 const URGENT_PROBES: f64 = 4.0;
-/// How often an update is passed on, for each doubling of the fleet.
+/// The number of times that a member sends an update, for each doubling of the fleet.
 const TRANSMISSIONS_PER_DOUBLING: u32 = 3;
-/// A start further in the future than this is invalid: no member could take its name back from it.
+/// An update with a start further in the future than this is ignored: the member with that name could not supersede
+/// it.
 const MAX_START_AHEAD: Duration = Duration::from_secs(86_400);
-/// An incarnation that no member reaches by refuting.
+/// The highest incarnation that is accepted; refutations, one increment each, do not reach it.
 const MAX_INCARNATION: u32 = u32::MAX / 2;
 
 impl Node {
-    /// Applies an update to the table, queues it for gossip, and keeps the suspect's deadline.
+    /// Applies an update to the table, queues it for gossip, and sets or clears the suspicion deadline.
     pub(super) fn apply(&mut self, now: Time, update: &MemberUpdate) {
         let before = self.table.get(&update.name).map(|member| (member.state(), member.update.start));
         if !self.table.apply(now, update) {
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Changes how a member is reached.
+    /// Changes a member's reachability, and notifies the host if the observed state changes with it.
     pub(super) fn update_reachability(
         &mut self,
         name: &str,
@@ -59,13 +61,13 @@
         }
     }
 
-    /// Reports a member's observed state to people and records.
+    /// Emits a [`Command::Notify`] with a member's observed state.
     pub(super) fn notify(&mut self, name: &str, start: u64, state: ObservedState) {
         let name = name.to_owned();
         self.commands.push(Command::Notify(MemberChange { name, start, state }));
     }
 
-    /// Declares the suspects dead whose deadlines have passed.
+    /// Declares the suspects failed whose deadlines have passed.
     pub(super) fn declare_dead(&mut self, now: Time) {
         let due: Vec<String> = self
             .suspect_deadlines
@@ -75,7 +77,7 @@
             .collect();
         let isolated = self.is_isolated(now);
         for name in due {
-            // Guards against declaring the whole fleet dead while this member is itself cut off.
+            // An isolated member would otherwise declare the whole fleet failed.
             if isolated {
                 self.suspect_deadlines.insert(name, now.after(self.timing.suspicion_timeout));
                 continue;
@@ -93,8 +95,8 @@
         if self.own.state != MemberState::Alive || update.start < self.own.start {
             return;
         }
-        // Some updates no incarnation supersedes: those of another process with the same name, a leave that this member
-        // never announced, an incarnation beyond the limit. A later start supersedes them.
+        // No valid incarnation supersedes an update of another process with the same name, a leave that this member
+        // never announced, or an incarnation at the limit. A later start supersedes all of them.
         let is_final = update.state == MemberState::Left || update.incarnation >= MAX_INCARNATION;
         if update.start > self.own.start || is_final {
             (self.own.start, self.own.incarnation) = (update.start + 1, 0);
@@ -104,11 +106,12 @@
         } else {
             return;
         }
-        // Every later message carries the refutation too; these spread it at once.
+        // Every later message carries the refutation too; the broadcast spreads it at once.
         self.broadcast(GOSSIP_FANOUT);
     }
 
-    /// Whether the member that an update is about could still refute it. No honest member sends any other.
+    /// Whether the member that an update is about could still refute it. A correct member sends no irrefutable
+    /// update.
     pub(super) fn is_refutable(now: Time, update: &MemberUpdate) -> bool {
         update.start <= now.after(MAX_START_AHEAD).0 && update.incarnation <= MAX_INCARNATION
     }
--- a/src/membership/node/messages.rs
+++ b/src/membership/node/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of a member: which updates go out with each, and what is applied from those that come in.
+//! Sending and receiving of messages: chooses the updates that a message carries, and applies received updates.
 
 use super::Node;
 use crate::membership::command::Command;
@@ -7,19 +7,19 @@
 use crate::policy::Time;
 use std::net::SocketAddr;
 
-/// How an update reached this member.
+/// The source of a received update.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UpdateSource {
-    /// In a message of a member that was present all the time.
+    /// A message of a member that was present or unknown before.
     Gossip,
-    /// In a whole table, or in a message of a member that was lost until now: the sender may have been on the other side of
-    /// a partition.
+    /// A whole table, or a message of a member that had failed, died or left until now: the sender may have been on
+    /// the other side of a partition.
     PossiblyPartitioned,
 }
 
 impl Node {
-    /// Sends a message with as many queued updates as fit. `peer` is the receiver's name, if it is to learn what is reported
-    /// about itself.
+    /// Sends a message with as many queued updates as fit. If `peer` names the receiver, the message also carries the
+    /// update about the receiver unless it is alive, so that the receiver can refute it.
     pub(super) fn send(&mut self, to: SocketAddr, kind: MessageKind, peer: Option<&str>) {
         let mut message = Message { from: self.own.clone(), kind, updates: Vec::new() };
         let receiver = peer.and_then(|name| self.table.get(name));
@@ -29,7 +29,7 @@
         let mut available_bytes = MAX_UPDATES_BYTES.saturating_sub(message.max_encoded_bytes());
         let table = &self.table;
         self.gossip_queue.transmit_while(|name| {
-            // A member that was removed meanwhile has no update any more, and takes no space.
+            // A member that was removed from the table since it was queued has no update and takes no space.
             let Some(member) = table.get(name) else { return true };
             let update = &member.update;
             let Some(rest) = available_bytes.checked_sub(update.max_encoded_bytes()) else {
@@ -44,14 +44,14 @@
         self.commands.push(Command::Send { to, message });
     }
 
-    /// The whole table, for an exchange.
+    /// Builds the message with the whole table, for an exchange.
     #[must_use]
     pub fn table_message(&self) -> Message {
         let updates = self.table.iter().map(|member| member.update.clone()).collect();
         Message { from: self.own.clone(), kind: MessageKind::Table, updates }
     }
 
-    /// Handles a message of another member.
+    /// Handles a message of another member. Messages with an irrefutable sender update are ignored.
     pub fn receive(&mut self, now: Time, message: Message) {
         let Message { from, kind, updates } = message;
         if !Node::is_refutable(now, &from) {
@@ -62,8 +62,8 @@
         }
         let known = self.table.get(&from.name);
         if let Some(member) = known.filter(|member| member.update.start > from.start) {
-            // The sender is an earlier process, or a delayed datagram of one; or its clock was set back, and it learns from
-            // the answer which start it has to exceed.
+            // The message is from an earlier process of this name, perhaps delayed, or the clock of the sender's
+            // machine was set back. In the latter case the sender learns from the reply which start it has to exceed.
             let updates = vec![member.update.clone()];
             let message = Message { from: self.own.clone(), kind: MessageKind::Gossip, updates };
             self.commands.push(Command::Send { to: from.address, message });
@@ -80,7 +80,7 @@
         self.handle_message_kind(now, kind, &from);
     }
 
-    /// Answers a message of a member, or handles it as an answer.
+    /// Handles the message kind: answers a request, or processes an answer.
     fn handle_message_kind(&mut self, now: Time, kind: MessageKind, from: &MemberUpdate) {
         match kind {
             MessageKind::Ping { number, receives_peer } => {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A member that does not answer this one has answered another.
+    /// Handles the answer to an indirect probe: the probed member runs, but is reached through other members only.
     fn on_indirect_ack(&mut self, now: Time, number: u32, update: &MemberUpdate) {
         let requested = self.probes.get(&number).is_some_and(|probe| probe.name == update.name);
         if requested && update.name != self.own.name {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Notes that a message came from the member itself.
+    /// Records the time of a message that the member itself sent.
     fn record_message_from(&mut self, now: Time, from: &MemberUpdate) {
         let Some(member) = self.table.get_mut(&from.name) else { return };
         let before = member.state();
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Handles the table of another member, as it came over a connection.
+    /// Handles the table of another member, received over a connection.
     pub fn receive_table(&mut self, now: Time, message: Message) {
         let Message { from, updates, .. } = message;
         self.receive(now, Message { from, kind: MessageKind::Table, updates: Vec::new() });
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Applies a received update. A death reported from the other side of a partition is only a suspicion here: guards
-    /// against two sides that declare each other dead again when they merge.
+    /// Applies a received update. A death reported by a possibly partitioned sender is applied as a suspicion only;
+    /// otherwise the two sides of a partition would declare each other's members dead again when they merge.
     fn receive_update(&mut self, now: Time, update: &MemberUpdate, source: UpdateSource) {
         if !Node::is_refutable(now, update) {
             return;
@@ -147,8 +147,8 @@
         } else {
             self.apply(now, update);
         }
-        // The sender of a whole table sends it to others too: guards against each member of a fleet that starts at once
-        // passing the whole table on.
+        // The sender of a whole table sends it to others too. Without this, each member of a fleet that starts at
+        // once would gossip the whole table.
         if possibly_partitioned && was_unknown {
             self.gossip_queue.remove(&update.name);
         }
--- a/src/membership/node/probing.rs
+++ b/src/membership/node/probing.rs
@@ -1,4 +1,5 @@
-//! Probes: which member is probed next, which again and through others, and what an answer or its absence means.
+//! Failure detection by probes: chooses the next member to probe, retries unanswered probes directly and through
+//! other members, and suspects members that do not answer.
 
 use super::{INDIRECT_PROBES, Node};
 use crate::membership::command::{Command, ConnectionProbeResult};
@@ -8,17 +9,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The part of a probe interval between a refused connection and its repetition. Both count within one probe only, which
-/// stays open for the whole interval.
+/// A refused connection is retried after the probe interval divided by this number. Both refusals have to occur while
+/// the same probe is open, which is for one interval at most.
 const CONNECTION_RETRY_DIVISOR: u32 = 5;
-/// How long a member that hands over to another process is waited for.
+/// The time in which a member that hands over to another process is neither suspected nor declared dead.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The most open probes on other members' behalf.
+/// The maximum number of open probes on other members' behalf.
 const MAX_INDIRECT_PROBES: usize = 64;
-/// The part of a probe interval after which a member is probed again, through others too.
+/// An unanswered probe is retried, directly and through other members, after the probe interval divided by this
+/// number.
 const PROBE_RETRY_DIVISOR: u32 = 3;
 
-/// A refused connection to a member that is being probed.
+/// A refused connection to a member with an open probe.
 struct RefusedConnection {
     retry_at: Time,
     retried: bool,
@@ -30,24 +32,24 @@
     pub name: String,
     start: u64,
     sent_at: Time,
-    /// Whether it was sent again, through others too.
+    /// Whether the probe was retried, directly and through other members.
     retried: bool,
-    /// The connection that the member's machine has refused since the probe was sent.
+    /// The first connection that the member's machine refused since the probe was sent.
     refused: Option<RefusedConnection>,
 }
 
-/// A probe that is sent on another member's behalf.
+/// A probe sent on another member's behalf.
 pub(super) struct IndirectProbe {
-    /// The address of the member that requested it.
+    /// The address of the member that requested the probe.
     requester: SocketAddr,
-    /// The requester's number of the probe.
+    /// The number that the requester gave the probe.
     requester_number: u32,
-    /// When the probe was sent.
+    /// The time at which the probe was sent.
     pub sent_at: Time,
 }
 
 impl Probe {
-    /// When the probe is next to be [followed up](Node::retry_or_expire_due_probes), with this probe interval.
+    /// The time at which the probe is next [retried or expires](Node::retry_or_expire_due_probes).
     pub fn next_action_at(&self, interval: Duration) -> Time {
         let timeout = if self.retried { interval } else { interval / PROBE_RETRY_DIVISOR };
         let due = self.sent_at.after(timeout);
@@ -55,7 +57,7 @@
         connection_retry.map_or(due, |refused| due.min(refused.retry_at))
     }
 
-    /// Whether a refused connection is to be retried now; true only once.
+    /// Whether a refused connection has to be retried now; marks it as retried, so that this returns true only once.
     fn begin_connection_retry(&mut self, now: Time) -> bool {
         match &mut self.refused {
             Some(refused) if !refused.retried && refused.retry_at <= now => {
@@ -68,12 +70,12 @@
 }
 
 impl Node {
-    /// Whether a probe of this member is open.
+    /// Whether a probe of the member is open.
     pub(super) fn is_probed(&self, name: &str) -> bool {
         self.probes.values().any(|probe| probe.name == name)
     }
 
-    /// Probes the next member of the round, and begins a new round in a random order where the last one is complete.
+    /// Probes the next member of the round. Starts a new round, in a new random order, when the last one is complete.
     pub(super) fn probe_next(&mut self, now: Time) {
         loop {
             if self.probe_order.is_empty() {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Probes a member.
+    /// Sends a ping to a member and opens a probe for it.
     pub(super) fn probe(&mut self, now: Time, name: &str) {
         let Some(member) = self.table.get(name) else { return };
         let (start, to) = (member.update.start, member.update.address);
@@ -103,13 +105,14 @@
         self.send(to, MessageKind::Ping { number, receives_peer }, Some(name));
     }
 
-    /// The number of the next probe.
+    /// Allocates the number of a new probe.
     pub(super) fn next_probe_number(&mut self) -> u32 {
         self.last_probe_number = self.last_probe_number.wrapping_add(1);
         self.last_probe_number
     }
 
-    /// Sends probes that were not answered in time again, and suspects members where that was in vain.
+    /// Retries the probes that were not answered in time, and suspects the members whose retried probes were not
+    /// either.
     pub(super) fn retry_or_expire_due_probes(&mut self, now: Time) {
         let interval = self.timing.probe_interval;
         let due = self.probes.iter().filter(|(_, probe)| probe.next_action_at(interval) <= now);
@@ -147,7 +150,8 @@
         }
     }
 
-    /// Suspects a member that answered neither this one nor a helper, unless this one is cut off itself.
+    /// Suspects a member that answered neither directly nor through other members, unless this member is isolated or
+    /// the suspect is handing over.
     fn suspect(&mut self, now: Time, name: &str) {
         let Some(member) = self.table.get(name) else { return };
         if is_handing_over(now, member) || self.is_isolated(now) {
@@ -159,7 +163,7 @@
         }
     }
 
-    /// A member has answered a probe: one of this member, or one sent on another's behalf.
+    /// Handles the answer to a probe: one of this member, or one sent on another member's behalf.
     pub(super) fn on_ack(&mut self, now: Time, number: u32, from: &MemberUpdate) {
         if let Some(probe) = self.indirect_probes.remove(&number) {
             let ack = MessageKind::IndirectAck { number: probe.requester_number, update: from.clone() };
@@ -173,13 +177,13 @@
             other => other,
         });
         let state = self.table.get(&from.name).map(|member| member.update.state);
-        // The member answers, and does not know yet that it is suspected: the next probe carries the suspicion to it.
+        // The member answers, but has not refuted its suspicion yet: another probe carries the suspicion to it.
         if state == Some(MemberState::Suspect) && !self.is_probed(&from.name) {
             self.probe(now, &from.name);
         }
     }
 
-    /// Probes a member on behalf of another that gets no answer from it.
+    /// Probes a member on behalf of another member that got no answer from it.
     pub(super) fn probe_on_behalf(
         &mut self,
         now: Time,
@@ -188,7 +192,7 @@
         target: &str,
     ) {
         let Some(member) = self.table.get(target) else { return };
-        // Guards against unbounded work for others.
+        // Bounds the work on other members' behalf.
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return;
         }
@@ -200,8 +204,8 @@
         self.send(to, MessageKind::Ping { number, receives_peer }, Some(target));
     }
 
-    /// Handles the result of a connection probe. Two refusals while one probe stays unanswered prove that the process is
-    /// gone.
+    /// Handles the result of a connection probe. Two refusals while the same probe is open mean that the process is
+    /// dead.
     pub fn on_probe_result(&mut self, now: Time, name: &str, start: u64, result: ConnectionProbeResult) {
         let known = self.table.get(name);
         let Some(member) = known.filter(|member| member.update.start == start) else { return };
@@ -212,21 +216,21 @@
             return;
         }
         let death = member.update.with_state(MemberState::Dead);
-        // Guards against a firewall that refuses in the member's place: the member has answered neither this one nor a
-        // helper while the probe is open.
+        // A firewall may refuse connections to a running member. An open probe means that the member has answered
+        // neither directly nor through another member.
         let open_probe = self.probes.values_mut().find(|probe| probe.name == name && probe.start == start);
         let Some(probe) = open_probe else { return };
         if probe.refused.is_some() {
             self.apply(now, &death);
         } else {
-            // Guards against a process that was about to listen again: it is refused twice, a moment apart.
+            // A restarting process may be about to listen again, so one refusal is not enough.
             let retry_at = now.after(self.timing.probe_interval / CONNECTION_RETRY_DIVISOR);
             probe.refused = Some(RefusedConnection { retry_at, retried: false });
         }
     }
 }
 
-/// Whether a member hands over to another process, and is still waited for.
+/// Whether a member is handing over to another process and [`HANDOVER_TIMEOUT`] has not passed.
 fn is_handing_over(now: Time, member: &KnownMember) -> bool {
     member.update.state == MemberState::HandingOver && now.since(member.state_since) < HANDOVER_TIMEOUT
 }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,6 +1,7 @@
-//! What one member knows of the others: the last update about each, and how it is reached from here.
+//! One member's bounded table of the others: the last update about each, and the reachability from here.
 //!
-//! The table owns this knowledge and its bound. It decides which updates apply, never what follows from them.
+//! The table decides which updates apply and which entries are evicted. Gossip, suspicion deadlines and notifications
+//! are the node's.
 
 use super::update::{MemberState, MemberUpdate};
 use crate::policy::Time;
@@ -10,62 +11,64 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How a member is reached from here.
+/// The reachability of a member from the local one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
     /// Messages pass in both directions.
     #[default]
     Direct,
-    /// The member answers other members' probes, but not this one's: a partition between the two.
+    /// The member answers other members' probes, but not the local member's: the two are partitioned from each other.
     Indirect,
-    /// Messages from the member arrive, but this one's do not reach it.
+    /// Messages from the member arrive here, but the local member's messages do not reach it.
     InboundOnly,
 }
 
-/// A member as it is known here.
+/// The table's entry for a member.
 #[derive(Clone, Debug)]
 pub struct KnownMember {
-    /// The last update that applied.
+    /// The last update that was applied.
     pub update: MemberUpdate,
-    /// When the member came into its present state.
+    /// The time at which the member entered the state in `update`.
     pub state_since: Time,
-    /// How the member is reached from here.
+    /// The reachability from the local member.
     pub reachability: Reachability,
-    /// When a message last came from the member itself.
+    /// The time of the last message that the member itself sent; none if no message has arrived from this process
+    /// yet.
     pub last_message_at: Option<Time>,
 }
 
-/// A member's state as this member observes it: the state that is reported, refined by how the member is reached.
+/// A member's state as the local member observes it: the reported state, refined by the reachability.
 ///
-/// Records, the operators' API and the log write these by their outer names, which stay.
+/// Records, the operators' API and the log write the serialized names, which must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 // The key of the published record schema.
 #[schemars(rename = "State")]
 pub enum ObservedState {
-    /// Reported by others; no message of its own has arrived yet.
+    /// The member is reported by others; none of its own messages has arrived yet.
     Joining,
     /// The member is running.
     Alive,
-    /// The member is running, but a partition lies between it and this one.
+    /// The member is running, but is partitioned from the local member in at least one direction.
     #[serde(rename = "cut")]
     Partitioned,
-    /// Another process takes over under the same name.
+    /// The process stops, and another process takes over under the same name.
     #[serde(rename = "moving")]
     HandingOver,
     /// The member has not answered some other member's probe.
     Suspect,
-    /// The member did not answer in time: it died without a trace, or is partitioned from all.
+    /// The member did not answer in time: it died undetected, for example with its machine, or is partitioned from
+    /// all.
     #[serde(rename = "silent")]
     Failed,
-    /// The process is gone for certain.
+    /// The process is dead: its machine refuses connections to it.
     Dead,
     /// The member announced that it left.
     Left,
 }
 
 impl ObservedState {
-    /// Whether a member in this state takes its share of the traffic, as far as is known.
+    /// Whether a member in this state is counted as taking its share of the traffic.
     #[must_use]
     pub fn is_present(self) -> bool {
         !matches!(self, ObservedState::Failed | ObservedState::Dead | ObservedState::Left)
@@ -112,12 +115,12 @@
     pub name: String,
     /// The start of its process.
     pub start: u64,
-    /// The state from now on.
+    /// The new state.
     pub state: ObservedState,
 }
 
-/// All other members, by name. The table is bounded: if it is full, the member that has been gone longest is removed for a
-/// new one; if none is gone, new ones are ignored.
+/// The other members, by name. When the table is full, a new member replaces the one that has been gone (failed, dead
+/// or left) longest; if none is gone, the new member is ignored.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     members: BTreeMap<String, KnownMember>,
@@ -125,34 +128,34 @@
 }
 
 impl MemberTable {
-    /// An empty table for so many members, one at least.
+    /// Creates an empty table for up to `max_members` members; 0 counts as 1.
     #[must_use]
     pub fn new(max_members: usize) -> MemberTable {
         MemberTable { members: BTreeMap::new(), max_members: max_members.max(1) }
     }
 
-    /// The member of this name.
+    /// The entry for the member of this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&KnownMember> {
         self.members.get(name)
     }
 
-    /// The member of this name, to note how and when messages pass.
+    /// The mutable entry for the member of this name, to record its reachability and the time of its last message.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut KnownMember> {
         self.members.get_mut(name)
     }
 
-    /// All members, by name.
+    /// All entries, in the order of the members' names.
     pub fn iter(&self) -> impl Iterator<Item = &KnownMember> {
         self.members.values()
     }
 
-    /// The members that take their share of the traffic, as far as is known.
+    /// The members that are counted as taking traffic; see [`MemberState::is_present`].
     pub fn present(&self) -> impl Iterator<Item = &KnownMember> {
         self.iter().filter(|member| member.update.state.is_present())
     }
 
-    /// Applies an update if it supersedes what is known; returns whether it did.
+    /// Applies an update if it supersedes the last one about the member; returns whether it was applied.
     pub fn apply(&mut self, now: Time, update: &MemberUpdate) -> bool {
         let Some(member) = self.members.get_mut(&update.name) else {
             return self.insert(now, update);
@@ -167,14 +170,14 @@
         if !same_process {
             (member.last_message_at, member.reachability) = (None, Reachability::Direct);
         }
-        // A process keeps its address: guards against updates that divert a living process's traffic.
+        // The address of a process never changes; a forged update could otherwise divert its traffic.
         let address = if same_process { member.update.address } else { update.address };
         member.update = MemberUpdate { address, ..update.clone() };
         true
     }
 
-    /// Inserts an unknown member if it is present and there is capacity. The death of an unknown member is ignored: guards
-    /// against passing on members that nobody remembers.
+    /// Inserts an unknown member if it is present and there is capacity. Updates about unknown members that are gone
+    /// are ignored; otherwise gossip would keep reviving entries that have expired everywhere.
     fn insert(&mut self, now: Time, update: &MemberUpdate) -> bool {
         if !update.state.is_present() || !self.ensure_capacity() {
             return false;
@@ -189,7 +192,8 @@
         true
     }
 
-    /// Removes the member that has been gone longest if the table is full; returns whether there is capacity for one more.
+    /// Evicts the member that has been gone longest if the table is full; returns whether there is capacity for one
+    /// more.
     fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.max_members {
             return true;
@@ -199,8 +203,7 @@
         oldest.is_some_and(|name| self.members.remove(&name).is_some())
     }
 
-    /// Removes members that have been gone for their retention: `failed_retention` for failed ones, `gone_retention` for
-    /// those whose end is known.
+    /// Removes failed members after `failed_retention`, and those that died or left after `gone_retention`.
     pub fn remove_expired(&mut self, now: Time, gone_retention: Duration, failed_retention: Duration) {
         self.members.retain(|_, member| {
             let age = now.since(member.state_since);
@@ -212,7 +215,7 @@
         });
     }
 
-    /// Moves all remembered times forward, after the local process was paused for this long.
+    /// Moves all recorded times forward by the duration of a pause of the local process.
     pub fn shift_times(&mut self, pause: Duration) {
         for member in self.members.values_mut() {
             member.state_since = member.state_since.after(pause);
--- a/src/membership/table/tests.rs
+++ b/src/membership/table/tests.rs
@@ -17,7 +17,7 @@
     assert!(table.apply(Time(3), &update("b", 1, MemberState::Left)));
     assert!(table.apply(Time(4), &update("c", 1, MemberState::Alive)));
     assert!(table.get("b").is_none() && table.get("a").is_some());
-    // However often it restarts, it is one member.
+    // A member that restarts many times still takes one entry.
     (2..200).for_each(|start| assert!(table.apply(Time(start), &update("c", start, MemberState::Alive))));
     assert_eq!(table.iter().count(), 2);
 }
@@ -29,7 +29,7 @@
     assert!(table.apply(Time(1), &update("b", 1, MemberState::Alive)));
     assert!(table.apply(Time(2), &update("b", 1, MemberState::Failed)));
     table.remove_expired(Time(12), Duration::from_nanos(5), Duration::from_nanos(50));
-    assert!(table.get("b").is_some(), "it may be behind a partition");
+    assert!(table.get("b").is_some(), "a failed member may be partitioned and is kept longer");
     table.remove_expired(Time(53), Duration::from_nanos(5), Duration::from_nanos(50));
     assert!(table.get("b").is_none());
 }
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,27 +1,27 @@
-//! The time constants of the membership protocol; an operator's file may set some of them.
+//! The time constants of the membership protocol and their defaults; the operator's file can override some of them.
 
 use std::time::Duration;
 
 /// Time constants of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two rounds of probes; a probe's answer is due within it.
+    /// The interval between two rounds of probes, and the time-out of a probe.
     pub probe_interval: Duration,
-    /// Between two rounds of gossip, while there are updates to pass on.
+    /// The interval between two rounds of gossip, while updates are queued.
     pub gossip_interval: Duration,
-    /// From a suspicion to the declaration of the member's death.
+    /// The time from a member's suspicion to the declaration that it failed.
     pub suspicion_timeout: Duration,
-    /// A gap between two ticks from which the local process itself was paused.
+    /// A gap between two ticks that is longer than this means that the local process itself was paused.
     pub pause_threshold: Duration,
-    /// Time without any message after which this member takes itself for the one that is cut off.
+    /// The time without a message from any member after which this member considers itself isolated.
     pub isolation_timeout: Duration,
-    /// Between two exchanges of whole tables.
+    /// The interval between two exchanges of whole tables, in a small fleet; it grows with the number of members.
     pub exchange_interval: Duration,
-    /// Between two attempts to reach failed members and missing seeds.
+    /// The interval between two attempts to reach failed members and missing seeds.
     pub rejoin_interval: Duration,
-    /// How long dead members, and those that left, are remembered.
+    /// How long dead members, and those that left, stay in the table.
     pub gone_retention: Duration,
-    /// How long failed members are remembered.
+    /// How long failed members stay in the table.
     pub failed_retention: Duration,
 }
 
--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -1,53 +1,55 @@
-//! The messages that members exchange and the updates in them: the form of both, which of two updates about the same member
-//! supersedes the other, and which of them are valid.
+//! The messages that members exchange and the updates in them: their types, their validation, and which of two
+//! updates about the same member supersedes the other.
 //!
-//! The enums' variants and the structs' fields are encoded by position (postcard), not by name: their order is part of the
-//! wire form, their names are not. This module keeps no state and does no I/O.
+//! Enum variants and struct fields are encoded by position (postcard), not by name: their order is part of the wire
+//! format, their names are not. This module keeps no state and does no I/O.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name of a member, and the longest name of a zone, in bytes.
+/// The maximum length of a member's name and of a zone's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most bytes that all updates of a message may take, the sender's own among them: a datagram of 1,200 bytes, less the
-/// seal and the header.
+/// The maximum total size of a message's updates, including the sender's own, in bytes: a datagram of 1,200 bytes,
+/// less the header, the authentication tag and the message's other fields.
 pub const MAX_UPDATES_BYTES: usize = 1160;
-/// The most bytes of an encoded update beside its two texts.
+/// The maximum encoded size of an update without its name and zone, in bytes.
 const FIXED_UPDATE_BYTES: usize = 40;
 
-/// The state of a member as members report it to each other. The order is that of precedence within one incarnation.
+/// The state of a member as members report it to each other. Within one incarnation, a later variant takes
+/// precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member is running.
     Alive,
     /// The process stops, and another process takes over under the same name.
     HandingOver,
-    /// The member has not answered some other member's probe.
+    /// The member did not answer the probes of at least one other member.
     Suspect,
-    /// The member was declared dead because it did not answer in time; a network partition looks the same.
+    /// The member did not refute its suspicion in time: it died, or is partitioned from the others.
     Failed,
-    /// The process is gone for certain: its machine refuses connections to it.
+    /// The process is dead: its machine refuses connections to it.
     Dead,
-    /// The member announced its end.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Whether a member in this state takes its share of the traffic, as far as is known.
+    /// Whether a member in this state is counted as taking its share of the traffic.
     #[must_use]
     pub fn is_present(self) -> bool {
         self < MemberState::Failed
     }
 }
 
-/// What one member reports about a member, itself or another.
+/// A report about a member, by the member itself or by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member's name, which stays the same across restarts.
     pub name: String,
-    /// Identifies the process: its start time in Unix nanoseconds, or a later value if the member had to take its name back.
+    /// Identifies the process: its start time in Unix nanoseconds, or a later value if the member had to reclaim its
+    /// name.
     pub start: u64,
-    /// Raised by the member itself to refute an update about it.
+    /// The version of the member's reports within one start; the member increments it to refute an update.
     pub incarnation: u32,
     /// The address at which the member receives datagrams and connections.
     pub address: SocketAddr,
@@ -58,8 +60,8 @@
 }
 
 impl MemberUpdate {
-    /// Whether this update supersedes another one about the same name. A later start voids all updates about earlier ones.
-    /// Within one start, the member's own leave is final; then the higher incarnation wins, then the later state.
+    /// Whether this update supersedes another one about the same name. The later start wins. Within one start, a
+    /// leave is final; otherwise the higher incarnation wins, then the later [`MemberState`].
     #[must_use]
     pub fn supersedes(&self, other: &MemberUpdate) -> bool {
         let rank = |update: &MemberUpdate| {
@@ -69,7 +71,8 @@
         rank(self) > rank(other)
     }
 
-    /// Whether the update is well-formed: names within their limits and without control characters, and a usable port.
+    /// Whether the update is well-formed: a non-empty name, name and zone of at most [`MAX_NAME_BYTES`] and without
+    /// control characters, and a port other than 0.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let valid_name = |text: &str| text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
@@ -89,14 +92,14 @@
     }
 }
 
-/// The purpose of a message.
+/// The kind of a message, with its payload.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
     /// A probe; the receiver answers with a [`MessageKind::Ack`] of the same number.
     Ping {
         /// The number of the probe.
         number: u32,
-        /// Whether messages from the receiver have lately reached the sender directly.
+        /// Whether the receiver's messages reach the sender, as far as the sender's reachability state tells.
         receives_peer: bool,
     },
     /// The answer to a probe.
@@ -104,39 +107,39 @@
         /// The number of the probe.
         number: u32,
     },
-    /// Requests that the receiver probe a third member on the sender's behalf (an indirect probe).
+    /// A request to probe a third member on the sender's behalf (an indirect probe).
     PingRequest {
         /// The number of the sender's probe.
         number: u32,
         /// The name of the member to probe.
         target: String,
     },
-    /// Reports that the third member answered an indirect probe.
+    /// The report that the third member answered an indirect probe.
     IndirectAck {
         /// The number of the probe in the [`MessageKind::PingRequest`].
         number: u32,
-        /// What the third member reported about itself.
+        /// The third member's update about itself.
         update: MemberUpdate,
     },
-    /// Carries updates only.
+    /// Updates only.
     Gossip,
     /// A whole member table, sent over a connection; the receiver returns its own.
     Table,
 }
 
-/// What one member sends to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender, as it reports itself.
+    /// The sender's update about itself.
     pub from: MemberUpdate,
-    /// The purpose.
+    /// The kind, with its payload.
     pub kind: MessageKind,
     /// Updates about other members.
     pub updates: Vec<MemberUpdate>,
 }
 
 impl Message {
-    /// An upper bound of the encoded size of the message's updates and texts, in bytes.
+    /// An upper bound of the encoded size of the message's updates and of the name in a ping request, in bytes.
     pub fn max_encoded_bytes(&self) -> usize {
         let kind = match &self.kind {
             MessageKind::IndirectAck { update, .. } => update.max_encoded_bytes(),
--- a/src/membership/update/tests.rs
+++ b/src/membership/update/tests.rs
@@ -18,7 +18,7 @@
             && (a.incarnation == b.incarnation);
         prop_assert_eq!(!same, a.supersedes(&b) != b.supersedes(&a));
         prop_assert!(!(a.supersedes(&b) && b.supersedes(&c)) || a.supersedes(&c));
-        // Only a later process brings a member back that has announced its leave.
+        // After a leave, only an update about a later process makes the member present again.
         if a.state == MemberState::Left && b.supersedes(&a) {
             prop_assert!(b.start > a.start || b.state == MemberState::Left);
         }
