--- a/src/bin/membership-simulator/main.rs
+++ b/src/bin/membership-simulator/main.rs
@@ -1,5 +1,5 @@
-//! The command line of the membership simulation: runs experiments on members in virtual time, checks their
-//! rules and saves the outcomes.
+//! The command line of the membership simulation: runs experiments in virtual time, checks their rules, and saves,
+//! lists and compares outcomes.
 
 use clap::{Parser, Subcommand};
 use gatherer::simulation::chart::{self, ChartError};
@@ -9,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit status of experiments of which one broke a rule.
+/// The exit status if at least one run broke a rule.
 const BROKEN_RULES_EXIT_STATUS: u8 = 1;
-/// Exit status of a command that failed in any other way.
+/// The exit status of any other failure.
 const OTHER_EXIT_STATUS: u8 = 2;
 
-/// Simulates the membership of a fleet of gatherers under faults, according to experiments that are files.
+/// Simulates the membership of a fleet of gatherers under faults that experiment files describe.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -24,47 +24,47 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run experiments; the exit status is 1 if a rule was broken.
+    /// Run experiments; the exit status is 1 if a rule was broken, and 2 after any other failure.
     Run {
-        /// The experiments' files.
+        /// The experiment files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The number of members, in place of the file's; the steps may name no others.
+        /// The number of members, overriding the file's; steps that name higher members are rejected.
         #[arg(long)]
         members: Option<usize>,
-        /// The seed, in place of the file's; more than one for as many runs.
+        /// The seed, overriding the file's; repeat it to run each experiment with several seeds.
         #[arg(long)]
         seed: Vec<u64>,
-        /// The folder in which each run's outcome is saved, as JSON and as a chart.
+        /// The folder in which the outcome of each run is saved as JSON and as an SVG chart.
         #[arg(long)]
         out: Option<PathBuf>,
     },
     /// List the experiments of a folder.
     List {
-        /// The folder.
+        /// The folder with the experiment files.
         #[arg(default_value = "experiments")]
         folder: PathBuf,
     },
     /// Print saved outcomes side by side.
     Compare {
-        /// The outcomes' JSON files.
+        /// The JSON files of the outcomes.
         #[arg(required = true)]
         results: Vec<PathBuf>,
     },
 }
 
-/// Why a command failed. A broken rule has an exit status of its own.
+/// The reason why a command failed. A broken rule has its own exit status.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     #[error("{path}: {source}")]
     File { path: String, source: std::io::Error },
-    #[error("{path}: {source}")]
+    #[error("{path}: invalid outcome JSON: {source}")]
     Json { path: String, source: serde_json::Error },
-    #[error("the chart cannot be drawn: {0}")]
+    #[error("cannot draw the chart: {0}")]
     Chart(#[from] ChartError),
-    #[error("{0} runs broke a rule")]
+    #[error("{0} runs broke at least one rule")]
     BrokenRules(usize),
 }
 
@@ -105,7 +105,7 @@
     RunError::Json { path: path.display().to_string(), source }
 }
 
-/// Runs experiments, prints their outcomes and the rules that they broke, and saves them where `out` names a
+/// Runs experiments, and prints their outcomes and the rules that they broke. Saves the outcomes if `out` names a
 /// folder.
 fn run(files: &[PathBuf], members: Option<usize>, seeds: &[u64], out: Option<&Path>) -> Result<(), RunError> {
     let mut outcomes = Vec::new();
@@ -139,7 +139,7 @@
     }
 }
 
-/// Runs an experiment, and shows its progress where standard error is a terminal.
+/// Runs an experiment, and shows its progress if standard error is a terminal.
 fn run_one(experiment: &Experiment) -> Outcome {
     let members = Simulation::with_nodes(experiment.members, experiment.seed, experiment.timing());
     let shows_progress = std::io::stderr().is_terminal();
@@ -157,8 +157,8 @@
     outcome
 }
 
-/// Saves an outcome as JSON and as a chart, named after the experiment's file, the number of members and the
-/// seed.
+/// Saves an outcome as JSON and as an SVG chart. The files are named after the experiment file, the number of
+/// members and the seed.
 fn save(folder: &Path, file: &Path, outcome: &Outcome) -> Result<(), RunError> {
     std::fs::create_dir_all(folder).map_err(|error| file_error(folder, error))?;
     let stem = file.file_stem().unwrap_or_default().to_string_lossy();
@@ -172,7 +172,7 @@
     Ok(())
 }
 
-/// Prints saved outcomes side by side.
+/// Prints saved outcomes as one table.
 fn compare(results: &[PathBuf]) -> Result<(), RunError> {
     let read = |path: &PathBuf| {
         let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
@@ -183,10 +183,10 @@
     Ok(())
 }
 
-/// Lists the experiments of a folder, by the names of their files.
+/// Lists the experiments of a folder, sorted by file name.
 fn list(folder: &Path) -> Result<(), RunError> {
     let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
-    // An entry that cannot be read is not listed; the others are.
+    // Folder entries that cannot be read are skipped.
     let mut files: Vec<PathBuf> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
     files.sort();
     for file in files.iter().filter(|file| file.extension().is_some_and(|extension| extension == "toml")) {
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -1,4 +1,4 @@
-//! The outcomes of experiments for people: a table, and a chart of what the members knew beside the truth.
+//! Presents the outcomes of experiments: a Markdown table, and an SVG chart of the members' observations over time.
 
 use super::outcome::{Outcome, Sample};
 use plotters::drawing::DrawingAreaErrorKind;
@@ -6,24 +6,24 @@
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
 };
 
-/// Width and height, in pixels.
+/// The width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 420);
 const TRUTH_COLOUR: RGBColor = RGBColor(90, 90, 90);
 const CONVERGED_COLOUR: RGBColor = RGBColor(0, 114, 178);
 const MIN_ESTIMATE_COLOUR: RGBColor = RGBColor(213, 94, 0);
 const MAX_ESTIMATE_COLOUR: RGBColor = RGBColor(240, 190, 110);
 
-/// The head of the table of outcomes.
+/// The header of the table of outcomes.
 const TABLE_HEAD: &str = "| experiment | members | seed | killed | known to all, median s | 99 % s \
     | false positives | converged after s | datagrams/s | bytes/s | us/s |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// Why a chart cannot be drawn.
+/// A chart could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct ChartError(#[from] DrawingAreaErrorKind<std::io::Error>);
 
-/// A line of the chart.
+/// A line of the chart: one value of each sample.
 struct Curve {
     label: &'static str,
     colour: RGBColor,
@@ -50,7 +50,7 @@
     },
 ];
 
-/// A table of the outcomes in Markdown, a row for each.
+/// A Markdown table with one row for each outcome.
 #[must_use]
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut out = String::from(TABLE_HEAD);
@@ -83,7 +83,7 @@
 /// A chart of the outcome over time, as SVG.
 ///
 /// # Errors
-/// The reason why it cannot be drawn.
+/// The drawing library cannot draw the chart.
 pub fn svg(outcome: &Outcome) -> Result<String, ChartError> {
     let mut text = String::new();
     draw(outcome, &mut text)?;
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -1,8 +1,8 @@
-//! The simulation's engine: members in virtual time, a network that loses, duplicates, delays and partitions,
-//! and processes that pause, die and start again. The same seed gives the same run.
+//! The simulation's engine: runs members in virtual time, on a network that loses, duplicates, delays and
+//! partitions, in processes that pause, die and restart. The same seed gives the same run.
 //!
-//! [`Simulation`] owns the virtual clock, all processes and the events in flight. It decides nothing for a
-//! member.
+//! [`Simulation`] owns the virtual clock, the processes and the pending events. The members' decisions are made
+//! by the protocol under test ([`Peer`]).
 
 use super::event_queue::{DueEvent, Event, EventQueue};
 use super::network::{Link, NetworkFaults, Traffic, address, id_at, id_of, name};
@@ -16,65 +16,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// When every simulation starts: some Unix time.
+/// The time at which every simulation starts: an arbitrary Unix time, in nanoseconds.
 pub const START_TIME: Time = Time(1_700_000_000_000_000_000);
-/// How long the members have to find each other before the simulation is handed out.
+/// The simulated time in which the members discover each other before [`Simulation::new`] returns.
 const WARM_UP: Duration = Duration::from_secs(20);
-/// The most events that the kernel keeps for a paused process.
+/// The maximum number of events buffered for a paused process, as by a kernel's receive buffer.
 const MAX_BUFFERED_EVENTS: usize = 256;
-/// The most members that a simulated one remembers.
+/// The capacity of a simulated member's table.
 const MAX_MEMBERS: usize = 2000;
-/// The first members, which all others know as seeds.
+/// The number of seeds: these are the first members.
 const SEED_MEMBERS: usize = 2;
-/// Zones, to which members belong in turn.
+/// The number of zones; members are assigned to them in turn.
 const ZONES: usize = 3;
-/// The least time between two ticks.
+/// The minimum time between two ticks of a process.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// How long it takes to connect, to be refused, or to send a table.
+/// The time to connect, to be refused, or to send a table.
 const CONNECTION_DELAY: Duration = Duration::from_millis(2);
-/// How long a connection attempt without a response takes.
+/// The time after which a connection attempt without a response fails.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A member's process, which may be dead.
 struct Process<P: Peer> {
-    /// The running process; none if it is dead.
+    /// The state machine of the running process; none if the process is dead.
     node: Option<P>,
-    /// The end of the pause that the process is in.
+    /// The end of the current pause, if the process is paused.
     paused_until: Option<Time>,
-    /// Events that arrived during the pause.
+    /// The events that arrived during the pause.
     buffered: Vec<Event<P::Message>>,
-    /// How often the member was started, by which ticks of an earlier process are recognised.
+    /// The number of times that the member was started; ticks scheduled for an earlier process are dropped by it.
     starts: u64,
 }
 
-/// A change that a member reported.
+/// A change of an observed state, as one member reported it.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// When.
+    /// The time of the report.
     pub at: Time,
-    /// The reporting member.
+    /// The number of the reporting member.
     pub by: usize,
     /// The change.
     pub change: MemberChange,
-    /// Whether the process that the change is about was running at that time.
+    /// Whether the process that the change is about was actually running at that time.
     pub was_running: bool,
 }
 
-/// Members of one protocol, their network, and what they reported.
+/// A simulation of members of one protocol, with their network and their reports.
 pub struct Simulation<P: Peer> {
     /// The virtual time.
     pub now: Time,
-    /// What happens to datagrams.
+    /// The faults that the network applies to datagrams.
     pub faults: NetworkFaults,
-    /// Directions in which nothing passes.
+    /// The links on which nothing passes.
     pub partitions: BTreeSet<Link>,
-    /// Whether a partition refuses connections, as a firewall may, in place of dropping them.
+    /// Whether partitions refuse connections, as a firewall may, instead of dropping their packets.
     pub partitions_refuse: bool,
-    /// Whether each of the next datagrams is lost; those after them are lost at random.
+    /// Whether each of the next datagrams is lost; the ones after them are subject to `faults` only.
     pub scripted_losses: VecDeque<bool>,
-    /// All changes that members reported.
+    /// The changes that members reported, in order.
     pub reports: Vec<Report>,
-    /// What all members sent.
+    /// The traffic of all members.
     pub traffic: Traffic,
     processes: Vec<Process<P>>,
     queue: EventQueue<P::Message>,
@@ -85,7 +85,8 @@
 }
 
 impl Simulation<Node> {
-    /// Members of the program's own protocol, which know the first two and have had 20 s to find each other.
+    /// Creates a simulation of `count` members of the gatherer's own protocol. The first two members are the
+    /// seeds; the members have had 20 s of simulated time to discover each other.
     #[must_use]
     pub fn with_nodes(count: usize, seed: u64, timing: Timing) -> Simulation<Node> {
         let start_peer = move |start: PeerStart<'_>| {
@@ -110,14 +111,15 @@
         Simulation::new(count, seed, Box::new(start_peer))
     }
 
-    /// Delivers a message to a member from a sender that is not a member, and yet holds the secret.
+    /// Delivers a message to a member from a sender that is not a member but knows the shared secret.
     pub fn forge(&mut self, to: usize, message: Message) {
         self.schedule(self.now, Event::Datagram { to, message });
     }
 }
 
 impl<P: Peer> Simulation<P> {
-    /// Members that know the first two and have had 20 s to find each other.
+    /// Creates a simulation of `count` members. The first two members are the seeds; the members have had 20 s
+    /// of simulated time to discover each other.
     pub fn new(count: usize, seed: u64, start_peer: StartPeer<P>) -> Simulation<P> {
         let process = || Process { node: None, paused_until: None, buffered: Vec::new(), starts: 0 };
         let mut simulation = Simulation {
@@ -140,7 +142,7 @@
         simulation
     }
 
-    /// Starts a process of a member.
+    /// Starts a new process of a member, in place of a running one.
     pub fn start(&mut self, id: usize) {
         let random_seed = self.random.u64(..);
         let node = (self.start_peer)(PeerStart {
@@ -163,7 +165,7 @@
         self.processes[id].node = None;
     }
 
-    /// Pauses a member's process for this long.
+    /// Pauses a member's process for `duration`.
     pub fn pause(&mut self, id: usize, duration: Duration) {
         let until = self.now.after(duration);
         self.processes[id].paused_until = Some(until);
@@ -171,22 +173,21 @@
         self.schedule(until, tick);
     }
 
-    /// Ends a member's process in an orderly way, for good or for another process.
+    /// Shuts a member's process down gracefully. With `handing_over`, another process is to take over its name.
     pub fn leave(&mut self, id: usize, handing_over: bool) {
         let commands = self.processes[id].node.as_mut().map(|node| node.leave(handing_over));
         self.execute(id, commands.unwrap_or_default());
         self.kill(id);
     }
 
-    /// Lets nothing pass from the first members to the second.
+    /// Blocks all links from the members that match `from` to those that match `to`.
     pub fn partition(&mut self, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
         let count = self.processes.len();
         let links = (0..count).flat_map(|from| (0..count).map(move |to| Link { from, to }));
         self.partitions.extend(links.filter(|link| link.from != link.to && from(link.from) && to(link.to)));
     }
 
-    /// Lets time pass in steps of 50 ms until `condition` holds; returns how long that took, or none after
-    /// `timeout`.
+    /// Advances time in steps of 50 ms until `condition` holds. Returns the elapsed time, or none after `timeout`.
     pub fn run_until(
         &mut self,
         timeout: Duration,
@@ -202,7 +203,7 @@
         Some(self.now.since(since))
     }
 
-    /// Lets this much time pass.
+    /// Advances time by `duration` and applies all events that are due meanwhile.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now.after(duration);
         while let Some(DueEvent { due, event }) = self.queue.pop_due(end) {
@@ -216,7 +217,7 @@
         self.queue.push(due, event);
     }
 
-    /// Has an event happen.
+    /// Applies an event to its target process; buffers it if the process is paused, and drops it if it is dead.
     fn apply(&mut self, event: Event<P::Message>) {
         let (now, id) = (self.now, event.target());
         // A forged update may name an address at which there is no member.
@@ -254,8 +255,8 @@
         self.after_event(id, ticked);
     }
 
-    /// Ends a process's pause. It may read what the kernel kept before or after its timers run: at random,
-    /// the first datagram goes before them.
+    /// Ends a process's pause. A resumed process may read buffered datagrams before or after its timers run, so
+    /// the first datagram is delivered before the timers in a random half of the cases.
     fn resume(&mut self, id: usize) {
         let now = self.now;
         let process = &mut self.processes[id];
@@ -313,12 +314,12 @@
         }
     }
 
-    /// Whether a connection between two members cannot come up, as nothing passes one way at least.
+    /// Whether two members cannot connect, because at least one direction between them is blocked.
     fn is_connection_blocked(&self, a: usize, b: usize) -> bool {
         self.is_link_blocked(a, b) || self.is_link_blocked(b, a)
     }
 
-    /// Whether nothing passes from a member to another.
+    /// Whether the link from one member to another is blocked.
     fn is_link_blocked(&self, from: usize, to: usize) -> bool {
         self.partitions.contains(&Link { from, to })
     }
@@ -356,13 +357,13 @@
         }
     }
 
-    /// A member's process, if it runs.
+    /// The state machine of a member's process; none if the process is dead.
     #[must_use]
     pub fn node(&self, id: usize) -> Option<&P> {
         self.processes.get(id)?.node.as_ref()
     }
 
-    /// The number of members, whether they run or not.
+    /// The number of members, running or not.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.processes.len()
--- a/src/simulation/event_queue.rs
+++ b/src/simulation/event_queue.rs
@@ -1,25 +1,27 @@
-//! The events in flight of a simulation, in the order in which they happen. It knows no member's process.
+//! The queue of a simulation's pending events, in the order in which they are due.
+//!
+//! The queue stores and orders events; the engine applies them.
 
 use crate::membership::ConnectionProbeResult;
 use crate::policy::Time;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Something that happens to a member's process.
+/// An event that is delivered to a member's process.
 #[derive(Clone)]
 pub(super) enum Event<M> {
-    /// Its timers run, if it is the process of so many starts.
+    /// The process's timers run, if `starts` is still the member's number of starts.
     Tick { id: usize, starts: u64 },
-    /// A datagram arrives.
+    /// A datagram arrives from another member.
     Datagram { to: usize, message: M },
-    /// A connection that it probed came up, was refused, or got no response.
+    /// A connection probe of the process to the member `name` ends.
     ProbeResult { id: usize, name: String, start: u64, result: ConnectionProbeResult },
-    /// Another member's table arrives; unless it is a reply, the other one waits for the member's own.
+    /// The table of the member `from` arrives; unless it is a reply, the receiver returns its own table.
     Table { to: usize, from: usize, message: M, is_reply: bool },
 }
 
 impl<M> Event<M> {
-    /// The member that the event happens to.
+    /// The number of the member that receives the event.
     pub(super) fn target(&self) -> usize {
         match self {
             Event::Tick { id, .. } | Event::ProbeResult { id, .. } => *id,
@@ -28,43 +30,43 @@
     }
 }
 
-/// An event whose time has come.
+/// An event with the time at which it is due.
 pub(super) struct DueEvent<M> {
     pub(super) due: Time,
     pub(super) event: Event<M>,
 }
 
-/// When an event in flight is due. Events that are due at the same time happen in the order of their serial
-/// numbers.
+/// The sort key of a pending event. Events that are due at the same time are applied in the order of their
+/// serial numbers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedEvent {
     due: Time,
     serial: u64,
 }
 
-/// The events in flight.
+/// The queue of pending events.
 pub(super) struct EventQueue<M> {
-    /// The next event first.
+    /// The sort keys, as a min-heap.
     order: BinaryHeap<Reverse<QueuedEvent>>,
-    /// The events, by their serial numbers.
+    /// The events, by serial number.
     events: HashMap<u64, Event<M>>,
     last_serial: u64,
 }
 
 impl<M> EventQueue<M> {
-    /// No events.
+    /// Creates an empty queue.
     pub(super) fn new() -> EventQueue<M> {
         EventQueue { order: BinaryHeap::new(), events: HashMap::new(), last_serial: 0 }
     }
 
-    /// Adds an event that happens at `due`, after all that are due then already.
+    /// Adds an event that is due at `due`, after those already queued for the same time.
     pub(super) fn push(&mut self, due: Time, event: Event<M>) {
         self.last_serial += 1;
         self.events.insert(self.last_serial, event);
         self.order.push(Reverse(QueuedEvent { due, serial: self.last_serial }));
     }
 
-    /// Takes the next event, if it is due at `latest` or before.
+    /// Removes and returns the next event, if it is due at `latest` or earlier.
     pub(super) fn pop_due(&mut self, latest: Time) -> Option<DueEvent<M>> {
         let Reverse(QueuedEvent { due, serial }) = *self.order.peek().filter(|next| next.0.due <= latest)?;
         self.order.pop();
--- a/src/simulation/experiment.rs
+++ b/src/simulation/experiment.rs
@@ -1,7 +1,7 @@
-//! Experiments: what happens to the members of a simulation, when, and which rules have to hold, as a TOML
-//! file.
+//! Experiments: TOML files that list the faults applied to a simulation, their times, and the rules that the
+//! outcome has to satisfy. This module reads and validates them.
 //!
-//! The files' keys are an outer form and stay; fields with other names keep them by `serde(rename)`.
+//! The keys of existing files must not change; fields with other names are mapped by `serde(rename)`.
 
 mod step;
 
@@ -14,91 +14,91 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The numbers of members that can be simulated.
+/// The range of the number of members in an experiment.
 const MEMBER_COUNTS: RangeInclusive<usize> = 2..=2000;
-/// The longest experiment, in seconds: a week.
+/// The maximum duration of an experiment, in seconds: one week.
 const MAX_SECONDS: f64 = 604_800.0;
 
-/// Why a file is not an experiment.
+/// The reason why an experiment file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The file cannot be read.
-    #[error("{path}: {source}")]
+    #[error("{path}: cannot read the experiment: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The reason.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file's text is not an experiment.
+    /// The file does not contain a valid experiment.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The fault.
+        /// The syntax error or invalid value.
         source: InvalidExperiment,
     },
 }
 
-/// Why a text is not an experiment, or an experiment cannot be run.
+/// The reason why an experiment is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidExperiment {
-    /// The text is not in the form; the error names the line and the key.
+    /// The text is not valid TOML or does not match the schema; the error names the line and the key.
     #[error("\n{0}")]
     Syntax(#[from] toml::de::Error),
-    /// So many members cannot be simulated.
+    /// The number of members is out of range.
     #[error(
-        "members: {0}, {least} to {most} can be played",
+        "members: {0}: must be from {least} to {most}",
         least = MEMBER_COUNTS.start(),
         most = MEMBER_COUNTS.end()
     )]
     MemberCount(usize),
-    /// It cannot last for so many seconds.
-    #[error("seconds: {0}, a week at most")]
+    /// The duration is out of range.
+    #[error("seconds: {0}: must be greater than 0 and at most {MAX_SECONDS} (one week)")]
     Duration(f64),
-    /// The network's faults at the start are no shares.
-    #[error("net: shares lie between 0 and 1")]
+    /// A network fault at the start is not a fraction.
+    #[error("net: `loss`, `twice` and `late` must be between 0 and 1")]
     NetworkFaults,
-    /// A step cannot be taken.
+    /// A step is invalid.
     #[error("step {number} ({action} at {at}): {source}")]
     Step {
         /// The step's number in the file, from 1.
         number: usize,
-        /// What it does.
+        /// The step's action.
         action: Action,
-        /// Its time, in seconds from the start.
+        /// The step's time, in seconds from the start.
         at: f64,
-        /// What is wrong with it.
+        /// The reason.
         source: InvalidStep,
     },
 }
 
-/// An experiment.
+/// An experiment: members, faults and rules.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The title, a few words.
+    /// The title, for tables and charts.
     pub title: String,
     /// The number of members.
     pub members: usize,
-    /// The duration in seconds, after the time in which the members find each other.
+    /// The duration in seconds, after the warm-up in which the members discover each other.
     pub seconds: f64,
     /// The seed of all random numbers.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// The time from a suspicion to the declaration of a death, in milliseconds.
+    /// [`Timing::suspicion_timeout`], in milliseconds.
     #[serde(rename = "bury_ms", default = "default_suspicion_timeout_ms")]
     pub suspicion_timeout_ms: u64,
-    /// The time between two rounds of probes, in milliseconds.
+    /// [`Timing::probe_interval`], in milliseconds.
     #[serde(rename = "period_ms", default = "default_probe_interval_ms")]
     pub probe_interval_ms: u64,
     /// The network's faults at the start.
     #[serde(rename = "net", default)]
     pub network: NetworkFaults,
-    /// What happens.
+    /// The steps, each applied at its time.
     #[serde(rename = "step", default)]
     pub steps: Vec<Step>,
-    /// What has to hold.
+    /// The rules that the outcome has to satisfy.
     #[serde(default)]
     pub rules: Rules,
 }
@@ -113,30 +113,30 @@
     500
 }
 
-/// What has to hold.
+/// The rules that the outcome of an experiment has to satisfy.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// The most deaths that are reported of running processes.
+    /// The maximum number of reported deaths of running processes.
     #[serde(rename = "buried_alive")]
     pub max_false_positives: Option<usize>,
-    /// The most seconds until all members know of a killed one's death.
+    /// The maximum time from the kill of a member until all others know of its death, in seconds.
     #[serde(rename = "known_in")]
     pub max_detection_s: Option<f64>,
-    /// Whether at the end all members have to observe exactly the living ones.
+    /// Whether all members have to observe exactly the running members as present at the end.
     #[serde(rename = "agree")]
     pub must_converge: bool,
-    /// The most that the living members' shares of the fleet add up to at any time. A member's share is one
-    /// part in its own estimate of the number of gatherers.
+    /// The maximum sum of the running members' shares of the fleet at any time. A member's share is the inverse
+    /// of its own estimate of the number of gatherers.
     #[serde(rename = "shared_out")]
     pub max_total_share: Option<f64>,
 }
 
 impl Experiment {
-    /// Reads an experiment's file.
+    /// Reads and validates an experiment file.
     ///
     /// # Errors
-    /// The file cannot be read, is not in the form, or its experiment cannot be run.
+    /// The file cannot be read, or does not contain a valid experiment.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -144,17 +144,17 @@
         Experiment::parse(&text).map_err(|source| ExperimentError::Invalid { path: name, source })
     }
 
-    /// Reads an experiment's text, and checks it.
+    /// Parses and validates the text of an experiment.
     ///
     /// # Errors
-    /// The text's fault with line and key, or what [`Experiment::check`] finds.
+    /// A syntax error with line and key, or an error of [`Experiment::check`].
     pub fn parse(text: &str) -> Result<Experiment, InvalidExperiment> {
         let experiment: Experiment = toml::from_str(text)?;
         experiment.check()?;
         Ok(experiment)
     }
 
-    /// The protocol's time constants.
+    /// The protocol's time constants for this experiment.
     #[must_use]
     pub fn timing(&self) -> Timing {
         let probe_interval = Duration::from_millis(self.probe_interval_ms);
@@ -166,10 +166,10 @@
         }
     }
 
-    /// Checks whether the experiment can be run.
+    /// Validates the number of members, the duration, the network faults and each step.
     ///
     /// # Errors
-    /// The key or step at fault.
+    /// The first invalid key or step.
     pub fn check(&self) -> Result<(), InvalidExperiment> {
         if !MEMBER_COUNTS.contains(&self.members) {
             return Err(InvalidExperiment::MemberCount(self.members));
--- a/src/simulation/experiment/step.rs
+++ b/src/simulation/experiment/step.rs
@@ -1,48 +1,51 @@
-//! The steps of an experiment: what happens, when, and to which members.
+//! The steps of an experiment: actions on members or on the network, at a time or repeatedly.
 //!
-//! Their keys are those of the files; fields with other names keep them by `serde(rename)`.
+//! The keys of existing files must not change; fields with other names are mapped by `serde(rename)`.
 
 use crate::simulation::network::NetworkFaults;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The shortest interval of a repeated step, in seconds.
+/// The minimum interval of a repeated step, in seconds.
 const MIN_REPEAT_SECONDS: f64 = 0.05;
 
-/// Why a step of an experiment cannot be taken.
+/// The reason why a step of an experiment is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidStep {
-    /// It comes before the start or after the end.
-    #[error("it lies outside of what is played")]
+    /// The step's time is before the start or after the end.
+    #[error("`at` is outside the experiment: it must be from 0 to `seconds`")]
     OutsideExperiment,
-    /// It lacks the members that its action needs, or names members that its action does not need.
-    #[error("`who` names those it happens to, `to` the others of a cut, and neither stands elsewhere")]
+    /// The step lacks the members that its action needs, or names members that its action does not take.
+    #[error(
+        "`who` is required except for `heal` and `net`, `to` is required for `cut` and `cut_one_way`, and neither \
+         is allowed elsewhere"
+    )]
     MisplacedMembers,
-    /// A pause has no length, or another action has one.
-    #[error("`seconds` is the length of a pause")]
+    /// A pause has no duration, or another action has one.
+    #[error("`seconds` is required for `pause` and not allowed elsewhere")]
     MisplacedPauseDuration,
     /// A change of the network has no valid faults, or another action has some.
-    #[error("`net` is the network of a `net` step, in shares between 0 and 1")]
+    #[error("`net` is required for a `net` step, with values between 0 and 1, and not allowed elsewhere")]
     NetworkFaults,
-    /// It repeats too fast.
-    #[error("`every`: {MIN_REPEAT_SECONDS} s at least")]
+    /// The interval of a repeated step is too short.
+    #[error("`every` must be at least {MIN_REPEAT_SECONDS} s")]
     RepeatInterval,
-    /// A member that it names does not exist.
-    #[error("there is no such member")]
+    /// A member in `who` or `to` does not exist.
+    #[error("there is no such member: numbers in `who` and `to` must be less than `members`")]
     UnknownMember,
 }
 
-/// Members, by number: `[3, 4]`, or `{ from = 0, to = 9 }` (the last one included).
+/// A set of members, by number: `[3, 4]`, or `{ from = 0, to = 9 }` with both ends included.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(untagged)]
 pub enum MemberSet {
-    /// These members.
+    /// Single members.
     List(Vec<usize>),
     /// A range of members.
     Range {
-        /// The first.
+        /// The first member.
         from: usize,
-        /// The last.
+        /// The last member, included.
         to: usize,
     },
 }
@@ -58,31 +61,31 @@
     }
 }
 
-/// A step: an action at a time.
+/// A step: an action and its time.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// The time, in seconds from the start.
     pub at: f64,
-    /// The interval in seconds at which the step repeats, if it does.
+    /// The interval in seconds at which the step is repeated; none if it is applied once.
     pub every: Option<f64>,
     /// The action.
     #[serde(rename = "do")]
     pub action: Action,
-    /// The members that the action is applied to; of a partition, the senders.
+    /// The members that the action is applied to; for a partition, the senders.
     #[serde(rename = "who")]
     pub members: Option<MemberSet>,
-    /// Of a partition, the receivers.
+    /// For a partition: the receivers.
     pub to: Option<MemberSet>,
-    /// Of a pause, the duration in seconds.
+    /// For a pause: the duration in seconds.
     pub seconds: Option<f64>,
-    /// The network's faults from then on.
+    /// For a change of the network: its faults from this time on.
     #[serde(rename = "net")]
     pub network: Option<NetworkFaults>,
 }
 
 impl Step {
-    /// Checks whether the step can be taken in an experiment of so many members and seconds.
+    /// Validates the step for an experiment with this number of members and this duration in seconds.
     pub(super) fn check(&self, members: usize, seconds: f64) -> Result<(), InvalidStep> {
         let needs_members = !matches!(self.action, Action::Heal | Action::SetNetwork);
         let is_partition = matches!(self.action, Action::Partition | Action::PartitionOneWay);
@@ -110,7 +113,7 @@
     }
 }
 
-/// What a step does.
+/// The action of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -120,15 +123,15 @@
     Start,
     /// Pauses processes.
     Pause,
-    /// Ends processes in an orderly way.
+    /// Shuts processes down gracefully.
     Leave,
-    /// Ends processes that another process of the same name takes over from.
+    /// Shuts processes down that announce a successor of the same name.
     #[serde(rename = "move")]
     HandOver,
-    /// Lets nothing pass in one direction.
+    /// Blocks the links from `who` to `to`.
     #[serde(rename = "cut_one_way")]
     PartitionOneWay,
-    /// Lets nothing pass in either direction.
+    /// Blocks the links between `who` and `to` in both directions.
     #[serde(rename = "cut")]
     Partition,
     /// Ends all partitions.
--- a/src/simulation/experiment/tests.rs
+++ b/src/simulation/experiment/tests.rs
@@ -2,8 +2,8 @@
 use std::error::Error;
 
 #[test]
-fn a_fault_is_named_by_line_key_or_step() {
-    let parse = |text: &str| Experiment::parse(text).expect_err("faulty").to_string();
+fn an_invalid_experiment_is_reported_with_its_line_key_or_step() {
+    let parse = |text: &str| Experiment::parse(text).expect_err("an invalid experiment").to_string();
     let head = "title = \"t\"\nmembers = 5\nseconds = 10.0\n";
     assert!(parse("title = \"t\"\nmember = 5\n").contains("line 2"));
     assert!(parse("title = \"t\"\nmembers = 1\nseconds = 1.0").starts_with("members: 1"));
@@ -22,13 +22,16 @@
 }
 
 #[test]
-fn an_error_keeps_the_error_beneath_it() {
-    let syntax = Experiment::parse("title = ]").expect_err("faulty");
+fn an_error_keeps_its_source() {
+    let syntax = Experiment::parse("title = ]").expect_err("an invalid experiment");
     assert!(syntax.source().is_some_and(|source| source.is::<toml::de::Error>()));
     let step = "title = \"t\"\nmembers = 5\nseconds = 10.0\n[[step]]\nat = 1.0\ndo = \"kill\"\nwho = [5]";
-    let step = Experiment::parse(step).expect_err("faulty");
+    let step = Experiment::parse(step).expect_err("an invalid experiment");
     assert!(matches!(step, InvalidExperiment::Step { number: 1, source: InvalidStep::UnknownMember, .. }));
-    assert_eq!(step.to_string(), "step 1 (kill at 1): there is no such member");
+    assert_eq!(
+        step.to_string(),
+        "step 1 (kill at 1): there is no such member: numbers in `who` and `to` must be less than `members`"
+    );
     assert!(step.source().is_some_and(|source| source.is::<InvalidStep>()));
 }
 
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,9 +1,8 @@
-//! The membership simulation: members in virtual time, with faults between them, according to experiments
-//! that are files.
+//! The membership simulation: runs members in virtual time under injected faults, as experiment files describe.
 //!
-//! A tool for measurements and tests; the gatherer program uses none of it. The simulation owns the virtual
-//! clock, the network and the processes; the members' decisions are those of [`crate::membership`] or of
-//! another [`Peer`].
+//! A tool for measurements and tests; the gatherer program does not use it. The simulation owns the virtual
+//! clock, the network and the processes; the members' decisions are made by [`crate::membership`] or another
+//! implementation of [`Peer`].
 
 pub mod chart;
 pub mod engine;
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -1,4 +1,4 @@
-//! Observations of a simulation: what members know, beside the truth.
+//! Queries on a simulation: the members' observations, compared with the processes that actually run.
 
 use super::engine::{Report, Simulation};
 use super::network::name;
@@ -7,12 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<P: Peer> Simulation<P> {
-    /// Members whose process runs.
+    /// The numbers of the members whose process runs.
     pub fn living(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.member_count()).filter(|id| self.node(*id).is_some())
     }
 
-    /// The state in which one member observes another.
+    /// The state in which one member observes another; none if its process does not run or it does not know the
+    /// other.
     #[must_use]
     pub fn observed_state(&self, id: usize, other: usize) -> Option<ObservedState> {
         self.node(id)?.observed_state(&name(other))
@@ -24,7 +25,7 @@
         Some(self.node(id)?.gatherers(self.now))
     }
 
-    /// How many members observe exactly the living ones as present.
+    /// The number of running members that observe exactly the other running members as present.
     pub fn converged_members(&self) -> usize {
         let living: BTreeSet<String> = self.living().map(name).collect();
         let has_converged = |id: &usize| {
@@ -38,13 +39,13 @@
         self.living().filter(has_converged).count()
     }
 
-    /// Whether all living members have converged.
+    /// Whether every running member observes exactly the other running members as present.
     #[must_use]
     pub fn has_converged(&self) -> bool {
         self.converged_members() == self.living().count()
     }
 
-    /// Reported deaths of processes that were running.
+    /// The reported deaths of processes that were running at the time of the report.
     #[must_use]
     pub fn false_positives(&self) -> Vec<&Report> {
         let is_death =
@@ -53,7 +54,7 @@
     }
 }
 
-/// How many members a peer observes in each state.
+/// The number of members that a peer observes in each state, by the state's name.
 pub fn state_counts(node: &impl Peer) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (_, state) in node.observed_states() {
--- a/src/simulation/peer.rs
+++ b/src/simulation/peer.rs
@@ -1,47 +1,48 @@
-//! The interface between the simulation and a membership protocol, so that several protocols run under the
-//! same faults.
+//! The interface between the simulation and a membership protocol, which allows several protocols to run under
+//! the same faults.
 
 use crate::membership::{Command, ConnectionProbeResult, Message, Node, ObservedState};
 use crate::policy::Time;
 use std::net::SocketAddr;
 
-/// Bytes of a datagram beside its encoded updates: the seal and the header.
+/// The size of a datagram without its encoded updates, in bytes: the header with the authentication tag.
 const DATAGRAM_OVERHEAD_BYTES: usize = 21;
 
 /// The size of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageSize {
-    /// Bytes of its datagram.
+    /// The size of the datagram, in bytes.
     pub bytes: usize,
-    /// Member updates in it.
+    /// The number of member updates in the message.
     pub updates: usize,
 }
 
-/// A member in some membership protocol.
+/// A member of a membership protocol that the simulation can run.
 pub trait Peer {
-    /// The protocol's messages.
+    /// The protocol's message type.
     type Message: Clone;
     /// Runs all timers that are due.
     fn tick(&mut self, now: Time);
-    /// When [`Peer::tick`] is next to be called.
+    /// The time of the next deadline, at which [`Peer::tick`] has to be called.
     fn next_due(&self) -> Time;
     /// Handles a datagram.
     fn receive(&mut self, now: Time, message: Self::Message);
     /// Handles the result of a connection probe.
     fn on_probe_result(&mut self, now: Time, name: &str, start: u64, result: ConnectionProbeResult);
-    /// The whole table, for an exchange.
+    /// Builds the message with the whole table, for an exchange.
     fn table_message(&self) -> Self::Message;
-    /// Handles the table of another member.
+    /// Handles the table of another member, received over a connection.
     fn receive_table(&mut self, now: Time, message: Self::Message);
-    /// Takes the commands that have accumulated.
+    /// Returns the pending commands and clears them.
     fn take_commands(&mut self) -> Vec<Command<Self::Message>>;
-    /// Announces that the member stops, for good or for another process; returns the last commands.
+    /// Announces that the member stops, and returns the last commands. With `handing_over`, another process of
+    /// the same name takes over.
     fn leave(&mut self, handing_over: bool) -> Vec<Command<Self::Message>>;
     /// The start of the member's process.
     fn start(&self) -> u64;
     /// The state in which the member observes another; none for an unknown one.
     fn observed_state(&self, name: &str) -> Option<ObservedState>;
-    /// The names of all other known members, and the states in which the member observes them.
+    /// The names of all other known members, with the states in which the member observes them.
     fn observed_states(&self) -> Vec<(String, ObservedState)>;
     /// The member's estimate of the number of gatherers.
     fn gatherers(&self, now: Time) -> u32;
@@ -49,19 +50,19 @@
     fn size(message: &Self::Message) -> MessageSize;
 }
 
-/// Starts a member's process.
+/// A function that starts a member's process.
 pub type StartPeer<P> = Box<dyn Fn(PeerStart<'_>) -> P>;
 
-/// What a member's process starts with.
+/// The arguments with which a member's process is started.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStart<'a> {
-    /// The time.
+    /// The start time.
     pub now: Time,
     /// The member's number.
     pub id: usize,
-    /// Addresses of the seeds.
+    /// The addresses of the seeds.
     pub seeds: &'a [SocketAddr],
-    /// The fleet size in the settings.
+    /// The number of gatherers in the settings.
     pub configured_gatherers: u32,
     /// The seed of the process's random numbers.
     pub random_seed: u64,
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -1,4 +1,5 @@
-//! Runs an experiment in virtual time, and observes at regular intervals what the members know.
+//! Runs an experiment in virtual time: applies its steps, records deaths that all members know of, and samples the
+//! members' observations at regular intervals.
 
 use super::engine::Simulation;
 use super::experiment::{Action, Experiment, MemberSet, Step};
@@ -9,25 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The time between two observations of what all members know.
+/// The time between two checks for deaths that all members know of.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Nanoseconds between two samples of an outcome.
+/// The time between two samples of an outcome, in nanoseconds.
 const SAMPLE_INTERVAL_NS: u64 = 1_000_000_000;
 
-/// A step at one of its times, from the experiment's start.
+/// One occurrence of a step; `at` counts from the experiment's start.
 struct DueStep {
     at: Time,
     step: Step,
 }
 
-/// A killed member whose death not all know of yet.
+/// The death of a killed member that not all running members have detected yet.
 struct UndetectedDeath {
     /// The start of the killed process.
     start: u64,
     killed_at: Time,
 }
 
-/// All steps in the order of their times, with their repetitions.
+/// All occurrences of all steps, in the order of their times.
 fn schedule(experiment: &Experiment) -> Vec<DueStep> {
     let mut schedule = Vec::new();
     for step in &experiment.steps {
@@ -46,7 +47,7 @@
     schedule
 }
 
-/// Runs an experiment with these members. `progress` is notified of each second that is done.
+/// Runs an experiment with these members. Calls `progress` with the elapsed simulated time after each second.
 pub fn run<P: Peer>(
     experiment: &Experiment,
     simulation: Simulation<P>,
@@ -71,12 +72,12 @@
 /// An experiment that is running.
 struct Run<P: Peer> {
     simulation: Simulation<P>,
-    /// The simulation's time when the experiment started.
+    /// The simulation's time at which the experiment started.
     started_at: Time,
     /// The time from the experiment's start.
     now: Time,
     last_step_at: Time,
-    /// The sum of the seconds in which each member's process ran.
+    /// The seconds that each member's process ran, summed over all members.
     member_seconds: f64,
     undetected_deaths: BTreeMap<usize, UndetectedDeath>,
     outcome: Outcome,
@@ -146,8 +147,8 @@
         self.simulation.kill(id);
     }
 
-    /// Lets time pass, and notes which deaths all members know of now. A death that is not known when the
-    /// member starts again is no longer waited for.
+    /// Advances time, and records the deaths that all running members have detected. A death that is undetected
+    /// when the member restarts is no longer tracked.
     fn advance(&mut self, duration: Duration) {
         self.simulation.advance(duration);
         self.now = self.now.after(duration);
@@ -166,7 +167,7 @@
         });
     }
 
-    /// Adds a sample to the outcome; returns its time in seconds.
+    /// Adds a sample to the outcome; returns its time from the experiment's start, in seconds.
     fn record_sample(&mut self) -> f64 {
         let simulation = &self.simulation;
         let estimates: Vec<u32> = simulation.living().filter_map(|id| simulation.gatherers(id)).collect();
