--- a/examples/membership_ways.rs
+++ b/examples/membership_ways.rs
@@ -1,6 +1,6 @@
-//! Compares membership protocols under the same simulated faults: this program's, and that of the crate `foca` with its own
-//! times and with shorter ones. Prints tables. The argument `quick` runs a part of them, `thousand` simulates the deaths among
-//! a thousand members.
+//! Compares membership protocols under the same simulated faults: the gatherer's own, and that of the crate `foca`
+//! with its default and with shorter intervals. Prints Markdown tables. The argument `quick` runs smaller fleets for
+//! a shorter time; `thousand` measures the detection of deaths among 1,000 members.
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
@@ -18,7 +18,7 @@
 use std::num::NonZeroU32;
 use std::time::Duration;
 
-/// The identity of a process, and how often it has renewed that identity.
+/// The identity of a process, with the number of times that the process renewed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Id {
     member: u16,
@@ -50,7 +50,7 @@
     seeds: Vec<Id>,
     announce_at: Time,
     commands: Vec<Command<Vec<u8>>>,
-    /// Members that were reported dead, until they are reported alive again.
+    /// The members that `foca` reported as down and not as up since.
     down: BTreeSet<u16>,
     configured_gatherers: u32,
 }
@@ -77,7 +77,8 @@
         peer.collect_output(now);
         peer
     }
-    /// Turns what the crate has put out into commands and timers.
+
+    /// Converts the output of `foca` into commands and timers.
     fn collect_output(&mut self, now: Time) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.commands
@@ -118,7 +119,7 @@
             }
             self.collect_output(now);
         }
-        // As long as it knows nobody, it announces itself to the seeds.
+        // A peer that knows no other member announces itself to the seeds every second.
         if self.announce_at <= now {
             self.announce_at = now.after(Duration::from_secs(1));
             if self.foca.num_members() == 0 {
@@ -172,10 +173,19 @@
     }
 }
 
-/// The crate's configuration, with its own times for a local network or with times as short as this program's.
-fn foca_config(count: u32, quick: bool) -> Config {
-    let mut config = Config::new_lan(NonZeroU32::new(count.max(1)).expect("one at least"));
-    if quick {
+/// The intervals and time-outs that `foca` is configured with.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum FocaTiming {
+    /// The crate's defaults for a local network.
+    LocalNetwork,
+    /// The gatherer's probe and gossip intervals, and a suspicion time-out of 1.5 s.
+    Short,
+}
+
+/// Creates the configuration of `foca` for a fleet of `count` members.
+fn foca_config(count: u32, timing: FocaTiming) -> Config {
+    let mut config = Config::new_lan(NonZeroU32::new(count.max(1)).expect("max(1) is not zero"));
+    if timing == FocaTiming::Short {
         config.probe_period = Duration::from_millis(500);
         config.probe_rtt = Duration::from_millis(166);
         config.suspect_to_down_after = Duration::from_millis(1500);
@@ -187,28 +197,34 @@
     config
 }
 
-fn foca_members(experiment: &Experiment, quick: bool) -> Simulation<FocaPeer> {
+/// Starts the members of an experiment with the protocol of `foca`.
+fn foca_members(experiment: &Experiment, timing: FocaTiming) -> Simulation<FocaPeer> {
     let start_peer = move |start: PeerStart<'_>| {
-        let config = foca_config(start.configured_gatherers, quick);
+        let config = foca_config(start.configured_gatherers, timing);
         FocaPeer::new(start.now, start.id, start.configured_gatherers, start.random_seed, &config)
     };
     Simulation::new(experiment.members, experiment.seed, Box::new(start_peer))
 }
 
-const PROTOCOLS: [&str; 3] = ["this program", "foca, its times for a local network", "foca, 0.5 s and 1.5 s"];
+/// The labels of the compared protocols.
+const PROTOCOLS: [&str; 3] = [
+    "this program",
+    "foca, defaults for a local network",
+    "foca, 0.5 s probe interval and 1.5 s suspicion time-out",
+];
 
-/// The outcomes of an experiment in each of the [`PROTOCOLS`].
+/// Runs an experiment with each of the [`PROTOCOLS`], in their order.
 fn run_each(experiment: &Experiment) -> [Outcome; 3] {
     let nodes = Simulation::<Node>::with_nodes(experiment.members, experiment.seed, experiment.timing());
     [
         simulation::run(experiment, nodes, |_| {}),
-        simulation::run(experiment, foca_members(experiment, false), |_| {}),
-        simulation::run(experiment, foca_members(experiment, true), |_| {}),
+        simulation::run(experiment, foca_members(experiment, FocaTiming::LocalNetwork), |_| {}),
+        simulation::run(experiment, foca_members(experiment, FocaTiming::Short), |_| {}),
     ]
 }
 
 fn experiment(text: &str) -> Experiment {
-    Experiment::parse(&format!("title = \"protocol\"\n{text}")).expect("an experiment")
+    Experiment::parse(&format!("title = \"protocol\"\n{text}")).expect("a valid experiment")
 }
 
 fn seconds(value: Option<f64>) -> String {
@@ -228,7 +244,7 @@
     print_merges();
 }
 
-/// How soon deaths are known, and what the protocols cost.
+/// Prints how soon deaths are detected, and the traffic and processing time of each protocol.
 fn print_detection(sizes: &[usize]) {
     println!(
         "Deaths: a member is killed each 20 s and back 15 s later, ten times (1,000 members: three times).\n"
@@ -262,10 +278,10 @@
     }
 }
 
-/// How many running processes are reported dead under faults that last for `duration_s` seconds.
+/// Prints the number of reported deaths of running processes, for faults that last `duration_s` seconds.
 fn print_false_positives(duration_s: f64) {
     println!(
-        "\nReported deaths of running processes, 30 members, {duration_s} s; in brackets how many members they were about.\n"
+        "\nReported deaths of running processes, 30 members, {duration_s} s; in brackets the number of members concerned.\n"
     );
     println!("| fault | {} |", PROTOCOLS.join(" | "));
     println!("| --- | --- | --- | --- |");
@@ -290,12 +306,12 @@
         row(&format!("three members pause for {pause} s each {every} s"), &step);
     }
     row(
-        "nothing passes from one to another",
+        "one-way partition between two members",
         "[[step]]\nat = 5.0\ndo = \"cut_one_way\"\nwho = [1]\nto = [2]\n",
     );
 }
 
-/// How soon two halves of a fleet converge after a partition, and what they take meanwhile.
+/// Prints how soon two halves of a fleet converge after a partition, and the sum of their shares meanwhile.
 fn print_merges() {
     println!(
         "\nTwo halves of 20 members, partitioned for 120 s: seconds until all converge after it, and the highest sum of the"
--- a/tests/fleet_size_quota.rs
+++ b/tests/fleet_size_quota.rs
@@ -1,6 +1,7 @@
-//! What the number of gatherers is for: twenty gatherers, each with the decision module and as a member, in
-//! front of twelve workers, when half of the gatherers die or are partitioned. One tenant submits far more
-//! than its quota, the other stays within its own; what warming-up workers receive is counted at the workers.
+//! The effect of the fleet-size estimate on quotas and slow start. Twenty gatherers, each with the decision
+//! module and a simulated member, serve twelve workers while half of the gatherers die or are partitioned.
+//! One tenant submits far more than its quota, the other stays within its own; the load of warming-up
+//! workers is counted at the workers.
 
 mod common;
 
@@ -16,36 +17,37 @@
 
 const GATHERERS: usize = 20;
 const WORKERS: u32 = 12;
-/// Workers that stay warm where the others restart.
+/// The number of workers that do not restart when the others do.
 const WARM_WORKERS: usize = 3;
-/// Milliseconds between two steps.
+/// The time between two steps, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Work of a part, in seconds.
+/// The service time of a part on a warm worker, in seconds.
 const PART_S: f64 = 0.1;
-/// Queries a second of two parts each, over all gatherers: of the tenant that stays within its quota, and of
-/// the one that does not. The workers have capacity for 60.
+/// The queries per second, of two parts each, over all gatherers: of the tenant within its quota, and of
+/// the tenant over its quota. The workers have capacity for 60.
 const QUERIES_PER_S: [u64; 2] = [16, 100];
-/// The quota of either tenant.
+/// The quota of each tenant, in queries per second.
 const QUOTA_PER_S: f64 = 20.0;
-/// Attempts that a harness keeps: finished ones need not be searched at each further attempt.
+/// The maximum number of attempts that a harness keeps, so that finished ones do not slow down later
+/// searches.
 const MAX_SENT: usize = 400;
 
-/// A worker of one core: it serves parts in turn, slower while it is warming up.
+/// A worker with one core: serves parts in turn, and more slowly while it is warming up.
 struct Worker {
     started_at: Option<Time>,
     free_at: Time,
-    /// When parts were received within the last second of a warm-up.
+    /// The times at which parts were received in the last second, while the worker is warming up.
     received_at: VecDeque<Time>,
 }
 
 impl Worker {
-    /// The fraction of its full capacity that it has now.
+    /// The worker's current capacity, as a fraction of its full capacity.
     fn capacity(&self, now: Time) -> f64 {
         let warm_up = |started_at| 0.2 + 0.8 * (now.since(started_at).as_secs_f64() / 10.0).min(1.0);
         self.started_at.map_or(1.0, warm_up)
     }
 
-    /// Queues a part. Returns the use of the slow-start budget if it is warming up.
+    /// Queues a part. Returns the used fraction of the slow-start budget if the worker is warming up.
     fn receive_part(&mut self, now: Time) -> Option<f64> {
         let capacity = self.capacity(now);
         self.free_at = self.free_at.max(now).after(Duration::from_secs_f64(PART_S / capacity));
@@ -54,7 +56,7 @@
         }
         self.received_at.push_back(now);
         self.received_at.retain(|at| now.since(*at) <= ms(1000));
-        // Twice its capacity in a second, with the slack for chance that a worker has.
+        // The budget is twice the worker's capacity per second, plus three standard deviations and 3 parts.
         let allowed = 2.0 * capacity / PART_S;
         Some(self.received_at.len() as f64 / (allowed + 3.0 * allowed.sqrt() + 3.0))
     }
@@ -66,20 +68,21 @@
     sent: Sent,
 }
 
-/// The decision module of one gatherer.
+/// One gatherer: the harness of its decision module, and its attempts in flight.
 struct Gatherer {
     harness: AggregatorHarness,
     in_flight: Vec<InFlight>,
     tenant_of: HashMap<RequestId, usize>,
 }
 
-/// What a run counted.
+/// The counts of a run.
 #[derive(Debug, PartialEq)]
 struct Counts {
-    /// By tenant.
+    /// The answered queries, by tenant.
     answered: [usize; 2],
+    /// The rejected and failed queries, by tenant.
     rejected: [usize; 2],
-    /// The largest part of its slow-start budget that any warming-up worker received.
+    /// The highest used fraction of any worker's slow-start budget.
     peak_budget_use: f64,
 }
 
@@ -88,7 +91,8 @@
     gatherers: Vec<Gatherer>,
     workers: Vec<Worker>,
     random: fastrand::Rng,
-    /// Whether the modules go by the fleet size of membership, or by that of the settings.
+    /// Whether the decision modules use the fleet size that membership estimates, or the one in the
+    /// settings.
     follows_membership: bool,
 }
 
@@ -135,13 +139,13 @@
         }
     }
 
-    /// Advances time by a span in milliseconds; queries are submitted to running gatherers.
+    /// Advances time by `duration_ms`, and submits queries to random running gatherers.
     fn advance(&mut self, duration_ms: u64) -> Counts {
         let mut counts = Counts { answered: [0; 2], rejected: [0; 2], peak_budget_use: 0.0 };
         for _ in 0..duration_ms / STEP_MS {
             self.membership.advance(Duration::from_millis(STEP_MS));
             let running: Vec<usize> = self.membership.living().collect();
-            // More than one a step is not needed: a tenth of a second's queries come in ten steps.
+            // At most one query per tenant and step: a tenant's rate is at most one query in 10 ms.
             let receivers = QUERIES_PER_S.map(|rate| {
                 (self.random.u64(..1000) < rate * STEP_MS)
                     .then(|| running[self.random.usize(..running.len())])
@@ -153,12 +157,13 @@
         counts
     }
 
-    /// One step of a gatherer. `receivers` has the gatherer that receives a query of each tenant.
+    /// Runs one step of a gatherer. `receivers` is, by tenant, the gatherer that receives a query in this
+    /// step.
     fn step(&mut self, id: usize, receivers: [Option<usize>; 2], counts: &mut Counts) {
         let harness = &mut self.gatherers[id].harness;
         harness.now = harness.now.after(ms(STEP_MS));
         if self.follows_membership {
-            harness.aggregator.set_fleet_size(self.membership.gatherers(id).expect("it runs"));
+            harness.aggregator.set_fleet_size(self.membership.gatherers(id).expect("the member runs"));
         }
         let mut events = self.finished_attempts(id);
         events.push(Event::TimerFired { timer: TimerId(0) });
@@ -189,7 +194,7 @@
         }
     }
 
-    /// The results of a gatherer's attempts that have finished by now.
+    /// Removes a gatherer's attempts that have finished by now, and returns their result events.
     fn finished_attempts(&mut self, id: usize) -> Vec<Event> {
         let Gatherer { harness, in_flight, .. } = &mut self.gatherers[id];
         let now = harness.now;
@@ -203,7 +208,7 @@
         finished.into_iter().map(event).collect()
     }
 
-    /// A query of a tenant for two random shards.
+    /// Creates the events of a tenant's query for two random shards.
     fn new_query(&mut self, gatherer: usize, tenant: usize) -> Vec<Event> {
         let Gatherer { harness, tenant_of, .. } = &mut self.gatherers[gatherer];
         let shards = [self.random.u32(..8), self.random.u32(..8)];
@@ -217,8 +222,8 @@
     }
 }
 
-/// Runs a fleet of which some gatherers meet a fault; then most workers restart if that is wanted, and what
-/// happens in the next ten seconds is counted.
+/// Runs a fleet and applies `fault` to its members. Then, with `restarts_workers`, most workers restart.
+/// Returns the counts of the next ten seconds.
 fn run(
     seed: u64,
     follows_membership: bool,
@@ -241,7 +246,7 @@
 
 #[test]
 fn when_half_of_the_gatherers_die_a_tenant_inside_its_quota_keeps_it() {
-    // Single runs vary; the sum over eight does not depend on one.
+    // Single runs vary with their seeds, so eight are added up.
     let served = |follows_membership: bool, fault: &dyn Fn(&mut Simulation<Node>)| {
         let runs = (1..9).map(|seed| run(seed, follows_membership, false, fault));
         let (answered, rejected) = runs.fold((0, 0), |(answered, rejected), counts| {
@@ -251,8 +256,8 @@
     };
     let (before, without, with) =
         (served(false, &|_| {}), served(false, &kill_half), served(true, &kill_half));
-    // 0.90, 0.69 and 0.90: by the settings' fleet size each running gatherer grants a twentieth of the quota,
-    // and receives twice as many queries.
+    // The fractions are 0.90, 0.69 and 0.90. With the fleet size in the settings, each running gatherer
+    // grants a twentieth of the quota but receives twice as many queries.
     assert!(with > without + 0.15 && with > before - 0.1, "{before} before, {without} without, {with} with");
 }
 
@@ -262,14 +267,14 @@
         let partition = |membership: &mut Simulation<Node>| {
             membership.partition(|id| id < GATHERERS / 2, |id| id >= GATHERERS / 2);
             membership.partition(|id| id >= GATHERERS / 2, |id| id < GATHERERS / 2);
-            // Longer than any time-out.
+            // Longer than the suspicion time-out and `FAILED_MEMBER_HOLD` together.
             membership.advance(Duration::from_secs(120));
         };
-        let (whole, halves) = (run(seed, true, true, |_| {}), run(seed, true, true, partition));
-        assert!(halves.peak_budget_use <= 1.0, "seed {seed}: {halves:?}");
-        // Neither half has taken the other's share: all continues as without a partition, tenants' quotas
-        // too.
-        assert_eq!(halves, whole, "seed {seed}");
+        let (connected, partitioned) = (run(seed, true, true, |_| {}), run(seed, true, true, partition));
+        assert!(partitioned.peak_budget_use <= 1.0, "seed {seed}: {partitioned:?}");
+        // Neither half has taken the other's share: all counts are as without a partition, the tenants'
+        // included.
+        assert_eq!(partitioned, connected, "seed {seed}");
         let died = run(seed, true, true, kill_half);
         assert!(died.peak_budget_use > 0.0 && died.peak_budget_use <= 1.0, "seed {seed}: {died:?}");
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,5 +1,6 @@
-//! Membership in virtual time under each fault that it has to tolerate: which members are declared dead and
-//! when, which are not, and what each estimates the number of gatherers to be meanwhile.
+//! Membership in virtual time under each fault that it has to tolerate. The tests check how soon deaths are
+//! detected, that no running member is declared dead, and the members' estimates of the number of
+//! gatherers.
 
 use gatherer::membership::{Node, ObservedState, Timing};
 use gatherer::simulation::engine::Report;
@@ -13,7 +14,7 @@
     Duration::from_secs(count)
 }
 
-/// A fleet in which every member has learned of all others, with its reports cleared.
+/// Creates a fleet in which every member observes all others as present, and clears its reports.
 fn converged_members(count: usize, seed: u64) -> Members {
     let mut simulation = Members::with_nodes(count, seed, Timing::default());
     let first = simulation.living().next().expect("a running member");
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn no_pause_under_five_seconds_is_a_death_and_a_longer_one_is_refuted() {
+fn a_pause_under_five_seconds_is_not_a_death_and_the_death_after_a_longer_one_is_refuted() {
     for seed in 1..6 {
         let mut simulation = converged_members(12, seed);
         for pause in [100, 900, 2500, 4900] {
@@ -47,17 +48,21 @@
             simulation.advance(seconds(12));
             assert!(
                 simulation.false_positives().is_empty(),
-                "seed {seed}: a pause of {pause} ms was a death"
+                "seed {seed}: a pause of {pause} ms was reported as a death"
             );
             assert!(simulation.has_converged());
         }
         simulation.pause(3, seconds(30));
         simulation.advance(seconds(25));
         assert_eq!(simulation.observed_state(0, 3), Some(ObservedState::Failed));
-        assert_eq!(simulation.gatherers(0), Some(12), "its share is not redistributed yet");
+        assert_eq!(
+            simulation.gatherers(0),
+            Some(12),
+            "its share is not redistributed before the hold time ends"
+        );
         simulation.advance(seconds(15));
         assert!(simulation.has_converged(), "seed {seed}: {:?}", simulation.node(0).map(state_counts));
-        // The paused member declared nobody dead when it resumed.
+        // The paused member did not declare any other member failed when it resumed.
         assert!(
             simulation
                 .reports
@@ -92,15 +97,15 @@
         simulation.partition(|id| !first_half(id), first_half);
         simulation.advance(seconds(120));
         assert_eq!(simulation.observed_state(0, 9), Some(ObservedState::Failed));
-        // Neither half is a majority: each continues with the share that it had.
+        // Neither half is a majority, so each keeps counting the other and its share stays the same.
         (0..10).for_each(|id| assert_eq!(simulation.gatherers(id), Some(10), "seed {seed}, member {id}"));
         simulation.reports.clear();
         simulation.partitions.clear();
         let elapsed = simulation.run_until(seconds(60), Members::has_converged);
         assert!(elapsed.is_some_and(|elapsed| elapsed < seconds(20)), "seed {seed}: {elapsed:?}");
-        // Merging declares no member of either half dead again.
+        // The merge must not make either half declare members of the other dead again.
         assert!(simulation.false_positives().is_empty(), "seed {seed}");
-        // Certain deaths still spread to both.
+        // A death after the merge is still detected by all.
         simulation.kill(9);
         assert!(simulation.run_until(seconds(5), Members::has_converged).is_some());
     }
@@ -125,11 +130,11 @@
 fn a_partition_between_two_members_is_observed_as_one_and_not_as_a_death() {
     for seed in 1..4 {
         let mut simulation = converged_members(8, seed);
-        // Nothing passes from 2 to 5; everything else passes.
+        // Only the link from 2 to 5 is blocked.
         simulation.partition(|id| id == 2, |id| id == 5);
         simulation.advance(seconds(120));
         assert!(simulation.false_positives().is_empty(), "seed {seed}");
-        // 5 learns of 2 through other members only.
+        // Member 5 receives updates about 2 through other members only.
         assert_eq!(simulation.observed_state(5, 2), Some(ObservedState::Partitioned), "seed {seed}");
         assert!(
             (0..8)
@@ -150,7 +155,7 @@
         simulation.partition(|id| id == 2, |id| id == 5);
         simulation.partition(|id| id == 5, |id| id == 2);
         simulation.advance(seconds(120));
-        // Each is refused by the other at once, while other members report at the same time that it is alive.
+        // Each member's connections to the other are refused, while the rest report both as alive.
         assert!(simulation.false_positives().is_empty(), "seed {seed}: {:?}", simulation.false_positives());
         assert_eq!(
             (simulation.observed_state(2, 5), simulation.observed_state(5, 2)),
@@ -161,7 +166,7 @@
 }
 
 #[test]
-fn a_member_that_is_partitioned_from_all_declares_nobody_dead() {
+fn an_isolated_member_declares_no_other_member_dead() {
     let mut simulation = converged_members(9, 11);
     simulation.partition(|id| id == 4, |_| true);
     simulation.partition(|_| true, |id| id == 4);
@@ -187,7 +192,7 @@
         let elapsed = simulation.run_until(seconds(20), Members::has_converged);
         assert!(elapsed.is_some_and(|elapsed| elapsed <= seconds(8)), "seed {seed}: {elapsed:?}");
         assert_eq!(simulation.gatherers(99), Some(30));
-        // The members that all contact first are among them.
+        // The seeds are among the restarted members.
         (0..70).for_each(|id| simulation.start(id));
         let elapsed = simulation.run_until(seconds(30), Members::has_converged);
         assert!(elapsed.is_some_and(|elapsed| elapsed <= seconds(15)), "seed {seed}: {elapsed:?}");
@@ -201,7 +206,7 @@
     let mut simulation = converged_members(10, 3);
     simulation.leave(4, true);
     simulation.advance(seconds(4));
-    assert_eq!(simulation.gatherers(0), Some(10), "it is handing over");
+    assert_eq!(simulation.gatherers(0), Some(10), "a member that is handing over keeps its share");
     simulation.start(4);
     assert!(simulation.run_until(seconds(10), Members::has_converged).is_some());
     simulation.leave(5, false);
@@ -210,7 +215,7 @@
     let is_death =
         |report: &&Report| matches!(report.change.state, ObservedState::Dead | ObservedState::Failed);
     assert_eq!(simulation.reports.iter().filter(is_death).count(), 0);
-    // A member whose successor never comes is declared dead all the same.
+    // A member whose successor never starts is declared dead after the handover time-out.
     simulation.leave(6, true);
     simulation.advance(seconds(20));
     assert!(simulation.has_converged());
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -1,6 +1,6 @@
 //! Random faults, with shrinking, inside the bounds that docs/membership.md states: no running member is
-//! declared dead, and all converge again afterwards. Also proof that the guards are needed: without each, a
-//! running member is declared dead.
+//! declared dead, and all members converge afterwards. Further tests show that each guard is needed:
+//! without it a running member is declared dead.
 
 use gatherer::membership::{MemberState, MemberUpdate, Message, MessageKind, Node, ObservedState, Timing};
 use gatherer::simulation::network::{address, name};
@@ -29,7 +29,8 @@
     }
 }
 
-/// What may happen. All that keeps a member from answering together stays under the suspicion timeout.
+/// A fault. The parameters are bounded so that a member is prevented from answering for less than the
+/// suspicion time-out in total.
 #[derive(Clone, Debug)]
 enum Fault {
     Pause { member: usize, pause_ms: u64 },
@@ -40,7 +41,7 @@
     Heal,
 }
 
-/// A random fault.
+/// Generates a random fault.
 fn any_fault() -> impl Strategy<Value = Fault> {
     let member = 0..MEMBERS;
     prop_oneof![
@@ -54,7 +55,7 @@
     ]
 }
 
-/// Applies faults one after the other, and lets the given milliseconds pass after each.
+/// Applies the faults in order, and advances time by the given milliseconds after each.
 fn simulate(seed: u64, faults: &[(Fault, u64)]) -> Members {
     let mut simulation = Members::with_nodes(MEMBERS, seed, Timing::default());
     simulation.reports.clear();
@@ -62,7 +63,7 @@
         match fault {
             Fault::Pause { member, pause_ms } => simulation.pause(*member, ms(*pause_ms)),
             Fault::Partition { from, to, both_ways } => {
-                // Between two members only, so that others reach both.
+                // Only two members are partitioned from each other, so that others reach both.
                 simulation.partition(|id| id == *from, |id| id == *to);
                 if *both_ways {
                     simulation.partition(|id| id == *to, |id| id == *from);
@@ -103,7 +104,7 @@
     }
 }
 
-/// Deaths of running processes that this member reported.
+/// The number of deaths of running processes that this member reported.
 fn false_positives_by(simulation: &Members, id: usize) -> usize {
     simulation.false_positives().into_iter().filter(|report| report.by == id).count()
 }
@@ -127,8 +128,9 @@
 
 #[test]
 fn without_the_pause_guard_a_resumed_member_declares_one_dead_that_answered_meanwhile() {
-    // One member is suspected; another is paused until long after the first has answered, and reads a message
-    // of a third before it runs its timers.
+    // Member 0 suspects member 1 and is then paused for longer than the suspicion time-out, while member 1
+    // resumes and answers. Where member 0 handles a message of another member before its timers, the
+    // isolation guard does not apply.
     let declared_dead_by_resumed = |timing: Timing| -> usize {
         let false_positives = (0..8).map(|seed| {
             let mut simulation = Members::with_nodes(MEMBERS, seed, timing);
@@ -148,7 +150,7 @@
     assert!(declared_dead_by_resumed(Timing { pause_threshold: never, ..Timing::default() }) > 0);
 }
 
-/// Updates about a member that no member reported.
+/// Generates an update that no member reported.
 fn forged_update() -> impl Strategy<Value = MemberUpdate> {
     let start = prop_oneof![
         2 => Just(None),
@@ -167,8 +169,8 @@
     (0..MEMBERS + 2, start, incarnation, state).prop_map(|(id, start, incarnation, state)| {
         MemberUpdate {
             name: name(id),
-            // None stands for the member's own start; the others stand for later ones, by milliseconds, and
-            // for the last.
+            // The offset to the member's own start in nanoseconds: 0, at least 1 and less than 200 ms, or
+            // `u64::MAX` for the last possible start.
             start: start.map_or(0, |later| later.saturating_mul(1_000_000).max(1)),
             incarnation,
             address: address(id),
@@ -187,7 +189,7 @@
         let mut simulation = Members::with_nodes(MEMBERS, 1, Timing::default());
         let starts: Vec<u64> = (0..MEMBERS).filter_map(|id| Some(simulation.node(id)?.own().start)).collect();
         let resolve_start = |update: MemberUpdate| {
-            let id: usize = update.name[9..].parse().expect("a count");
+            let id: usize = update.name[9..].parse().expect("a member number at the end of the name");
             let base = starts.get(id).copied().unwrap_or(starts[0]);
             let start = if update.start == u64::MAX { u64::MAX } else { base.saturating_add(update.start) };
             MemberUpdate { start, ..update }
@@ -197,7 +199,7 @@
             simulation.forge(to, Message { from, kind: MessageKind::Gossip, updates });
             simulation.advance(ms(wait_ms));
         }
-        // Invented members fail or are found dead; no other member stays dead.
+        // Members that do not exist fail or are declared dead; every running member is present again.
         let all_present = |simulation: &Members| {
             simulation.living().all(|by| (0..MEMBERS).filter(|id| *id != by).all(|id| {
                 simulation.observed_state(by, id).is_some_and(ObservedState::is_present)
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -1,5 +1,6 @@
-//! Every pattern of loss of the first messages after a fault, run on the program's own state machine: three
-//! or four members with a crash, a partition, both, or a paused member.
+//! Exhaustive tests of message loss: for each fault, every pattern of loss of the first seven messages
+//! after it is run on the program's state machine. The faults are a crash, a partition, both, and a pause,
+//! in fleets of three or four members.
 
 use gatherer::membership::{Node, ObservedState, Timing};
 use gatherer::simulation::Simulation;
@@ -8,17 +9,17 @@
 
 type Members = Simulation<Node>;
 
-/// Messages that are each lost or delivered: all patterns are run.
+/// The number of messages after the fault whose loss is varied: 2 to the power of this number of runs.
 const MESSAGES: u32 = 7;
 
-/// What all patterns of loss gave.
+/// The results of the runs with all patterns of loss.
 struct ExplorationResult {
     runs: usize,
-    /// Different histories: which member reported which state of which other, in order.
+    /// The distinct histories of reports: the reporting member, the other's name and its state, in order.
     histories: BTreeSet<Vec<(usize, String, ObservedState)>>,
 }
 
-/// Applies a fault under all patterns of loss; `check` asserts what has to hold in each.
+/// Applies a fault under each pattern of loss; `check` contains the assertions for each run.
 fn explore(
     members: usize,
     fault: impl Fn(&mut Members),
@@ -41,7 +42,7 @@
     result
 }
 
-/// Whether all running members observe this one as dead or failed.
+/// Whether all running members observe member `id` as dead or failed.
 fn is_dead_to_all(simulation: &Members, id: usize) -> bool {
     simulation.living().all(|by| {
         matches!(simulation.observed_state(by, id), Some(ObservedState::Dead | ObservedState::Failed))
@@ -57,7 +58,7 @@
         assert!(simulation.false_positives().is_empty(), "{pattern}");
         assert!(
             simulation.living().all(|id| simulation.gatherers(id) == Some(3)),
-            "{pattern}: its share is redistributed at once"
+            "{pattern}: the dead member's share is redistributed at once"
         );
     };
     let result = explore(4, |simulation| simulation.kill(2), check);
@@ -76,8 +77,8 @@
         assert_eq!(simulation.observed_state(0, 1), Some(ObservedState::Partitioned), "{pattern}");
     };
     explore(4, partition, observes_partition);
-    // The member that crashes is one of those that reach both sides.
-    let both = |simulation: &mut Members| {
+    // Member 2, which reaches both sides of the partition, crashes.
+    let partition_and_crash = |simulation: &mut Members| {
         partition(simulation);
         simulation.kill(2);
     };
@@ -90,7 +91,7 @@
             simulation.reports
         );
     };
-    explore(4, both, detects_crash);
+    explore(4, partition_and_crash, detects_crash);
 }
 
 #[test]
--- a/tests/membership_processes.rs
+++ b/tests/membership_processes.rs
@@ -1,5 +1,5 @@
-//! Membership with real processes of the program, and a proxy before each that injects faults: what every
-//! process comes to know, and that no running process is declared dead meanwhile.
+//! Membership with real processes of the program, each behind a proxy that injects faults. The tests check
+//! that all processes observe the right states, and that no running process is declared dead.
 
 mod common;
 
@@ -19,11 +19,11 @@
     fleet.kill(0);
     for id in 1..5 {
         wait_until("dead to all", || fleet.state_seen_by(id, 0) == "dead");
-        // The death is certain, so the others take its share at once, and the core uses the new fleet size.
+        // A dead member's share is redistributed at once, and the decision module gets the new fleet size.
         assert_eq!(fleet.fleet_size_seen_by(id), 4);
         fleet.member(id).wait_for_log("members: 4 gatherers share the fleet");
     }
-    // The first seed is down: another member rejoins through the second, and so does the first.
+    // While the first seed is down, members rejoin through the second one, the first seed included.
     fleet.kill(4);
     (1..4).for_each(|id| wait_until("both dead", || fleet.fleet_size_seen_by(id) == 3));
     fleet.start_member(4);
@@ -33,17 +33,18 @@
 }
 
 #[test]
-fn paused_processes_are_suspected_keep_their_shares_and_declare_nobody_dead_when_they_resume() {
+fn paused_processes_are_suspected_and_keep_their_shares_and_declare_no_member_dead_on_resume() {
     let fleet = ProxiedFleet::start("still", 5);
     for id in [3, 4] {
         fleet.member(id).signal("-STOP");
     }
     for id in 0..3 {
         wait_until("suspected", || ["suspect", "silent"].contains(&fleet.state_seen_by(id, 3).as_str()));
-        // Whether it is paused or dead, it keeps its share for now.
+        // An unresponsive member may only be paused, so it keeps its share for now.
         assert_eq!(fleet.fleet_size_seen_by(id), 5);
     }
-    // Both were paused for longer than any answer takes: they must not take that for the others' silence.
+    // Both were paused for longer than the probe time-out, and must not take their own pause for a failure
+    // of the others.
     for id in [3, 4] {
         fleet.member(id).signal("-CONT");
     }
@@ -56,7 +57,7 @@
 fn loss_and_duplication_cause_no_false_positive_and_hide_no_death() {
     let mut fleet = ProxiedFleet::start("lossy", 6);
     {
-        let mut faults = fleet.faults.lock().expect("sound");
+        let mut faults = fleet.faults.lock().expect("the mutex is not poisoned");
         (faults.loss, faults.duplication) = (0.2, 0.2);
     }
     fleet.kill(5);
@@ -86,7 +87,11 @@
     let before = fleet.unexpected_death_lines(&[]).len();
     fleet.heal();
     fleet.wait_until_converged();
-    assert_eq!(fleet.unexpected_death_lines(&[]).len(), before, "merging declares nobody dead");
+    assert_eq!(
+        fleet.unexpected_death_lines(&[]).len(),
+        before,
+        "the merge must not cause further reports of deaths"
+    );
 }
 
 #[test]
@@ -110,20 +115,20 @@
     let mut fleet = ProxiedFleet::start("upgraded", 5);
     let start_of_g2 = |fleet: &ProxiedFleet| {
         let status = fleet.membership_status(0);
-        let members = status["members"].as_array().expect("a list").clone();
-        members.iter().find(|member| member["name"] == "g2").expect("listed")["start"].as_u64()
+        let members = status["members"].as_array().expect("a list of members").clone();
+        members.iter().find(|member| member["name"] == "g2").expect("g2 is listed")["start"].as_u64()
     };
     let before = start_of_g2(&fleet);
     let second = fleet.start_second_process(2);
     second.wait_for_log(" serving on ");
-    let mut first = fleet.members[2].replace(second).expect("it runs");
+    let mut first = fleet.members[2].replace(second).expect("member 2 runs");
     first.signal("-TERM");
     assert!(first.wait_for_exit());
-    wait_until("the second's start", || start_of_g2(&fleet) > before);
+    wait_until("g2 has the start of the second process", || start_of_g2(&fleet) > before);
     fleet.wait_until_converged();
     assert_eq!(fleet.unexpected_death_lines(&[]), Vec::<String>::new());
-    // A planned stop is announced and needs no proof.
-    let mut stopped = fleet.members[4].take().expect("it runs");
+    // A graceful shutdown is announced, so it needs no failure detection.
+    let mut stopped = fleet.members[4].take().expect("member 4 runs");
     stopped.signal("-TERM");
     for id in 0..4 {
         wait_until("left", || fleet.state_seen_by(id, 4) == "left");
@@ -134,13 +139,13 @@
 }
 
 #[test]
-fn foreign_datagrams_are_counted_without_effect_and_operators_see_all_members() {
+fn foreign_datagrams_are_counted_and_ignored_and_operators_see_all_members() {
     let fleet = ProxiedFleet::start("strangers", 5);
     let status = fleet.membership_status(0);
-    let address = status["own"]["address"].as_str().expect("an address").to_owned();
+    let address = status["own"]["address"].as_str().expect("the own address").to_owned();
     let foreign_socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let long = [0; 1400];
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"clym\x07later", b"clym\x01short", &long] {
+    let oversized = [0; 1400];
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"clym\x07later", b"clym\x01short", &oversized] {
         foreign_socket.send_to(bytes, &address).expect("sent");
     }
     for reason in ["foreign", "version", "seal", "length"] {
@@ -149,8 +154,11 @@
     fleet.wait_until_converged();
     let run_members_command = |options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gatherer"));
-        let output =
-            command.args(["members", &fleet.member(0).operators]).args(options).output().expect("it runs");
+        let output = command
+            .args(["members", &fleet.member(0).operators])
+            .args(options)
+            .output()
+            .expect("the members command starts");
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).expect("text")
     };
@@ -162,13 +170,13 @@
     assert_eq!(text.lines().filter(|line| line.starts_with('g')).count(), 5, "{text}");
     let json: serde_json::Value = serde_json::from_str(&run_members_command(&["--json"])).expect("JSON");
     assert_eq!(json["members"].as_array().map(Vec::len), Some(4));
-    // Another method is rejected.
+    // Methods other than GET are rejected.
     assert_eq!(call_operator_api(&fleet.member(0).operators, "PUT", "/-/members").0, 405);
 }
 
 #[test]
 fn membership_stays_off_where_the_platform_carries_datagrams_itself() {
-    // There datagrams over 256 bytes, and all other paths between gatherers, are forbidden; a member's
+    // The platform forbids datagrams over 256 bytes and all other paths between gatherers, while a member's
     // datagrams have up to 1,200 bytes.
     let (folder, worker) = (TempFolder::new("peers"), Worker::start());
     let discovery = Discovery::start(&member("w1", &worker.address));
@@ -185,12 +193,12 @@
     );
     let gatherer = Gatherer::start_with_operator_file(&folder, &config, &operator);
     gatherer.wait_for_log(" serving on ");
-    // A member contacts its seeds with its first tick, half a second after its start at most.
+    // A member contacts its seeds at its first tick, at most half a second after its start.
     seed.set_nonblocking(true).expect("set");
     datagrams.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
     let received = datagrams.recv(&mut [0; 2000]);
-    assert!(received.is_err(), "{received:?} bytes arrived");
-    assert!(seed.accept().is_err(), "it connected to a seed");
+    assert!(received.is_err(), "a datagram arrived at a seed: {received:?} bytes");
+    assert!(seed.accept().is_err(), "the gatherer connected to a seed");
     gatherer.wait_for_log("membership stays off: the platform carries datagrams");
     assert_eq!(call_operator_api(&gatherer.operators, "GET", "/-/members").0, 404);
 }
--- a/tests/membership_simulation.rs
+++ b/tests/membership_simulation.rs
@@ -1,14 +1,14 @@
-//! The membership simulation: its experiments keep their rules, the same seed gives the same run, and a
-//! broken rule is reported.
+//! The membership simulation: the shipped experiments satisfy their rules, the same seed gives the same
+//! outcome, and broken rules are reported.
 
 use gatherer::simulation::{self, Experiment, Outcome, Simulation, chart};
 use std::path::Path;
 
-/// Runs an experiment.
+/// Runs an experiment, and clears the one value of its outcome that differs from run to run.
 fn outcome(experiment: &Experiment) -> Outcome {
     let members = Simulation::with_nodes(experiment.members, experiment.seed, experiment.timing());
     let outcome = simulation::run(experiment, members, |_| {});
-    // The processor time differs from run to run.
+    // `cpu_us` is measured in real time.
     Outcome { cpu_us: 0.0, ..outcome }
 }
 
@@ -25,7 +25,7 @@
     for entry in std::fs::read_dir(folder).expect("the folder") {
         let file = entry.expect("an entry").file_name().into_string().expect("text");
         let mut experiment = read_experiment(&file);
-        // Long experiments are cut to 180 s here; the simulator runs them in full.
+        // Long experiments are shortened to 180 s; `membership-simulator run` runs them in full.
         experiment.seconds = experiment.seconds.min(180.0);
         experiment.steps.retain(|step| step.at <= 180.0);
         let outcome = outcome(&experiment);
@@ -51,8 +51,8 @@
 
 #[test]
 fn broken_rules_are_reported() {
-    // A third of the fleet is paused for longer than the suspicion timeout, and deaths have to be known at
-    // once.
+    // A third of the fleet pauses for longer than the suspicion time-out; the other rules are too strict to
+    // be satisfied, such as a detection within 0.1 s.
     let text = r#"
         title = "broken"
         members = 6
