--- a/src/membership/fleet_size.rs
+++ b/src/membership/fleet_size.rs
@@ -27,10 +27,10 @@
         FleetSizeEstimate { configured: configured.max(1) }
     }
 
-    /// The estimate at `now`, this gatherer included. Present members count at once; members that died or left do not
-    /// count. A failed member may be partitioned and still send traffic to the same workers. Therefore only a
-    /// majority stops counting failed members, after [`FAILED_MEMBER_HOLD`]: at most one side of a partition has the
-    /// majority.
+    /// The estimate at `now`, this gatherer included. Present members count at once, and members that died or left
+    /// stop counting at once, because both are certain. A failed member may be partitioned and still send traffic to
+    /// the same workers. Therefore only a majority stops counting failed members, after [`FAILED_MEMBER_HOLD`]: at
+    /// most one side of a partition has the majority.
     #[must_use]
     pub fn gatherers(&self, now: Time, table: &MemberTable) -> u32 {
         // Without any known member, only the configured size is available.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Gossip-based membership with failure detection (SWIM): which gatherers are running, suspected, failed or dead, and
-//! how many of them share the fleet.
+//! Gossip-based membership with failure detection in the manner of SWIM: which gatherers are running, suspected,
+//! failed or dead, and how many of them share the fleet.
 //!
 //! The input is messages, times and random seeds; the output is commands for the host ([`Command`]). This module owns
 //! one member's table of the others; it has no socket, no task and no clock. docs/membership.md explains the design.
--- a/src/membership/node.rs
+++ b/src/membership/node.rs
@@ -20,16 +20,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members probed in each interval.
+/// The number of members probed in each probe interval.
 const PROBES_PER_INTERVAL: usize = 2;
-/// Members that are asked to probe an unresponsive member on this member's behalf.
+/// The number of members that are asked to probe an unresponsive member on this member's behalf.
 const INDIRECT_PROBES: usize = 3;
-/// Receivers of each round of gossip.
+/// The number of receivers of a round of gossip, and of a refutation.
 const GOSSIP_FANOUT: usize = 3;
-/// The largest table for which tables are exchanged every [`Timing::exchange_interval`]. For larger ones the interval
-/// is multiplied by the number of known members divided by this number, rounded down.
+/// [`Timing::exchange_interval`] is multiplied by the number of known members divided by this number, rounded down
+/// and at least 1, so that the cost of exchanges does not grow with the size of the table.
 const FULL_EXCHANGE_RATE_MEMBERS: usize = 64;
-/// Receivers of the leave broadcast.
+/// The number of receivers of the leave broadcast.
 const LEAVE_FANOUT: usize = 8;
 
 /// The configuration of a member.
@@ -40,7 +40,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The intervals and time-outs of the protocol.
     pub timing: Timing,
-    /// The number of gatherers in the settings, from which the fleet-size estimate starts.
+    /// The number of gatherers in the settings, on which the limits of the fleet-size estimate are based.
     pub configured_gatherers: u32,
     /// The capacity of the member table.
     pub max_members: usize,
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -55,10 +55,10 @@
     /// The process stops, and another process takes over under the same name.
     #[serde(rename = "moving")]
     HandingOver,
-    /// The member has not answered some other member's probe.
+    /// The member did not answer the probes of at least one other member.
     Suspect,
-    /// The member did not answer in time: it died undetected, for example with its machine, or is partitioned from
-    /// all.
+    /// The member did not answer in time: it died without a refused connection, for example with its machine, or is
+    /// partitioned from all.
     #[serde(rename = "silent")]
     Failed,
     /// The process is dead: its machine refuses connections to it.
--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -8,7 +8,7 @@
 
 /// The width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 420);
-const TRUTH_COLOUR: RGBColor = RGBColor(90, 90, 90);
+const RUNNING_COLOUR: RGBColor = RGBColor(90, 90, 90);
 const CONVERGED_COLOUR: RGBColor = RGBColor(0, 114, 178);
 const MIN_ESTIMATE_COLOUR: RGBColor = RGBColor(213, 94, 0);
 const MAX_ESTIMATE_COLOUR: RGBColor = RGBColor(240, 190, 110);
@@ -42,7 +42,7 @@
         colour: MIN_ESTIMATE_COLOUR,
         value: |sample| f64::from(sample.min_estimate),
     },
-    Curve { label: "living members (the truth)", colour: TRUTH_COLOUR, value: |sample| sample.living as f64 },
+    Curve { label: "running members", colour: RUNNING_COLOUR, value: |sample| sample.living as f64 },
     Curve {
         label: "members that observe exactly those",
         colour: CONVERGED_COLOUR,
@@ -111,7 +111,7 @@
             .label(label)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(TRUTH_COLOUR).draw()?;
+    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(RUNNING_COLOUR).draw()?;
     area.present()?;
     Ok(())
 }
--- a/src/simulation/engine.rs
+++ b/src/simulation/engine.rs
@@ -24,7 +24,7 @@
 const MAX_BUFFERED_EVENTS: usize = 256;
 /// The capacity of a simulated member's table.
 const MAX_MEMBERS: usize = 2000;
-/// The number of seeds: these are the first members.
+/// The number of seeds: the first members, whose addresses all members start with.
 const SEED_MEMBERS: usize = 2;
 /// The number of zones; members are assigned to them in turn.
 const ZONES: usize = 3;
@@ -43,7 +43,7 @@
     paused_until: Option<Time>,
     /// The events that arrived during the pause.
     buffered: Vec<Event<P::Message>>,
-    /// The number of times that the member was started; ticks scheduled for an earlier process are dropped by it.
+    /// The number of times that the member was started; it identifies ticks of an earlier process, which are dropped.
     starts: u64,
 }
 
