--- a/src/membership/update.rs
+++ b/src/membership/update.rs
@@ -99,7 +99,8 @@
     Ping {
         /// The number of the probe.
         number: u32,
-        /// Whether the receiver's messages reach the sender, as far as the sender's reachability state tells.
+        /// Whether the receiver's messages reach the sender directly; false while the receiver answers only the
+        /// sender's indirect probes.
         receives_peer: bool,
     },
     /// The answer to a probe.
--- a/src/simulation/outcome.rs
+++ b/src/simulation/outcome.rs
@@ -21,7 +21,7 @@
     /// The lowest of the members' estimates of the number of gatherers.
     #[serde(rename = "least")]
     pub min_estimate: u32,
-    /// The highest of these estimates.
+    /// The highest of the members' estimates of the number of gatherers.
     #[serde(rename = "most")]
     pub max_estimate: u32,
     /// The sum of the running members' shares of the fleet.
--- a/tests/membership_model.rs
+++ b/tests/membership_model.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_crash_is_detected_without_a_false_positive_whatever_is_lost() {
+fn a_crash_is_detected_without_a_false_positive_under_every_pattern_of_loss() {
     let check = |simulation: &mut Members, pattern: &str| {
         let detected =
             simulation.run_until(Duration::from_secs(6), |simulation| is_dead_to_all(simulation, 2));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_partition_causes_no_false_positive_whatever_is_lost_and_a_crash_beside_it_is_detected() {
+fn a_partition_causes_no_false_positive_and_a_crash_beside_it_is_detected_under_every_pattern_of_loss() {
     let partition = |simulation: &mut Members| {
         simulation.partition(|id| id == 0, |id| id == 1);
         simulation.partition(|id| id == 1, |id| id == 0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_pause_under_the_suspicion_timeout_causes_no_false_positive_whatever_is_lost() {
+fn a_pause_under_the_suspicion_timeout_causes_no_false_positive_under_every_pattern_of_loss() {
     let check = |simulation: &mut Members, pattern: &str| {
         simulation.advance(Duration::from_secs(9));
         let converged = simulation.run_until(Duration::from_secs(6), Members::has_converged);
