--- a/src/simulation/chart.rs
+++ b/src/simulation/chart.rs
@@ -1,33 +1,33 @@
-//! The outcomes of experiments for people: a table, and a chart of what the members knew beside the truth.
+//! Presents the outcomes of experiments: a Markdown table, and an SVG chart of the members' observations over time.
 
-use super::outcome::{Moment, Outcome};
+use super::outcome::{Outcome, Sample};
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, WHITE,
 };
 
-/// Width and height, in pixels.
+/// The width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 420);
-const TRUTH_COLOUR: RGBColor = RGBColor(90, 90, 90);
+const RUNNING_COLOUR: RGBColor = RGBColor(90, 90, 90);
 const CONVERGED_COLOUR: RGBColor = RGBColor(0, 114, 178);
 const MIN_ESTIMATE_COLOUR: RGBColor = RGBColor(213, 94, 0);
 const MAX_ESTIMATE_COLOUR: RGBColor = RGBColor(240, 190, 110);
 
-/// The head of the table of outcomes.
+/// The header of the table of outcomes.
 const TABLE_HEAD: &str = "| experiment | members | seed | killed | known to all, median s | 99 % s \
     | false positives | converged after s | datagrams/s | bytes/s | us/s |\n\
     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// Why a chart cannot be drawn.
+/// A chart could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct ChartError(#[from] DrawingAreaErrorKind<std::io::Error>);
 
-/// A line of the chart.
+/// A line of the chart: one value of each sample.
 struct Curve {
     label: &'static str,
     colour: RGBColor,
-    value: fn(&Moment) -> f64,
+    value: fn(&Sample) -> f64,
 }
 
 /// The chart's lines, in the order in which they are drawn.
@@ -35,22 +35,22 @@
     Curve {
         label: "highest estimate of gatherers",
         colour: MAX_ESTIMATE_COLOUR,
-        value: |moment| f64::from(moment.max_estimate),
+        value: |sample| f64::from(sample.max_estimate),
     },
     Curve {
         label: "lowest estimate of gatherers",
         colour: MIN_ESTIMATE_COLOUR,
-        value: |moment| f64::from(moment.min_estimate),
+        value: |sample| f64::from(sample.min_estimate),
     },
-    Curve { label: "living members (the truth)", colour: TRUTH_COLOUR, value: |moment| moment.living as f64 },
+    Curve { label: "running members", colour: RUNNING_COLOUR, value: |sample| sample.living as f64 },
     Curve {
         label: "members that observe exactly those",
         colour: CONVERGED_COLOUR,
-        value: |moment| moment.converged as f64,
+        value: |sample| sample.converged as f64,
     },
 ];
 
-/// A table of the outcomes in Markdown, a row for each.
+/// A Markdown table with one row for each outcome.
 #[must_use]
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut out = String::from(TABLE_HEAD);
@@ -83,7 +83,7 @@
 /// A chart of the outcome over time, as SVG.
 ///
 /// # Errors
-/// The reason why it cannot be drawn.
+/// The drawing library cannot draw the chart.
 pub fn svg(outcome: &Outcome) -> Result<String, ChartError> {
     let mut text = String::new();
     draw(outcome, &mut text)?;
@@ -93,8 +93,8 @@
 fn draw(outcome: &Outcome, text: &mut String) -> Result<(), ChartError> {
     let area = SVGBackend::with_string(text, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let end = outcome.moments.last().map_or(1.0, |moment| moment.at);
-    let max_estimate = outcome.moments.iter().map(|moment| moment.max_estimate).max();
+    let end = outcome.samples.last().map_or(1.0, |sample| sample.at);
+    let max_estimate = outcome.samples.iter().map(|sample| sample.max_estimate).max();
     let top = max_estimate.unwrap_or(0).max(outcome.members as u32);
     let caption = format!("{}: {} members, seed {}", outcome.title, outcome.members, outcome.seed);
     let mut chart = ChartBuilder::on(&area)
@@ -105,13 +105,13 @@
         .build_cartesian_2d(0.0..end, 0.0..f64::from(top) * 1.1)?;
     chart.configure_mesh().x_desc("seconds").y_desc("members").disable_x_mesh().draw()?;
     for Curve { label, colour, value } in CURVES {
-        let points = outcome.moments.iter().map(|moment| (moment.at, value(moment)));
+        let points = outcome.samples.iter().map(|sample| (sample.at, value(sample)));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(label)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(TRUTH_COLOUR).draw()?;
+    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(RUNNING_COLOUR).draw()?;
     area.present()?;
     Ok(())
 }
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -1,33 +1,34 @@
-//! Runs an experiment in virtual time, and observes at regular intervals what the members know.
+//! Runs an experiment in virtual time: applies its steps, records deaths that all members know of, and samples the
+//! members' observations at regular intervals.
 
 use super::engine::Simulation;
 use super::experiment::{Action, Experiment, MemberSet, Step};
 use super::network::Traffic;
-use super::outcome::{Moment, Outcome};
+use super::outcome::{Outcome, Sample};
 use super::peer::Peer;
 use crate::policy::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The time between two observations of what all members know.
+/// The time between two checks for deaths that all members know of.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Nanoseconds between two moments of an outcome.
-const MOMENT_INTERVAL_NS: u64 = 1_000_000_000;
+/// The time between two samples of an outcome, in nanoseconds.
+const SAMPLE_INTERVAL_NS: u64 = 1_000_000_000;
 
-/// A step at one of its times, from the experiment's start.
+/// One occurrence of a step; `at` counts from the experiment's start.
 struct DueStep {
     at: Time,
     step: Step,
 }
 
-/// A killed member whose death not all know of yet.
-struct OpenDeath {
+/// The death of a killed member that not all running members have detected yet.
+struct UndetectedDeath {
     /// The start of the killed process.
     start: u64,
     killed_at: Time,
 }
 
-/// All steps in the order of their times, with their repetitions.
+/// All occurrences of all steps, in the order of their times.
 fn schedule(experiment: &Experiment) -> Vec<DueStep> {
     let mut schedule = Vec::new();
     for step in &experiment.steps {
@@ -46,7 +47,7 @@
     schedule
 }
 
-/// Runs an experiment with these members. `progress` is notified of each second that is done.
+/// Runs an experiment with these members. Calls `progress` with the elapsed simulated time after each second.
 pub fn run<P: Peer>(
     experiment: &Experiment,
     simulation: Simulation<P>,
@@ -61,8 +62,8 @@
             run.apply(&due.step);
         }
         run.advance(OBSERVATION_INTERVAL.min(end.since(run.now)));
-        if run.now.0.is_multiple_of(MOMENT_INTERVAL_NS) {
-            progress(run.observe_moment());
+        if run.now.0.is_multiple_of(SAMPLE_INTERVAL_NS) {
+            progress(run.record_sample());
         }
     }
     run.finish(experiment, started)
@@ -71,14 +72,14 @@
 /// An experiment that is running.
 struct Run<P: Peer> {
     simulation: Simulation<P>,
-    /// The simulation's time when the experiment started.
+    /// The simulation's time at which the experiment started.
     started_at: Time,
     /// The time from the experiment's start.
     now: Time,
     last_step_at: Time,
-    /// The sum of the seconds in which each member's process ran.
+    /// The seconds that each member's process ran, summed over all members.
     member_seconds: f64,
-    open_deaths: BTreeMap<usize, OpenDeath>,
+    undetected_deaths: BTreeMap<usize, UndetectedDeath>,
     outcome: Outcome,
 }
 
@@ -99,7 +100,7 @@
             now: Time(0),
             last_step_at: Time(0),
             member_seconds: 0.0,
-            open_deaths: BTreeMap::new(),
+            undetected_deaths: BTreeMap::new(),
             outcome,
         }
     }
@@ -139,22 +140,22 @@
 
     fn kill(&mut self, id: usize) {
         if let Some(node) = self.simulation.node(id) {
-            let death = OpenDeath { start: node.start(), killed_at: self.now };
-            self.open_deaths.insert(id, death);
+            let death = UndetectedDeath { start: node.start(), killed_at: self.now };
+            self.undetected_deaths.insert(id, death);
             self.outcome.killed += 1;
         }
         self.simulation.kill(id);
     }
 
-    /// Lets time pass, and notes which deaths all members know of now. A death that is not known when the
-    /// member starts again is no longer waited for.
+    /// Advances time, and records the deaths that all running members have detected. A death that is undetected
+    /// when the member restarts is no longer tracked.
     fn advance(&mut self, duration: Duration) {
         self.simulation.advance(duration);
         self.now = self.now.after(duration);
         let (simulation, now) = (&self.simulation, self.now);
         self.member_seconds += simulation.living().count() as f64 * duration.as_secs_f64();
         let detection_s = &mut self.outcome.detection_s;
-        self.open_deaths.retain(|id, death| {
+        self.undetected_deaths.retain(|id, death| {
             let restarted = simulation.node(*id).is_some_and(|node| node.start() > death.start);
             let is_present =
                 |by: usize| simulation.observed_state(by, *id).is_some_and(|state| state.is_present());
@@ -166,12 +167,12 @@
         });
     }
 
-    /// Adds a moment to the outcome; returns its time in seconds.
-    fn observe_moment(&mut self) -> f64 {
+    /// Adds a sample to the outcome; returns its time from the experiment's start, in seconds.
+    fn record_sample(&mut self) -> f64 {
         let simulation = &self.simulation;
         let estimates: Vec<u32> = simulation.living().filter_map(|id| simulation.gatherers(id)).collect();
         let share = |estimate: &u32| 1.0 / f64::from((*estimate).max(1));
-        let moment = Moment {
+        let sample = Sample {
             at: self.now.since(Time(0)).as_secs_f64(),
             living: estimates.len(),
             converged: simulation.converged_members(),
@@ -179,12 +180,12 @@
             max_estimate: estimates.iter().copied().max().unwrap_or(0),
             total_share: estimates.iter().map(share).sum(),
         };
-        let at = moment.at;
-        if moment.converged == moment.living && self.outcome.converged_after_s.is_none() {
+        let at = sample.at;
+        if sample.converged == sample.living && self.outcome.converged_after_s.is_none() {
             let elapsed = self.now.since(self.last_step_at);
             self.outcome.converged_after_s = Some(elapsed.as_secs_f64());
         }
-        self.outcome.moments.push(moment);
+        self.outcome.samples.push(sample);
         at
     }
 
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -1,6 +1,6 @@
 //! Random faults, with shrinking, inside the bounds that docs/membership.md states: no running member is
-//! declared dead, and all converge again afterwards. Also proof that the guards are needed: without each, a
-//! running member is declared dead.
+//! declared dead, and all members converge afterwards. Further tests show that each guard is needed:
+//! without it a running member is declared dead.
 
 use gatherer::membership::{MemberState, MemberUpdate, Message, MessageKind, Node, ObservedState, Timing};
 use gatherer::simulation::network::{address, name};
@@ -29,10 +29,11 @@
     }
 }
 
-/// What may happen. All that keeps a member from answering together stays under the suspicion timeout.
+/// A fault. The parameters are bounded so that a member is prevented from answering for less than the
+/// suspicion time-out in total.
 #[derive(Clone, Debug)]
 enum Fault {
-    Pause { member: usize, ms: u64 },
+    Pause { member: usize, pause_ms: u64 },
     Partition { from: usize, to: usize, both_ways: bool },
     Restart { member: usize, down_ms: u64 },
     Upgrade { member: usize, gap_ms: u64 },
@@ -40,11 +41,11 @@
     Heal,
 }
 
-/// A random fault.
+/// Generates a random fault.
 fn any_fault() -> impl Strategy<Value = Fault> {
     let member = 0..MEMBERS;
     prop_oneof![
-        3 => (member.clone(), 50..1900_u64).prop_map(|(member, ms)| Fault::Pause { member, ms }),
+        3 => (member.clone(), 50..1900_u64).prop_map(|(member, pause_ms)| Fault::Pause { member, pause_ms }),
         3 => (member.clone(), member.clone(), any::<bool>())
             .prop_map(|(from, to, both_ways)| Fault::Partition { from, to, both_ways }),
         2 => (member.clone(), 0..3000_u64).prop_map(|(member, down_ms)| Fault::Restart { member, down_ms }),
@@ -54,15 +55,15 @@
     ]
 }
 
-/// Applies faults one after the other, and lets the given milliseconds pass after each.
+/// Applies the faults in order, and advances time by the given milliseconds after each.
 fn simulate(seed: u64, faults: &[(Fault, u64)]) -> Members {
-    let mut simulation = Members::of_nodes(MEMBERS, seed, Timing::default());
+    let mut simulation = Members::with_nodes(MEMBERS, seed, Timing::default());
     simulation.reports.clear();
-    for (fault, then_ms) in faults {
+    for (fault, wait_ms) in faults {
         match fault {
-            Fault::Pause { member, ms: span } => simulation.pause(*member, ms(*span)),
+            Fault::Pause { member, pause_ms } => simulation.pause(*member, ms(*pause_ms)),
             Fault::Partition { from, to, both_ways } => {
-                // Between two members only, so that others reach both.
+                // Only two members are partitioned from each other, so that others reach both.
                 simulation.partition(|id| id == *from, |id| id == *to);
                 if *both_ways {
                     simulation.partition(|id| id == *to, |id| id == *from);
@@ -83,7 +84,7 @@
             }
             Fault::Heal => simulation.partitions.clear(),
         }
-        simulation.advance(ms(*then_ms));
+        simulation.advance(ms(*wait_ms));
     }
     simulation
 }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Deaths of running processes that this member reported.
+/// The number of deaths of running processes that this member reported.
 fn false_positives_by(simulation: &Members, id: usize) -> usize {
     simulation.false_positives().into_iter().filter(|report| report.by == id).count()
 }
@@ -111,7 +112,7 @@
 #[test]
 fn without_the_isolation_guard_a_partitioned_member_declares_the_fleet_dead() {
     let declared_dead_by_isolated = |timing: Timing| {
-        let mut simulation = Members::of_nodes(MEMBERS, 5, timing);
+        let mut simulation = Members::with_nodes(MEMBERS, 5, timing);
         simulation.partition(|id| id == 0, |_| true);
         simulation.partition(|_| true, |id| id == 0);
         simulation.advance(Duration::from_secs(40));
@@ -127,11 +128,12 @@
 
 #[test]
 fn without_the_pause_guard_a_resumed_member_declares_one_dead_that_answered_meanwhile() {
-    // One member is suspected; another is paused until long after the first has answered, and reads a message
-    // of a third before it runs its timers.
+    // Member 0 suspects member 1 and is then paused for longer than the suspicion time-out, while member 1
+    // resumes and answers. Where member 0 handles a message of another member before its timers, the
+    // isolation guard does not apply.
     let declared_dead_by_resumed = |timing: Timing| -> usize {
         let false_positives = (0..8).map(|seed| {
-            let mut simulation = Members::of_nodes(MEMBERS, seed, timing);
+            let mut simulation = Members::with_nodes(MEMBERS, seed, timing);
             simulation.pause(1, ms(5000));
             let suspected = simulation.run_until(ms(5000), |simulation| {
                 simulation.observed_state(0, 1) == Some(ObservedState::Suspect)
@@ -148,7 +150,7 @@
     assert!(declared_dead_by_resumed(Timing { pause_threshold: never, ..Timing::default() }) > 0);
 }
 
-/// Updates about a member that no member reported.
+/// Generates an update that no member reported.
 fn forged_update() -> impl Strategy<Value = MemberUpdate> {
     let start = prop_oneof![
         2 => Just(None),
@@ -167,8 +169,8 @@
     (0..MEMBERS + 2, start, incarnation, state).prop_map(|(id, start, incarnation, state)| {
         MemberUpdate {
             name: name(id),
-            // None stands for the member's own start; the others stand for later ones, by milliseconds, and
-            // for the last.
+            // The offset to the member's own start in nanoseconds: 0, at least 1 and less than 200 ms, or
+            // `u64::MAX` for the last possible start.
             start: start.map_or(0, |later| later.saturating_mul(1_000_000).max(1)),
             incarnation,
             address: address(id),
@@ -184,20 +186,20 @@
     fn forged_updates_are_refuted_and_all_running_members_are_present_again(
         forgeries in prop::collection::vec((0..MEMBERS, forged_update(), forged_update(), 0..900_u64), 1..12),
     ) {
-        let mut simulation = Members::of_nodes(MEMBERS, 1, Timing::default());
+        let mut simulation = Members::with_nodes(MEMBERS, 1, Timing::default());
         let starts: Vec<u64> = (0..MEMBERS).filter_map(|id| Some(simulation.node(id)?.own().start)).collect();
         let resolve_start = |update: MemberUpdate| {
-            let id: usize = update.name[9..].parse().expect("a count");
+            let id: usize = update.name[9..].parse().expect("a member number at the end of the name");
             let base = starts.get(id).copied().unwrap_or(starts[0]);
             let start = if update.start == u64::MAX { u64::MAX } else { base.saturating_add(update.start) };
             MemberUpdate { start, ..update }
         };
-        for (to, from, update, then_ms) in forgeries {
+        for (to, from, update, wait_ms) in forgeries {
             let (from, updates) = (resolve_start(from), vec![resolve_start(update)]);
             simulation.forge(to, Message { from, kind: MessageKind::Gossip, updates });
-            simulation.advance(ms(then_ms));
+            simulation.advance(ms(wait_ms));
         }
-        // Invented members fail or are found dead; no other member stays dead.
+        // Members that do not exist fail or are declared dead; every running member is present again.
         let all_present = |simulation: &Members| {
             simulation.living().all(|by| (0..MEMBERS).filter(|id| *id != by).all(|id| {
                 simulation.observed_state(by, id).is_some_and(ObservedState::is_present)
