--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -17,18 +17,18 @@
     #[error("writing: {0}")]
     Write(#[source] io::Error),
     /// A line is not text.
-    #[error("line {number}: not UTF-8")]
+    #[error("line {line_number}: not UTF-8")]
     NotUtf8 {
         /// The line's number, from 1.
-        number: u64,
+        line_number: u64,
         /// Where its text ends.
         source: Utf8Error,
     },
     /// A line cannot be used.
-    #[error("line {number}: {source}")]
+    #[error("line {line_number}: {source}")]
     Line {
         /// The line's number, from 1.
-        number: u64,
+        line_number: u64,
         /// The reason.
         source: LineError,
     },
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -14,7 +14,7 @@
     aggregator: Aggregator,
     events: Vec<Event>,
     /// The batch names it, if only to start it: it takes a step.
-    touched: bool,
+    runs_step: bool,
 }
 
 /// An endpoint list of which entries are still to come.
@@ -93,7 +93,7 @@
     fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         let instance = self.addressee(fields)?;
         let aggregator = Aggregator::new(codec::read_settings(fields)?);
-        self.instances.insert(instance, Instance { aggregator, events: Vec::new(), touched: true });
+        self.instances.insert(instance, Instance { aggregator, events: Vec::new(), runs_step: true });
         Ok(())
     }
 
@@ -114,7 +114,7 @@
         let Some(instance) = self.instances.get_mut(&addressee) else {
             return Err(unknown_instance(fields, addressee));
         };
-        instance.touched = true;
+        instance.runs_step = true;
         instance.events.extend(event);
         Ok(())
     }
@@ -145,7 +145,7 @@
     fn write_reply(&mut self, now: Time, reply: &mut String) {
         let mut actions = Vec::new();
         for (number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.touched) {
+            if !std::mem::take(&mut instance.runs_step) {
                 continue;
             }
             actions.clear();
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -29,21 +29,22 @@
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     let mut reply = String::new();
     loop {
         line.clear();
         let read = input.read_until(b'\n', &mut line).map_err(AdapterError::Read)?;
         if read == 0 {
-            return host.finish().map_err(|source| AdapterError::Line { number, source });
+            return host.finish().map_err(|source| AdapterError::Line { line_number, source });
         }
-        number += 1;
+        line_number += 1;
         if line.last() == Some(&b'\n') {
             line.pop();
         }
-        let text = std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { number, source })?;
+        let text =
+            std::str::from_utf8(&line).map_err(|source| AdapterError::NotUtf8 { line_number, source })?;
         reply.clear();
-        if host.read_line(text, &mut reply).map_err(|source| AdapterError::Line { number, source })? {
+        if host.read_line(text, &mut reply).map_err(|source| AdapterError::Line { line_number, source })? {
             let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
             written.map_err(AdapterError::Write)?;
         }
--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -35,19 +35,19 @@
 impl SoakTest {
     /// Injects the faults as scheduled, and returns when the last one has passed.
     pub async fn inject_faults(self: Rc<Self>) {
-        let since = tokio::time::Instant::now();
+        let start = tokio::time::Instant::now();
         let mut running = Vec::new();
         let length = Duration::from_secs(self.options.seconds);
         for scheduled in fault_schedule(self.options.seed, length) {
             if !self.is_selected(scheduled.fault) {
                 continue;
             }
-            tokio::time::sleep_until(since + scheduled.begins_after).await;
+            tokio::time::sleep_until(start + scheduled.begins_after).await;
             running.push(spawn_local(self.clone().inject(scheduled)));
         }
-        tokio::time::sleep_until(since + length).await;
-        for fault in running {
-            fault.await.expect("no fault panics");
+        tokio::time::sleep_until(start + length).await;
+        for injection in running {
+            injection.await.expect("no fault panics");
         }
     }
 
@@ -175,15 +175,15 @@
     /// Pauses a gatherer for as long as the specification allows for.
     async fn pause(&self, gatherer: &Gatherer, lasts: Duration) {
         let paused_at = now_us();
-        let signal = |signal| {
+        let send_to_current_process = |signal| {
             gatherer.process.borrow().as_ref().map(|process| {
                 process.signal(signal);
                 process.number
             })
         };
-        let Some(number) = signal(Signal::STOP) else { return };
+        let Some(number) = send_to_current_process(Signal::STOP) else { return };
         tokio::time::sleep(lasts.min(MAX_GATHERER_PAUSE)).await;
-        signal(Signal::CONT);
+        send_to_current_process(Signal::CONT);
         let process = &mut self.observations.borrow_mut().processes[number];
         process.longest_pause_us = process.longest_pause_us.max(now_us() - paused_at);
     }
--- a/src/bin/soak-test/gatherer_lifecycle.rs
+++ b/src/bin/soak-test/gatherer_lifecycle.rs
@@ -52,8 +52,8 @@
 
     /// Waits until a process reports that it is ready, has ended, or has taken too long.
     async fn wait_until_ready(&self, gatherer: &Gatherer, number: usize, operator_address: &str) {
-        let since = tokio::time::Instant::now();
-        while since.elapsed() < PROCESS_TIMEOUT {
+        let started = tokio::time::Instant::now();
+        while started.elapsed() < PROCESS_TIMEOUT {
             if is_ready(operator_address).await {
                 self.observations.borrow_mut().processes[number].ready_at = Some(now_us());
                 return;
@@ -77,8 +77,8 @@
     pub async fn terminate(&self, mut process: GathererProcess) {
         self.observations.borrow_mut().processes[process.number].terminated_at = Some(now_us());
         process.signal(Signal::TERM);
-        let since = tokio::time::Instant::now();
-        while !process.has_ended(&self.observations) && since.elapsed() < PROCESS_TIMEOUT {
+        let signalled = tokio::time::Instant::now();
+        while !process.has_ended(&self.observations) && signalled.elapsed() < PROCESS_TIMEOUT {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -200,8 +200,9 @@
     /// From when on it has to know of a drain or removal that was announced at this time.
     pub fn effective_at(&self, announced_at: u64) -> u64 {
         let exemptions = self.exemptions.borrow();
-        let covering = exemptions.iter().filter(|span| (span.from..span.until).contains(&announced_at));
-        covering.map(|span| span.until).fold(announced_at, u64::max)
+        let covering =
+            exemptions.iter().filter(|exemption| (exemption.from..exemption.until).contains(&announced_at));
+        covering.map(|exemption| exemption.until).fold(announced_at, u64::max)
     }
 }
 
--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -28,7 +28,7 @@
 /// The seeds of workers of two soak tests with successive seeds lie so far apart.
 const WORKER_SEED_STRIDE: u64 = 1000;
 /// Violations that are printed.
-const PRINTED_VIOLATIONS: usize = 20;
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// A soak test: its processes, and what was observed of them.
 pub struct SoakTest {
@@ -68,11 +68,11 @@
         println!("no invariant was violated");
         return ExitCode::SUCCESS;
     }
-    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("VIOLATED {violation}");
     }
-    if violations.len() > PRINTED_VIOLATIONS {
-        println!("... and {} more", violations.len() - PRINTED_VIOLATIONS);
+    if violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("... and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
     println!("to repeat this run: {}", command_line(options));
     ExitCode::FAILURE
@@ -227,7 +227,7 @@
         }
         tokio::time::sleep(LAST_LINES_WITHIN).await;
         let mut observations = self.observations.borrow_mut();
-        self.workers.iter().for_each(|worker| worker.collect(&mut observations));
+        self.workers.iter().for_each(|worker| worker.collect_parts(&mut observations));
         // Only now are all exemptions known.
         for removal in &mut observations.removals {
             removal.effective_at = self.gatherers[removal.gatherer].effective_at(removal.effective_at);
@@ -243,9 +243,9 @@
 /// Notes how long this process itself was paused.
 async fn measure_observer_lag(observations: Rc<RefCell<Observations>>) {
     loop {
-        let since = now_us();
+        let began_at = now_us();
         tokio::time::sleep(POLL_INTERVAL).await;
-        let lag_us = (now_us() - since).saturating_sub(POLL_INTERVAL.as_micros() as u64);
+        let lag_us = (now_us() - began_at).saturating_sub(POLL_INTERVAL.as_micros() as u64);
         let mut observations = observations.borrow_mut();
         observations.observer_lag_us = observations.observer_lag_us.max(lag_us);
     }
--- a/src/bin/soak-test/worker_process.rs
+++ b/src/bin/soak-test/worker_process.rs
@@ -39,8 +39,8 @@
     pub fn restart(&self) {
         self.seed.set(self.seed.get() + 1);
         let new = spawn_worker(&self.name, &self.address, self.seed.get(), &self.parts);
-        let mut before = self.child.replace(new);
-        kill_and_wait(&mut before);
+        let mut previous = self.child.replace(new);
+        kill_and_wait(&mut previous);
     }
 
     /// Sends it a signal.
@@ -49,14 +49,14 @@
     }
 
     /// Moves the parts that it has reported to the observations.
-    pub fn collect(&self, observations: &mut Observations) {
+    pub fn collect_parts(&self, observations: &mut Observations) {
         observations.parts.append(&mut self.parts.lock().expect("no reader panics"));
     }
 }
 
 fn spawn_worker(name: &str, address: &str, seed: u64, parts: &Arc<Mutex<Vec<Part>>>) -> Child {
-    let own = std::env::current_exe().expect("the path of this program");
-    let mut command = Command::new(own);
+    let program = std::env::current_exe().expect("the path of this program");
+    let mut command = Command::new(program);
     command.args(["worker", "--seed", &seed.to_string(), "--listen", address]);
     let mut child = command.stdout(Stdio::piped()).spawn().expect("a worker starts");
     let lines = BufReader::new(child.stdout.take().expect("piped")).lines();
--- a/src/soak/checker/parts.rs
+++ b/src/soak/checker/parts.rs
@@ -63,10 +63,11 @@
     /// Whether the worker was given no more time than the client had left.
     fn check_deadline(&self, violations: &mut Vec<Violation>) {
         let deadline = self.request.sent_at + self.request.budget_us;
-        let left_us = deadline.saturating_sub(self.part.received_at);
-        let given_us = self.part.time_left_us;
-        if given_us > left_us + DEADLINE_SLACK_US + self.slack_us {
-            let details = format!("{}: given {} ms, left {} ms", self.describe(), ms(given_us), ms(left_us));
+        let client_us = deadline.saturating_sub(self.part.received_at);
+        let worker_us = self.part.time_left_us;
+        if worker_us > client_us + DEADLINE_SLACK_US + self.slack_us {
+            let details =
+                format!("{}: given {} ms, left {} ms", self.describe(), ms(worker_us), ms(client_us));
             report(violations, ViolationKind::DeadlineExtended, details);
         }
     }
@@ -77,8 +78,8 @@
         if self.request.outcome == RequestOutcome::ClientDisconnected
             && received_at > ended_at + DISCONNECT_SLACK_US + self.slack_us
         {
-            let after = ms(received_at - ended_at);
-            let details = format!("{}: {after} ms after its client disconnected", self.describe());
+            let after_ms = ms(received_at - ended_at);
+            let details = format!("{}: {after_ms} ms after its client disconnected", self.describe());
             report(violations, ViolationKind::SentAfterDisconnect, details);
         }
     }
@@ -94,8 +95,8 @@
                 && received_at < removal.relisted_at
         });
         if let Some(removal) = removal {
-            let after = ms(received_at - removal.effective_at);
-            let details = format!("{}: {after} ms after its drain was announced", self.describe());
+            let after_ms = ms(received_at - removal.effective_at);
+            let details = format!("{}: {after_ms} ms after its drain was announced", self.describe());
             report(violations, ViolationKind::SentToDrainedWorker, details);
         }
     }
--- a/src/soak/checker/processes.rs
+++ b/src/soak/checker/processes.rs
@@ -48,8 +48,8 @@
     let latest = process.started_at + READY_LIMIT_US + lag_us;
     let signalled_at = process.terminated_at.or(process.killed_at);
     let exited_at = process.exit.map(|exit| exit.at);
-    let cut_short = [signalled_at, exited_at].into_iter().flatten().any(|at| at < latest);
-    if process.ready_at.map_or(!cut_short, |ready_at| ready_at > latest) {
+    let ended_early = [signalled_at, exited_at].into_iter().flatten().any(|at| at < latest);
+    if process.ready_at.map_or(!ended_early, |ready_at| ready_at > latest) {
         let details = format!("{about}: it was not ready within {} s", READY_LIMIT_US / 1_000_000);
         report(violations, ViolationKind::FailedStart, details);
     }
--- a/src/soak/checker/requests.rs
+++ b/src/soak/checker/requests.rs
@@ -68,9 +68,12 @@
 /// The request, the process that it went to, and when it was sent, measured against SIGTERM to that process.
 fn describe_request(request: &Request, process: Option<&Process>) -> String {
     let terminated_at = process.and_then(|process| process.terminated_at);
-    let when = terminated_at.map_or(String::new(), |terminated_at| {
-        let span_us = request.sent_at as i64 - terminated_at as i64;
-        format!(", sent at {span_us} us from SIGTERM")
+    let relative_to_sigterm = terminated_at.map_or(String::new(), |terminated_at| {
+        let offset_us = request.sent_at as i64 - terminated_at as i64;
+        format!(", sent at {offset_us} us from SIGTERM")
     });
-    format!("request {} to process {} at {}{when}", request.id, request.process, request.sent_at)
+    format!(
+        "request {} to process {} at {}{relative_to_sigterm}",
+        request.id, request.process, request.sent_at
+    )
 }
--- a/src/soak/checker/violation.rs
+++ b/src/soak/checker/violation.rs
@@ -50,6 +50,6 @@
 }
 
 /// Whole milliseconds, as details state them.
-pub fn ms(span_us: u64) -> u64 {
-    span_us / 1000
+pub fn ms(duration_us: u64) -> u64 {
+    duration_us / 1000
 }
--- a/src/soak/fault_schedule.rs
+++ b/src/soak/fault_schedule.rs
@@ -117,26 +117,26 @@
     schedule
 }
 
-/// Settings of the fault library that are drawn with one chance, and take one value.
+/// Settings of the fault library that are drawn with one probability, and take one value.
 struct SettingRange {
     /// The chance that they are set.
-    chance: f64,
+    probability: f64,
     names: &'static [&'static str],
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 /// All settings that are drawn, in the order in which they are. Those of calls are the share of calls that
 /// fail.
 const SETTING_RANGES: [SettingRange; 8] = [
-    SettingRange { chance: 0.6, names: &["short_read"], least: 0.02, most: 0.3 },
-    SettingRange { chance: 0.6, names: &["short_write"], least: 0.02, most: 0.3 },
-    SettingRange { chance: 0.6, names: &["interrupt"], least: 0.004, most: 0.05 },
-    SettingRange { chance: 0.4, names: &["wait_interrupt"], least: 0.02, most: 0.1 },
-    SettingRange { chance: 0.5, names: &["accept"], least: 0.02, most: 1.0 },
-    SettingRange { chance: 0.5, names: &["connect", "socket", "bind"], least: 0.02, most: 1.0 },
-    SettingRange { chance: 0.3, names: &["open", "file_write"], least: 0.1, most: 0.9 },
-    SettingRange { chance: 0.4, names: &["wall_step_s"], least: 60.0, most: 3600.0 },
+    SettingRange { probability: 0.6, names: &["short_read"], min: 0.02, max: 0.3 },
+    SettingRange { probability: 0.6, names: &["short_write"], min: 0.02, max: 0.3 },
+    SettingRange { probability: 0.6, names: &["interrupt"], min: 0.004, max: 0.05 },
+    SettingRange { probability: 0.4, names: &["wait_interrupt"], min: 0.02, max: 0.1 },
+    SettingRange { probability: 0.5, names: &["accept"], min: 0.02, max: 1.0 },
+    SettingRange { probability: 0.5, names: &["connect", "socket", "bind"], min: 0.02, max: 1.0 },
+    SettingRange { probability: 0.3, names: &["open", "file_write"], min: 0.1, max: 0.9 },
+    SettingRange { probability: 0.4, names: &["wall_step_s"], min: 60.0, max: 3600.0 },
 ];
 /// How often the wall clock is stepped, where it is, in milliseconds.
 const WALL_STEP_PERIOD_MS: u32 = 1500;
@@ -147,9 +147,9 @@
 pub fn system_call_faults(seed: u64, process: u64) -> String {
     let mut random = Rng::with_seed(seed ^ process.wrapping_mul(SEED_MULTIPLIER));
     let mut settings = vec![format!("seed={}", random.u32(..))];
-    for SettingRange { chance, names, least, most } in SETTING_RANGES {
-        if random.f64() < chance {
-            let value = least + (most - least) * random.f64();
+    for SettingRange { probability, names, min, max } in SETTING_RANGES {
+        if random.f64() < probability {
+            let value = min + (max - min) * random.f64();
             settings.extend(names.iter().map(|name| format!("{name}={value:.4}")));
         }
     }
