--- a/src/bin/simulator-adapter/codec.rs
+++ b/src/bin/simulator-adapter/codec.rs
@@ -1,5 +1,5 @@
-//! The messages of the simulator's wire: it reads settings, events and endpoints, and writes actions. The
-//! words of the wire are the simulator's and stay as they are, whatever the Rust names say.
+//! The messages of the simulator's wire: reads settings, events and endpoints, and writes actions. The
+//! simulator defines the words of the wire, which therefore differ from the names of the Rust types.
 
 use crate::error::{FieldProblem, LineError};
 use crate::fields::Fields;
@@ -11,7 +11,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// Reads an endpoint (an `m` line).
+/// Reads one entry of an endpoint list (an `m` line).
 pub fn read_endpoint(line: &str) -> Result<Endpoint, LineError> {
     let mut fields = Fields::new(line);
     if fields.message() != "m" {
@@ -36,8 +36,8 @@
     Ok(Endpoint { worker, zone, cell, status, units, started_at })
 }
 
-/// Reads an event of one instance, after its message name. `find_list` has the endpoint lists by their
-/// numbers. `None` for a message that the decision module does not use.
+/// Reads the fields of a message to one instance. `find_list` looks an endpoint list up by its number.
+/// Returns `None` for a message that the decision module does not use.
 pub fn read_event(
     fields: &mut Fields<'_>,
     find_list: impl Fn(usize) -> Option<Arc<[Endpoint]>>,
@@ -116,15 +116,14 @@
     })
 }
 
-/// Reads past the rest of a `message` message: the text of another instance, which the decision module does
-/// not use.
+/// Skips the rest of a `message` message, a text from another instance: the decision module does not use it.
 fn skip_instance_message(fields: &mut Fields<'_>) -> Result<(), LineError> {
     let _author: u32 = fields.required("author")?;
     let _content = fields.raw("content")?;
     Ok(())
 }
 
-/// Reads the rest of a `submit` message: a part of a query where it names a shard, else a whole query.
+/// Reads the rest of a `submit` message: a part of a query if it names a shard, otherwise a whole query.
 fn read_query_or_part(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let id = fields.request_id("corr")?;
     let class = ClassId(fields.required("lane")?);
@@ -146,7 +145,7 @@
     })
 }
 
-/// Reads the `start` message, after its name.
+/// Reads the rest of a `start` message: the seed and the settings of a new instance.
 pub fn read_settings(fields: &mut Fields<'_>) -> Result<Settings, LineError> {
     let seed: i128 = fields.required("entropy")?;
     let contracts =
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,5 +1,5 @@
-//! Why the adapter stops: what failed in which line, message and field, down to the error beneath it. The
-//! texts are part of the adapter's outer form.
+//! Errors that stop the adapter. Each names the line, the message and the field that is malformed, and keeps
+//! the error that caused it as its source.
 
 use gatherer::program::settings::InvalidSetting;
 use std::error::Error;
@@ -7,66 +7,66 @@
 use std::num::ParseFloatError;
 use std::str::Utf8Error;
 
-/// Why the adapter ended before its input did.
+/// An error at which the adapter stops reading.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("reading: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
     /// A reply cannot be written to standard output.
-    #[error("writing: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Write(#[source] io::Error),
-    /// A line is not text.
-    #[error("line {line_number}: not UTF-8")]
+    /// A line of the input is not UTF-8.
+    #[error("line {line_number}: not UTF-8: {source}")]
     NotUtf8 {
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line_number: u64,
-        /// Where its text ends.
+        /// Position of the first invalid byte.
         source: Utf8Error,
     },
-    /// A line cannot be used.
+    /// A line of the input is malformed, or not valid where it stands.
     #[error("line {line_number}: {source}")]
     Line {
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line_number: u64,
         /// The reason.
         source: LineError,
     },
 }
 
-/// Why a line cannot be used.
+/// A line that is malformed, or not valid where it stands.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// One of its fields is malformed.
+    /// A field of the line is malformed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// It has to begin a batch.
+    /// A line between two batches is not a `turn` line, with which a batch begins.
     #[error("expected \"turn\", got {0:?}")]
     OutsideBatch(String),
     /// The input ended before the batch did.
     #[error("input ends inside a batch")]
     UnfinishedBatch,
-    /// It has to be an entry of the endpoint list that was begun.
-    #[error("{0}: expected a list entry")]
+    /// A line within an endpoint list is not an entry of it (an `m` line).
+    #[error("{0}: expected a list entry (\"m\")")]
     NotAnEndpoint(String),
-    /// No message has this name.
+    /// The line begins with no known message name.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// The settings of a `start` message cannot be used.
+    /// A `start` message has an invalid setting.
     #[error("start: env: {0}")]
     Settings(#[from] InvalidSetting),
-    /// The batch has not named the instance that this message is for.
-    #[error("{message}: no instance named")]
+    /// The batch has no `to` line before a message to an instance.
+    #[error("{message}: no instance named by \"to\" in this batch")]
     NoInstanceNamed {
-        /// The message's name.
+        /// Name of the message.
         message: String,
     },
-    /// The instance that this message is for does not run.
+    /// The instance that a message is for does not run.
     #[error("{message}: who: instance {instance} was never started")]
     UnknownInstance {
-        /// The message's name.
+        /// Name of the message.
         message: String,
-        /// The instance that the batch named.
+        /// Number of the instance.
         instance: u32,
     },
 }
@@ -75,64 +75,64 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{message}: {field}: {source}")]
 pub struct FieldError {
-    /// The message's name.
+    /// Name of the message.
     pub message: String,
-    /// The field, in the simulator's words.
+    /// Name of the field, as the simulator calls it.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The reason.
     pub source: FieldProblem,
 }
 
-/// What is wrong with a field.
+/// The reason why a field is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldProblem {
-    /// The line ends before it.
+    /// The line ends before the field.
     #[error("missing")]
     Missing,
-    /// It has no characters.
+    /// The field has no characters.
     #[error("empty")]
     Empty,
-    /// It is `-`, and needs a value.
+    /// The field is `-`, but a value is required.
     #[error("absent")]
     Absent,
-    /// Its value is not of its type.
-    #[error("bad value {value:?}")]
+    /// The value cannot be parsed as the field's type.
+    #[error("bad value {value:?}: {source}")]
     BadValue {
         /// The value.
         value: String,
-        /// Why it cannot be parsed.
+        /// The parser's error.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// It is neither `1`, `0` nor `-`.
-    #[error("bad value {0:?}")]
+    /// The value of a flag is neither `1`, `0` nor `-`.
+    #[error("bad value {0:?}: expected 1, 0 or -")]
     BadFlag(String),
-    /// It is infinite or not a number.
+    /// The value is infinite or not a number.
     #[error("not a finite number")]
     NotFinite,
-    /// It is not an id of 16 hexadecimal digits.
-    #[error("bad id {0:?}")]
+    /// The value is not a request id of 16 hexadecimal digits.
+    #[error("bad id {0:?}: expected 16 hexadecimal digits")]
     BadRequestId(String),
-    /// No outcome of an attempt has this name.
+    /// The value is no outcome of an attempt.
     #[error("unknown outcome {0:?}")]
     UnknownOutcome(String),
-    /// It is not a load report.
-    #[error("bad report {value:?}")]
+    /// The value is not a load report: numbers between commas.
+    #[error("bad load report {value:?}: {source}")]
     BadLoadReport {
         /// The value.
         value: String,
-        /// Why one of its numbers cannot be parsed.
+        /// The parser's error for the first number that is malformed.
         source: ParseFloatError,
     },
-    /// No status of an endpoint has this name.
+    /// The value is no status of an endpoint.
     #[error("unknown status {0:?}")]
     UnknownStatus(String),
-    /// No kind of endpoint update has this name.
-    #[error("unknown kind {0:?}")]
+    /// The value is no kind of endpoint update.
+    #[error("unknown kind of endpoint update {0:?}")]
     UnknownUpdateKind(String),
-    /// No endpoint list has this number.
-    #[error("no such list")]
+    /// The number is absent, or that of no endpoint list that was read.
+    #[error("no endpoint list of this number")]
     UnknownList,
-    /// It follows the last field of its message.
+    /// The line goes on after the last field of its message.
     #[error("unexpected {0:?}")]
     Trailing(String),
 }
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -1,5 +1,5 @@
-//! Reads the values of one line of the simulator's wire, in order. It knows the form of each kind of value,
-//! and no message.
+//! Parses the fields of one line of the simulator's wire, in order, by the type of each value. Which fields a
+//! message has is left to `codec`.
 
 use crate::error::{FieldError, FieldProblem};
 use gatherer::policy::{AttemptOutcome, LoadReport, RequestId, Time};
@@ -7,18 +7,18 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The length of a request's id.
+/// Length of a request id, in hexadecimal digits.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// The values of one line, read in order. Errors name the message and the field.
+/// Parser of one line: a message name, then its fields. Errors name the message and the field.
 pub struct Fields<'a> {
     message: &'a str,
-    /// What is not read yet; `None` after the last field.
+    /// Fields that have not been read; `None` after the last one.
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line into its message's name and its fields.
+    /// Splits a line into the message name and the fields.
     pub fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
             Some((message, rest)) => Fields { message, rest: Some(rest) },
@@ -26,22 +26,22 @@
         }
     }
 
-    /// The message's name.
+    /// The name of the message.
     pub fn message(&self) -> &'a str {
         self.message
     }
 
-    /// An error about a field of this message.
+    /// Creates an error about a field of this message.
     pub fn error(&self, field: &'static str, problem: FieldProblem) -> FieldError {
         FieldError { message: self.message.to_owned(), field, source: problem }
     }
 
-    /// All that is left of the line.
+    /// Takes the rest of the line as it stands.
     pub fn remaining_text(&mut self) -> &'a str {
         self.rest.take().unwrap_or("")
     }
 
-    /// The next field as it is; it must not be empty.
+    /// Reads the next field as it stands; an empty field is an error.
     pub fn raw(&mut self, field: &'static str) -> Result<&'a str, FieldError> {
         let rest = self.rest.take().ok_or_else(|| self.error(field, FieldProblem::Missing))?;
         let (value, rest) = match rest.split_once(' ') {
@@ -52,7 +52,7 @@
         if value.is_empty() { Err(self.error(field, FieldProblem::Empty)) } else { Ok(value) }
     }
 
-    /// The next field; `None` where it is `-`.
+    /// Reads a field; `None` if it is `-`.
     pub fn optional<T>(&mut self, field: &'static str) -> Result<Option<T>, FieldError>
     where
         T: FromStr<Err: Error + Send + Sync + 'static>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The next field, which must not be `-`.
+    /// Reads a field that must not be `-`.
     pub fn required<T>(&mut self, field: &'static str) -> Result<T, FieldError>
     where
         T: FromStr<Err: Error + Send + Sync + 'static>,
@@ -74,7 +74,7 @@
         self.optional(field)?.ok_or_else(|| self.error(field, FieldProblem::Absent))
     }
 
-    /// A finite number; `None` where it is `-`.
+    /// Reads a finite number; `None` if the field is `-`.
     pub fn number(&mut self, field: &'static str) -> Result<Option<f64>, FieldError> {
         match self.optional::<f64>(field)? {
             Some(value) if !value.is_finite() => Err(self.error(field, FieldProblem::NotFinite)),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// `1` for true, `0` or `-` for false.
+    /// Reads a flag: `1` for true, `0` or `-` for false.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, FieldError> {
         match self.raw(field)? {
             "1" => Ok(true),
@@ -91,17 +91,17 @@
         }
     }
 
-    /// A time in nanoseconds, not before 0; `None` where it is `-`.
+    /// Reads a time in nanoseconds; a negative one is read as 0. `None` if the field is `-`.
     pub fn time(&mut self, field: &'static str) -> Result<Option<Time>, FieldError> {
         Ok(self.optional::<i64>(field)?.map(|time| Time(u64::try_from(time).unwrap_or(0))))
     }
 
-    /// A duration in nanoseconds, not below 0; `None` where it is `-`.
+    /// Reads a duration in nanoseconds; a negative one is read as 0. `None` if the field is `-`.
     pub fn duration(&mut self, field: &'static str) -> Result<Option<Duration>, FieldError> {
         Ok(self.optional::<i64>(field)?.map(|nanos| Duration::from_nanos(u64::try_from(nanos).unwrap_or(0))))
     }
 
-    /// The id of a request: 16 hexadecimal digits.
+    /// Reads a request id: 16 hexadecimal digits.
     pub fn request_id(&mut self, field: &'static str) -> Result<RequestId, FieldError> {
         let value = self.raw(field)?;
         let is_id = value.len() == REQUEST_ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The outcome of an attempt or health check.
+    /// Reads the outcome of an attempt or a health check.
     pub fn outcome(&mut self, field: &'static str) -> Result<AttemptOutcome, FieldError> {
         Ok(match self.raw(field)? {
             "done" => AttemptOutcome::Succeeded,
@@ -126,7 +126,8 @@
         })
     }
 
-    /// A load report: numbers between commas, each of which may be absent; `None` where it is `-`.
+    /// Reads a load report: numbers between commas, each of which may be absent (`-` or empty). `None` if the
+    /// field is `-`.
     pub fn load_report(&mut self, field: &'static str) -> Result<Option<LoadReport>, FieldError> {
         let value = self.raw(field)?;
         if value == "-" {
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,4 +1,6 @@
-//! Batches and instances: sorts a batch's events by instance, runs a step of each, and writes the reply.
+//! Owns the instances of the decision module: sorts the events of a batch by instance, runs one step of each
+//! instance that the batch starts or has a message for, and writes the reply. The form of the lines is
+//! [`codec`]'s.
 
 use crate::codec;
 use crate::error::LineError;
@@ -9,36 +11,37 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// An instance of the decision module, with the events that it gets in this batch.
+/// An instance of the decision module, with its events of the current batch.
 struct Instance {
     aggregator: Aggregator,
     events: Vec<Event>,
-    /// The batch names it, if only to start it: it takes a step.
+    /// The current batch starts this instance or has a message for it, so it runs a step at the batch's end,
+    /// even without events.
     runs_step: bool,
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list whose entries have not all been read.
 struct PartialList {
     number: usize,
     length: usize,
     endpoints: Vec<Endpoint>,
 }
 
-/// All instances of the process; they share the numbered lists and nothing else.
+/// All instances of the process. They share the numbered endpoint lists and nothing else.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
     lists: BTreeMap<usize, Arc<[Endpoint]>>,
-    /// The time of the batch that is being read; `None` between batches.
+    /// Time of the batch that is being read; `None` between batches.
     batch_time: Option<Time>,
-    /// The instance that the next events are for.
+    /// Instance that the next messages are for, as the last `to` line of the batch named it.
     addressee: Option<u32>,
-    /// The list that the next lines belong to.
+    /// Endpoint list whose entries the next lines are.
     partial_list: Option<PartialList>,
 }
 
 impl Host {
-    /// Reads one line; true when a batch is complete and `reply` holds its reply.
+    /// Reads one line. Returns true when it completes a batch, whose reply is then in `reply`.
     pub fn read_line(&mut self, line: &str, reply: &mut String) -> Result<bool, LineError> {
         if let Some(mut list) = self.partial_list.take() {
             list.endpoints.push(codec::read_endpoint(line)?);
@@ -69,7 +72,7 @@
         Ok(false)
     }
 
-    /// Reads the line outside of batches, which has to begin one.
+    /// Reads a line between batches, which must be a `turn` line.
     fn begin_batch(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         if fields.message() != "turn" {
             return Err(LineError::OutsideBatch(fields.message().to_owned()));
@@ -80,7 +83,7 @@
         Ok(())
     }
 
-    /// Reads the head of an endpoint list; its entries are the next lines.
+    /// Reads the first line of an endpoint list; the next lines are its entries.
     fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         let number = fields.required("roster-id")?;
         let length: usize = fields.required("elements")?;
@@ -89,7 +92,7 @@
         Ok(())
     }
 
-    /// Starts the addressed instance, or starts it anew.
+    /// Starts the addressed instance; one that already runs is replaced.
     fn start_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         let instance = self.addressee(fields)?;
         let aggregator = Aggregator::new(codec::read_settings(fields)?);
@@ -97,7 +100,7 @@
         Ok(())
     }
 
-    /// Ends the addressed instance; it takes no step in this batch.
+    /// Ends the addressed instance without a step in this batch.
     fn stop_instance(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         fields.end()?;
         let instance = self.addressee(fields)?;
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Reads an event, which the addressed instance gets at the end of the batch.
+    /// Reads a message to the addressed instance, which handles it at the end of the batch.
     fn add_event(&mut self, fields: &mut Fields<'_>) -> Result<(), LineError> {
         let event = codec::read_event(fields, |number| self.lists.get(&number).cloned())?;
         let addressee = self.addressee(fields)?;
@@ -119,12 +122,12 @@
         Ok(())
     }
 
-    /// The instance that the batch has named last.
+    /// The instance that the last `to` line of the batch named.
     fn addressee(&self, fields: &Fields<'_>) -> Result<u32, LineError> {
         self.addressee.ok_or_else(|| LineError::NoInstanceNamed { message: fields.message().to_owned() })
     }
 
-    /// At the end of input: an error if a batch is cut off.
+    /// Checks at the end of input that no batch is incomplete.
     pub fn finish(&self) -> Result<(), LineError> {
         match self.batch_time {
             None => Ok(()),
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Keeps a list that is complete; waits for the next entry of one that is not.
+    /// Stores an endpoint list that is complete; otherwise the next line is read as its next entry.
     fn add_list(&mut self, list: PartialList) {
         if list.endpoints.len() == list.length {
             self.lists.insert(list.number, list.endpoints.into());
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Runs a step of each instance that the batch has named, and writes their actions.
+    /// Runs a step of each instance that the batch started or had a message for, and writes their actions.
     fn write_reply(&mut self, now: Time, reply: &mut String) {
         let mut actions = Vec::new();
         for (number, instance) in &mut self.instances {
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module on the simulator's wire: batches in, replies out.
+//! Runs instances of the decision module for the simulator: reads batches of events from standard input and
+//! writes the actions of each batch to standard output. It exits with status 1 at the first malformed line.
 
 mod codec;
 mod error;
@@ -11,7 +12,7 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// The size of the buffer in front of standard output.
+/// Size of the buffer in front of standard output.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
@@ -25,7 +26,7 @@
     }
 }
 
-/// Reads batches until the input ends, and writes the reply of each.
+/// Reads batches until the input ends, and writes the reply to each batch.
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
@@ -33,8 +34,8 @@
     let mut reply = String::new();
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(AdapterError::Read)?;
-        if read == 0 {
+        let read_bytes = input.read_until(b'\n', &mut line).map_err(AdapterError::Read)?;
+        if read_bytes == 0 {
             return host.finish().map_err(|source| AdapterError::Line { line_number, source });
         }
         line_number += 1;
