--- a/src/soak/checker.rs
+++ b/src/soak/checker.rs
@@ -1,8 +1,8 @@
-//! What was observed at both ends of a soak test, and which invariants it violates.
+//! Checks the observations of a soak test, made at its clients and its workers, against the invariants.
 //!
-//! Each file of checks owns the tolerances of its invariants. None ever observes anything itself: the
-//! `soak-test` program fills [`Observations`]. All times (`..._at`) are microseconds of the machine's
-//! monotonic clock, which its processes share.
+//! Each submodule of checks owns the tolerances of its invariants. The `soak-test` program fills
+//! [`Observations`]; the checker observes nothing itself. All times (`..._at`) are microseconds of the
+//! machine's monotonic clock, which all processes share.
 
 mod observations;
 mod parts;
@@ -19,7 +19,7 @@
 
 use std::collections::HashMap;
 
-/// The invariants that these observations violate.
+/// Returns the violated invariants; empty if the observations violate none.
 #[must_use]
 pub fn check(observations: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
--- a/src/soak/checker/observations.rs
+++ b/src/soak/checker/observations.rs
@@ -1,136 +1,139 @@
-//! What is observed at both ends of a soak test. It owns no tolerance and judges nothing.
+//! The observations of a soak test: requests as clients saw them, parts as workers received them, and the
+//! lives of the gatherers' processes. Plain data; checks and tolerances are those of the other submodules.
 
 use std::collections::BTreeMap;
 
-/// How a request ended for its client.
+/// The end of a request, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A response came.
+    /// The client received a response.
     Response {
-        /// Its status.
+        /// HTTP status of the response.
         status: u16,
-        /// Its values are those that workers made for it, and all of them where it is marked complete.
+        /// False if the status is 200 and the response is incomplete, or holds a value that no worker computed
+        /// for this request.
         correct: bool,
     },
     /// The connection ended without a response.
     ConnectionClosed,
-    /// The client closed the connection first.
+    /// The client closed the connection before a response.
     ClientDisconnected,
-    /// Nothing came until the client stopped waiting.
+    /// The client stopped waiting: neither a response nor the end of the connection had come.
     NoResponse,
 }
 
 /// A request as its client saw it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request, which its parts carry.
     pub id: String,
-    /// Its parts must not be executed twice.
+    /// No part of the request may be executed twice.
     pub non_idempotent: bool,
-    /// The number of the process that its connection led to, as far as is known.
+    /// Number of the process that served the gatherer's address when the connection was opened; during a
+    /// hot restart the other process may have accepted it.
     pub process: usize,
-    /// It was the first of its connection.
+    /// The request was the first one on its connection.
     pub first_on_connection: bool,
-    /// When its last byte was written.
+    /// Time at which the last byte of the request was written.
     pub sent_at: u64,
-    /// How long its client waits, in microseconds.
+    /// Time budget that the client sent with the request, in microseconds.
     pub budget_us: u64,
-    /// When it ended.
+    /// Time at which the request ended.
     pub ended_at: u64,
-    /// How it ended.
+    /// The request's end.
     pub outcome: RequestOutcome,
 }
 
-/// A part of a request as it came to a worker.
+/// One delivery of a part of a request to a worker.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// The id of its request.
+    /// Id of the request.
     pub request: String,
-    /// Its shard.
+    /// Number of the shard that the part asks.
     pub shard: u32,
-    /// The worker's name.
+    /// Name of the worker.
     pub worker: String,
-    /// When the last byte of its frame was received.
+    /// Time at which the worker had read the whole frame.
     pub received_at: u64,
-    /// The time that the worker was given, in microseconds.
+    /// Time that the worker was given, in microseconds.
     pub time_left_us: u64,
-    /// The worker executed it; otherwise it rejected it.
+    /// The worker executed the part; otherwise it rejected it.
     pub executed: bool,
 }
 
 /// The end of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
-    /// When it ended.
+    /// Time at which the end was noticed.
     pub at: u64,
-    /// Its status was success.
+    /// The exit status was success.
     pub success: bool,
 }
 
 /// A process of a gatherer, from its start to its end.
 #[derive(Clone, Debug, Default)]
 pub struct Process {
-    /// The gatherer, which keeps its number over restarts.
+    /// Number of the gatherer, which stays the same over restarts.
     pub gatherer: usize,
-    /// When it was started.
+    /// Time at which the process was started.
     pub started_at: u64,
-    /// When it first reported that it was ready.
+    /// Time at which the process first reported that it was ready.
     pub ready_at: Option<u64>,
-    /// When it got SIGTERM.
+    /// Time at which SIGTERM was sent.
     pub terminated_at: Option<u64>,
-    /// When it was killed on purpose.
+    /// Time at which the soak test killed the process.
     pub killed_at: Option<u64>,
-    /// Its end.
+    /// The process's end, if it has ended.
     pub exit: Option<ProcessExit>,
-    /// The longest that it was paused, in microseconds.
+    /// Longest pause (SIGSTOP) of the process, in microseconds.
     pub longest_pause_us: u64,
-    /// Violated invariants that it counted itself, by the counter's name.
+    /// Violated invariants that the process counted itself, by the counter's name.
     pub invariant_counters: BTreeMap<String, u64>,
-    /// The first line of a panic.
+    /// First line of the log that reports a panic.
     pub panic: Option<String>,
 }
 
 /// A worker's drain or removal from the endpoint list, as announced to one gatherer.
 #[derive(Clone, Debug)]
 pub struct EndpointRemoval {
-    /// The gatherer.
+    /// Number of the gatherer.
     pub gatherer: usize,
-    /// The worker's name.
+    /// Name of the worker.
     pub worker: String,
-    /// When the gatherer has to know of it.
+    /// Time from which on the gatherer has to know of the removal; the drain's grace period comes on top.
     pub effective_at: u64,
-    /// When the worker is listed anew.
+    /// Time at which the worker is listed as serving again.
     pub relisted_at: u64,
 }
 
-/// A pause of a worker: frames that came meanwhile were read later.
+/// A pause of a worker, which reads frames that arrive in the meantime only after it resumes.
 #[derive(Clone, Debug)]
 pub struct WorkerPause {
-    /// The worker's name.
+    /// Name of the worker.
     pub worker: String,
-    /// When it stopped.
+    /// Time before SIGSTOP was sent.
     pub paused_at: u64,
-    /// When it went on.
+    /// Time after SIGCONT was sent.
     pub resumed_at: u64,
 }
 
 /// A client that stalled in the middle of a request.
 #[derive(Clone, Debug)]
 pub struct StalledClient {
-    /// When its last byte was written.
+    /// Time at which the client's last byte was written.
     pub stalled_at: u64,
-    /// When its error or close came.
+    /// Time at which the client got an error or was disconnected; `None` if neither happened while it waited.
     pub closed_at: Option<u64>,
 }
 
-/// Everything that was observed.
+/// All observations of one soak test.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     /// Requests of all clients.
     pub requests: Vec<Request>,
-    /// Parts that came to workers.
+    /// Parts that workers received.
     pub parts: Vec<Part>,
-    /// Processes of gatherers, by their number.
+    /// Processes of gatherers; a process's number is its index.
     pub processes: Vec<Process>,
     /// Drains and removals of workers.
     pub removals: Vec<EndpointRemoval>,
@@ -138,10 +141,11 @@
     pub worker_pauses: Vec<WorkerPause>,
     /// Clients that stalled.
     pub stalled_clients: Vec<StalledClient>,
-    /// The grace period of a drain, in microseconds.
+    /// Grace period after a drain is announced, in microseconds.
     pub drain_grace_us: u64,
-    /// The longest deadline of any class, in microseconds.
+    /// Longest deadline of any class, in microseconds.
     pub longest_deadline_us: u64,
-    /// The longest pause of the observers themselves, in microseconds: nothing shorter can be measured.
+    /// Longest scheduling delay of the soak test's own process, in microseconds: times measured by it may be
+    /// late by so much, so it is part of every tolerance.
     pub observer_lag_us: u64,
 }
--- a/src/soak/checker/parts.rs
+++ b/src/soak/checker/parts.rs
@@ -1,35 +1,39 @@
-//! The invariants of parts, as they come to workers.
+//! The invariants of parts, as workers receive them: deadlines, disconnected clients, drained workers and
+//! duplicate execution.
 
 use super::observations::{Observations, Part, Request, RequestOutcome, WorkerPause};
 use super::violation::{Violation, ViolationKind, ms, report};
 use std::collections::{BTreeMap, HashMap};
 
-/// The time that a worker is given may exceed what is left to the client by this.
+/// Tolerance for the time that a worker is given beyond the time that its client has left.
 const DEADLINE_SLACK_US: u64 = 150_000;
-/// An attempt may begin so long after its client has closed its connection.
+/// Tolerance for an attempt that comes after its client has closed its connection.
 const DISCONNECT_SLACK_US: u64 = 100_000;
-/// Bytes that arrived while a worker was paused are read so long after it resumes.
+/// Time after a worker resumes within which it may still read frames that arrived during its pause.
 const WORKER_RESUME_US: u64 = 50_000;
 
 impl WorkerPause {
-    /// Whether a part came when its worker could not read it at once.
+    /// Whether the time at which a part was received is unreliable, because its frame may have arrived while
+    /// the worker was paused.
     fn covers(&self, part: &Part) -> bool {
         let unreliable = self.paused_at..self.resumed_at + WORKER_RESUME_US;
         self.worker == part.worker && unreliable.contains(&part.received_at)
     }
 }
 
-/// A part that came to a worker, with what its checks need.
+/// A part that a worker received, with its request and the tolerance of its time.
 struct ReceivedPart<'a> {
     part: &'a Part,
     request: &'a Request,
-    /// The gatherer that sent it, if its process is known.
+    /// Number of the gatherer that sent the part, if its process is known.
     gatherer: Option<usize>,
-    /// How much later than its gatherer sent it it may have been measured.
+    /// Longest delay between the sending of the part and the recorded time, by pauses of the gatherer's
+    /// process and of the observer.
     slack_us: u64,
 }
 
-/// Whether parts came while they were still to be sent, with a deadline that their clients allow.
+/// Checks that each part was sent within its client's deadline, while the client was connected, and to a
+/// worker that was not drained.
 pub fn check_parts(
     observations: &Observations,
     requests: &HashMap<&str, &Request>,
@@ -37,7 +41,7 @@
 ) {
     for part in &observations.parts {
         let Some(request) = requests.get(part.request.as_str()) else { continue };
-        // The arrival of its frame cannot be measured: the worker was paused.
+        // The worker was paused, so the time of the frame's arrival is unknown.
         if observations.worker_pauses.iter().any(|pause| pause.covers(part)) {
             continue;
         }
@@ -60,31 +64,33 @@
         format!("part {}.{} at {}", self.part.request, self.part.shard, self.part.worker)
     }
 
-    /// Whether the worker was given no more time than the client had left.
+    /// Checks that the worker was given no more time than the client had left.
     fn check_deadline(&self, violations: &mut Vec<Violation>) {
         let deadline = self.request.sent_at + self.request.budget_us;
         let client_us = deadline.saturating_sub(self.part.received_at);
         let worker_us = self.part.time_left_us;
         if worker_us > client_us + DEADLINE_SLACK_US + self.slack_us {
-            let details =
-                format!("{}: given {} ms, left {} ms", self.describe(), ms(worker_us), ms(client_us));
+            let (about, worker_ms, client_ms) = (self.describe(), ms(worker_us), ms(client_us));
+            let details = format!("{about}: worker was given {worker_ms} ms, client had {client_ms} ms left");
             report(violations, ViolationKind::DeadlineExtended, details);
         }
     }
 
-    /// Whether the client was still connected.
+    /// Checks that the client had not disconnected.
     fn check_disconnect(&self, violations: &mut Vec<Violation>) {
         let (received_at, ended_at) = (self.part.received_at, self.request.ended_at);
         if self.request.outcome == RequestOutcome::ClientDisconnected
             && received_at > ended_at + DISCONNECT_SLACK_US + self.slack_us
         {
             let after_ms = ms(received_at - ended_at);
-            let details = format!("{}: {after_ms} ms after its client disconnected", self.describe());
+            let details =
+                format!("{}: received {after_ms} ms after its client disconnected", self.describe());
             report(violations, ViolationKind::SentAfterDisconnect, details);
         }
     }
 
-    /// Whether the worker was still listed, or its drain had been announced only just.
+    /// Checks that the worker was listed, or that the grace period since its drain or removal was announced
+    /// had not passed.
     fn check_drain(&self, observations: &Observations, violations: &mut Vec<Violation>) {
         let received_at = self.part.received_at;
         let grace_us = observations.drain_grace_us + self.slack_us;
@@ -96,13 +102,14 @@
         });
         if let Some(removal) = removal {
             let after_ms = ms(received_at - removal.effective_at);
-            let details = format!("{}: {after_ms} ms after its drain was announced", self.describe());
+            let about = self.describe();
+            let details = format!("{about}: received {after_ms} ms after the worker's drain or removal");
             report(violations, ViolationKind::SentToDrainedWorker, details);
         }
     }
 }
 
-/// Whether parts of non-idempotent requests were executed once.
+/// Checks that no part of a non-idempotent request was executed more than once.
 pub fn check_duplicates(
     observations: &Observations,
     requests: &HashMap<&str, &Request>,
--- a/src/soak/checker/requests.rs
+++ b/src/soak/checker/requests.rs
@@ -1,13 +1,14 @@
-//! The invariants of requests, as their clients see them.
+//! The invariants of requests: each accepted one gets a correct final response in time.
 
 use super::observations::{Observations, Process, Request, RequestOutcome};
 use super::violation::{Violation, ViolationKind, ms, report};
 use std::collections::HashSet;
 
-/// A response may come so long after its client's deadline.
+/// Tolerance for a response that comes after its client's deadline.
 const RESPONSE_SLACK_US: u64 = 500_000;
 
-/// Whether each request had its final response in time, and a correct one.
+/// Checks that each request got a correct final response in time. A request without a response is excused if
+/// its process was killed.
 pub fn check_requests(observations: &Observations, violations: &mut Vec<Violation>) {
     let forwarded: HashSet<&str> = observations.parts.iter().map(|part| part.request.as_str()).collect();
     for request in &observations.requests {
@@ -26,8 +27,8 @@
                 let details = format!("{about}: no response and no end of the connection");
                 report(violations, ViolationKind::LostRequest, details);
             }
-            // The gatherer may close an idle connection while a request is on its way, if it has not read the
-            // request.
+            // A reused connection may end without a response: the gatherer may close an idle connection while
+            // the client's next request is in transit, as long as it has not read that request.
             RequestOutcome::ConnectionClosed
                 if !was_killed && (request.first_on_connection || forwarded.contains(&*request.id)) =>
             {
@@ -40,7 +41,8 @@
     }
 }
 
-/// Whether a response came in time.
+/// Checks that a response came within its client's deadline. Pauses of the gatherer's process and of the
+/// observer are added to the tolerance.
 fn check_lateness(
     observations: &Observations,
     request: &Request,
@@ -57,7 +59,7 @@
     }
 }
 
-/// The end of a request's connection without a response.
+/// Describes a connection that ended without a response to this request.
 fn describe_close(request: &Request, process: Option<&Process>) -> String {
     let about = describe_request(request, process);
     let kind = if request.first_on_connection { "new" } else { "reused" };
@@ -65,15 +67,13 @@
     format!("{about}: its {kind} connection ended without a response after {elapsed_ms} ms")
 }
 
-/// The request, the process that it went to, and when it was sent, measured against SIGTERM to that process.
+/// Describes a request: its id, its process, and its time, also relative to SIGTERM if that process got one.
 fn describe_request(request: &Request, process: Option<&Process>) -> String {
     let terminated_at = process.and_then(|process| process.terminated_at);
     let relative_to_sigterm = terminated_at.map_or(String::new(), |terminated_at| {
         let offset_us = request.sent_at as i64 - terminated_at as i64;
-        format!(", sent at {offset_us} us from SIGTERM")
+        format!(", {offset_us:+} us from SIGTERM")
     });
-    format!(
-        "request {} to process {} at {}{relative_to_sigterm}",
-        request.id, request.process, request.sent_at
-    )
+    let Request { id, process, sent_at, .. } = request;
+    format!("request {id} to process {process}, sent at {sent_at} us{relative_to_sigterm}")
 }
--- a/src/soak/checker/violation.rs
+++ b/src/soak/checker/violation.rs
@@ -1,11 +1,11 @@
-//! A violated invariant: which one, and what it concerns.
+//! The report of a violated invariant.
 
 use std::fmt;
 
-/// Which invariant is violated, as it is seen from outside.
+/// The invariant that is violated, as clients, workers and process states show it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
-    /// A request that was accepted had no final response in time.
+    /// An accepted request got no final response in time.
     LostRequest,
     /// A part of a non-idempotent request was executed twice.
     DuplicateExecution,
@@ -15,26 +15,26 @@
     DeadlineExtended,
     /// An attempt came too long after its client had closed its connection.
     SentAfterDisconnect,
-    /// A response is marked complete and is not, or holds a value that no worker made for it.
+    /// A response with status 200 is incomplete, or holds a value that no worker computed for this request.
     IncorrectResponse,
-    /// A process ended without a signal to do so, or by a panic.
+    /// A process panicked, ended without a signal, or ended with a failure status though it was not killed.
     Crash,
-    /// A start failed, or took too long to be ready.
+    /// A process ended before it was ready, or was not ready in time.
     FailedStart,
     /// A process did not end in time after SIGTERM.
     LateExit,
     /// A client that stalled in the middle of a request was held too long.
     StalledClientHeld,
-    /// The gatherer counted a violated invariant itself.
+    /// The gatherer's own invariant counters are not zero.
     CountedByGatherer,
 }
 
-/// A violated invariant, and what it concerns.
+/// A violated invariant, with the request, part or process that violated it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub kind: ViolationKind,
-    /// Ids, times and numbers.
+    /// The ids, times and numbers concerned, for people.
     pub details: String,
 }
 
@@ -44,12 +44,12 @@
     }
 }
 
-/// Notes a violation.
+/// Appends a violation to the list.
 pub fn report(violations: &mut Vec<Violation>, kind: ViolationKind, details: String) {
     violations.push(Violation { kind, details });
 }
 
-/// Whole milliseconds, as details state them.
+/// Converts microseconds to whole milliseconds, the unit of `details`.
 pub fn ms(duration_us: u64) -> u64 {
     duration_us / 1000
 }
--- a/src/soak/fault_schedule.rs
+++ b/src/soak/fault_schedule.rs
@@ -1,54 +1,54 @@
-//! The faults of a soak test, drawn from its seed alone: which fault is injected when and into what, and
-//! which system calls fail in each process of a gatherer.
-//!
-//! It owns no state and never injects anything itself: the `soak-test` program does.
+//! The faults of a soak test, drawn from its seed alone: the time, target and duration of each fault, and the
+//! system calls that fail in each process of a gatherer. The `soak-test` program injects them.
 
 use fastrand::Rng;
 use std::ops::Range;
 use std::time::Duration;
 
-/// The first fault comes so long after the start, when the processes serve requests.
+/// Time of the first fault, by which the processes serve requests.
 const FIRST_FAULT_AFTER: Duration = Duration::from_millis(1200);
-/// No fault begins so shortly before the end: the last ones have time to pass.
+/// Time before the end in which no fault begins, so that the last faults can pass.
 const LAST_FAULT_BEFORE_END: Duration = Duration::from_secs(2);
-/// How long a fault lasts, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const LASTS_MS: Range<u64> = 100..2000;
-/// The time between the beginnings of two faults, in milliseconds.
+/// Time between the beginnings of two successive faults, in milliseconds.
 const INTERVAL_MS: Range<u64> = 50..700;
-/// Mixes a process's number into the seed: the golden ratio in 64 bits, whose multiples are spread evenly.
+/// Mixes the number of a process into the seed: the golden ratio in 64 bits, whose multiples are spread
+/// evenly.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Targets are drawn below this, far more than there are gatherers or workers.
+/// Targets are drawn below this limit, which is far above the number of gatherers or workers.
 const TARGETS: usize = 1 << 16;
 
-/// What is injected.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A gatherer gets SIGTERM and is started anew.
     Restart,
-    /// A second process is started beside a gatherer's, and the first gets SIGTERM.
+    /// A gatherer is hot-restarted: a second process takes over, then the first gets SIGTERM.
     Upgrade,
     /// A gatherer is killed and started anew.
     Kill,
-    /// A gatherer's configuration moves its discovery (SIGHUP); the file is half written for a moment.
+    /// The discovery address in a gatherer's configuration changes, with SIGHUP while the file is half written.
     Reload,
-    /// A gatherer is paused for a moment.
+    /// A gatherer is paused (SIGSTOP).
     Pause,
-    /// System calls of a gatherer fail for a while.
+    /// System calls of a gatherer fail.
     SystemCalls,
-    /// A gatherer's discovery does not respond for a while.
+    /// A gatherer's discovery agent does not respond.
     DiscoveryUnresponsive,
-    /// The connections of a gatherer to its discovery are reset, and with them its watches.
+    /// The connections of a gatherer to its discovery agent, which carry its watch, are reset.
     WatchReset,
-    /// A worker is drained, ends and comes back.
+    /// A worker is drained, ended and started anew.
     WorkerDrain,
-    /// A worker is killed and comes back.
+    /// A worker is killed and started anew.
     WorkerKill,
-    /// A worker is paused.
+    /// A worker is paused (SIGSTOP).
     WorkerPause,
 }
 
 impl Fault {
-    /// Its name on the command line (`--only`), which stays as it is for runs that are written down.
+    /// The fault's name on the command line (`--only`). A name must not change, so that recorded command lines
+    /// still repeat their runs.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -67,7 +67,7 @@
     }
 }
 
-/// All faults, each as often as it is to be drawn.
+/// The faults to draw from; a fault that is listed twice is drawn twice as often.
 const WEIGHTED_FAULTS: [Fault; 14] = [
     Fault::Restart,
     Fault::Restart,
@@ -88,18 +88,18 @@
 /// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it begins, from the start of the soak test.
+    /// Time at which the fault begins, from the start of the soak test.
     pub begins_after: Duration,
-    /// What it is.
+    /// The kind of fault.
     pub fault: Fault,
-    /// The gatherer or worker that it hits, to be taken modulo their number.
+    /// The gatherer or worker concerned, to be taken modulo their number.
     pub target: usize,
-    /// How long it lasts, for faults that last.
+    /// Duration of the fault; unused by faults that take effect at once.
     pub lasts: Duration,
 }
 
-/// Draws the faults of a soak test of this length. Two or three overlap: they come closer together than they
-/// last.
+/// Draws the faults of a soak test of this length. Two or three faults overlap at a time, because the
+/// interval between them is shorter than their duration.
 #[must_use]
 pub fn fault_schedule(seed: u64, length: Duration) -> Vec<ScheduledFault> {
     let mut random = Rng::with_seed(seed);
@@ -117,17 +117,17 @@
     schedule
 }
 
-/// Settings of the fault library that are drawn with one probability, and take one value.
+/// Settings of the fault library that are drawn together: all of `names` are set to one value, or none is.
 struct SettingRange {
-    /// The chance that they are set.
+    /// Probability that the settings are set.
     probability: f64,
     names: &'static [&'static str],
     min: f64,
     max: f64,
 }
 
-/// All settings that are drawn, in the order in which they are. Those of calls are the share of calls that
-/// fail.
+/// The settings that are drawn, in the order of drawing. All values are probabilities of a fault per call,
+/// except `wall_step_s`, which is in seconds.
 const SETTING_RANGES: [SettingRange; 8] = [
     SettingRange { probability: 0.6, names: &["short_read"], min: 0.02, max: 0.3 },
     SettingRange { probability: 0.6, names: &["short_write"], min: 0.02, max: 0.3 },
@@ -138,11 +138,11 @@
     SettingRange { probability: 0.3, names: &["open", "file_write"], min: 0.1, max: 0.9 },
     SettingRange { probability: 0.4, names: &["wall_step_s"], min: 60.0, max: 3600.0 },
 ];
-/// How often the wall clock is stepped, where it is, in milliseconds.
+/// Time between two steps of the wall clock, in milliseconds; it has an effect only if `wall_step_s` is set.
 const WALL_STEP_PERIOD_MS: u32 = 1500;
 
-/// Draws which system calls fail in one process of a gatherer, as the value of `FAULTS` (see
-/// `tools/faults/faults.c`).
+/// Draws the system calls that fail in one process of a gatherer. Returns the value of the environment
+/// variable `FAULTS` (see `tools/faults/faults.c`).
 #[must_use]
 pub fn system_call_faults(seed: u64, process: u64) -> String {
     let mut random = Rng::with_seed(seed ^ process.wrapping_mul(SEED_MULTIPLIER));
--- a/src/soak/mod.rs
+++ b/src/soak/mod.rs
@@ -1,9 +1,8 @@
-//! The soak test without its processes and sockets: the faults that it injects, and the checker of its
+//! The part of the soak test that does no I/O: the fault schedule, drawn from a seed, and the checker of the
 //! invariants.
 //!
-//! It owns the fault schedule, drawn from a seed, and the rules by which observations are checked. It never
-//! reads, writes or starts anything, so that tests can prove that each invariant can be violated; processes
-//! and sockets are those of the `soak-test` program. Nothing here runs in a gatherer.
+//! Without I/O, unit tests can show that each invariant can be violated. The `soak-test` program owns the
+//! processes and sockets. Nothing here runs in a gatherer.
 
 pub mod checker;
 pub mod fault_schedule;
