--- a/src/bin/soak-test/clients.rs
+++ b/src/bin/soak-test/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the gatherers: most send a request and wait; some disconnect early, stay idle, write slowly, or
-//! stall in the middle of a request.
+//! Clients of the gatherers: each sends requests over a connection at a time and checks the responses. Some
+//! disconnect early, stay idle, write slowly, or stall in the middle of a request.
 
 use crate::monotonic::now_us;
 use crate::stand_in_worker;
@@ -15,47 +15,48 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Shards of the index.
+/// Number of shards of the index.
 pub const SHARDS: u32 = 8;
-/// How long after its budget a client still waits for its response.
+/// Time after its budget for which a client still waits for a response, so that a late one is observed.
 const EXTRA_WAIT: Duration = Duration::from_millis(1500);
-/// How long a stalled client is observed.
+/// Time for which a stalled client waits for an error or a close.
 const STALL_OBSERVED_FOR: Duration = Duration::from_millis(5000);
-/// The pause of a client that could not connect.
+/// Pause before a client connects again after a failure.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The share of turns in which a client stalls in the middle of its request.
+/// Fraction of turns in which a client stalls in the middle of its request.
 const STALLED_SHARE: f64 = 0.02;
-/// Turns drawn above this end in a long pause.
+/// A turn whose random number in 0..1 is above this ends with an idle pause.
 const IDLE_ABOVE: f64 = 0.98;
-/// The pause of a client that stays idle, in milliseconds: the gatherer closes some of these connections.
+/// Idle pause, in milliseconds; long enough that the gatherer closes some of these connections.
 const IDLE_PAUSE_MS: Range<u64> = 1000..4000;
-/// The pause of any other client, in milliseconds.
+/// Pause after any other request, in milliseconds.
 const PAUSE_MS: Range<u64> = 0..60;
-/// The share of turns after which a client closes its connection.
+/// Fraction of turns after which a client closes its connection.
 const CLOSED_SHARE: f64 = 0.2;
-/// The share of requests that are non-idempotent.
+/// Fraction of requests that are non-idempotent.
 const NON_IDEMPOTENT_SHARE: f64 = 0.3;
-/// The share of requests whose client disconnects before its response.
+/// Fraction of requests whose client may disconnect before the response.
 const EARLY_DISCONNECT_SHARE: f64 = 0.06;
-/// When such a client disconnects, in milliseconds after its request.
+/// Time after its request at which such a client disconnects, in milliseconds.
 const EARLY_DISCONNECT_MS: Range<u64> = 2..60;
-/// The share of requests that are written in two pieces.
+/// Fraction of requests that are written in two pieces.
 const SPLIT_SHARE: f64 = 0.05;
-/// The time between these pieces, in milliseconds.
+/// Time between the two pieces, in milliseconds.
 const SPLIT_PAUSE_MS: Range<u64> = 1..300;
 
-/// A gatherer as the front layer sees it.
+/// A gatherer's endpoint for clients, as a load balancer in front of the fleet would know it.
 pub struct GathererEndpoint {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: String,
-    /// New connections may be opened.
+    /// Clients may open new connections.
     pub accepts_connections: Cell<bool>,
-    /// The number of the process that accepts them, as far as is known.
+    /// Number of the process that serves the address; during an upgrade, the older one until the newer one
+    /// is ready.
     pub process: Cell<usize>,
 }
 
-/// How many requests had which kind of response.
+/// Numbers of responses, by kind of status.
 #[derive(Default)]
 pub struct ResponseCounts {
     /// Status 200.
@@ -66,30 +67,30 @@
     pub failed: Cell<u64>,
 }
 
-/// What all clients share.
+/// State that all clients share.
 pub struct ClientContext {
-    /// The gatherers.
+    /// Endpoints of all gatherers.
     pub gatherers: Vec<Rc<GathererEndpoint>>,
-    /// Where clients note what they observe.
+    /// Observations, to which clients add their requests.
     pub observations: Rc<RefCell<Observations>>,
-    /// No client sends anything new.
+    /// The soak test is over: each client ends after its current turn.
     pub finished: Cell<bool>,
-    /// The responses so far.
+    /// Responses of all clients so far.
     pub responses: ResponseCounts,
 }
 
 /// A client's connection to a gatherer.
 struct Connection {
     stream: TcpStream,
-    /// Received bytes of responses that are not complete yet.
+    /// Received bytes of a response that is not complete.
     buffer: BytesMut,
-    /// The number of the process that accepted it, as far as is known.
+    /// Number of the process that served the address when the connection was opened.
     process: usize,
-    /// Requests that were sent on it.
+    /// Number of requests that were sent on this connection and whose end was awaited.
     requests: u64,
 }
 
-/// A class as clients use it.
+/// A class of requests, with the budget that clients send.
 struct ClientClass {
     name: &'static str,
     non_idempotent: bool,
@@ -101,13 +102,13 @@
 /// The non-idempotent class.
 const SEAL: ClientClass = ClientClass { name: "seal", non_idempotent: true, budget_ms: 2500 };
 
-/// A request's bytes, and the shards whose parts it consists of.
+/// An encoded request, with the shards that it asks, one part for each.
 struct EncodedRequest {
     bytes: Vec<u8>,
     shards: Vec<u32>,
 }
 
-/// Sends requests, one after the other, until the soak test has finished.
+/// Runs one client: sends requests one after the other until the soak test has finished.
 pub async fn run_client(context: Rc<ClientContext>, mut random: Rng) {
     let mut connection: Option<Connection> = None;
     while !context.finished.get() {
@@ -135,18 +136,20 @@
     }
 }
 
+/// Connects to a gatherer drawn at random; `None` if it takes no connections or connecting fails.
 async fn connect(context: &ClientContext, random: &mut Rng) -> Option<Connection> {
     let gatherer = context.gatherers[random.usize(..context.gatherers.len())].clone();
     if !gatherer.accepts_connections.get() {
         return None;
     }
     let process = gatherer.process.get();
-    // Why it cannot connect does not matter to a client: it pauses and tries again.
+    // On any error the client pauses and tries again.
     let stream = TcpStream::connect(&gatherer.address).await.ok()?;
     stream.set_nodelay(true).ok()?;
     Some(Connection { stream, buffer: BytesMut::new(), process, requests: 0 })
 }
 
+/// Encodes a request of 1 to 4 successive shards with a predicate of random length.
 fn encode_request(id: &str, class: &ClientClass, random: &mut Rng) -> EncodedRequest {
     let first = random.u32(..SHARDS);
     let shards: Vec<u32> = (0..random.u32(1..5)).map(|at| (first + at) % SHARDS).collect();
@@ -163,13 +166,13 @@
     EncodedRequest { bytes: [head.into_bytes(), body.into_bytes()].concat(), shards }
 }
 
-/// Sends a request and waits for its end; returns the connection if it can be used again.
+/// Sends a request, waits for its end and records it. Returns the connection if it can be reused.
 async fn send_request(context: &ClientContext, mut open: Connection, random: &mut Rng) -> Option<Connection> {
     let class = if random.f64() < NON_IDEMPOTENT_SHARE { SEAL } else { SEARCH };
     let id = format!("{:016x}", random.u64(..));
     let request = encode_request(&id, &class, random);
     if !write_request(&mut open, &request.bytes, random).await {
-        // Its last byte was not written: it was not accepted.
+        // Not recorded: the gatherer has not received the whole request, so it owes no response.
         return None;
     }
     let sent_at = now_us();
@@ -188,7 +191,7 @@
     };
     let (process, first_on_connection) = (open.process, open.requests == 0);
     open.requests += 1;
-    // A connection that is not used again is closed before the end of the request is noted.
+    // A connection that is not reused is closed here, before the time of the request's end is taken.
     let reusable = keep_alive.then_some(open);
     context.observations.borrow_mut().requests.push(Request {
         id,
@@ -203,7 +206,7 @@
     reusable
 }
 
-/// Writes a request, sometimes slowly; whether its last byte was written.
+/// Writes a request, sometimes in two pieces. Returns false if writing failed.
 async fn write_request(open: &mut Connection, bytes: &[u8], random: &mut Rng) -> bool {
     let split_at = if random.f64() < SPLIT_SHARE { random.usize(1..bytes.len()) } else { 0 };
     if split_at > 0 {
@@ -215,6 +218,7 @@
     open.stream.write_all(&bytes[split_at..]).await.is_ok()
 }
 
+/// Reads the next response; an error if the connection ends first or the response is malformed.
 async fn read_response(open: &mut Connection) -> std::io::Result<ReceivedResponse> {
     loop {
         if let Some(response) =
@@ -229,7 +233,7 @@
 }
 
 impl ClientContext {
-    /// Counts a response and checks what it holds.
+    /// Counts a response by its status, and checks its body if the status is 200.
     fn outcome(&self, response: &ReceivedResponse, id: &str, shards: &[u32]) -> RequestOutcome {
         let count = match response.status {
             200 => &self.responses.served,
@@ -242,7 +246,7 @@
     }
 }
 
-/// Whether a response holds the values that workers make for this request, and all of its parts.
+/// Whether a response is marked complete (`total`) and holds the worker's value for each part of the request.
 fn is_correct(body: &[u8], id: &str, shards: &[u32]) -> bool {
     let Ok(response) = serde_json::from_slice::<Value>(body) else { return false };
     let hits = response["answers"].as_array().cloned().unwrap_or_default();
@@ -253,11 +257,11 @@
             shards.contains(&shard) && hit["blob"].as_str() == Some(&expected)
         })
     };
-    // Every class of a soak test needs all its parts.
+    // Both classes require complete answers (`min-share` is 1.0).
     response["total"].as_bool() == Some(true) && hits.len() == shards.len() && hits.iter().all(is_expected)
 }
 
-/// Sends the beginning of a request, and keeps the connection open.
+/// Sends the beginning of a request, then waits for the gatherer to respond or to close the connection.
 async fn stall_mid_request(context: &ClientContext, mut open: Connection, random: &mut Rng) {
     let request = encode_request("stopped", &SEARCH, random);
     let split_at = random.usize(1..request.bytes.len() - 1);
--- a/src/bin/soak-test/discovery.rs
+++ b/src/bin/soak-test/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one endpoint list for all, and an agent beside each gatherer, which can be unresponsive or
-//! reset its connections.
+//! Discovery of the soak test: an agent for each gatherer, which serves the endpoint list as JSON and answers
+//! watches. Faults make an agent unresponsive or reset its connections.
 
 use bytes::BytesMut;
 use gatherer::protocol::http::{self, Request, Response};
@@ -13,19 +13,19 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The phase of a worker's life, as discovery lists it.
+/// State of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum Phase {
-    /// It serves calls.
+    /// The worker serves calls.
     Serving,
-    /// It ends soon: it gets no new calls after the grace period.
+    /// The worker is about to end, and must get no new calls after the grace period.
     Draining,
-    /// It is gone.
+    /// The worker has been removed.
     Deleted,
 }
 
 impl Phase {
-    /// Its name in the answers of discovery.
+    /// The name of the phase in a discovery response.
     fn name(self) -> &'static str {
         match self {
             Phase::Serving => "SERVING",
@@ -35,20 +35,20 @@
     }
 }
 
-/// A worker as it is listed.
+/// A worker's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address on which the worker listens.
     pub address: String,
-    /// Its cell.
+    /// Number of the worker's cell.
     pub cell: u32,
-    /// Its phase.
+    /// Phase of the worker.
     pub phase: Phase,
-    /// Its start, in Unix milliseconds; 0 for long ago.
+    /// Start of the worker, in Unix milliseconds; 0 if it started long ago.
     pub up_since_ms: u64,
 }
 
-/// The endpoint list, by the worker's name.
+/// The endpoint list, by worker name.
 pub type EndpointList = BTreeMap<String, Endpoint>;
 
 /// A revision of the endpoint list.
@@ -59,6 +59,7 @@
 }
 
 impl Revision {
+    /// The complete list as a discovery response.
     fn to_json(&self) -> Value {
         let member = |(id, endpoint): (&String, &Endpoint)| {
             json!({
@@ -72,21 +73,26 @@
     }
 }
 
-/// The discovery agent beside one gatherer.
+/// The discovery agent of one gatherer.
 pub struct DiscoveryAgent {
-    /// Where it responds; the second address is for a configuration that moves it.
+    /// Addresses on which the agent listens; a reload of the configuration switches between them.
     pub addresses: [String; 2],
+    /// Revision that the agent serves.
     current: watch::Sender<Revision>,
+    /// Revision to serve once the agent responds again.
     pending: RefCell<Option<Revision>>,
     unresponsive: watch::Sender<bool>,
+    /// Number of resets so far; each change closes all connections.
     resets: watch::Sender<u64>,
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent that has this list.
+    /// Starts an agent that serves this list as revision 1.
     pub async fn start(list: &EndpointList) -> Rc<DiscoveryAgent> {
         let listeners = [listen().await, listen().await];
-        let address = |listener: &TcpListener| listener.local_addr().expect("an address").to_string();
+        let address = |listener: &TcpListener| {
+            listener.local_addr().expect("a bound listener has an address").to_string()
+        };
         let agent = Rc::new(DiscoveryAgent {
             addresses: listeners.each_ref().map(address),
             current: watch::Sender::new(Revision { number: 1, list: list.clone() }),
@@ -100,18 +106,20 @@
         agent
     }
 
-    /// The list as it has it.
+    /// The list that the agent serves, as JSON.
     pub fn list(&self) -> Value {
         self.current.borrow().to_json()
     }
 
-    /// Gives it a new list, which it serves now, or once it responds again. Whether it serves it now.
+    /// Sets a new list, which the agent serves at once, or after it responds again if it is unresponsive.
+    /// Returns whether it serves the list at once.
     pub fn update(&self, list: &EndpointList) -> bool {
         let number = self.pending.borrow().as_ref().unwrap_or(&self.current.borrow()).number + 1;
         self.pending.replace(Some(Revision { number, list: list.clone() }));
         self.apply_pending()
     }
 
+    /// Serves the pending revision, if there is one; returns false if the agent is unresponsive.
     fn apply_pending(&self) -> bool {
         if *self.unresponsive.borrow() {
             return false;
@@ -122,7 +130,7 @@
         true
     }
 
-    /// Neither responds nor applies updates for so long.
+    /// Makes the agent unresponsive for a while: it neither responds nor applies updates.
     pub async fn be_unresponsive(&self, lasts: Duration) {
         self.unresponsive.send_replace(true);
         tokio::time::sleep(lasts).await;
@@ -130,20 +138,20 @@
         self.apply_pending();
     }
 
-    /// Ends all connections to it.
+    /// Closes all connections to the agent.
     pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 
     async fn accept(self: Rc<DiscoveryAgent>, listener: TcpListener) {
         loop {
-            // A connection that ended before it was accepted concerns no other.
+            // Fails if the connection ended before it was accepted; others are not affected.
             let Ok((stream, _)) = listener.accept().await else { continue };
             let agent = self.clone();
             spawn_local(async move {
                 let mut resets = agent.resets.subscribe();
                 resets.mark_unchanged();
-                // A connection that fails has ended, as one that is reset; gatherers connect again.
+                // The connection ends on an error or a reset; the gatherer connects again.
                 tokio::select! {
                     _ = agent.serve(stream) => {}
                     _ = resets.changed() => {}
@@ -152,33 +160,35 @@
         }
     }
 
+    /// Answers the requests on one connection until the gatherer closes it.
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut buffer = BytesMut::new();
         loop {
             let Some(request) = read_request(&mut stream, &mut buffer).await? else { return Ok(()) };
             self.wait_for_newer_revision(&request).await;
             let mut unresponsive = self.unresponsive.subscribe();
-            // The sender lives as long as the agent.
+            // Fails only if the sender is dropped, and the agent owns it.
             let _ = unresponsive.wait_for(|unresponsive| !*unresponsive).await;
             let text = self.list().to_string();
             stream.write_all(&Response::json(200, text).encode(false)).await?;
         }
     }
 
-    /// Waits for a revision after the one that a request names, for as long as the request says.
+    /// Waits for a revision newer than the request's `index`, for at most `wait` milliseconds. Returns at once
+    /// if the request has no `index`.
     async fn wait_for_newer_revision(&self, request: &Request) {
         let after = request.parameter("index").and_then(|index| index.parse::<u64>().ok());
         let wait_ms = request.parameter("wait").and_then(|wait| wait.parse().ok()).unwrap_or(0);
         let mut current = self.current.subscribe();
         if let Some(after) = after {
             let newer = current.wait_for(|revision| revision.number > after);
-            // Past its wait it responds with the revision that it has.
+            // After a time-out the current revision is served again.
             let _ = tokio::time::timeout(Duration::from_millis(wait_ms), newer).await;
         }
     }
 }
 
-/// Reads a request; none at the end of the connection.
+/// Reads the next request; `None` at the end of the connection.
 async fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<Option<Request>> {
     loop {
         if let Some(request) = http::take_request(buffer).map_err(std::io::Error::other)? {
@@ -191,5 +201,5 @@
 }
 
 async fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+    TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is free")
 }
--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Injects the faults of a soak test as they are scheduled, and notes what they excuse: pauses, and when
-//! drains and removals of workers were announced. It owns no state; [`SoakTest`] does.
+//! Injects the faults of a soak test as scheduled, and records what the checker needs to know of them: pauses,
+//! drains, removals and exemptions. The state is [`SoakTest`]'s.
 
 use crate::discovery::Phase;
 use crate::gatherer_process::Gatherer;
@@ -13,27 +13,28 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::spawn_local;
 
-/// At most one in so many workers has a fault at once.
+/// Number of workers for each fault that may be active in workers: no fault is injected into another worker
+/// while a quarter of them or more have one.
 const WORKERS_PER_FAULT: usize = 4;
-/// How long after its drain was announced a worker ends, at least.
+/// Shortest time between the announcement of a worker's drain and the worker's end.
 const DRAIN_LASTS: Duration = Duration::from_millis(1500);
-/// The longest pause of a gatherer: the specification allows for it.
+/// Longest pause of a gatherer, which the specification permits.
 const MAX_GATHERER_PAUSE: Duration = Duration::from_millis(150);
-/// How long a half-written configuration stays.
+/// Time for which the configuration file stays half written.
 const HALF_WRITTEN_FOR: Duration = Duration::from_millis(30);
-/// A gatherer has to know of drains and removals so long after a new configuration.
+/// Time after a reload begins within which the gatherer need not know of drains and removals.
 const EXEMPT_AFTER_RELOAD_US: u64 = 4_000_000;
-/// A gatherer has to know of drains and removals so long after its calls failed.
+/// Time after its system calls failed within which a gatherer need not know of drains and removals.
 const EXEMPT_AFTER_SYSTEM_CALL_FAULTS_US: u64 = 500_000;
 
-/// When a gatherer's agent announced a change of the endpoint list.
+/// The time at which a gatherer's agent announced a change of the endpoint list.
 struct Announcement {
     gatherer: usize,
     announced_at: u64,
 }
 
 impl SoakTest {
-    /// Injects the faults as scheduled, and returns when the last one has passed.
+    /// Injects the scheduled faults; returns at the end of the run, when all faults have passed.
     pub async fn inject_faults(self: Rc<Self>) {
         let start = tokio::time::Instant::now();
         let mut running = Vec::new();
@@ -47,11 +48,11 @@
         }
         tokio::time::sleep_until(start + length).await;
         for injection in running {
-            injection.await.expect("no fault panics");
+            injection.await.expect("no injection panics");
         }
     }
 
-    /// Whether the options let this fault be injected.
+    /// Whether the option `--only` permits this fault.
     fn is_selected(&self, fault: Fault) -> bool {
         let only = &self.options.only;
         only.is_empty() || only.iter().any(|name| name == fault.name())
@@ -66,9 +67,10 @@
         }
     }
 
+    /// Injects a fault into a worker; skips it if that worker has one already, or too many others have.
     async fn inject_into_worker(&self, scheduled: ScheduledFault) {
         let number = scheduled.target % self.workers.len();
-        // Two replicas of each shard stay untouched.
+        // Keeps at least two replicas of each shard without a fault.
         let faulted = self.faulted_workers.borrow().len();
         let is_faulted = self.faulted_workers.borrow().contains(&number);
         if is_faulted || faulted * WORKERS_PER_FAULT >= self.workers.len() {
@@ -85,7 +87,7 @@
         self.faulted_workers.borrow_mut().retain(|other| *other != number);
     }
 
-    /// Pauses a worker for so long.
+    /// Pauses a worker (SIGSTOP, SIGCONT).
     async fn pause_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         let paused_at = now_us();
         worker.signal(Signal::STOP);
@@ -95,7 +97,7 @@
         self.observations.borrow_mut().worker_pauses.push(pause);
     }
 
-    /// Announces a worker's drain, ends the worker, and brings it back.
+    /// Announces a worker's drain, kills the worker at the end of the drain, and starts it anew.
     async fn drain_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         let announced = self.announce_phase(&worker.name, Phase::Draining);
         tokio::time::sleep(DRAIN_LASTS + lasts).await;
@@ -103,7 +105,7 @@
         self.relist(worker, announced);
     }
 
-    /// Kills a worker, announces its removal a while later, and brings it back.
+    /// Kills a worker, announces its removal after half of the fault's duration, and starts the worker anew.
     async fn kill_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         worker.kill();
         tokio::time::sleep(lasts / 2).await;
@@ -112,7 +114,7 @@
         self.relist(worker, announced);
     }
 
-    /// Lists a worker in this phase; which agents announced it, and when.
+    /// Lists a worker in this phase. Returns the announcements of the agents that are responsive.
     fn announce_phase(&self, name: &str, phase: Phase) -> Vec<Announcement> {
         if let Some(endpoint) = self.list.borrow_mut().get_mut(name) {
             endpoint.phase = phase;
@@ -120,7 +122,8 @@
         self.publish()
     }
 
-    /// Gives all agents the list; which of them announced it now, and when. Unresponsive ones do later.
+    /// Sends the list to all agents. Returns the announcements of those that serve it now; unresponsive agents
+    /// serve it later and are not checked for this change.
     fn publish(&self) -> Vec<Announcement> {
         let list = self.list.borrow();
         let announcement = |gatherer: &Rc<Gatherer>| {
@@ -130,7 +133,7 @@
         self.gatherers.iter().filter_map(announcement).collect()
     }
 
-    /// Starts a worker anew and lists it; its removal, as it was announced, is noted.
+    /// Starts a worker anew, lists it as serving, and records its removal for each agent that announced it.
     fn relist(&self, worker: &WorkerProcess, announced: Vec<Announcement>) {
         worker.restart();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -147,9 +150,10 @@
         }
     }
 
+    /// Injects a fault into a gatherer; skips it if it affects the process and another such fault is active.
     async fn inject_into_gatherer(&self, scheduled: ScheduledFault) {
         let gatherer = &self.gatherers[scheduled.target % self.gatherers.len()];
-        // Only one fault at a time may signal or replace a gatherer's process.
+        // Only one fault at a time may pause or replace a gatherer's process.
         let is_exclusive =
             matches!(scheduled.fault, Fault::Restart | Fault::Upgrade | Fault::Kill | Fault::Pause);
         if is_exclusive && gatherer.in_transition.replace(true) {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Pauses a gatherer for as long as the specification allows for.
+    /// Pauses a gatherer (SIGSTOP, SIGCONT) for at most [`MAX_GATHERER_PAUSE`], and records the pause.
     async fn pause(&self, gatherer: &Gatherer, lasts: Duration) {
         let paused_at = now_us();
         let send_to_current_process = |signal| {
@@ -189,7 +193,8 @@
     }
 }
 
-/// Moves a gatherer's discovery to its agent's other address; the configuration is half written for a moment.
+/// Changes the discovery address in a gatherer's configuration to its agent's other address. SIGHUP is sent
+/// while the file is half written; the gatherer has to read it again when it is whole.
 async fn reload(gatherer: &Gatherer) {
     gatherer.agent_address.set(1 - gatherer.agent_address.get());
     let began_at = now_us();
@@ -199,12 +204,12 @@
     gatherer.exempt(began_at, began_at + EXEMPT_AFTER_RELOAD_US);
 }
 
-/// Lets system calls of a gatherer fail for so long.
+/// Makes system calls of a gatherer fail for a while, by its fault library's switch.
 async fn fail_system_calls(gatherer: &Gatherer, lasts: Duration) {
     let began_at = now_us();
-    std::fs::write(gatherer.fault_switch(), "").expect("written");
+    std::fs::write(gatherer.fault_switch(), "").expect("the fault switch is created");
     tokio::time::sleep(lasts).await;
-    // An overlapping fault of this kind may have removed it.
+    // Fails if an overlapping fault of this kind has removed the switch.
     let _ = std::fs::remove_file(gatherer.fault_switch());
     gatherer.exempt(began_at, now_us() + EXEMPT_AFTER_SYSTEM_CALL_FAULTS_US);
 }
--- a/src/bin/soak-test/gatherer_lifecycle.rs
+++ b/src/bin/soak-test/gatherer_lifecycle.rs
@@ -1,5 +1,5 @@
-//! Starts, restarts, upgrades, kills and ends the gatherers' processes, and notes when each was ready and
-//! ended. It owns no state; [`SoakTest`] does.
+//! Starts, restarts, upgrades and kills the gatherers' processes, and records when each was ready and when it
+//! was signalled. The state is [`SoakTest`]'s.
 
 use crate::gatherer_process::{Gatherer, GathererProcess};
 use crate::harness::{POLL_INTERVAL, SoakTest};
@@ -13,26 +13,27 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// How often processes are checked for an end without a signal.
+/// Interval between two checks for processes that ended without a signal.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a start or an end is waited for; the checker's limits are shorter.
+/// Longest wait for a process to be ready or to exit; longer than the checker's limits.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a response about readiness is waited for.
+/// Time-out of one readiness request.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after SIGTERM the front layer still opens new connections.
+/// Time after SIGTERM for which clients still open new connections to a gatherer, as those behind a load
+/// balancer do until it notices.
 const FRONT_LAYER_NOTICE: Duration = Duration::from_millis(300);
-/// An upgraded gatherer has to know of drains and removals so long after it took over.
+/// Time after an upgrade within which the gatherer need not know of drains and removals.
 const EXEMPT_AFTER_UPGRADE_US: u64 = 2_000_000;
 
 impl SoakTest {
-    /// Draws which system calls fail in the next process.
+    /// Draws the system calls that fail in the next process, as the value of `FAULTS`.
     fn draw_system_call_faults(&self) -> String {
         self.starts.set(self.starts.get() + 1);
         system_call_faults(self.options.seed, self.starts.get())
     }
 
-    /// Starts a process that becomes the gatherer's newer one, and waits until it is ready. Returns its
-    /// number.
+    /// Starts a process, makes it the gatherer's current one, and waits until it is ready. Returns its
+    /// number, also if it did not become ready.
     async fn start_process(&self, gatherer: &Gatherer) -> usize {
         let process = gatherer.start(&self.draw_system_call_faults(), &self.observations);
         let (number, operator_address) = (process.number, process.operator_address.clone());
@@ -41,7 +42,7 @@
         number
     }
 
-    /// Starts a gatherer's process and waits until it is ready.
+    /// Starts a gatherer's process, waits until it is ready, and lets clients connect to it.
     pub async fn launch(&self, gatherer: &Gatherer) {
         let began_at = now_us();
         let number = self.start_process(gatherer).await;
@@ -50,7 +51,7 @@
         gatherer.endpoint.accepts_connections.set(true);
     }
 
-    /// Waits until a process reports that it is ready, has ended, or has taken too long.
+    /// Waits until a process reports that it is ready, has ended, or [`PROCESS_TIMEOUT`] has passed.
     async fn wait_until_ready(&self, gatherer: &Gatherer, number: usize, operator_address: &str) {
         let started = tokio::time::Instant::now();
         while started.elapsed() < PROCESS_TIMEOUT {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Whether this process, the newer of a gatherer's, has ended.
+    /// Whether the gatherer's current process is the one of this number, and has ended.
     fn has_ended(&self, gatherer: &Gatherer, number: usize) -> bool {
         let mut process = gatherer.process.borrow_mut();
         process
@@ -73,7 +74,7 @@
             .is_some_and(|process| process.number == number && process.has_ended(&self.observations))
     }
 
-    /// Sends SIGTERM to a process and waits for its end.
+    /// Sends SIGTERM to a process and waits for its exit, for at most [`PROCESS_TIMEOUT`].
     pub async fn terminate(&self, mut process: GathererProcess) {
         self.observations.borrow_mut().processes[process.number].terminated_at = Some(now_us());
         process.signal(Signal::TERM);
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Ends a gatherer's process, as the front layer takes the gatherer out, and starts another.
+    /// Restarts a gatherer: sends SIGTERM, stops new client connections a while later, and starts another
+    /// process after the first has exited.
     pub async fn restart(&self, gatherer: &Gatherer) {
         let Some(process) = gatherer.process.take() else { return };
         let endpoint = gatherer.endpoint.clone();
@@ -92,12 +94,13 @@
             endpoint.accepts_connections.set(false);
         });
         self.terminate(process).await;
-        // The front layer has noticed by then.
+        // By then clients have stopped connecting, and the task above cannot undo what `launch` sets.
         tokio::time::sleep(FRONT_LAYER_NOTICE).await;
         self.launch(gatherer).await;
     }
 
-    /// Starts a process beside a gatherer's, which takes over from it, and ends the first.
+    /// Upgrades a gatherer (hot restart): starts a second process, which takes over the listening sockets, and
+    /// terminates the first. If the second does not become ready, it is killed and the first stays.
     pub async fn upgrade(&self, gatherer: &Gatherer) {
         let began_at = now_us();
         let Some(predecessor) = gatherer.process.take() else { return };
@@ -108,13 +111,13 @@
             gatherer.endpoint.process.set(number);
             self.terminate(predecessor).await;
         } else {
-            // The first process goes on; the second one ends as it is dropped.
+            // Dropping the second process, which `replace` returns, kills it.
             self.observations.borrow_mut().processes[number].killed_at = Some(now_us());
             gatherer.process.replace(Some(predecessor));
         }
     }
 
-    /// Kills a gatherer's process and starts another.
+    /// Kills a gatherer's process (SIGKILL) and starts another.
     pub async fn kill(&self, gatherer: &Gatherer) {
         let Some(mut process) = gatherer.process.take() else { return };
         gatherer.endpoint.accepts_connections.set(false);
@@ -126,7 +129,7 @@
         self.launch(gatherer).await;
     }
 
-    /// Notes processes that ended without a signal, and starts them anew.
+    /// Starts another process for each gatherer whose process ended without a signal; never returns.
     pub async fn restart_ended_processes(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXIT_POLL_INTERVAL).await;
@@ -147,7 +150,7 @@
     }
 }
 
-/// Whether a process reports that it is ready; no response within the time-out is none.
+/// Whether a process reports that it is ready; false if no response comes within [`READINESS_TIMEOUT`].
 async fn is_ready(operator_address: &str) -> bool {
     let response = async {
         let mut stream = TcpStream::connect(operator_address).await.ok()?;
--- a/src/bin/soak-test/gatherer_process.rs
+++ b/src/bin/soak-test/gatherer_process.rs
@@ -1,5 +1,5 @@
-//! A gatherer: its files, its processes, and what is checked of their logs. It never decides when a process
-//! starts or ends: `gatherer_lifecycle` does.
+//! A gatherer of the soak test: writes its configuration files, spawns its processes, and reads their logs.
+//! `gatherer_lifecycle` decides when a process starts and ends.
 
 use crate::clients::GathererEndpoint;
 use crate::discovery::DiscoveryAgent;
@@ -18,67 +18,70 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What is checked of the lines that a gatherer's process has logged.
+/// Log lines of a gatherer's process that the checker needs.
 #[derive(Default)]
 struct LogFindings {
+    /// First line that reports a panic.
     panic: Option<String>,
+    /// Invariant counters as the last `violations: ` line lists them, as `NAME=COUNT` pairs.
     invariant_counters: Option<String>,
 }
 
 /// A running process of a gatherer.
 pub struct GathererProcess {
-    /// Its number among all processes.
+    /// Number of the process: its index in the observations.
     pub number: usize,
-    /// Where its operators connect.
+    /// Address of the operators' API.
     pub operator_address: String,
     child: Child,
     log: Arc<Mutex<LogFindings>>,
 }
 
-/// A span in which a gatherer need not know of a drain or removal at once.
+/// Period in which a gatherer need not know of a drain or removal at once, in microseconds of the monotonic
+/// clock.
 struct Exemption {
     from: u64,
     until: u64,
 }
 
-/// A gatherer: where its clients connect, its discovery agent, and its processes.
+/// A gatherer: its client endpoint, its discovery agent, and its current process.
 pub struct Gatherer {
-    /// Its number.
+    /// Number of the gatherer.
     pub number: usize,
-    /// Where its clients connect.
+    /// Endpoint to which clients connect.
     pub endpoint: Rc<GathererEndpoint>,
-    /// Its discovery.
+    /// Discovery agent of this gatherer.
     pub agent: Rc<DiscoveryAgent>,
-    /// Which of its agent's addresses its configuration names.
+    /// Index of the agent's address that the configuration names.
     pub agent_address: Cell<usize>,
-    /// Its process; while there are two of them, the newer.
+    /// The running process; during an upgrade, the newer of the two. `None` while none runs.
     pub process: RefCell<Option<GathererProcess>>,
-    /// A fault is being injected into its processes; no other may be.
+    /// A fault or a restart is replacing or pausing the process; no other may begin.
     pub in_transition: Cell<bool>,
     exemptions: RefCell<Vec<Exemption>>,
     environment: Rc<Environment>,
 }
 
-/// Where files and programs are, and how large the fleet is.
+/// Paths, membership addresses and fleet size, which all gatherers share.
 pub struct Environment {
-    /// A folder of the soak test's own.
+    /// Temporary folder of this run.
     pub folder: PathBuf,
-    /// The gatherer's program.
+    /// Path of the gatherer's program.
     pub program: PathBuf,
-    /// The fault library.
+    /// Path of the fault library; `None` to let no system call fail.
     pub library: Option<PathBuf>,
-    /// Where logs are kept.
+    /// Folder for the gatherers' logs; `None` to keep none.
     pub logs: Option<PathBuf>,
-    /// Where each gatherer takes part in membership.
+    /// Membership address of each gatherer, by its number.
     pub membership_addresses: Vec<String>,
-    /// Gatherers of the fleet.
+    /// Number of gatherers in the fleet.
     pub gatherers: usize,
-    /// Workers of the fleet.
+    /// Number of workers in the fleet.
     pub workers: usize,
 }
 
 impl Gatherer {
-    /// A gatherer of which no process runs yet.
+    /// Creates a gatherer without a process.
     pub fn new(number: usize, agent: Rc<DiscoveryAgent>, environment: Rc<Environment>) -> Rc<Gatherer> {
         let endpoint = Rc::new(GathererEndpoint {
             address: free_address(),
@@ -97,16 +100,18 @@
         })
     }
 
-    /// The file that switches failing system calls on: they fail while it exists.
+    /// Path of the fault library's switch: system calls fail while this file exists.
     pub fn fault_switch(&self) -> PathBuf {
         self.environment.folder.join(format!("faults-{}", self.number))
     }
 
+    /// Path of the configuration file of the process with this operators' address.
     fn configuration_file(&self, operator_address: &str) -> PathBuf {
         let name = format!("g{}-{}.json", self.number, operator_address.replace(':', "-"));
         self.environment.folder.join(name)
     }
 
+    /// The configuration of a process, with the discovery address that is current now.
     fn configuration(&self, operator_address: &str) -> Value {
         let environment = &self.environment;
         json!({
@@ -120,7 +125,7 @@
         })
     }
 
-    /// Writes the operator's file, which makes the gatherer keep records and take part in membership.
+    /// Writes the operator's file, which turns on records and membership.
     fn write_operator_file(&self) -> PathBuf {
         let environment = &self.environment;
         let folder = environment.folder.join(format!("records-{}", self.number));
@@ -134,15 +139,17 @@
             seeds.join(", ")
         );
         let file = environment.folder.join(format!("operator-{}.toml", self.number));
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the operator's file is written");
         file
     }
 
-    /// The command that starts a process. `faults` says which of its system calls fail.
+    /// Writes the files of a new process and returns the command that starts it. `faults` is the value of
+    /// `FAULTS`.
     fn command(&self, operator_address: &str, faults: &str) -> Command {
         let environment = &self.environment;
         let file = self.configuration_file(operator_address);
-        std::fs::write(&file, self.configuration(operator_address).to_string()).expect("written");
+        let text = self.configuration(operator_address).to_string();
+        std::fs::write(&file, text).expect("the configuration file is written");
         let mut command = Command::new(&environment.program);
         command.args(["serve", "--operator"]).arg(self.write_operator_file());
         command.env_clear().env("LB_CONFIG", &file).env("TMPDIR", &environment.folder);
@@ -154,50 +161,54 @@
         command
     }
 
-    /// Starts a process beside those that run. `faults` says which of its system calls fail.
+    /// Starts a process, without ending one that runs already, and records its start. `faults` is the value
+    /// of `FAULTS`.
     pub fn start(&self, faults: &str, observations: &RefCell<Observations>) -> GathererProcess {
         let operator_address = free_address();
         let mut command = self.command(&operator_address, faults);
         let number = observations.borrow().processes.len();
         let started_at = now_us();
-        let mut child = command.spawn().expect("the program is there");
+        let mut child = command.spawn().expect("the gatherer's program starts");
         let process = Process { gatherer: self.number, started_at, ..Process::default() };
         observations.borrow_mut().processes.push(process);
-        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let log: Arc<Mutex<LogFindings>> = Arc::default();
         let findings = log.clone();
         let logs = self.environment.logs.as_ref();
         let file = logs.map(|logs| create_log_file(logs, self.number, number));
-        // A log that cannot be read is one that ended.
+        // The log ends with the process; a read error is handled alike.
         thread::spawn(move || read_log(lines.map_while(Result::ok), &findings, file));
         GathererProcess { number, operator_address, child, log }
     }
 
-    /// Writes the configuration of the running process anew.
+    /// Writes the running process's configuration file again, without a signal.
     pub fn write_configuration(&self) {
         if let Some(process) = &*self.process.borrow() {
+            let file = self.configuration_file(&process.operator_address);
             let text = self.configuration(&process.operator_address).to_string();
-            std::fs::write(self.configuration_file(&process.operator_address), text).expect("written");
+            std::fs::write(file, text).expect("the configuration file is written");
         }
     }
 
-    /// Writes half of the configuration of the running process, and has the process read it (SIGHUP).
+    /// Writes the first half of the running process's configuration, and sends SIGHUP to reload it.
     pub fn reload_half_written(&self) {
         if let Some(process) = &*self.process.borrow() {
+            let file = self.configuration_file(&process.operator_address);
             let text = self.configuration(&process.operator_address).to_string();
             let half = &text[..text.len() / 2];
-            std::fs::write(self.configuration_file(&process.operator_address), half).expect("written");
+            std::fs::write(file, half).expect("the configuration file is written");
             process.signal(Signal::HUP);
         }
     }
 
-    /// It need not know of drains and removals within this span: it starts, is upgraded, or its own calls
-    /// fail.
+    /// Records a period in which this gatherer need not know of drains and removals: while it starts, is
+    /// upgraded or reloads its configuration, or its system calls fail.
     pub fn exempt(&self, from: u64, until: u64) {
         self.exemptions.borrow_mut().push(Exemption { from, until });
     }
 
-    /// From when on it has to know of a drain or removal that was announced at this time.
+    /// Time from which on the gatherer has to know of a drain or removal that was announced at this time: the
+    /// end of the last exemption that covers the announcement, otherwise the announcement itself.
     pub fn effective_at(&self, announced_at: u64) -> u64 {
         let exemptions = self.exemptions.borrow();
         let covering =
@@ -207,19 +218,19 @@
 }
 
 impl GathererProcess {
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         send_signal(&self.child, signal);
     }
 
-    /// Whether it has ended; its end and its log are noted if so.
+    /// Whether the process has ended; if so, records its end and the findings of its log.
     pub fn has_ended(&mut self, observations: &RefCell<Observations>) -> bool {
-        // A status that cannot be read now is read at the next call.
+        // An error counts as running; the next call tries again.
         let Ok(Some(status)) = self.child.try_wait() else { return false };
         let mut observations = observations.borrow_mut();
         let process = &mut observations.processes[self.number];
         process.exit.get_or_insert(ProcessExit { at: now_us(), success: status.success() });
-        let log = self.log.lock().expect("no reader panics");
+        let log = self.log.lock().expect("the log reader does not panic");
         process.panic.clone_from(&log.panic);
         if let Some(line) = &log.invariant_counters {
             process.invariant_counters = parse_invariant_counters(line);
@@ -230,23 +241,26 @@
 
 impl Drop for GathererProcess {
     fn drop(&mut self) {
-        // No process outlives the soak test.
+        // Also on a panic of the soak test, so that no process outlives it.
         kill_and_wait(&mut self.child);
     }
 }
 
+/// Parses `NAME=COUNT` pairs, without the `total`.
 fn parse_invariant_counters(line: &str) -> BTreeMap<String, u64> {
     let pairs = line.split(' ').filter_map(|pair| pair.split_once('='));
-    // A count that is no number is not a counter.
+    // Pairs whose value is not a number are skipped.
     let counts = pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?)));
     counts.filter(|(name, _)| name != "total").collect()
 }
 
 fn create_log_file(logs: &Path, gatherer: usize, process: usize) -> std::fs::File {
-    std::fs::create_dir_all(logs).expect("a folder");
-    std::fs::File::create(logs.join(format!("g{gatherer}-{process}.log"))).expect("a file")
+    std::fs::create_dir_all(logs).expect("the log folder is created");
+    let file = logs.join(format!("g{gatherer}-{process}.log"));
+    std::fs::File::create(file).expect("the log file is created")
 }
 
+/// Reads the log of a process to its end: keeps the findings, and copies each line to `file` with its time.
 fn read_log(
     lines: impl Iterator<Item = String>,
     findings: &Mutex<LogFindings>,
@@ -254,9 +268,9 @@
 ) {
     for line in lines {
         if let Some(file) = &mut file {
-            writeln!(file, "{} {line}", now_us()).expect("written");
+            writeln!(file, "{} {line}", now_us()).expect("the log file is written");
         }
-        let mut findings = findings.lock().expect("no reader panics");
+        let mut findings = findings.lock().expect("the log reader does not panic");
         if line.contains("panicked at") {
             findings.panic.get_or_insert(line);
         } else if let Some((_, counters)) = line.split_once("violations: ") {
--- a/src/bin/soak-test/gatherer_settings.rs
+++ b/src/bin/soak-test/gatherer_settings.rs
@@ -1,16 +1,16 @@
-//! The settings that every gatherer of a soak test has, under the keys of a deployment.
+//! The settings of the gatherers of a soak test, under the keys of the deployment's configuration file.
 
 use crate::clients::SHARDS;
 use serde_json::{Value, json};
 
-/// Replicas of a shard.
+/// Number of cells that hold a replica of each shard.
 const REPLICAS: usize = 3;
-/// The grace period of a drain, in milliseconds.
+/// Grace period after a drain is announced, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 250;
-/// The deadline of each class, in milliseconds.
+/// Deadline of each class, in milliseconds.
 pub const DEADLINE_MS: u64 = 3000;
 
-/// The settings of a gatherer of such a fleet.
+/// The settings of each gatherer in a fleet of this many gatherers and workers.
 pub fn settings(gatherers: usize, workers: usize) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "promise": 1_500_000_000, "deadline": DEADLINE_MS * 1_000_000,
@@ -31,7 +31,7 @@
     })
 }
 
-/// How many cells the workers form, of a few workers each.
+/// Number of cells over which this many workers are spread, with about two workers in each.
 pub fn cells(workers: usize) -> usize {
     (workers / 2).clamp(REPLICAS, 6)
 }
--- a/src/bin/soak-test/harness.rs
+++ b/src/bin/soak-test/harness.rs
@@ -1,5 +1,5 @@
-//! Runs a soak test: starts the processes, injects faults as scheduled, and hands what was observed to the
-//! checker.
+//! Runs a soak test: starts the processes and clients, injects the scheduled faults, collects the
+//! observations, and reports the violations that the checker finds.
 
 use crate::RunOptions;
 use crate::clients::{self, ClientContext, ResponseCounts};
@@ -19,47 +19,47 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// How often the state of processes is polled.
+/// Interval between two checks of a process's state.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The workers' last lines are read within this.
+/// Time to read the last output of the workers after they have ended.
 const LAST_LINES_WITHIN: Duration = Duration::from_millis(100);
-/// What is added to the drain's grace period before an attempt counts as late.
+/// Tolerance that is added to a drain's grace period.
 const DRAIN_GRACE_SLACK_MS: u64 = 50;
-/// The seeds of workers of two soak tests with successive seeds lie so far apart.
+/// Distance between the worker seeds of runs with successive seeds, so that they do not share worker seeds.
 const WORKER_SEED_STRIDE: u64 = 1000;
-/// Violations that are printed.
+/// Largest number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// A soak test: its processes, and what was observed of them.
+/// A running soak test: its processes, its clients and the observations so far.
 pub struct SoakTest {
-    /// The options of the run.
+    /// Options of the run.
     pub options: RunOptions,
-    /// What was observed so far.
+    /// Observations so far.
     pub observations: Rc<RefCell<Observations>>,
-    /// The gatherers, by their number.
+    /// Gatherers, by number.
     pub gatherers: Vec<Rc<Gatherer>>,
-    /// The workers, by their number.
+    /// Workers, by number.
     pub workers: Vec<Rc<WorkerProcess>>,
-    /// Workers into which a fault is being injected.
+    /// Numbers of the workers that have a fault now.
     pub faulted_workers: RefCell<Vec<usize>>,
-    /// The endpoint list as it is to be.
+    /// Endpoint list that responsive agents serve.
     pub list: RefCell<EndpointList>,
-    /// Processes of gatherers that were started.
+    /// Number of gatherer processes that were started.
     pub starts: Cell<u64>,
-    /// What the clients share.
+    /// State that the clients share.
     pub clients: Rc<ClientContext>,
-    /// Faults that were injected.
+    /// Number of faults that were injected.
     pub injected: Cell<usize>,
 }
 
-/// What a soak test found.
+/// Result of a soak test.
 struct SoakReport {
     violations: Vec<Violation>,
-    /// How much was done, for people.
+    /// Counts of faults, processes, requests and parts, as a line for people.
     summary: String,
 }
 
-/// Runs a soak test and prints which invariants were violated.
+/// Runs a soak test and prints the violated invariants. Fails if there are any.
 pub fn run(options: &RunOptions) -> ExitCode {
     let SoakReport { violations, summary } =
         runtime::block_on(async { SoakTest::start(options).await.run().await });
@@ -72,12 +72,13 @@
         println!("VIOLATED {violation}");
     }
     if violations.len() > MAX_PRINTED_VIOLATIONS {
-        println!("... and {} more", violations.len() - MAX_PRINTED_VIOLATIONS);
+        println!("... and {} more violations", violations.len() - MAX_PRINTED_VIOLATIONS);
     }
     println!("to repeat this run: {}", command_line(options));
     ExitCode::FAILURE
 }
 
+/// The command line that repeats a run, without paths.
 fn command_line(options: &RunOptions) -> String {
     let mut line = format!(
         "soak-test run --seed {} --seconds {} --gatherers {} --workers {} --clients {}",
@@ -88,7 +89,7 @@
     line
 }
 
-/// The fault library: the one that was named, or one built here.
+/// Path of the fault library: the one of the options, or one built into `folder`; `None` without faults.
 fn fault_library(options: &RunOptions, folder: &Path) -> Option<PathBuf> {
     if options.no_faults {
         return None;
@@ -99,14 +100,15 @@
     let library = folder.join("faults.so");
     let mut compiler = Command::new("cc");
     compiler.args(["-O2", "-shared", "-fPIC", "-o"]).arg(&library).args(["tools/faults/faults.c", "-ldl"]);
-    assert!(compiler.status().is_ok_and(|status| status.success()), "tools/faults/faults.c is compiled");
+    let is_compiled = compiler.status().is_ok_and(|status| status.success());
+    assert!(is_compiled, "cc could not compile tools/faults/faults.c");
     Some(library)
 }
 
-/// Creates the folder of this soak test, and states where its gatherers find everything.
+/// Creates the temporary folder of this run, and returns the environment of its gatherers.
 fn create_environment(options: &RunOptions) -> Environment {
     let folder = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the temporary folder is created");
     let library = fault_library(options, &folder);
     Environment {
         folder,
@@ -210,10 +212,10 @@
         )
     }
 
-    /// Ends all processes and collects what is not yet observed.
+    /// Terminates all processes, collects the workers' parts, and removes the temporary folder.
     async fn stop(&self) {
         for gatherer in &self.gatherers {
-            // The file is there only while system calls fail.
+            // Fails if no system calls fail now: the switch exists only while they do.
             let _ = std::fs::remove_file(gatherer.fault_switch());
             gatherer.endpoint.accepts_connections.set(false);
         }
@@ -228,19 +230,19 @@
         tokio::time::sleep(LAST_LINES_WITHIN).await;
         let mut observations = self.observations.borrow_mut();
         self.workers.iter().for_each(|worker| worker.collect_parts(&mut observations));
-        // Only now are all exemptions known.
+        // Exemptions are applied last, because one may be recorded after the removal that it covers.
         for removal in &mut observations.removals {
             removal.effective_at = self.gatherers[removal.gatherer].effective_at(removal.effective_at);
         }
         let switch = self.gatherers.first().map(|gatherer| gatherer.fault_switch());
         if let Some(folder) = switch.as_deref().and_then(Path::parent) {
-            // A file that is left does no harm.
+            // A folder that remains does not affect other runs.
             let _ = std::fs::remove_dir_all(folder);
         }
     }
 }
 
-/// Notes how long this process itself was paused.
+/// Records the longest delay with which this process was scheduled, measured by its sleeps; never returns.
 async fn measure_observer_lag(observations: Rc<RefCell<Observations>>) {
     loop {
         let began_at = now_us();
--- a/src/bin/soak-test/main.rs
+++ b/src/bin/soak-test/main.rs
@@ -1,6 +1,6 @@
-//! `soak-test`: gatherers, workers and clients as real processes on loopback sockets, under overlapping
-//! faults drawn from a seed, checked by invariants. It reports which invariant was violated and how to repeat
-//! the run.
+//! `soak-test`: runs gatherers and workers as real processes on loopback sockets, with clients in its own
+//! process, injects overlapping faults drawn from a seed, and checks invariants. It reports the violated
+//! invariants and the command line that repeats the run.
 
 mod clients;
 mod discovery;
@@ -31,12 +31,12 @@
 enum Command {
     /// Run a soak test and check its invariants: status 1 if one was violated.
     Run(RunOptions),
-    /// Be one worker; started by a soak test.
+    /// Run one stand-in worker; the soak test starts these itself.
     Worker {
-        /// Draws its misbehaviour.
+        /// Seed of the worker's random behaviour.
         #[arg(long)]
         seed: u64,
-        /// Where it listens.
+        /// Address to listen on.
         #[arg(long)]
         listen: String,
     },
@@ -45,34 +45,34 @@
 /// The options of one run.
 #[derive(clap::Args, Clone, Debug)]
 pub struct RunOptions {
-    /// Draws everything.
+    /// Seed of the faults, the clients and the workers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long faults are injected, in seconds.
+    /// Time over which faults are injected, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Gatherers.
+    /// Number of gatherers.
     #[arg(long, default_value_t = 4)]
     gatherers: usize,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 12)]
     workers: usize,
-    /// Clients.
+    /// Number of clients.
     #[arg(long, default_value_t = 24)]
     clients: usize,
-    /// Only these faults, by name; all if none is named.
+    /// Inject only the fault of this name; may be given several times. All faults if it is not given.
     #[arg(long)]
     only: Vec<String>,
-    /// Let no system call fail.
+    /// Start the gatherers without the fault library, so that no system call fails.
     #[arg(long)]
     no_faults: bool,
-    /// The gatherer's program.
+    /// Path of the gatherer's program.
     #[arg(long, default_value = "target/release/gatherer")]
     program: PathBuf,
-    /// The fault library; it is built from `tools/faults/faults.c` where this is not given.
+    /// Path of the fault library; built from `tools/faults/faults.c` if it is not given.
     #[arg(long)]
     library: Option<PathBuf>,
-    /// Keep logs of the gatherers there.
+    /// Folder in which to keep the gatherers' logs; they are not kept if it is not given.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
--- a/src/bin/soak-test/stand_in_worker.rs
+++ b/src/bin/soak-test/stand_in_worker.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a worker: it receives frames, serves parts, and misbehaves now and then. It reports each
-//! part on standard output, as a line `part RECEIVED_US ID SHARD TIME_LEFT_MS EXECUTED`, which
-//! `worker_process` reads.
+//! A stand-in worker: serves the parts of each frame with a value that clients can check, and rejects, fails
+//! or resets at random. It reports each part on standard output as a line
+//! `part RECEIVED_US REQUEST SHARD TIME_LEFT_MS EXECUTED`, which `worker_process` reads.
 
 use crate::monotonic::now_us;
 use crate::runtime;
@@ -15,47 +15,48 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// The longest frame that it accepts.
+/// Longest frame that a worker accepts.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// A connection is closed after at most so long without a frame.
+/// Longest idle time-out of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The share of parts that it rejects.
+/// Fraction of parts that are rejected.
 const REJECTED_SHARE: f64 = 0.02;
-/// The share of parts that it fails.
+/// Fraction of parts that fail.
 const FAILED_SHARE: f64 = 0.02;
-/// Parts drawn above this reset the connection.
+/// A part whose random number in 0..1 is above this closes the connection.
 const RESET_ABOVE: f64 = 0.995;
-/// How long it takes to serve a part, in microseconds.
+/// Service time of a part, in microseconds.
 const SERVICE_US: Range<u64> = 1000..12_000;
-/// The first byte of a frame that holds a call.
+/// First byte of a frame that holds a call.
 const CALL_FRAME: u8 = b'm';
-/// The share of responses that it writes in two pieces.
+/// Fraction of responses that are written in two pieces.
 const SPLIT_SHARE: f64 = 0.02;
-/// The time between these pieces.
+/// Time between the two pieces.
 const SPLIT_PAUSE: Duration = Duration::from_millis(2);
 
-/// The value that a worker makes of a part. Clients check it.
+/// The value in the response to the part of this id, by which clients check responses.
 pub fn value(id: &str) -> String {
     format!("{:016x}", xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
 }
 
-/// A part of a frame.
+/// A part of a call.
 struct Part {
+    /// Id of the part, `REQUEST.SHARD`.
     id: String,
     shard: u32,
     time_left_ms: u64,
 }
 
-/// What a worker does with a part.
+/// A worker's treatment of a part.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behaviour {
-    /// It does not execute the part.
+    /// The part is rejected without being executed.
     Reject,
-    /// It executes the part, and reports a failure.
+    /// The part is executed, and the response reports a failure.
     Fail,
-    /// It executes the part, and responds with its value.
+    /// The part is executed, and the response holds its value.
     Serve,
-    /// It executes the part, and ends the connection while calls are in flight.
+    /// The part is executed, and the connection ends with other calls in flight.
     Reset,
 }
 
@@ -70,17 +71,17 @@
     }
 }
 
-/// Serves until it is killed.
+/// Listens on this address and serves until the process is killed.
 pub fn serve(seed: u64, listen: &str) -> ExitCode {
     runtime::block_on(async {
-        let listener = TcpListener::bind(listen).await.expect("its address is free");
+        let listener = TcpListener::bind(listen).await.expect("the worker's address is free");
         let mut random = Rng::with_seed(seed);
         loop {
-            // A connection that ended before it was accepted concerns no other.
+            // Fails if the connection ended before it was accepted; others are not affected.
             let Ok((stream, _)) = listener.accept().await else { continue };
             let random = random.fork();
             spawn_local(async move {
-                // A connection that ends, however it does, concerns no other.
+                // An error ends only this connection.
                 let _ = serve_connection(stream, random).await;
             });
         }
@@ -91,9 +92,9 @@
     stream.set_nodelay(true)?;
     let (mut read, write) = stream.into_split();
     let (responses, queue) = mpsc::unbounded_channel();
-    // A write fails only where the connection has ended, which the reading half sees too.
+    // A write fails only if the connection has ended, which the loop below notices too.
     spawn_local(write_responses(write, queue, random.fork()));
-    // Some close idle connections early, so that closes cross frames.
+    // Connections have random idle time-outs, so that some closes cross a frame in transit.
     let idle = IDLE_TIMEOUT.mul_f64(0.1 + 0.9 * random.f64());
     loop {
         let Ok(frame) = tokio::time::timeout(idle, read_frame(&mut read)).await else { return Ok(()) };
@@ -113,14 +114,14 @@
             let responses = responses.clone();
             spawn_local(async move {
                 tokio::time::sleep(service).await;
-                // The connection may have ended.
+                // Fails only if the connection has ended.
                 let _ = responses.send(response);
             });
         }
     }
 }
 
-/// The response to a part, in the words of the wire between gatherers and workers.
+/// Encodes the response to a part, as a frame of the worker protocol without its length.
 fn encode_response(id: &str, behaviour: Behaviour, service: Duration) -> String {
     let (result, value) = match behaviour {
         Behaviour::Reject => ("later", String::new()),
@@ -140,7 +141,7 @@
     Ok(frame)
 }
 
-/// The parts of a call: lines `ID SHARD LIST LENGTH`, each with so many bytes behind it.
+/// Parses the parts of a call: each is a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes.
 fn parse_parts(mut rest: &[u8]) -> Vec<Part> {
     let mut parts = Vec::new();
     while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
@@ -163,7 +164,7 @@
 fn report_part(received_at: u64, part: &Part, executed: bool) {
     let request = part.id.rsplit_once('.').map_or(part.id.as_str(), |(request, _)| request);
     let mut out = std::io::stdout().lock();
-    // Without its observer the process is of no use, and ends with it.
+    // The soak test that reads the output has ended: so does its worker.
     if writeln!(out, "part {received_at} {request} {} {} {executed}", part.shard, part.time_left_ms).is_err()
     {
         std::process::exit(0);
