--- a/tools/faults/faults.c
+++ b/tools/faults/faults.c
@@ -2,7 +2,7 @@
  * A library to preload into a gatherer under test: it makes system calls fail, end early or be interrupted, as Linux
  * documents that they may, and steps the wall clock. It changes nothing outside the process that loads it.
  *
- * FAULTS        NAME=VALUE,... : what happens and how often (see `struct plan`); probabilities lie between 0 and 1
+ * FAULTS        NAME=VALUE,... : what happens and how often (see `struct settings`); probabilities lie between 0 and 1
  * FAULTS_SWITCH a path: faults happen only while that file is there
  *
  * Draws come from the seed alone, so that a run with one thread can be repeated.
@@ -25,7 +25,7 @@
 #include <unistd.h>
 
 /* Probability of each fault, and its sizes. */
-struct plan {
+struct settings {
     double short_read, short_write, interrupt, wait_interrupt;
     double accept, connect, socket, bind, broken;
     double open, file_write, file_sync;
@@ -35,11 +35,11 @@
     double seed;
 };
 
-static struct plan plan = {.read_bytes = 64, .write_bytes = 16};
+static struct settings settings = {.read_bytes = 64, .write_bytes = 16};
 static const char *switch_path;
-static uint64_t state;
-static int64_t began_ms, looked_ms = -1000000;
-static int switched_on;
+static uint64_t random_state;
+static int64_t start_ms, switch_checked_ms = -1000000;
+static int is_switched_on;
 
 #define REAL(name) \
     static __typeof__(&name) real; \
@@ -54,7 +54,7 @@
 }
 
 static void set(const char *name, double value) {
-#define FIELD(field) if (!strcmp(name, #field)) plan.field = value
+#define FIELD(field) if (!strcmp(name, #field)) settings.field = value
     FIELD(short_read); FIELD(short_write); FIELD(interrupt); FIELD(wait_interrupt);
     FIELD(accept); FIELD(connect); FIELD(socket); FIELD(bind); FIELD(broken);
     FIELD(open); FIELD(file_write); FIELD(file_sync);
@@ -64,8 +64,8 @@
     FIELD(seed);
 }
 
-__attribute__((constructor)) static void begin(void) {
-    began_ms = monotonic_ms();
+__attribute__((constructor)) static void initialize(void) {
+    start_ms = monotonic_ms();
     switch_path = getenv("FAULTS_SWITCH");
     const char *text = getenv("FAULTS");
     char copy[1024], *rest = NULL;
@@ -76,76 +76,76 @@
         *equals = 0;
         set(pair, atof(equals + 1));
     }
-    state = ((uint64_t)plan.seed + 1) * 0x9e3779b97f4a7c15ull;
+    random_state = ((uint64_t)settings.seed + 1) * 0x9e3779b97f4a7c15ull;
 }
 
 /* Whether faults happen now: by the switch, and in the first `on_ms` of each `period_ms`. */
-static int is_on(void) {
+static int is_active(void) {
     int64_t now = monotonic_ms();
-    if (switch_path && now - looked_ms >= 2) {
-        looked_ms = now;
-        switched_on = access(switch_path, F_OK) == 0;
+    if (switch_path && now - switch_checked_ms >= 2) {
+        switch_checked_ms = now;
+        is_switched_on = access(switch_path, F_OK) == 0;
     }
-    if (switch_path && !switched_on) return 0;
-    if (plan.period_ms <= 0) return 1;
-    return (double)((now - began_ms) % (int64_t)plan.period_ms) < plan.on_ms;
+    if (switch_path && !is_switched_on) return 0;
+    if (settings.period_ms <= 0) return 1;
+    return (double)((now - start_ms) % (int64_t)settings.period_ms) < settings.on_ms;
 }
 
-static double draw(void) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (double)(state >> 11) / 9007199254740992.0;
+static double random_fraction(void) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (double)(random_state >> 11) / 9007199254740992.0;
 }
 
-static int happens(double probability) {
+static int inject(double probability) {
     int saved = errno;
-    int does = probability > 0 && is_on() && draw() < probability;
+    int is_injected = probability > 0 && is_active() && random_fraction() < probability;
     errno = saved;
-    return does;
+    return is_injected;
 }
 
 static int is_socket(int fd) {
     int saved = errno;
-    struct stat about;
-    int is = fstat(fd, &about) == 0 && S_ISSOCK(about.st_mode);
+    struct stat status;
+    int result = fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
     errno = saved;
-    return is;
+    return result;
 }
 
-static int is_file(int fd) {
-    struct stat about;
-    return fd > 2 && fstat(fd, &about) == 0 && S_ISREG(about.st_mode);
+static int is_regular_file(int fd) {
+    struct stat status;
+    return fd > 2 && fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-static int fails(int code) {
+static int fail_with(int code) {
     errno = code;
     return -1;
 }
 
 /* One of these error codes, drawn at random. */
-static int one_of(const int *codes, int count) {
-    return codes[(int)(draw() * count) % count];
+static int random_code(const int *codes, int count) {
+    return codes[(int)(random_fraction() * count) % count];
 }
 
-static size_t shorter(size_t wanted, double most) {
-    size_t limit = (size_t)most;
-    return wanted > limit ? limit : wanted;
+static size_t min_length(size_t length, double max) {
+    size_t limit = (size_t)max;
+    return length > limit ? limit : length;
 }
 
 #define READ_FAULTS(fd, length) \
     if (is_socket(fd)) { \
-        if (happens(plan.interrupt)) return fails(EINTR); \
-        if (happens(plan.broken)) return fails(draw() < 0.5 ? ETIMEDOUT : EHOSTUNREACH); \
-        if (happens(plan.short_read)) length = shorter(length, plan.read_bytes); \
+        if (inject(settings.interrupt)) return fail_with(EINTR); \
+        if (inject(settings.broken)) return fail_with(random_fraction() < 0.5 ? ETIMEDOUT : EHOSTUNREACH); \
+        if (inject(settings.short_read)) length = min_length(length, settings.read_bytes); \
     }
 
 #define WRITE_FAULTS(fd, length) \
     if (is_socket(fd)) { \
-        if (happens(plan.interrupt)) return fails(EINTR); \
-        if (happens(plan.short_write)) length = shorter(length, plan.write_bytes); \
-    } else if (plan.file_write > 0 && is_file(fd) && happens(plan.file_write)) { \
-        return fails(draw() < 0.5 ? ENOSPC : EIO); \
+        if (inject(settings.interrupt)) return fail_with(EINTR); \
+        if (inject(settings.short_write)) length = min_length(length, settings.write_bytes); \
+    } else if (settings.file_write > 0 && is_regular_file(fd) && inject(settings.file_write)) { \
+        return fail_with(random_fraction() < 0.5 ? ENOSPC : EIO); \
     }
 
 ssize_t read(int fd, void *to, size_t length) {
@@ -160,10 +160,10 @@
     return real(fd, to, length, flags);
 }
 
-ssize_t readv(int fd, const struct iovec *parts, int count) {
+ssize_t readv(int fd, const struct iovec *buffers, int count) {
     REAL(readv);
-    if (is_socket(fd) && happens(plan.interrupt)) return fails(EINTR);
-    return real(fd, parts, count);
+    if (is_socket(fd) && inject(settings.interrupt)) return fail_with(EINTR);
+    return real(fd, buffers, count);
 }
 
 ssize_t write(int fd, const void *from, size_t length) {
@@ -178,50 +178,50 @@
     return real(fd, from, length, flags);
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
     REAL(writev);
-    if (is_socket(fd) && happens(plan.interrupt)) return fails(EINTR);
-    return real(fd, parts, count);
+    if (is_socket(fd) && inject(settings.interrupt)) return fail_with(EINTR);
+    return real(fd, buffers, count);
 }
 
 int accept4(int fd, struct sockaddr *from, socklen_t *length, int flags) {
     REAL(accept4);
     static const int codes[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, EINTR};
-    if (happens(plan.accept)) return fails(one_of(codes, 5));
+    if (inject(settings.accept)) return fail_with(random_code(codes, 5));
     return real(fd, from, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *to, socklen_t length) {
     REAL(connect);
     static const int codes[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR};
-    if (happens(plan.connect)) return fails(one_of(codes, 4));
+    if (inject(settings.connect)) return fail_with(random_code(codes, 4));
     return real(fd, to, length);
 }
 
-int socket(int family, int kind, int protocol) {
+int socket(int family, int type, int protocol) {
     REAL(socket);
     static const int codes[] = {ENFILE, ENOBUFS, EMFILE};
-    if (happens(plan.socket)) return fails(one_of(codes, 3));
-    return real(family, kind, protocol);
+    if (inject(settings.socket)) return fail_with(random_code(codes, 3));
+    return real(family, type, protocol);
 }
 
-int bind(int fd, const struct sockaddr *at, socklen_t length) {
+int bind(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(bind);
-    if (happens(plan.bind)) return fails(ENOBUFS);
-    return real(fd, at, length);
+    if (inject(settings.bind)) return fail_with(ENOBUFS);
+    return real(fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait);
-    if (happens(plan.wait_interrupt)) return fails(EINTR);
-    return real(fd, events, most, timeout);
+    if (inject(settings.wait_interrupt)) return fail_with(EINTR);
+    return real(fd, events, max_events, timeout);
 }
 
-static int open_fails(const char *path) {
+static int open_fault(const char *path) {
     static const int codes[] = {ENFILE, EIO};
     /* Libraries that are being loaded and the system's own files are left alone. */
     int own = strncmp(path, "/proc", 5) && strncmp(path, "/etc", 4) && strncmp(path, "/usr", 4) && strncmp(path, "/lib", 4);
-    return own && happens(plan.open) ? one_of(codes, 2) : 0;
+    return own && inject(settings.open) ? random_code(codes, 2) : 0;
 }
 
 int open64(const char *path, int flags, ...) {
@@ -230,8 +230,8 @@
     va_start(rest, flags);
     mode_t mode = va_arg(rest, mode_t);
     va_end(rest);
-    int code = open_fails(path);
-    return code ? fails(code) : real(path, flags, mode);
+    int code = open_fault(path);
+    return code ? fail_with(code) : real(path, flags, mode);
 }
 
 int open(const char *path, int flags, ...) {
@@ -240,31 +240,31 @@
     va_start(rest, flags);
     mode_t mode = va_arg(rest, mode_t);
     va_end(rest);
-    int code = open_fails(path);
-    return code ? fails(code) : real(path, flags, mode);
+    int code = open_fault(path);
+    return code ? fail_with(code) : real(path, flags, mode);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    if (happens(plan.file_sync)) return fails(EIO);
+    if (inject(settings.file_sync)) return fail_with(EIO);
     return real(fd);
 }
 
 int fdatasync(int fd) {
     REAL(fdatasync);
-    if (happens(plan.file_sync)) return fails(EIO);
+    if (inject(settings.file_sync)) return fail_with(EIO);
     return real(fd);
 }
 
 /* Steps the wall clock to another place within `wall_step_s` of the true time, each `wall_period_ms`. */
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
-    int done = real(clock, now);
-    if (done || clock != CLOCK_REALTIME || plan.wall_step_s <= 0 || !is_on()) return done;
-    int64_t step = plan.wall_period_ms > 0 ? (monotonic_ms() - began_ms) / (int64_t)plan.wall_period_ms : 0;
-    uint64_t mixed = ((uint64_t)plan.seed + 1 + (uint64_t)step) * 0x9e3779b97f4a7c15ull;
+    int result = real(clock, now);
+    if (result || clock != CLOCK_REALTIME || settings.wall_step_s <= 0 || !is_active()) return result;
+    int64_t step = settings.wall_period_ms > 0 ? (monotonic_ms() - start_ms) / (int64_t)settings.wall_period_ms : 0;
+    uint64_t mixed = ((uint64_t)settings.seed + 1 + (uint64_t)step) * 0x9e3779b97f4a7c15ull;
     mixed ^= mixed >> 29;
-    double place = (double)(mixed >> 11) / 9007199254740992.0 * 2 - 1;
-    now->tv_sec += (time_t)(place * plan.wall_step_s);
+    double offset = (double)(mixed >> 11) / 9007199254740992.0 * 2 - 1;
+    now->tv_sec += (time_t)(offset * settings.wall_step_s);
     return 0;
 }
