--- a/tools/faults/faults.c
+++ b/tools/faults/faults.c
@@ -1,11 +1,13 @@
 /*
- * A library to preload into a gatherer under test: it makes system calls fail, end early or be interrupted, as Linux
- * documents that they may, and steps the wall clock. It changes nothing outside the process that loads it.
+ * Fault injection library, loaded by LD_PRELOAD into a gatherer under test. It makes system calls fail, transfer fewer
+ * bytes or be interrupted, as Linux documents that they may, and steps the wall clock. It affects only the process
+ * that loads it.
  *
- * FAULTS        NAME=VALUE,... : what happens and how often (see `struct settings`); probabilities lie between 0 and 1
- * FAULTS_SWITCH a path: faults happen only while that file is there
+ * Environment variables:
+ *   FAULTS         NAME=VALUE,...: the settings of `struct settings`
+ *   FAULTS_SWITCH  path of a file: faults are injected only while it exists; without this variable, always
  *
- * Draws come from the seed alone, so that a run with one thread can be repeated.
+ * Random numbers are drawn from the seed alone, so that a run with one thread can be repeated.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,27 +26,40 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Probability of each fault, and its sizes. */
 struct settings {
+    /* Probability in 0..1 that a socket read or write is shortened, or that a call is interrupted (EINTR). */
     double short_read, short_write, interrupt, wait_interrupt;
+    /* Probability that the call fails; `broken`: that a socket read fails with a network error. */
     double accept, connect, socket, bind, broken;
     double open, file_write, file_sync;
+    /* Largest length of a shortened read or write, in bytes. */
     double read_bytes, write_bytes;
+    /* Largest offset of the wall clock either way, in seconds, and the time between two steps, in milliseconds. */
     double wall_step_s, wall_period_ms;
+    /* Faults are injected in the first `on_ms` of each `period_ms`; always if `period_ms` is 0. */
     double on_ms, period_ms;
     double seed;
 };
 
+/* Time between two checks of the switch file. */
+#define SWITCH_CHECK_INTERVAL_MS 2
+/* The golden ratio in 64 bits, whose multiples are spread evenly. */
+#define SEED_MULTIPLIER 0x9e3779b97f4a7c15ull
+/* 2^53: scales 53 random bits to 0..1. */
+#define RANDOM_RANGE 9007199254740992.0
+
 static struct settings settings = {.read_bytes = 64, .write_bytes = 16};
 static const char *switch_path;
 static uint64_t random_state;
 static int64_t start_ms, switch_checked_ms = -1000000;
 static int is_switched_on;
 
+/* Declares `real`, the function of this name that the library replaces. */
 #define REAL(name) \
     static __typeof__(&name) real; \
     if (!real) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
+/* The monotonic clock, read past the `clock_gettime` below. */
 static int64_t monotonic_ms(void) {
     static int (*real)(clockid_t, struct timespec *);
     if (!real) real = (int (*)(clockid_t, struct timespec *))dlsym(RTLD_NEXT, "clock_gettime");
@@ -53,6 +68,7 @@
     return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
+/* Sets a setting by its name; unknown names are ignored. */
 static void set(const char *name, double value) {
 #define FIELD(field) if (!strcmp(name, #field)) settings.field = value
     FIELD(short_read); FIELD(short_write); FIELD(interrupt); FIELD(wait_interrupt);
@@ -64,6 +80,7 @@
     FIELD(seed);
 }
 
+/* Reads the environment variables when the library is loaded. */
 __attribute__((constructor)) static void initialize(void) {
     start_ms = monotonic_ms();
     switch_path = getenv("FAULTS_SWITCH");
@@ -76,13 +93,13 @@
         *equals = 0;
         set(pair, atof(equals + 1));
     }
-    random_state = ((uint64_t)settings.seed + 1) * 0x9e3779b97f4a7c15ull;
+    random_state = ((uint64_t)settings.seed + 1) * SEED_MULTIPLIER;
 }
 
-/* Whether faults happen now: by the switch, and in the first `on_ms` of each `period_ms`. */
+/* Whether faults are injected now, by the switch file and by the period. */
 static int is_active(void) {
     int64_t now = monotonic_ms();
-    if (switch_path && now - switch_checked_ms >= 2) {
+    if (switch_path && now - switch_checked_ms >= SWITCH_CHECK_INTERVAL_MS) {
         switch_checked_ms = now;
         is_switched_on = access(switch_path, F_OK) == 0;
     }
@@ -91,13 +108,15 @@
     return (double)((now - start_ms) % (int64_t)settings.period_ms) < settings.on_ms;
 }
 
+/* Returns a random number in 0..1 (xorshift). */
 static double random_fraction(void) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
     random_state ^= random_state << 17;
-    return (double)(random_state >> 11) / 9007199254740992.0;
+    return (double)(random_state >> 11) / RANDOM_RANGE;
 }
 
+/* Decides at random whether a fault of this probability is injected; leaves `errno` unchanged. */
 static int inject(double probability) {
     int saved = errno;
     int is_injected = probability > 0 && is_active() && random_fraction() < probability;
@@ -105,6 +124,7 @@
     return is_injected;
 }
 
+/* Leaves `errno` unchanged. */
 static int is_socket(int fd) {
     int saved = errno;
     struct stat status;
@@ -113,17 +133,19 @@
     return result;
 }
 
+/* Whether a descriptor above the standard streams is a regular file. */
 static int is_regular_file(int fd) {
     struct stat status;
     return fd > 2 && fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
+/* Sets `errno` and returns the result of a call that failed. */
 static int fail_with(int code) {
     errno = code;
     return -1;
 }
 
-/* One of these error codes, drawn at random. */
+/* Returns one of these error codes at random. */
 static int random_code(const int *codes, int count) {
     return codes[(int)(random_fraction() * count) % count];
 }
@@ -133,6 +155,7 @@
     return length > limit ? limit : length;
 }
 
+/* Injects the faults of a read: returns from the calling function with an error, or shortens `length`. */
 #define READ_FAULTS(fd, length) \
     if (is_socket(fd)) { \
         if (inject(settings.interrupt)) return fail_with(EINTR); \
@@ -140,6 +163,7 @@
         if (inject(settings.short_read)) length = min_length(length, settings.read_bytes); \
     }
 
+/* Injects the faults of a write, likewise. */
 #define WRITE_FAULTS(fd, length) \
     if (is_socket(fd)) { \
         if (inject(settings.interrupt)) return fail_with(EINTR); \
@@ -217,11 +241,13 @@
     return real(fd, events, max_events, timeout);
 }
 
+/* Returns the error code with which opening this file fails; 0 if no fault is injected. */
 static int open_fault(const char *path) {
     static const int codes[] = {ENFILE, EIO};
-    /* Libraries that are being loaded and the system's own files are left alone. */
-    int own = strncmp(path, "/proc", 5) && strncmp(path, "/etc", 4) && strncmp(path, "/usr", 4) && strncmp(path, "/lib", 4);
-    return own && inject(settings.open) ? random_code(codes, 2) : 0;
+    /* Shared libraries and system files always open. */
+    int is_system = !strncmp(path, "/proc", 5) || !strncmp(path, "/etc", 4)
+        || !strncmp(path, "/usr", 4) || !strncmp(path, "/lib", 4);
+    return !is_system && inject(settings.open) ? random_code(codes, 2) : 0;
 }
 
 int open64(const char *path, int flags, ...) {
@@ -256,15 +282,15 @@
     return real(fd);
 }
 
-/* Steps the wall clock to another place within `wall_step_s` of the true time, each `wall_period_ms`. */
+/* Adds an offset to the wall clock that is drawn anew each `wall_period_ms`, within `wall_step_s` either way. */
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
     int result = real(clock, now);
     if (result || clock != CLOCK_REALTIME || settings.wall_step_s <= 0 || !is_active()) return result;
     int64_t step = settings.wall_period_ms > 0 ? (monotonic_ms() - start_ms) / (int64_t)settings.wall_period_ms : 0;
-    uint64_t mixed = ((uint64_t)settings.seed + 1 + (uint64_t)step) * 0x9e3779b97f4a7c15ull;
+    uint64_t mixed = ((uint64_t)settings.seed + 1 + (uint64_t)step) * SEED_MULTIPLIER;
     mixed ^= mixed >> 29;
-    double offset = (double)(mixed >> 11) / 9007199254740992.0 * 2 - 1;
+    double offset = (double)(mixed >> 11) / RANDOM_RANGE * 2 - 1;
     now->tv_sec += (time_t)(offset * settings.wall_step_s);
     return 0;
 }
