--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,5 @@
-//! The soak test's checker: each invariant can be violated, and what the specification permits violates none.
+//! The soak test: its checker reports a violation of each invariant and none for behaviour that the
+//! specification permits, its schedule is repeatable, and a short run of real processes passes.
 
 mod common;
 
@@ -9,10 +10,10 @@
 use gatherer::soak::fault_schedule::{ScheduledFault, fault_schedule, system_call_faults};
 use std::time::Duration;
 
-/// A second, in the microseconds of the observations.
+/// One second in microseconds, the unit of the observations.
 const SECOND: u64 = 1_000_000;
 
-/// One request that was served by one part, at a gatherer that was started, got SIGTERM, and ended.
+/// Observations without a violation: one request of one part, and a process that got SIGTERM and exited.
 fn valid_observations() -> Observations {
     Observations {
         requests: vec![Request {
@@ -49,13 +50,14 @@
     Part { request, shard: 3, worker, received_at, time_left_us: SECOND, executed: true }
 }
 
-/// What is violated once this is changed.
+/// The violations in [`valid_observations`] after this change.
 fn violated_by(change: impl FnOnce(&mut Observations)) -> Vec<ViolationKind> {
     let mut observations = valid_observations();
     change(&mut observations);
     check(&observations).into_iter().map(|violation| violation.kind).collect()
 }
 
+/// A change that gives the request this outcome.
 fn ends_with(outcome: RequestOutcome) -> impl FnOnce(&mut Observations) {
     move |observations| observations.requests[0].outcome = outcome
 }
@@ -142,13 +144,14 @@
 
 #[test]
 fn what_the_specification_permits_violates_no_invariant() {
-    // A close that crosses an unread request on a reused connection; a killed process; a paused worker.
+    // The gatherer closed a reused connection before it read the request.
     let crossed = |observations: &mut Observations| {
         (observations.requests[0].outcome, observations.requests[0].first_on_connection) =
             (RequestOutcome::ConnectionClosed, false);
         observations.parts.clear();
     };
     assert_eq!(violated_by(crossed), []);
+    // The process was killed while the request was open.
     let killed = |observations: &mut Observations| {
         observations.requests[0].outcome = RequestOutcome::ConnectionClosed;
         (observations.processes[0].killed_at, observations.processes[0].terminated_at) =
@@ -156,13 +159,14 @@
         observations.processes[0].exit = Some(exit(10 * SECOND + 1000, false));
     };
     assert_eq!(violated_by(killed), []);
+    // The worker was paused, so the time at which it received the part is not checked.
     let paused = |observations: &mut Observations| {
         observations.parts[0].received_at = 11 * SECOND + 900_000;
         let (paused_at, resumed_at) = (10 * SECOND, 11 * SECOND + 890_000);
         observations.worker_pauses.push(WorkerPause { worker: "w0".to_owned(), paused_at, resumed_at });
     };
     assert_eq!(violated_by(paused), []);
-    // A rejected part was not executed.
+    // The part was delivered twice, but the first delivery was rejected without being executed.
     let rejected = |observations: &mut Observations| {
         observations.parts[0].executed = false;
         observations.parts.push(part(10 * SECOND + 9000));
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_schedule_again_and_its_faults_overlap() {
+fn a_seed_repeats_its_schedule_and_faults_overlap() {
     let length = Duration::from_secs(20);
     let schedule = fault_schedule(7, length);
     assert_eq!(schedule, fault_schedule(7, length));
@@ -179,7 +183,7 @@
     assert_ne!(system_call_faults(7, 1), system_call_faults(7, 2));
     let overlaps = |pair: &&[ScheduledFault]| pair[0].begins_after + pair[0].lasts > pair[1].begins_after;
     let overlapping = schedule.windows(2).filter(overlaps).count();
-    assert!(overlapping * 2 > schedule.len(), "{overlapping} of {}", schedule.len());
+    assert!(overlapping * 2 > schedule.len(), "{overlapping} of {} faults overlap the next", schedule.len());
 }
 
 #[test]
@@ -201,7 +205,7 @@
         "8",
     ]);
     soak.arg("--program").arg(env!("CARGO_BIN_EXE_gatherer")).arg("--library").arg(library);
-    let run = soak.arg("--logs").arg(logs).output().expect("the soak test runs");
+    let run = soak.arg("--logs").arg(logs).output().expect("the soak test starts");
     let output = String::from_utf8_lossy(&run.stdout);
     assert!(run.status.success(), "{output}{}", String::from_utf8_lossy(&run.stderr));
     assert!(output.contains("no invariant was violated"), "{output}");
