--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What tests share: the decision module under test with its actions recorded, real processes, fleets of
-//! both, and the platform's configuration.
-#![allow(dead_code)] // each test file uses a part of this
+//! Test support: a harness of the decision module that records its actions, real processes with fake peers,
+//! fleets of either, and the platform's configuration.
+#![allow(dead_code)] // no test program uses all of it
 
 pub mod platform;
 pub mod process;
@@ -17,15 +17,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nanoseconds of a millisecond.
+/// Number of nanoseconds in a millisecond.
 pub const MS: u64 = 1_000_000;
 
-/// A span in milliseconds.
+/// A duration in milliseconds.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Settings in which every worker holds every shard.
+/// Settings of one aggregator with one class and a single cell, so that every worker holds every shard.
 pub fn settings() -> Settings {
     Settings {
         seed: 7,
@@ -51,7 +51,7 @@
     }
 }
 
-/// A class with an objective of 1.5 s and a deadline of 5 s, answered only completely.
+/// A class with an objective of 1.5 s, a deadline of 5 s and no partial answers.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: ms(1500),
@@ -68,7 +68,8 @@
     }
 }
 
-/// An entry of the endpoint list: a worker of one core in zone 0 and cell 0.
+/// An entry of the endpoint list: a worker of one unit of capacity in zone 0 and cell 0. `started_at` is
+/// `None` for a warm worker.
 pub fn entry(worker: u32, status: EndpointStatus, started_at: Option<Time>) -> Endpoint {
     Endpoint { worker: WorkerId(worker), zone: ZoneId(0), cell: CellId(0), status, units: 1.0, started_at }
 }
@@ -78,7 +79,7 @@
     workers.iter().map(|worker| entry(*worker, EndpointStatus::Active, None)).collect()
 }
 
-/// A dispatch that the decision module asked for.
+/// An attempt that the decision module sent (`Action::Send`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub id: RequestId,
@@ -88,19 +89,20 @@
     pub timeout: Duration,
 }
 
-/// The decision module of one aggregator; it records what the module asks for.
+/// One aggregator (an instance of the decision module) under a clock that the test advances. The harness
+/// records its actions.
 pub struct AggregatorHarness {
     pub aggregator: Aggregator,
     pub now: Time,
-    /// Every dispatch so far.
+    /// All attempts sent so far.
     pub sent: Vec<Sent>,
-    /// The actions of the last step.
+    /// Actions of the last step.
     pub actions: Vec<Action>,
     next_id: u64,
 }
 
 impl AggregatorHarness {
-    /// An aggregator that has received a list of these workers.
+    /// Creates an aggregator that has received an endpoint list of these workers.
     pub fn new(settings: Settings, workers: &[u32]) -> AggregatorHarness {
         let mut harness = AggregatorHarness {
             aggregator: Aggregator::new(settings),
@@ -113,7 +115,7 @@
         harness
     }
 
-    /// Runs a step of the module now, and records what it asks for.
+    /// Runs one step at the current time with these events, and records its actions.
     pub fn step(&mut self, events: Vec<Event>) {
         self.actions.clear();
         self.aggregator.step(self.now, events, &mut self.actions);
@@ -125,23 +127,23 @@
         }
     }
 
-    /// Advances time by a span in milliseconds, in steps of 10 ms, as the module's own timer would.
-    pub fn advance(&mut self, span: u64) {
-        for _ in 0..span / 10 {
+    /// Advances the clock by a number of milliseconds, and fires the timer every 10 ms.
+    pub fn advance(&mut self, duration_ms: u64) {
+        for _ in 0..duration_ms / 10 {
             self.now = self.now.after(ms(10));
             self.step(vec![Event::TimerFired { timer: TimerId(0) }]);
         }
     }
 
-    /// Submits a query of class 0 with one part for each shard; returns its id and its parts'.
+    /// Submits a query of class 0 with one part for each shard. Returns the ids of the query and its parts.
     pub fn submit(&mut self, key: Option<&str>, shards: &[u32]) -> (RequestId, Vec<RequestId>) {
         let (query, parts, events) = self.new_query(key, shards);
         self.step(events);
         (query, parts)
     }
 
-    /// The events of a query of class 0 with one part for each shard; returns its id, its parts' and the
-    /// events.
+    /// Creates the events of a query of class 0 with one part for each shard. Returns the id of the query,
+    /// the ids of its parts and the events.
     pub fn new_query(
         &mut self,
         key: Option<&str>,
@@ -176,7 +178,7 @@
         (id, parts, events)
     }
 
-    /// The event that an attempt finishes now, with the utilization that its worker reports.
+    /// The event of an attempt that finishes now, with the utilization that its worker reports, if any.
     pub fn attempt_finished(&self, sent: Sent, outcome: AttemptOutcome, utilization: Option<f64>) -> Event {
         Event::AttemptFinished(AttemptResult {
             id: sent.id,
@@ -189,29 +191,34 @@
         })
     }
 
-    /// The last dispatch.
+    /// The attempt that was sent last.
     pub fn last_sent(&self) -> Sent {
-        *self.sent.last().expect("something was dispatched")
+        *self.sent.last().expect("an attempt was sent")
     }
 }
 
-/// Whether a query was answered in the last step, and if so, whether the answer was complete.
+/// The query's response in the last step: `Some(true)` if complete, `Some(false)` if partial, `None` if the
+/// query was not answered.
 pub fn answered(harness: &AggregatorHarness, id: RequestId) -> Option<bool> {
     harness.actions.iter().find_map(|action| match action {
-        Action::Respond { id: of, complete } if *of == id => Some(*complete),
+        Action::Respond { id: responded, complete } if *responded == id => Some(*complete),
         _ => None,
     })
 }
 
 /// Whether a query was rejected in the last step.
 pub fn rejected(harness: &AggregatorHarness, id: RequestId) -> bool {
-    harness.actions.iter().any(|action| matches!(action, Action::Reject { id: of, .. } if *of == id))
+    let is_rejection =
+        |action: &Action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id);
+    harness.actions.iter().any(is_rejection)
 }
 
-/// Whether a query ended in the last step.
+/// Whether a query was answered, rejected or failed in the last step.
 pub fn ended(harness: &AggregatorHarness, id: RequestId) -> bool {
     harness.actions.iter().any(|action| match action {
-        Action::Respond { id: of, .. } | Action::Reject { id: of, .. } | Action::Fail { id: of } => *of == id,
+        Action::Respond { id: ended, .. } | Action::Reject { id: ended, .. } | Action::Fail { id: ended } => {
+            *ended == id
+        }
         _ => false,
     })
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,7 +1,7 @@
 //! Real processes of the program on loopback, with fake workers, discovery, clients and operators. Tests wait
-//! for events: a line of the log, a response, a counter.
+//! for an event (a log line, a response, a counter) in place of a fixed time.
 
-#![allow(unused_imports)] // each test file uses a part of what is re-exported
+#![allow(unused_imports)] // no test program uses all of the re-exports
 
 mod client;
 mod discovery;
@@ -21,54 +21,54 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than any event takes on a busy machine: a test must not hang forever.
+/// Time-out of every wait, so that no test hangs forever. Longer than any event takes on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until the condition holds; `what` names it where it does not in time.
+/// Waits until the condition holds; panics with `what`, its description, after [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let since = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TEST_TIMEOUT, "timed out waiting: {what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "timed out after {TEST_TIMEOUT:?} waiting: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A temporary folder of one test, removed at its end.
+/// A temporary folder of one test, removed when dropped.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
-    /// Creates a folder for the test of this name.
+    /// Creates a folder whose name contains this name and the test program's process id.
     pub fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("clayshore-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("the temporary folder is created");
         TempFolder(path)
     }
 }
 
 impl Drop for TempFolder {
     fn drop(&mut self) {
-        // A folder that remains disturbs no other test.
+        // A folder that remains does not affect other tests.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A loopback address that no other test uses: a port that was free a moment ago on 127.0.0.1 may be in use
-/// by another test now.
+/// An unused loopback address. The host part is random within 127.0.0.0/8, because another test could take a
+/// port of 127.0.0.1 before it is used.
 pub fn unused_address() -> String {
-    listen().local_addr().expect("an address").to_string()
+    listen().local_addr().expect("a bound listener has an address").to_string()
 }
 
-/// A listener on such an address.
+/// A listener on an unused loopback address, as [`unused_address`] chooses it.
 pub fn listen() -> TcpListener {
     let [second, third, fourth, _] = fastrand::u32(..).to_le_bytes();
-    TcpListener::bind((Ipv4Addr::new(127, second.max(1), third, fourth), 0)).expect("a port")
+    TcpListener::bind((Ipv4Addr::new(127, second.max(1), third, fourth), 0)).expect("a loopback port is free")
 }
 
-/// The scenarios' configuration with unused addresses and this discovery.
+/// The scenarios' configuration, with this discovery and unused addresses to listen on.
 pub fn config(discovery: &Discovery) -> serde_json::Value {
     let mut config = platform_json();
     config["discovery"] = discovery.address.clone().into();
-    config["known"] = serde_json::from_str(&discovery.list()).expect("JSON");
+    config["known"] = serde_json::from_str(&discovery.list()).expect("the endpoint list is JSON");
     (config["listen"], config["operator"]) = (unused_address().into(), unused_address().into());
     config
 }
--- a/tests/common/process/client.rs
+++ b/tests/common/process/client.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Reads what has arrived into the buffer; an error at the end of the connection.
+/// Reads the next bytes into the buffer; an error at the end of the connection.
 pub(super) fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> std::io::Result<()> {
     let mut bytes = [0; 4096];
     match stream.read(&mut bytes)? {
@@ -17,18 +17,20 @@
     }
 }
 
-/// Reads the response on this connection; an error where the connection ends without one.
+/// Reads one response from this connection; an error if the connection ends before it is complete.
 pub fn response(stream: &mut TcpStream) -> std::io::Result<ReceivedResponse> {
     let mut buffer = BytesMut::new();
     loop {
-        if let Some(response) = http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("a response") {
+        if let Some(response) =
+            http::take_response(&mut buffer, http::MAX_BODY_BYTES).expect("the response is valid HTTP")
+        {
             return Ok(response);
         }
         read_more(stream, &mut buffer)?;
     }
 }
 
-/// Sends a query for one part of shard 0 on this connection.
+/// Sends a query of one part, of shard 0, on this connection. Does not wait for the response.
 pub fn query(stream: &mut TcpStream, id: &str, class: &str) -> std::io::Result<()> {
     let body = r#"{"ranges":[{"range":0,"portion":1.0}],"predicate":"c41e"}"#;
     let head = format!(
@@ -37,18 +39,18 @@
     stream.write_all(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// Makes an operator's call; returns its status and text.
+/// Sends a request to the operators' API; returns the status and the body of the response.
 pub fn call_operator_api(address: &str, method: &str, path: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(address).expect("connected");
-    stream.write_all(&http::encode_request(method, path, "x", None)).expect("written");
-    let answer = response(&mut stream).expect("an answer");
-    (answer.status, String::from_utf8(answer.body.to_vec()).expect("text"))
+    let mut stream = TcpStream::connect(address).expect("the operators' API accepts connections");
+    stream.write_all(&http::encode_request(method, path, "x", None)).expect("the request is sent");
+    let response = response(&mut stream).expect("the operators' API responds");
+    (response.status, String::from_utf8(response.body.to_vec()).expect("the body is UTF-8"))
 }
 
-/// The value of a metric.
+/// Reads the value of a metric, of the form `NAME:VALUE|...`, from the operators' API at this address.
 pub fn metric_value(address: &str, name: &str) -> u64 {
     let (_, text) = call_operator_api(address, "GET", "/-/metrics");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
-    let value = line.unwrap_or_else(|| panic!("no {name} in {text}")).split('|').next().expect("a value");
-    value.parse().expect("a number")
+    let line = line.unwrap_or_else(|| panic!("no metric {name} in {text}"));
+    line.split('|').next().and_then(|value| value.parse().ok()).expect("the metric's value is a number")
 }
--- a/tests/common/process/discovery.rs
+++ b/tests/common/process/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery: it serves a list of workers that a test replaces.
+//! A fake discovery service: answers watches with an endpoint list that the test sets.
 
 use super::client::read_more;
 use bytes::BytesMut;
@@ -8,71 +8,77 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
-/// The revision of a list and its members as JSON; the condition variable is notified of each change.
+/// The revision of the list and its members as JSON, with a condition variable that is notified of changes.
 type VersionedList = Arc<(Mutex<(u64, String)>, Condvar)>;
 
-/// A discovery that sends its complete list to each watch, and again whenever it changes.
+/// A discovery service that sends its complete list to each watch, and again at each change.
 pub struct Discovery {
     pub address: String,
     versioned_list: VersionedList,
 }
 
 impl Discovery {
-    /// Starts a discovery with this list, as JSON, on a port of its own.
+    /// Starts a discovery service on a free port. `members` are the entries of its list as JSON, separated by
+    /// commas.
     pub fn start(members: &str) -> Discovery {
-        Discovery::on(TcpListener::bind("127.0.0.1:0").expect("a port"), members)
+        Discovery::on(TcpListener::bind("127.0.0.1:0").expect("a loopback port is free"), members)
     }
-    /// Starts a discovery with this list on a listener.
+    /// Starts a discovery service with these members on a listener.
     pub fn on(listener: TcpListener, members: &str) -> Discovery {
-        let address = listener.local_addr().expect("an address").to_string();
+        let address = listener.local_addr().expect("a bound listener has an address").to_string();
         let versioned_list: VersionedList = Arc::new((Mutex::new((1, members.to_owned())), Condvar::new()));
         let discovery = Discovery { address, versioned_list: versioned_list.clone() };
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let versioned_list = versioned_list.clone();
-                thread::spawn(move || serve_watch(stream.expect("a connection"), &versioned_list));
+                thread::spawn(move || {
+                    serve_watch(stream.expect("a connection is accepted"), &versioned_list)
+                });
             }
         });
         discovery
     }
-    /// Replaces the list and sends it to every watch.
+    /// Replaces the members and sends the list to every watch.
     pub fn publish(&self, members: &str) {
-        let mut versioned_list = self.versioned_list.0.lock().expect("sound");
+        let mut versioned_list = self.versioned_list.0.lock().expect("no thread panicked with the lock");
         *versioned_list = (versioned_list.0 + 1, members.to_owned());
         self.versioned_list.1.notify_all();
     }
-    /// The list as JSON.
+    /// The complete list as JSON.
     pub fn list(&self) -> String {
-        list(&self.versioned_list.0.lock().expect("sound"))
+        list(&self.versioned_list.0.lock().expect("no thread panicked with the lock"))
     }
 }
 
-/// A complete list as discovery sends it.
+/// Formats a complete list as a discovery response.
 fn list((revision, members): &(u64, String)) -> String {
     format!(r#"{{"revision":{revision},"complete":true,"members":[{members}]}}"#)
 }
 
-/// Answers the requests of one connection: at once, or, to one that has the current list, when it changes.
+/// Answers the requests on one connection: at once, or, if the request names the current revision, after the
+/// next change.
 fn serve_watch(mut stream: TcpStream, versioned_list: &(Mutex<(u64, String)>, Condvar)) -> Option<()> {
     let mut buffer = BytesMut::new();
     loop {
         let request = loop {
-            match http::take_request(&mut buffer).expect("a request") {
+            match http::take_request(&mut buffer).expect("the request is valid HTTP") {
                 Some(request) => break request,
                 None => read_more(&mut stream, &mut buffer).ok()?,
             }
         };
-        let known = request.parameter("index").map(|index| index.parse::<u64>().expect("a number"));
-        let current = versioned_list.0.lock().expect("sound");
+        let known =
+            request.parameter("index").map(|index| index.parse::<u64>().expect("the index is a number"));
+        let current = versioned_list.0.lock().expect("no thread panicked with the lock");
+        let is_known = |(revision, _): &mut (u64, String)| Some(*revision) == known;
         let current =
-            versioned_list.1.wait_while(current, |(revision, _)| Some(*revision) == known).expect("sound");
+            versioned_list.1.wait_while(current, is_known).expect("no thread panicked with the lock");
         let bytes = http::Response::json(200, list(&current)).encode(false);
         drop(current);
         stream.write_all(&bytes).ok()?;
     }
 }
 
-/// One worker in a discovery list, as JSON.
+/// The entry of a serving worker in a discovery list, as JSON.
 pub fn member(id: &str, address: &str) -> String {
     format!(r#"{{"id":"{id}","host_port":"{address}","cell":0,"phase":"SERVING"}}"#)
 }
