--- a/tests/common/simulated_fleet.rs
+++ b/tests/common/simulated_fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet at full size: a hundred aggregators, sixty workers in three zones, and an overloaded
-//! discovery.
+//! A simulation of a large fleet: a hundred aggregators and sixty workers in three zones, and separately an
+//! overloaded discovery service.
 
 use super::{AggregatorHarness, Sent, class, entry, ms, settings};
 use gatherer::policy::{
@@ -8,22 +8,22 @@
 };
 use std::collections::VecDeque;
 
-/// Aggregators of the fleet.
+/// Number of aggregators in the fleet.
 pub const AGGREGATORS: u32 = 100;
 const WORKERS: u32 = 60;
-/// Zones, over which workers and aggregators are spread.
+/// Number of zones, over which workers and aggregators are spread evenly.
 pub const ZONES: u32 = 3;
-/// Milliseconds between two steps of the simulation.
+/// Time between two steps of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// What a worker does with the attempts that reach it.
+/// The way in which a worker answers attempts.
 #[derive(Clone, Copy)]
 pub enum WorkerBehavior {
-    /// Answers every attempt.
+    /// Every attempt succeeds after 20 to 40 ms.
     Answers,
-    /// Cannot be connected to: a connect fails after 250 ms.
+    /// Connecting fails after 250 ms.
     Unreachable,
-    /// Answers eight of ten attempts with an error, at once.
+    /// Eight of ten attempts fail within a step; the others succeed.
     Failing,
 }
 
@@ -40,7 +40,7 @@
     in_flight: Vec<InFlight>,
 }
 
-/// The aggregators and the workers.
+/// The simulated aggregators and workers.
 pub struct SimulatedFleet {
     aggregators: Vec<SimulatedAggregator>,
     workers: Vec<WorkerBehavior>,
@@ -48,7 +48,7 @@
 }
 
 impl SimulatedFleet {
-    /// A fleet in which all workers answer.
+    /// Creates a fleet in which all workers answer, with one class of this idempotency.
     pub fn new(seed: u64, idempotency: Idempotency) -> SimulatedFleet {
         let endpoint = |id| Endpoint {
             zone: ZoneId(id % ZONES),
@@ -79,27 +79,27 @@
         }
     }
 
-    /// Changes what the chosen workers do from now on.
-    pub fn set_behavior(&mut self, which: impl Fn(u32) -> bool, behavior: WorkerBehavior) {
-        (0..WORKERS).filter(|id| which(*id)).for_each(|id| self.workers[id as usize] = behavior);
+    /// Sets the behaviour of the selected workers.
+    pub fn set_behavior(&mut self, is_selected: impl Fn(u32) -> bool, behavior: WorkerBehavior) {
+        (0..WORKERS).filter(|id| is_selected(*id)).for_each(|id| self.workers[id as usize] = behavior);
     }
 
-    /// Advances time by a span in milliseconds; each aggregator gets four queries of eight parts a second.
-    /// Returns the number of dispatches to the chosen workers, and of all.
-    pub fn advance(&mut self, span: u64, which: impl Fn(u32) -> bool) -> (usize, usize) {
-        let (mut to_chosen, mut total) = (0, 0);
-        for _ in 0..span / STEP_MS {
+    /// Advances the clock by a number of milliseconds. Each aggregator gets four queries of eight parts a
+    /// second on average. Returns the number of attempts sent to the selected workers, and the number of all.
+    pub fn advance(&mut self, duration_ms: u64, is_selected: impl Fn(u32) -> bool) -> (usize, usize) {
+        let (mut to_selected, mut total) = (0, 0);
+        for _ in 0..duration_ms / STEP_MS {
             for id in 0..self.aggregators.len() {
                 for sent in self.step(id) {
-                    to_chosen += usize::from(which(sent.worker.0));
+                    to_selected += usize::from(is_selected(sent.worker.0));
                     total += 1;
                 }
             }
         }
-        (to_chosen, total)
+        (to_selected, total)
     }
 
-    /// One step of an aggregator. Returns what it dispatched.
+    /// Runs one step of an aggregator. Returns the attempts that it sent.
     fn step(&mut self, id: usize) -> Vec<Sent> {
         let SimulatedAggregator { harness, in_flight } = &mut self.aggregators[id];
         harness.now = harness.now.after(ms(STEP_MS));
@@ -109,10 +109,10 @@
             let shards: [u32; 8] = std::array::from_fn(|_| self.random.u32(..WORKERS));
             events.extend(harness.new_query(Some(&format!("k{}", shards[0])), &shards).2);
         }
-        let before = harness.sent.len();
+        let sent_before = harness.sent.len();
         harness.step(events);
-        let dispatched = harness.sent[before..].to_vec();
-        for sent in &dispatched {
+        let newly_sent = harness.sent[sent_before..].to_vec();
+        for sent in &newly_sent {
             let (outcome, elapsed_ms) = match self.workers[sent.worker.0 as usize] {
                 WorkerBehavior::Unreachable => (AttemptOutcome::ConnectFailed, 250),
                 WorkerBehavior::Failing if self.random.u32(..10) < 8 => (AttemptOutcome::Failed, STEP_MS),
@@ -122,11 +122,11 @@
             in_flight.push(InFlight { ends_at, sent: *sent, outcome });
         }
         cancel_attempts(harness, in_flight);
-        dispatched
+        newly_sent
     }
 }
 
-/// The results of the attempts that have ended by now.
+/// Removes the attempts that have ended by now, and returns the events of their results.
 fn finished_attempts(harness: &AggregatorHarness, in_flight: &mut Vec<InFlight>) -> Vec<Event> {
     let finished = in_flight.extract_if(.., |attempt| attempt.ends_at <= harness.now);
     let event = |attempt: InFlight| {
@@ -136,7 +136,7 @@
     finished.map(event).collect()
 }
 
-/// Ends at once the attempts that were cancelled in the last step.
+/// Lets the attempts that the last step cancelled end now.
 fn cancel_attempts(harness: &AggregatorHarness, in_flight: &mut [InFlight]) {
     for action in &harness.actions {
         let Action::Cancel { id, attempt } = action else { continue };
@@ -148,34 +148,38 @@
     }
 }
 
-/// How long a poll takes, how many polls wait in turn, and after how long a response is useless.
+/// Service time of a poll of discovery.
 const POLL_MS: u64 = 150;
+/// Length of discovery's queue; further polls are rejected.
 const MAX_QUEUED_POLLS: usize = 14;
-const USELESS_AFTER_MS: u64 = 2000;
+/// Time-out of a caller, after which it ignores the response to its poll.
+const POLL_TIMEOUT_MS: u64 = 2000;
 
-/// Simulates callers that poll an overloaded discovery for 90 s, as on the deployment herd+vast: a poll takes
-/// 150 ms, 14 wait in turn, others are rejected, and the response to one that has waited for 2 s is useless.
-/// Returns how many callers got their list, and the most polls in a second.
+/// Simulates callers that poll an overloaded discovery service for 90 s, as on the deployment herd+vast:
+/// discovery serves one poll at a time, queues some and rejects the rest. A caller polls at its start time,
+/// in milliseconds, and again after a backoff if its poll was rejected or answered too late. `backoff_ms`
+/// returns the backoff of the caller with this index. Returns the number of callers that got their list, and
+/// the largest number of polls in one second.
 pub fn simulate_discovery_polls(
     starts: Vec<u64>,
     mut backoff_ms: impl FnMut(usize) -> u64,
 ) -> (usize, usize) {
-    let mut due: Vec<Option<u64>> = starts.into_iter().map(Some).collect();
+    let mut next_polls: Vec<Option<u64>> = starts.into_iter().map(Some).collect();
     let (mut queue, mut served, mut polls) = (VecDeque::new(), 0, vec![0; 90]);
     for now in 0..90_000 {
-        for (id, due) in due.iter_mut().enumerate() {
-            if due.is_some_and(|at| at <= now) {
+        for (id, next_poll) in next_polls.iter_mut().enumerate() {
+            if next_poll.is_some_and(|at| at <= now) {
                 polls[now as usize / 1000] += 1;
                 let is_full = queue.len() >= MAX_QUEUED_POLLS;
-                *due = is_full.then(|| now + 1 + backoff_ms(id));
+                *next_poll = is_full.then(|| now + 1 + backoff_ms(id));
                 queue.extend((!is_full).then_some((id, now)));
             }
         }
         if now % POLL_MS == 0
-            && let Some((id, since)) = queue.pop_front()
+            && let Some((id, polled_at)) = queue.pop_front()
         {
-            let is_late = now - since >= USELESS_AFTER_MS;
-            due[id] = is_late.then(|| now + 1 + backoff_ms(id));
+            let is_late = now - polled_at >= POLL_TIMEOUT_MS;
+            next_polls[id] = is_late.then(|| now + 1 + backoff_ms(id));
             served += usize::from(!is_late);
         }
     }
