--- a/tests/scenario/fronts.rs
+++ b/tests/scenario/fronts.rs
@@ -1,4 +1,5 @@
-//! The gatherer under test of a scenario: one front with its transport, on the fake network.
+//! The gatherer under test in a scenario: one front with its broker and its transport to workers, on the fake
+//! network.
 
 use super::network::{FakeNetwork, WireFormat};
 use gatherer::fronts::opensearch::OpenSearchFront;
@@ -19,17 +20,17 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The wall clock at the start of a scenario.
+/// Wall clock time at the start of a scenario.
 pub(super) const START_TIME: Time = Time(1_700_000_000_000_000_000);
 const MAX_DESCRIPTORS: usize = 256;
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
 const SEED: u64 = 7;
 
-/// What surrounds the front under test.
+/// The network, connection limits and clock of the front under test.
 pub(super) struct Environment {
     pub(super) network: FakeNetwork,
     pub(super) connection_manager: Rc<ConnectionManager>,
-    /// The address of discovery.
+    /// The address of the discovery agent, which a reload (SIGHUP) changes.
     pub(super) discovery_address: watch::Sender<String>,
     descriptor_pool: Rc<DescriptorPool>,
     clock: Clock,
@@ -37,7 +38,7 @@
 
 impl Environment {
     pub(super) fn new() -> Environment {
-        let budget = DescriptorBudget::new(MAX_DESCRIPTORS, 16, 0).expect("enough");
+        let budget = DescriptorBudget::new(MAX_DESCRIPTORS, 16, 0).expect("the limit is large enough");
         let descriptor_pool = DescriptorPool::new(budget, MAX_BUFFERED_BYTES);
         Environment {
             network: FakeNetwork::default(),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A broker for these workers, each of which is a party that speaks this format.
+    /// Creates a broker for these workers, and a party of this format for each.
     fn broker(&self, contracts: Contracts, workers: &WorkerListUpdate, format: WireFormat) -> Broker {
         let broker = Broker::new(Core::new(contracts), self.clock);
         broker.apply_endpoint_update(workers, true);
@@ -58,7 +59,8 @@
         broker
     }
 
-    /// Follows discovery on the fake network, from a revision that is held already or from none.
+    /// Starts to follow the endpoint list of discovery on the fake network. `held_revision` is the revision
+    /// that the broker has already, if any.
     fn follow_discovery(&self, broker: &Broker, held_revision: Option<u64>, backoff: Backoff) {
         for name in ["agent", "agent2"] {
             self.network.add(name, WireFormat::Requests);
@@ -78,15 +80,16 @@
     pub(super) broker: Broker,
 }
 
-/// The platform's front, as a scenario's first line describes it.
+/// Creates the platform's front, as described by the first line of a scenario.
 pub(super) fn platform(
     environment: &Environment,
     description: &str,
 ) -> FrontUnderTest<impl Front + use<>, impl WorkerTransport + use<>> {
-    let mut json: serde_json::Value = serde_json::from_str(include_str!("platform.json")).expect("JSON");
+    let mut json: serde_json::Value =
+        serde_json::from_str(include_str!("platform.json")).expect("platform.json is JSON");
     json["settings"]["allowed"]["cancel"] = (!description.ends_with("without cancelling")).into();
-    let config = Config::from_json(&json, |_| None).expect("a configuration");
-    let workers = config.initial_workers.expect("a list");
+    let config = Config::from_json(&json, |_| None).expect("platform.json is a valid configuration");
+    let workers = config.initial_workers.expect("platform.json lists workers");
     let broker = environment.broker(config.contracts, &workers, WireFormat::Frames);
     let connector = Rc::new(environment.network.clone());
     let transport = Workers::new(broker.clone(), connector, environment.descriptor_pool.clone());
@@ -105,11 +108,11 @@
     FrontUnderTest { front, transport, broker }
 }
 
-/// The OpenSearch-style front.
+/// Creates the OpenSearch-style front.
 pub(super) fn opensearch(
     environment: &Environment,
 ) -> FrontUnderTest<impl Front + use<>, impl WorkerTransport + use<>> {
-    let file = FrontFile::parse(include_str!("opensearch.toml"), SEED).expect("a file");
+    let file = FrontFile::parse(include_str!("opensearch.toml"), SEED).expect("opensearch.toml is valid");
     let broker = environment.broker(file.contracts, &file.servers, WireFormat::Requests);
     let connector = Rc::new(environment.network.clone());
     let transport = IndexServers::new(broker.clone(), connector, environment.descriptor_pool.clone());
--- a/tests/scenario/network.rs
+++ b/tests/scenario/network.rs
@@ -1,5 +1,5 @@
-//! The fake network of a scenario: in-memory pipes to and from its parties, and what each party receives as
-//! text.
+//! The fake network of a scenario: in-memory pipes between the gatherer and its parties, and the translation
+//! between the parties' wire formats and the text of scripts and transcripts.
 
 use bytes::{BufMut, BytesMut};
 use gatherer::protocol::http;
@@ -13,17 +13,17 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Bytes that a pipe holds each way.
+/// Buffer size of a pipe in each direction.
 const PIPE_BYTES: usize = 1 << 16;
-/// The largest body that a client takes.
+/// Largest response body that a client accepts.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Both ends of a connection.
+/// Creates a connection; returns its two ends.
 pub(super) fn pipe() -> (DuplexStream, DuplexStream) {
     tokio::io::duplex(PIPE_BYTES)
 }
 
-/// Whether connections to a party are established.
+/// State of a party's port, which decides whether connections are established.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum PortState {
     Open,
@@ -35,66 +35,70 @@
     DelayedOpen(Duration),
 }
 
-/// What a party receives; it sends the counterpart.
+/// Format of the messages that a party receives. It sends their counterpart.
 #[derive(Clone, Copy)]
 pub(super) enum WireFormat {
-    /// A worker: frames, which it answers with frames.
+    /// A worker receives frames and sends frames.
     Frames,
-    /// A server: HTTP requests, which it answers with responses.
+    /// A server receives HTTP requests and sends responses.
     Requests,
-    /// A client: HTTP responses to its requests.
+    /// A client receives HTTP responses and sends requests.
     Responses,
 }
 
 impl WireFormat {
-    /// The bytes of what a scenario lets a party send, which stands for itself after `raw `.
-    pub(super) fn encode(self, what: &str) -> Vec<u8> {
-        match (self, what.strip_prefix("raw ")) {
+    /// Encodes a message that a scenario lets a party send. Text after `raw ` is sent as it stands, with `\0`
+    /// or `\r\n` replaced.
+    pub(super) fn encode(self, text: &str) -> Vec<u8> {
+        match (self, text.strip_prefix("raw ")) {
             (WireFormat::Frames, Some(raw)) => raw.replace("\\0", "\0").into_bytes(),
             (WireFormat::Requests | WireFormat::Responses, Some(raw)) => {
                 raw.replace("\\r\\n", "\r\n").into_bytes()
             }
-            (WireFormat::Frames, None) => encode_frame(what),
-            (WireFormat::Requests, None) => encode_response(what),
-            (WireFormat::Responses, None) => encode_request(what),
+            (WireFormat::Frames, None) => encode_frame(text),
+            (WireFormat::Requests, None) => encode_response(text),
+            (WireFormat::Responses, None) => encode_request(text),
         }
     }
 }
 
-/// `KIND REST` with `|` for line ends, as a frame.
-fn encode_frame(what: &str) -> Vec<u8> {
-    let text = what.replacen(' ', "", 1).replace('|', "\n");
+/// Encodes `KIND REST`, in which `|` stands for a line end, as a frame.
+fn encode_frame(text: &str) -> Vec<u8> {
+    let payload = text.replacen(' ', "", 1).replace('|', "\n");
     let mut bytes = BytesMut::new();
-    bytes.put_u32_le(text.len() as u32);
-    bytes.put_slice(text.as_bytes());
+    bytes.put_u32_le(payload.len() as u32);
+    bytes.put_slice(payload.as_bytes());
     bytes.to_vec()
 }
 
-/// `STATUS BODY` as an HTTP response.
-fn encode_response(what: &str) -> Vec<u8> {
-    let (status, body) = what.split_once(' ').expect("a status and a body");
-    http::Response::json(status.parse().expect("a status"), body.to_owned()).encode(false).to_vec()
+/// Encodes `STATUS BODY` as an HTTP response.
+fn encode_response(text: &str) -> Vec<u8> {
+    let (status, body) = text.split_once(' ').expect("a response has a status and a body");
+    let status = status.parse().expect("the status is a number");
+    http::Response::json(status, body.to_owned()).encode(false).to_vec()
 }
 
-/// `METHOD PATH FIELD=VALUE ... {BODY}` as an HTTP request.
-fn encode_request(what: &str) -> Vec<u8> {
-    let (head, body) = what.split_at(what.find(" {").map_or(what.len(), |space| space + 1));
-    let mut words = head.split_whitespace();
-    let (method, path) = (words.next().expect("a method"), words.next().expect("a path"));
-    let mut text = format!("{method} {path} HTTP/1.1\r\n");
-    words.for_each(|field| text.push_str(&format!("{}\r\n", field.replacen('=', ": ", 1))));
-    format!("{text}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+/// Encodes `METHOD PATH HEADER=VALUE ... {BODY}` as an HTTP request.
+fn encode_request(text: &str) -> Vec<u8> {
+    let (start, body) = text.split_at(text.find(" {").map_or(text.len(), |space| space + 1));
+    let mut words = start.split_whitespace();
+    let method = words.next().expect("a request has a method");
+    let path = words.next().expect("a request has a path");
+    let mut head = format!("{method} {path} HTTP/1.1\r\n");
+    words.for_each(|header| head.push_str(&format!("{}\r\n", header.replacen('=', ": ", 1))));
+    format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 /// A worker, a server or a client of the scenario.
 pub(super) struct Party {
     pub(super) format: WireFormat,
     pub(super) port: PortState,
-    /// Its connections; a closed one leaves `None`.
+    /// Connections in the order in which they were established; `None` for one that the scenario closed.
     pub(super) connections: Vec<Option<Connection>>,
-    /// Indexes of connections on which a request waits for its response, in order.
+    /// Indexes of the connections on which a request waits for its response, oldest request first.
     pending: Rc<RefCell<VecDeque<usize>>>,
     inbox_sender: mpsc::UnboundedSender<String>,
+    /// Received messages as text, and `closed` for the end of a connection.
     pub(super) inbox: Rc<RefCell<mpsc::UnboundedReceiver<String>>>,
 }
 
@@ -117,30 +121,30 @@
             inbox,
         }
     }
-    /// Takes the party's end of a new connection.
+    /// Adds a connection, of which `end` is the party's end.
     pub(super) fn connect(&mut self, end: DuplexStream) {
         let (read, mut write) = split(end);
         let (sender, mut outgoing) = mpsc::unbounded_channel::<Vec<u8>>();
         let (inbox_sender, pending, index) =
             (self.inbox_sender.clone(), self.pending.clone(), self.connections.len());
-        let reader = spawn_local(listen(read, self.format, inbox_sender, pending, index));
+        let reader = spawn_local(receive(read, self.format, inbox_sender, pending, index));
         let writer = spawn_local(async move {
             while let Some(bytes) = outgoing.recv().await {
-                // The gatherer may have closed the connection; the scenario then expects it.
+                // Fails if the gatherer has closed the connection, which the inbox shows.
                 let _ = write.write_all(&bytes).await;
             }
         });
         self.connections.push(Some(Connection { sender, tasks: [reader, writer] }));
     }
-    /// The connection to send on next: the one with the oldest pending request, else the newest.
+    /// The connection to send on next: the one with the oldest pending request, or without such the newest.
     pub(super) fn next_connection(&mut self) -> Option<&mut Option<Connection>> {
         let index = self.pending.borrow_mut().pop_front().or(self.connections.len().checked_sub(1))?;
         self.connections.get_mut(index)
     }
 }
 
-/// Turns what a party receives into lines of the transcript.
-async fn listen(
+/// Reads one connection of a party until it ends, and puts its messages into the inbox.
+async fn receive(
     mut read: ReadHalf<DuplexStream>,
     format: WireFormat,
     inbox_sender: mpsc::UnboundedSender<String>,
@@ -149,12 +153,12 @@
 ) {
     let mut buffer = BytesMut::new();
     loop {
-        while let Some(words) = message(&mut buffer, format) {
+        while let Some(message) = take_message(&mut buffer, format) {
             if matches!(format, WireFormat::Requests) {
                 pending.borrow_mut().push_back(index);
             }
-            // It fails only at the end of the scenario, when nobody reads the inbox.
-            let _ = inbox_sender.send(words);
+            // Fails only at the end of the scenario, when the inbox has been dropped.
+            let _ = inbox_sender.send(message);
         }
         if !matches!(read.read_buf(&mut buffer).await, Ok(1..)) {
             pending.borrow_mut().retain(|other| *other != index);
@@ -164,8 +168,8 @@
     }
 }
 
-/// Takes the next complete message from the buffer, as one line of text.
-fn message(buffer: &mut BytesMut, format: WireFormat) -> Option<String> {
+/// Takes the next complete message from the buffer, as one line of text; `None` if there is none.
+fn take_message(buffer: &mut BytesMut, format: WireFormat) -> Option<String> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().replace('\n', "|");
     match format {
         WireFormat::Frames => {
@@ -173,18 +177,19 @@
             (buffer.len() >= 4 + length).then(|| text(&buffer.split_to(4 + length)[4..]))
         }
         WireFormat::Requests => {
-            let request = http::take_request(buffer).expect("a request")?;
+            let request = http::take_request(buffer).expect("the request is valid HTTP")?;
             Some(format!("{} {}?{} {}", request.method, request.path, request.query, text(&request.body)))
         }
         WireFormat::Responses => {
-            let response = http::take_response(buffer, MAX_BODY_BYTES).expect("a response")?;
+            let response =
+                http::take_response(buffer, MAX_BODY_BYTES).expect("the response is valid HTTP")?;
             let after = response.headers.get("Retry-After").map(|after| format!(" after={after}"));
             Some(format!("{}{} {}", response.status, after.unwrap_or_default(), text(&response.body)))
         }
     }
 }
 
-/// A fake network of in-memory pipes, by address.
+/// A fake network: its parties by address, which for a client is its name.
 #[derive(Clone, Default)]
 pub(super) struct FakeNetwork(pub(super) Rc<RefCell<BTreeMap<String, Party>>>);
 
@@ -202,11 +207,11 @@
             match port {
                 PortState::Closed => return Err(io::ErrorKind::ConnectionRefused.into()),
                 PortState::Silent => std::future::pending().await,
-                PortState::DelayedOpen(late) => tokio::time::sleep(late).await,
+                PortState::DelayedOpen(delay) => tokio::time::sleep(delay).await,
                 PortState::Open => {}
             }
             let (near, far) = pipe();
-            self.0.borrow_mut().get_mut(address).expect("known").connect(far);
+            self.0.borrow_mut().get_mut(address).expect("a party with an open port is known").connect(far);
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     }
