--- a/src/bin/soak-test/fault_injection.rs
+++ b/src/bin/soak-test/fault_injection.rs
@@ -97,7 +97,7 @@
         self.observations.borrow_mut().worker_pauses.push(pause);
     }
 
-    /// Announces a worker's drain, kills the worker at the end of the drain, and starts it anew.
+    /// Announces a worker's drain, kills the worker at the end of the drain, and restarts it.
     async fn drain_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         let announced = self.announce_phase(&worker.name, Phase::Draining);
         tokio::time::sleep(DRAIN_LASTS + lasts).await;
@@ -105,7 +105,7 @@
         self.relist(worker, announced);
     }
 
-    /// Kills a worker, announces its removal after half of the fault's duration, and starts the worker anew.
+    /// Kills a worker, announces its removal after half of the fault's duration, and restarts the worker.
     async fn kill_worker(&self, worker: &WorkerProcess, lasts: Duration) {
         worker.kill();
         tokio::time::sleep(lasts / 2).await;
@@ -133,7 +133,7 @@
         self.gatherers.iter().filter_map(announcement).collect()
     }
 
-    /// Starts a worker anew, lists it as serving, and records its removal for each agent that announced it.
+    /// Restarts a worker, lists it as serving, and records its removal for each agent that announced it.
     fn relist(&self, worker: &WorkerProcess, announced: Vec<Announcement>) {
         worker.restart();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/soak/checker/parts.rs
+++ b/src/soak/checker/parts.rs
@@ -60,6 +60,7 @@
 }
 
 impl ReceivedPart<'_> {
+    /// Names the part, as `REQUEST.SHARD`, and its worker.
     fn describe(&self) -> String {
         format!("part {}.{} at {}", self.part.request, self.part.shard, self.part.worker)
     }
@@ -103,7 +104,8 @@
         if let Some(removal) = removal {
             let after_ms = ms(received_at - removal.effective_at);
             let about = self.describe();
-            let details = format!("{about}: received {after_ms} ms after the worker's drain or removal");
+            let details =
+                format!("{about}: received {after_ms} ms after the worker's drain or removal took effect");
             report(violations, ViolationKind::SentToDrainedWorker, details);
         }
     }
--- a/src/soak/fault_schedule.rs
+++ b/src/soak/fault_schedule.rs
@@ -22,11 +22,11 @@
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A gatherer gets SIGTERM and is started anew.
+    /// A gatherer gets SIGTERM and is restarted.
     Restart,
     /// A gatherer is hot-restarted: a second process takes over, then the first gets SIGTERM.
     Upgrade,
-    /// A gatherer is killed and started anew.
+    /// A gatherer is killed and restarted.
     Kill,
     /// The discovery address in a gatherer's configuration changes, with SIGHUP while the file is half written.
     Reload,
@@ -38,9 +38,9 @@
     DiscoveryUnresponsive,
     /// The connections of a gatherer to its discovery agent, which carry its watch, are reset.
     WatchReset,
-    /// A worker is drained, ended and started anew.
+    /// A worker is drained, killed and restarted.
     WorkerDrain,
-    /// A worker is killed and started anew.
+    /// A worker is killed and restarted.
     WorkerKill,
     /// A worker is paused (SIGSTOP).
     WorkerPause,
--- a/tools/faults/faults.c
+++ b/tools/faults/faults.c
@@ -5,7 +5,7 @@
  *
  * Environment variables:
  *   FAULTS         NAME=VALUE,...: the settings of `struct settings`
- *   FAULTS_SWITCH  path of a file: faults are injected only while it exists; without this variable, always
+ *   FAULTS_SWITCH  path of a file: faults are injected only while it exists; optional
  *
  * Random numbers are drawn from the seed alone, so that a run with one thread can be repeated.
  */
@@ -282,7 +282,7 @@
     return real(fd);
 }
 
-/* Adds an offset to the wall clock that is drawn anew each `wall_period_ms`, within `wall_step_s` either way. */
+/* Adds an offset to the wall clock that is drawn again each `wall_period_ms`, within `wall_step_s` either way. */
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
     int result = real(clock, now);
