--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -83,7 +83,7 @@
             }
             lines.gauge(&["outstanding"], core.open_queries() as u64);
             lines.gauge(&["discovered"], core.listed_workers() as u64);
-            lines.gauge(&["ejected"], core.avoided_workers() as u64);
+            lines.gauge(&["ejected"], core.unavailable_workers() as u64);
         });
         Response { body: Bytes::from(lines.text()), ..Response::text(200, "") }
     }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -80,7 +80,7 @@
             let class = query_request
                 .and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
             if let Some(class) = class.map(|(class, _)| class) {
-                core.reject_unread(class);
+                core.reject_overloaded(class);
             }
         });
         platform::rejection_response(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
--- a/src/program/upgrade/successor.rs
+++ b/src/program/upgrade/successor.rs
@@ -181,7 +181,7 @@
     fn apply_state(&self, state: TakeoverState) {
         let now = self.clock.now();
         self.broker.with_core(|core| {
-            core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot)
+            core.restore_from_peer(now, &state.list, state.disabled_workers, state.policy_snapshot)
         });
         if state.drained {
             self.apply_peer_request(LifecycleRequest::Drain);
--- a/src/routing/core.rs
+++ b/src/routing/core.rs
@@ -207,7 +207,7 @@
 
     /// Counts a query that was rejected before it was parsed, because its connection's descriptor could not become
     /// busy.
-    pub fn reject_unread(&mut self, class: ClassId) {
+    pub fn reject_overloaded(&mut self, class: ClassId) {
         self.class_counts.record_received(class.0);
         self.class_counts.record_end(class.0, QueryEnd::RejectedAtCapacity);
     }
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -28,7 +28,7 @@
 
     /// Returns the number of listed workers that are disabled or ejected.
     #[must_use]
-    pub fn avoided_workers(&self) -> usize {
+    pub fn unavailable_workers(&self) -> usize {
         let ejected = self.policy.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_disabled() + ejected.count()
     }
@@ -150,7 +150,7 @@
 
     /// Restores the state of the gatherer's other process: its endpoint list, the disabled workers, and the snapshot of
     /// its decision module.
-    pub fn take_over(
+    pub fn restore_from_peer(
         &mut self,
         now: Time,
         list: &WorkerListUpdate,
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -89,7 +89,7 @@
 /// The core of a successor that takes over this state.
 fn successor(state: TakeoverState, now: Time) -> Core {
     let mut core = Core::new(platform_config().contracts);
-    core.take_over(now, &state.list, state.disabled_workers, state.policy_snapshot);
+    core.restore_from_peer(now, &state.list, state.disabled_workers, state.policy_snapshot);
     core.step(now);
     core
 }
@@ -116,9 +116,9 @@
     let tried: Vec<String> =
         (0..20).flat_map(|number| submit(&mut first, after(number * 20), "w1")).collect();
     assert!(tried.iter().any(|name| name == "w1"));
-    assert_eq!(first.avoided_workers(), 1);
+    assert_eq!(first.unavailable_workers(), 1);
     let mut second = successor(handed_over(&first), after(400));
-    assert_eq!(second.avoided_workers(), 1);
+    assert_eq!(second.unavailable_workers(), 1);
     assert!((0..20).all(|number| submit(&mut second, after(400 + number * 5), "w1") == ["w2"]));
     // A process without the snapshot sends attempts to the worker again.
     let mut fresh = core(1, [None, None]);
@@ -133,7 +133,7 @@
     (0..20).for_each(|number| drop(submit(&mut first, after(number * 20), "w1")));
     let mut state = handed_over(&first);
     state.list = list([Some(after(300)), None]);
-    assert_eq!((first.avoided_workers(), successor(state, after(400)).avoided_workers()), (1, 0));
+    assert_eq!((first.unavailable_workers(), successor(state, after(400)).unavailable_workers()), (1, 0));
 }
 
 proptest! {
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -88,7 +88,7 @@
             TestEvent::RejectedUnread { class } => {
                 self.received[class] += 1;
                 self.ended += 1;
-                self.core.reject_unread(ClassId(class));
+                self.core.reject_overloaded(ClassId(class));
             }
             TestEvent::RejectedStopping { class } => {
                 self.received[class] += 1;
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -322,7 +322,7 @@
         assert!(matches!(outcome, QueryOutcome::Answered { complete: true, .. }), "{outcome:?}");
         let counters = broker.with_core(|core| core.counters.clone());
         assert_eq!(
-            (counters.ended_refused, broker.with_core(|core| core.avoided_workers())),
+            (counters.ended_refused, broker.with_core(|core| core.unavailable_workers())),
             (0, 0),
             "{counters}"
         );
