--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -316,12 +316,12 @@
         })
     }
 
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
-    fn overloaded(&self, _: Option<&Request>) -> Response {
+    fn rejection(&self, _: Option<&Request>) -> Response {
         let retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
         opensearch::rejection_response(Rejection::AtCapacity, retry_after)
     }
--- a/src/fronts/operators.rs
+++ b/src/fronts/operators.rs
@@ -32,7 +32,7 @@
 /// The other process of an upgrade, if there is one.
 pub trait UpgradePeer {
     /// The reason why this process does not serve yet; `None` if it does.
-    fn unready(&self) -> Option<&'static str>;
+    fn not_ready_reason(&self) -> Option<&'static str>;
     /// Whether a predecessor is still handing over to this process.
     fn has_predecessor(&self) -> bool;
     /// Notifies the other process of an operator's change, which that process applies too.
@@ -53,7 +53,7 @@
 
 impl OperatorFront {
     fn ready(&self) -> Response {
-        if let Some(reason) = self.upgrade_peer.unready() {
+        if let Some(reason) = self.upgrade_peer.not_ready_reason() {
             return Response::text(503, reason);
         }
         match self.connections.lifecycle_state() {
@@ -139,7 +139,7 @@
     fn respond(&self, request: &Request) -> Response {
         // A change made now would be overwritten by the predecessor's state, which is not applied yet.
         if request.method == "PUT"
-            && let Some(reason) = self.upgrade_peer.unready()
+            && let Some(reason) = self.upgrade_peer.not_ready_reason()
         {
             return Response::text(503, reason);
         }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -69,12 +69,12 @@
         }
     }
 
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         Response::text(error.status(), error.to_string())
     }
 
-    fn overloaded(&self, request: Option<&Request>) -> Response {
+    fn rejection(&self, request: Option<&Request>) -> Response {
         let query_request = request.filter(|request| request.path == "/api");
         self.broker.with_core(|core| {
             let class = query_request
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -206,7 +206,15 @@
         let (broker, connector) = (self.broker.clone(), self.connector.clone());
         let descriptor_pool = self.descriptor_pool.clone();
         spawn_local(async move {
-            discovery::follow(&*connector, address, known_revision, &broker, &descriptor_pool, backoff).await
+            discovery::watch_endpoints(
+                &*connector,
+                address,
+                known_revision,
+                &broker,
+                &descriptor_pool,
+                backoff,
+            )
+            .await
         });
         discovery_address
     }
--- a/src/program/upgrade.rs
+++ b/src/program/upgrade.rs
@@ -161,7 +161,7 @@
 }
 
 impl UpgradePeer for Upgrade {
-    fn unready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         match (self.waiting_for_upgrade.get(), self.takeover.borrow().is_serving()) {
             (true, _) => Some("another upgrade is under way"),
             (false, false) => Some("starting"),
--- a/src/transport/clients/connection.rs
+++ b/src/transport/clients/connection.rs
@@ -86,7 +86,7 @@
             self.permit.set_source(source(self.peer, Some(caller)));
         }
         if !self.permit.try_begin_request() {
-            let rejection = self.front.overloaded(Some(&request)).encode(true);
+            let rejection = self.front.rejection(Some(&request)).encode(true);
             if self.write_and_close(&rejection).await {
                 guard.mark_sent();
             }
@@ -160,7 +160,7 @@
                 Ok(None) => {}
                 Err(error) => {
                     self.permit.on_malformed_input();
-                    return NextStep::CloseAfterWriting(self.front.malformed(error).encode(true));
+                    return NextStep::CloseAfterWriting(self.front.malformed_response(error).encode(true));
                 }
             }
             if !continue_sent && http::expects_continue(&self.buffer) {
@@ -232,7 +232,7 @@
             return None;
         }
         if self.responses == 0 {
-            return Some(NextStep::CloseAfterWriting(self.front.overloaded(None).encode(true)));
+            return Some(NextStep::CloseAfterWriting(self.front.rejection(None).encode(true)));
         }
         self.close_idle().await;
         Some(NextStep::Close)
--- a/src/transport/clients/front.rs
+++ b/src/transport/clients/front.rs
@@ -9,10 +9,10 @@
     /// Returns the response to one request. The future is dropped when the client closes its connection first.
     fn respond(&self, request: Request) -> impl Future<Output = Response>;
     /// Returns the response to input that is not a valid request.
-    fn malformed(&self, error: http::MalformedMessage) -> Response;
+    fn malformed_response(&self, error: http::MalformedMessage) -> Response;
     /// Returns the rejection for lack of capacity: of a request, which was not executed, or of a connection on which
     /// none was read.
-    fn overloaded(&self, request: Option<&Request>) -> Response;
+    fn rejection(&self, request: Option<&Request>) -> Response;
     /// Returns the name of the caller that a request states, if the protocol has a field for it.
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str>;
     /// Returns the name of a request for the log, if the protocol has one.
--- a/src/transport/clients/listener.rs
+++ b/src/transport/clients/listener.rs
@@ -130,7 +130,7 @@
     failing_since: Option<Time>,
 ) {
     let Some(permit) = manager.admit(source(peer, None), ADMISSION_TIMEOUT).await else {
-        return reject_connection(stream, &front.overloaded(None), manager).await;
+        return reject_connection(stream, &front.rejection(None), manager).await;
     };
     let now = manager.descriptor_pool().now();
     permit.set_queue_time(failing_since.map_or(Duration::ZERO, |since| now.since(since)));
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -27,7 +27,7 @@
 
 /// Polls the agent and applies each update to the broker, until the process ends. `held_revision` is the revision of
 /// the list that the broker already has; without it, the first poll asks for the complete list.
-pub async fn follow(
+pub async fn watch_endpoints(
     connector: &dyn Connector,
     mut address: watch::Receiver<String>,
     held_revision: Option<u64>,
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -186,8 +186,15 @@
         // The address does not change; the sender is kept so that the channel stays open.
         let (_sender, address) = tokio::sync::watch::channel("discovery".to_owned());
         let backoff = Backoff::new(seed, gatherers, MAX_POLL_INTERVAL);
-        discovery::follow(&connector, address, Some(list.revision), &task_broker, &descriptor_pool, backoff)
-            .await;
+        discovery::watch_endpoints(
+            &connector,
+            address,
+            Some(list.revision),
+            &task_broker,
+            &descriptor_pool,
+            backoff,
+        )
+        .await;
     });
     broker
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -104,10 +104,10 @@
     async fn respond(&self, _: Request) -> Response {
         std::future::pending().await
     }
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn overloaded(&self, _: Option<&Request>) -> Response {
+    fn rejection(&self, _: Option<&Request>) -> Response {
         Response::text(503, "overloaded")
     }
     fn caller<'a>(&self, _: &'a Request) -> Option<&'a str> {
--- a/tests/listener/server.rs
+++ b/tests/listener/server.rs
@@ -28,10 +28,10 @@
         }
         Response::text(200, request.path)
     }
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         Response::text(error.status(), error.to_string())
     }
-    fn overloaded(&self, _: Option<&Request>) -> Response {
+    fn rejection(&self, _: Option<&Request>) -> Response {
         Response::text(503, "overloaded").with_header("Retry-After", "1")
     }
     fn caller<'a>(&self, request: &'a Request) -> Option<&'a str> {
--- a/tests/scenario/fronts.rs
+++ b/tests/scenario/fronts.rs
@@ -66,7 +66,8 @@
         let (connector, broker) = (self.network.clone(), broker.clone());
         let (address, descriptor_pool) = (self.discovery_address.subscribe(), self.descriptor_pool.clone());
         spawn_local(async move {
-            discovery::follow(&connector, address, held_revision, &broker, &descriptor_pool, backoff).await
+            discovery::watch_endpoints(&connector, address, held_revision, &broker, &descriptor_pool, backoff)
+                .await
         });
     }
 }
