--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -11,7 +11,7 @@
 use crate::program::recording::Recording;
 use crate::program::reload::reload_on_signal;
 use crate::program::resource_limits::{ConfiguredLimits, ProcessLimits};
-use crate::routing::{Broker, Clock, Core};
+use crate::routing::{Broker, Clock, Core, ListOrigin};
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::connector::TcpConnector;
 use crate::transport::index_servers::IndexServers;
@@ -56,7 +56,7 @@
             &configuration_text,
             &broker,
         )?;
-        broker.apply_endpoint_update(&file.servers, true);
+        broker.apply_endpoint_update(&file.servers, ListOrigin::Cache);
         let reload = reload_servers(broker.clone(), read);
         spawn_local(reload_on_signal(reload_signal, descriptor_pool.clone(), recording.clone(), reload));
         let servers = IndexServers::new(broker.clone(), Rc::new(TcpConnector), descriptor_pool.clone());
@@ -80,7 +80,7 @@
     move || {
         // All other settings take effect at the next start.
         let servers = read()?.servers;
-        broker.apply_endpoint_update(&servers, false);
+        broker.apply_endpoint_update(&servers, ListOrigin::Discovery);
         Ok(format!("{} index servers", servers.workers.len()))
     }
 }
--- a/src/program/run/platform.rs
+++ b/src/program/run/platform.rs
@@ -16,7 +16,7 @@
 use crate::program::resource_limits::{ConfiguredLimits, ProcessLimits};
 use crate::program::signals::{ReloadSignal, ShutdownSignal};
 use crate::program::upgrade::Upgrade;
-use crate::routing::{Broker, Clock, Core};
+use crate::routing::{Broker, Clock, Core, ListOrigin};
 use crate::transport::connection_manager::ConnectionManager;
 use crate::transport::connector::{Connector, TcpConnector};
 use crate::transport::descriptor_pool::DescriptorPool;
@@ -124,7 +124,7 @@
         let broker = Broker::new(Core::new(config.contracts.clone()), clock);
         let recording = start_recording(config, operator, &broker, clock)?;
         if let Some(initial_workers) = &config.initial_workers {
-            broker.apply_endpoint_update(initial_workers, true);
+            broker.apply_endpoint_update(initial_workers, ListOrigin::Cache);
         }
         let connector: Rc<dyn Connector> = Rc::new(TcpConnector);
         let workers = Workers::new(broker.clone(), connector.clone(), descriptor_pool.clone());
--- a/src/routing/broker.rs
+++ b/src/routing/broker.rs
@@ -10,7 +10,7 @@
 use super::core::Core;
 use super::invariants::Invariant;
 use super::query::{QueryOutcome, SearchRequest};
-use super::worker_registry::WorkerListUpdate;
+use super::worker_registry::{ListOrigin, WorkerListUpdate};
 use crate::policy::{RequestId, Time, WorkerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -115,9 +115,9 @@
         self.0.wake_up.notify_one();
     }
 
-    /// Applies an endpoint list or a change of it; `cached` if it comes from an earlier process instead of discovery.
-    pub fn apply_endpoint_update(&self, update: &WorkerListUpdate, cached: bool) {
-        self.0.core.borrow_mut().apply_endpoint_update(self.0.clock.now(), update, cached);
+    /// Applies an endpoint list or a change of it.
+    pub fn apply_endpoint_update(&self, update: &WorkerListUpdate, origin: ListOrigin) {
+        self.0.core.borrow_mut().apply_endpoint_update(self.0.clock.now(), update, origin);
         self.0.wake_up.notify_one();
     }
 
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -8,7 +8,7 @@
 use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::command::Command;
 use crate::routing::worker_list::{MAX_REGISTERED_WORKERS, WorkerList};
-use crate::routing::worker_registry::WorkerListUpdate;
+use crate::routing::worker_registry::{ListOrigin, WorkerListUpdate};
 use crate::routing::worker_states::WorkerStates;
 use crate::service::DisabledWorkers;
 use std::time::Duration;
@@ -57,19 +57,19 @@
         &self.workers.disabled
     }
 
-    /// Applies an endpoint list or a change of it; `cached` if it comes from an earlier process instead of discovery.
-    pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, cached: bool) {
+    /// Applies an endpoint list or a change of it.
+    pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, origin: ListOrigin) {
         self.counters.listings += 1;
-        self.has_discovery_list |= !cached;
+        self.has_discovery_list |= origin == ListOrigin::Discovery;
         let change = self.workers.apply(now, &self.contracts, update);
         self.pending_commands.extend(change.commands);
         self.record_list_update(now, update, &change.endpoints);
         self.workers.forget_unlisted(&self.in_flight);
         let endpoints = change.endpoints.into();
-        self.pending_events.push(Event::EndpointUpdate(match (cached, update.complete) {
-            (true, _) => EndpointUpdate::Cached(endpoints),
-            (false, true) => EndpointUpdate::Full(endpoints),
-            (false, false) => EndpointUpdate::Delta(endpoints),
+        self.pending_events.push(Event::EndpointUpdate(match (origin, update.complete) {
+            (ListOrigin::Cache, _) => EndpointUpdate::Cached(endpoints),
+            (ListOrigin::Discovery, true) => EndpointUpdate::Full(endpoints),
+            (ListOrigin::Discovery, false) => EndpointUpdate::Delta(endpoints),
         }));
     }
 
@@ -160,7 +160,7 @@
         let names = snapshot.worker_names().chain(disabled.names());
         names.take(MAX_REGISTERED_WORKERS).for_each(|name| self.register_worker(name));
         self.workers.disabled = disabled;
-        self.apply_endpoint_update(now, list, true);
+        self.apply_endpoint_update(now, list, ListOrigin::Cache);
         // The decision module has to process the endpoint list before it can restore the workers' state.
         let commands = self.step(now);
         self.policy.restore(snapshot, |name| self.workers.registry.get(name));
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -30,4 +30,4 @@
 pub use counters::Counters;
 pub use invariants::{Invariant, SendPermit, Violations};
 pub use query::{QueryOutcome, QueryPart, Rejection, SearchRequest};
-pub use worker_registry::{ListedWorker, WorkerListUpdate};
+pub use worker_registry::{ListOrigin, ListedWorker, WorkerListUpdate};
--- a/src/routing/worker_registry.rs
+++ b/src/routing/worker_registry.rs
@@ -39,6 +39,15 @@
     pub workers: Vec<ListedWorker>,
 }
 
+/// Where an endpoint list comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListOrigin {
+    /// The discovery service, or the reloaded file of index servers: the list is current.
+    Discovery,
+    /// The configuration at start, or the other process of the gatherer: the list may be stale.
+    Cache,
+}
+
 /// Maps worker names to ids and back. An id is a hash of the name, so that all gatherers prefer the same replica for a
 /// key.
 #[derive(Debug, Default)]
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -10,7 +10,7 @@
 use crate::limits::{Backoff, DescriptorClass};
 use crate::protocol::discovery::{self, LongPoll};
 use crate::protocol::http::{self, ReceivedResponse};
-use crate::routing::{Broker, WorkerListUpdate};
+use crate::routing::{Broker, ListOrigin, WorkerListUpdate};
 use bytes::BytesMut;
 use std::rc::Rc;
 use std::time::Duration;
@@ -172,7 +172,7 @@
     backoff.record_success();
     // A partial update without entries only ends the long poll.
     if update.complete || !update.workers.is_empty() {
-        broker.apply_endpoint_update(update, false);
+        broker.apply_endpoint_update(update, ListOrigin::Discovery);
     }
     true
 }
--- a/tests/disabled_workers.rs
+++ b/tests/disabled_workers.rs
@@ -6,7 +6,7 @@
 use common::platform::{platform_config, search_request, single_part};
 use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, Time};
 use gatherer::records::record::{RecordBody, RecordedWorkerState};
-use gatherer::routing::{AttemptCompletion, Command, Core, ListedWorker, WorkerListUpdate};
+use gatherer::routing::{AttemptCompletion, Command, Core, ListOrigin, ListedWorker, WorkerListUpdate};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     core.apply_endpoint_update(
         START,
         &config.initial_workers.expect("the configuration lists workers"),
-        true,
+        ListOrigin::Cache,
     );
     core.step(START);
     core
@@ -33,7 +33,7 @@
     core.apply_endpoint_update(
         now,
         &WorkerListUpdate { revision: 2, complete: false, workers: vec![worker] },
-        false,
+        ListOrigin::Discovery,
     );
 }
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -12,7 +12,7 @@
 use gatherer::program::config::Config;
 use gatherer::protocol::http::{self, Request, Response};
 use gatherer::records::record::{RecordBody, RecordedWorkerState};
-use gatherer::routing::{Broker, Clock, Core};
+use gatherer::routing::{Broker, Clock, Core, ListOrigin};
 use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::discovery;
@@ -178,7 +178,7 @@
     let config = Config::from_json(&json, |_| None).expect("a configuration");
     let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
     let list = config.initial_workers.expect("a list");
-    broker.apply_endpoint_update(&list, true);
+    broker.apply_endpoint_update(&list, ListOrigin::Cache);
     let (connector, task_broker) = (DiscoveryConnector(discovery.clone()), broker.clone());
     spawn_local(async move {
         let descriptor_pool =
@@ -387,13 +387,13 @@
             })
             .next_back()
     };
-    core.apply_endpoint_update(start, &list, false);
+    core.apply_endpoint_update(start, &list, ListOrigin::Discovery);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
     let warm_up = core.contracts().settings.warm_up;
-    core.apply_endpoint_update(start.after(warm_up), &list, false);
+    core.apply_endpoint_update(start.after(warm_up), &list, ListOrigin::Discovery);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::Active));
     // A restart of the worker begins the warm-up again.
     list.workers[0].started_at = Some(start.after(Duration::from_secs(3700)));
-    core.apply_endpoint_update(start.after(warm_up * 2), &list, false);
+    core.apply_endpoint_update(start.after(warm_up * 2), &list, ListOrigin::Discovery);
     assert_eq!(state(&mut core), Some(RecordedWorkerState::WarmingUp));
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -8,7 +8,7 @@
 use gatherer::limits::{DescriptorAllocator, DescriptorBudget, DescriptorClass};
 use gatherer::policy::{AttemptOutcome, ClassId, EndpointStatus, Time};
 use gatherer::protocol::handover::{self, Message, TakeoverState};
-use gatherer::routing::{AttemptCompletion, Command, Core, ListedWorker, WorkerListUpdate};
+use gatherer::routing::{AttemptCompletion, Command, Core, ListOrigin, ListedWorker, WorkerListUpdate};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 fn core(processes: u32, started_at: [Option<Time>; 2]) -> Core {
     let mut core = Core::new(platform_config().contracts);
     core.set_process_count(processes);
-    core.apply_endpoint_update(START, &list(started_at), false);
+    core.apply_endpoint_update(START, &list(started_at), ListOrigin::Discovery);
     core.step(START);
     core
 }
--- a/tests/index_servers.rs
+++ b/tests/index_servers.rs
@@ -7,7 +7,7 @@
 use gatherer::limits::DescriptorBudget;
 use gatherer::policy::Time;
 use gatherer::protocol::http::{self, Response};
-use gatherer::routing::{Broker, Clock, Core, QueryOutcome, SearchRequest};
+use gatherer::routing::{Broker, Clock, Core, ListOrigin, QueryOutcome, SearchRequest};
 use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::index_servers::IndexServers;
@@ -66,7 +66,7 @@
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
         let mut list = config.initial_workers.expect("the configuration lists workers");
         list.workers.truncate(1);
-        broker.apply_endpoint_update(&list, true);
+        broker.apply_endpoint_update(&list, ListOrigin::Cache);
         let connector = Rc::new(RespondingServers::default());
         let servers = IndexServers::new(broker.clone(), connector.clone(), descriptor_pool);
         let driver = broker.clone();
@@ -85,7 +85,7 @@
         assert!(is_complete(&submit(&broker, "a", "search").await));
         let mut moved = broker.with_core(|core| core.endpoint_list());
         moved.workers[0].address = "elsewhere".to_owned();
-        broker.apply_endpoint_update(&moved, false);
+        broker.apply_endpoint_update(&moved, ListOrigin::Discovery);
         assert!(is_complete(&submit(&broker, "b", "search").await));
         assert_eq!(*connector.addresses.borrow(), ["w1", "elsewhere"]);
     });
--- a/tests/machine_usage.rs
+++ b/tests/machine_usage.rs
@@ -6,7 +6,7 @@
 use common::platform::{platform_config, search_request, single_part};
 use gatherer::policy::{AttemptOutcome, ClassId, Time};
 use gatherer::protocol::machine_usage::{self, TableError};
-use gatherer::routing::{AttemptCompletion, Command, Core, QueryPart, SearchRequest};
+use gatherer::routing::{AttemptCompletion, Command, Core, ListOrigin, QueryPart, SearchRequest};
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     core.apply_endpoint_update(
         Time(0),
         &config.initial_workers.expect("the configuration lists workers"),
-        true,
+        ListOrigin::Cache,
     );
     let mut now = start;
     let mut commands = core.step(now);
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -4,7 +4,7 @@
 
 use common::platform::{platform_config, search_request, single_part};
 use gatherer::policy::{AttemptOutcome, ClassId, RequestId, TenantId, Time};
-use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, SearchRequest};
+use gatherer::routing::{AttemptCompletion, AttemptId, Command, Core, ListOrigin, SearchRequest};
 use proptest::prelude::{Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     /// A query of this class is submitted.
     Submitted { class: usize },
     /// A query of this class is rejected before it was read.
-    RejectedUnread { class: usize },
+    RejectedOverloaded { class: usize },
     /// A query of this class is rejected because the gatherer is stopping.
     RejectedStopping { class: usize },
     /// The client of an open query disconnects.
@@ -36,7 +36,7 @@
 fn test_event() -> impl Strategy<Value = TestEvent> {
     prop_oneof![
         4 => (0..2_usize).prop_map(|class| TestEvent::Submitted { class }),
-        1 => (0..2_usize).prop_map(|class| TestEvent::RejectedUnread { class }),
+        1 => (0..2_usize).prop_map(|class| TestEvent::RejectedOverloaded { class }),
         1 => (0..2_usize).prop_map(|class| TestEvent::RejectedStopping { class }),
         1 => (0..8_usize).prop_map(|query| TestEvent::ClientDisconnected { query }),
         4 => (0..8_usize, 0..OUTCOMES.len())
@@ -71,7 +71,7 @@
         core.apply_endpoint_update(
             now,
             &config.initial_workers.expect("the configuration lists workers"),
-            true,
+            ListOrigin::Cache,
         );
         RandomRun { core, now, open: Vec::new(), in_flight: Vec::new(), received: [0; 2], ended: 0 }
     }
@@ -85,7 +85,7 @@
                     Err(_) => self.ended += 1,
                 }
             }
-            TestEvent::RejectedUnread { class } => {
+            TestEvent::RejectedOverloaded { class } => {
                 self.received[class] += 1;
                 self.ended += 1;
                 self.core.reject_overloaded(ClassId(class));
--- a/tests/scenario/fronts.rs
+++ b/tests/scenario/fronts.rs
@@ -7,7 +7,7 @@
 use gatherer::policy::Time;
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
-use gatherer::routing::{Broker, Clock, Contracts, Core, WorkerListUpdate, WorkerTransport};
+use gatherer::routing::{Broker, Clock, Contracts, Core, ListOrigin, WorkerListUpdate, WorkerTransport};
 use gatherer::transport::connection_manager::ConnectionManager;
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::discovery;
@@ -51,7 +51,7 @@
     /// A broker for these workers, each of which is a party that speaks this format.
     fn broker(&self, contracts: Contracts, workers: &WorkerListUpdate, format: WireFormat) -> Broker {
         let broker = Broker::new(Core::new(contracts), self.clock);
-        broker.apply_endpoint_update(workers, true);
+        broker.apply_endpoint_update(workers, ListOrigin::Cache);
         for worker in &workers.workers {
             self.network.add(&worker.address, format);
         }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -8,7 +8,7 @@
 use fronts::{Environment, FrontUnderTest, START_TIME};
 use gatherer::limits::client_connections::Source;
 use gatherer::policy::EndpointStatus;
-use gatherer::routing::{Broker, ListedWorker, WorkerListUpdate, WorkerTransport};
+use gatherer::routing::{Broker, ListOrigin, ListedWorker, WorkerListUpdate, WorkerTransport};
 use gatherer::service::lifecycle::LifecycleRequest;
 use gatherer::transport::listener::{self, Front};
 use network::{Party, PortState, WireFormat, pipe};
@@ -176,7 +176,7 @@
         let (name, address, zone) = (name.to_owned(), name.to_owned(), String::new());
         let worker = ListedWorker { name, address, zone, cell: 0, status, units: 1.0, started_at };
         let update = WorkerListUpdate { revision: 2, complete: false, workers: vec![worker] };
-        self.broker.apply_endpoint_update(&update, false);
+        self.broker.apply_endpoint_update(&update, ListOrigin::Discovery);
     }
 
     /// Sends what a party says: `NAME.N` on its Nth connection, `NAME` on the next one. A client without an
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -8,7 +8,7 @@
 use gatherer::limits::{DescriptorBudget, DescriptorClass};
 use gatherer::policy::{ShardId, Time};
 use gatherer::program::config::Config;
-use gatherer::routing::{Broker, Clock, Command, Core, QueryOutcome, QueryPart, SearchRequest};
+use gatherer::routing::{Broker, Clock, Command, Core, ListOrigin, QueryOutcome, QueryPart, SearchRequest};
 use gatherer::transport::connector::{ConnectFuture, Connector, Stream};
 use gatherer::transport::descriptor_pool::{DescriptorPermit, DescriptorPool};
 use gatherer::transport::workers::Workers;
@@ -94,7 +94,7 @@
         let pool =
             DescriptorPool::new(DescriptorBudget::new(64, 16, 0).expect("enough descriptors"), 1 << 20);
         let broker = Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60)));
-        broker.apply_endpoint_update(&config.initial_workers.expect("a list"), true);
+        broker.apply_endpoint_update(&config.initial_workers.expect("a list"), ListOrigin::Cache);
         let workers = Workers::new(broker.clone(), connector, pool.clone());
         spawn_local(workers.clone().close_idle_on_reclaim());
         let driven_broker = broker.clone();
@@ -242,7 +242,7 @@
         (Broker::new(Core::new(config.contracts), Clock::starting_at(Time(1 << 60))), Time(1 << 60));
     let mut list = config.initial_workers.expect("a list");
     list.workers.truncate(1);
-    broker.apply_endpoint_update(&list, true);
+    broker.apply_endpoint_update(&list, ListOrigin::Cache);
     let request = request("frames", "search", 5, &broker);
     let commands = broker.with_core(|core| {
         core.submit(now, request).expect("the query is accepted");
