--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -10,7 +10,7 @@
 use crate::policy::{ClassId, Idempotency, ShardId, TenantId};
 use crate::protocol::http::{MalformedMessage, Request, Response};
 use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
-use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore};
+use crate::routing::idempotency::{Execution, IdempotencyLimits, IdempotencyStore};
 use crate::routing::scroll_contexts::ScrollContexts;
 use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
 use crate::transport::connection_manager::ConnectionManager;
@@ -110,16 +110,19 @@
     }
 
     /// Submits the search and encodes its outcome. Returns the response, and whether any part may have run.
-    async fn execute(&self, valid_search: ValidSearch) -> (Response, bool) {
+    async fn execute(&self, valid_search: ValidSearch) -> (Response, Execution) {
         let ValidSearch { search, search_request, owner, .. } = valid_search;
         let (shards, started_at) = (search_request.parts.len(), self.clock.now());
         match self.broker.submit(search_request).await {
             QueryOutcome::Rejected { reason, retry_after } => {
-                (opensearch::rejection_response(reason, retry_after), false)
+                (opensearch::rejection_response(reason, retry_after), Execution::NotExecuted)
             }
             QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
-                (SearchError::new(500, "search_phase_execution_exception", reason).response(), true)
+                (
+                    SearchError::new(500, "search_phase_execution_exception", reason).response(),
+                    Execution::MayHaveRun,
+                )
             }
             QueryOutcome::Answered { values, .. } => {
                 let merged = opensearch::merge_results(
@@ -128,7 +131,7 @@
                 );
                 let took = self.clock.now().since(started_at);
                 let page = self.first_page(search, merged, &owner, took, shards, values.len());
-                (page.unwrap_or_else(|error| error.response()), true)
+                (page.unwrap_or_else(|error| error.response()), Execution::MayHaveRun)
             }
         }
     }
--- a/src/fronts/opensearch/at_most_once.rs
+++ b/src/fronts/opensearch/at_most_once.rs
@@ -1,11 +1,11 @@
 //! Searches that must not run twice. A client first requests an idempotency key; a search runs at most once for its
-//! key, and retries with the key get the recorded response. A key that this incarnation does not hold is rejected,
+//! key, and retries with the key get the cached response. A key that this incarnation does not hold is rejected,
 //! because its search may have run.
 
 use super::{IDEMPOTENCY_LIMITS, OpenSearchFront, ValidSearch};
 use crate::protocol::http::{Request, Response};
 use crate::protocol::opensearch::SearchError;
-use crate::routing::idempotency::KeyClaim;
+use crate::routing::idempotency::{Execution, KeyClaim};
 use serde_json::json;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,13 @@
             KeyClaim::Run(_) if self.connections.lifecycle_state().is_stopping() => {
                 // No search starts during a shutdown. Retries of a search that ran still get its response.
                 let rejection = self.reject_stopping(&valid_search.search_request);
-                self.idempotency.borrow_mut().finish(self.clock.now(), key, rejection.clone(), 0, false);
+                self.idempotency.borrow_mut().finish(
+                    self.clock.now(),
+                    key,
+                    rejection.clone(),
+                    0,
+                    Execution::NotExecuted,
+                );
                 return Ok(rejection);
             }
             KeyClaim::Run(receiver) => {
@@ -39,7 +45,7 @@
                 receiver
             }
             KeyClaim::Join(receiver) => receiver,
-            KeyClaim::Recorded(response) => return Ok(response),
+            KeyClaim::Cached(response) => return Ok(response),
             KeyClaim::Mismatch => return Err(key_mismatch_error()),
             KeyClaim::Unknown => return Err(self.unknown_key_error(key)),
         };
@@ -47,16 +53,17 @@
         outcome.clone().ok_or_else(lost_outcome_error)
     }
 
-    /// Runs a search in its own task, so that it completes and its response is recorded even if the client disconnects.
+    /// Runs a search in its own task, so that it completes and its response is cached even if the client disconnects.
     fn spawn_search(self: &Rc<Self>, valid_search: ValidSearch, key: &str) {
         let (front, key) = (self.clone(), key.to_owned());
         spawn_local(async move {
             let runner = front.clone();
             let run = spawn_local(async move { runner.execute(valid_search).await }).await;
             // A `JoinError` here means that the task panicked; the panic hook has printed the panic already.
-            let (response, may_have_run) = run.unwrap_or_else(|_| (lost_outcome_error().response(), true));
+            let (response, execution) =
+                run.unwrap_or_else(|_| (lost_outcome_error().response(), Execution::MayHaveRun));
             let size = response.body.len();
-            front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, may_have_run);
+            front.idempotency.borrow_mut().finish(front.clock.now(), &key, response, size, execution);
         });
     }
 
--- a/src/limits/connection_pool.rs
+++ b/src/limits/connection_pool.rs
@@ -28,6 +28,15 @@
     pub accepts_calls: bool,
 }
 
+/// Whether a call may run twice without harm.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallIdempotency {
+    /// The call may be sent again, so it may share a connection.
+    Idempotent,
+    /// The call must run at most once.
+    NonIdempotent,
+}
+
 /// Choice of the connection for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
@@ -39,16 +48,16 @@
 
 /// Chooses the connection for a call: one with capacity, else a new one, else the one with the fewest calls.
 ///
-/// A `non_idempotent` call gets a new connection of its own. A server may close or reset a kept connection just as a
+/// A non-idempotent call gets a new connection of its own. A server may close or reset a kept connection just as a
 /// call is written; it is then unknown whether the call ran, and its query is lost. On a connection of its own, the
 /// call cannot be lost to a malformed response to another call either.
 #[must_use]
 pub fn choose_connection(
-    non_idempotent: bool,
+    idempotency: CallIdempotency,
     connections: &[PooledConnection],
     max_connections: usize,
 ) -> ConnectionChoice {
-    if non_idempotent {
+    if idempotency == CallIdempotency::NonIdempotent {
         return ConnectionChoice::OpenNew;
     }
     if let Some(index) = connections.iter().position(|connection| connection.has_capacity) {
--- a/src/routing/idempotency.rs
+++ b/src/routing/idempotency.rs
@@ -27,7 +27,7 @@
     /// A request runs; `digest` identifies its content.
     Running { digest: u64, sender: watch::Sender<Option<T>> },
     /// The response is cached.
-    Recorded { digest: u64, response: T, size: usize },
+    Cached { digest: u64, response: T, size: usize },
 }
 
 struct Entry<T> {
@@ -45,13 +45,22 @@
     /// Wait for the response of the request that already runs with the key.
     Join(watch::Receiver<Option<T>>),
     /// Return this cached response.
-    Recorded(T),
+    Cached(T),
     /// The key was claimed for a request with another digest.
     Mismatch,
     /// The key is unknown or belongs to another owner: do not run.
     Unknown,
 }
 
+/// Whether a finished request may have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// No part of the request ran, so its key may be used for another run.
+    NotExecuted,
+    /// The request ran, or may have run in part.
+    MayHaveRun,
+}
+
 /// The limit of [`IdempotencyLimits::max_keys`] is reached. The message goes out in an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("as many idempotency keys as may be are held")]
@@ -108,35 +117,36 @@
                 KeyClaim::Run(receiver)
             }
             KeyState::Running { digest: first_digest, .. }
-            | KeyState::Recorded { digest: first_digest, .. }
+            | KeyState::Cached { digest: first_digest, .. }
                 if *first_digest != digest =>
             {
                 KeyClaim::Mismatch
             }
             KeyState::Running { sender, .. } => KeyClaim::Join(sender.subscribe()),
-            KeyState::Recorded { response, .. } => KeyClaim::Recorded(response.clone()),
+            KeyState::Cached { response, .. } => KeyClaim::Cached(response.clone()),
         }
     }
 
-    /// Ends the run of a key and sends the response to all requests that joined it. If the request `may_have_run`, the
+    /// Ends the run of a key and sends the response to all requests that joined it. If the request may have run, the
     /// response is cached and the key never runs again; otherwise the key can be claimed for another run. If the
     /// cached responses exceed `max_bytes`, the oldest are dropped together with their keys.
-    pub fn finish(&mut self, now: Time, key: &str, response: T, size: usize, may_have_run: bool) {
+    pub fn finish(&mut self, now: Time, key: &str, response: T, size: usize, execution: Execution) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         let KeyState::Running { digest, sender } = &entry.state else { return };
         let digest = *digest;
         sender.send_replace(Some(response.clone()));
         entry.updated_at = now;
-        entry.state = if may_have_run {
-            self.cached_bytes += size;
-            KeyState::Recorded { digest, response, size }
-        } else {
-            KeyState::Issued
+        entry.state = match execution {
+            Execution::MayHaveRun => {
+                self.cached_bytes += size;
+                KeyState::Cached { digest, response, size }
+            }
+            Execution::NotExecuted => KeyState::Issued,
         };
         while self.cached_bytes > self.limits.max_bytes {
-            let recorded =
-                self.entries.iter().filter(|(_, entry)| matches!(entry.state, KeyState::Recorded { .. }));
-            let Some(oldest) = recorded.min_by_key(|(_, entry)| entry.updated_at).map(|(key, _)| key.clone())
+            let cached =
+                self.entries.iter().filter(|(_, entry)| matches!(entry.state, KeyState::Cached { .. }));
+            let Some(oldest) = cached.min_by_key(|(_, entry)| entry.updated_at).map(|(key, _)| key.clone())
             else {
                 return;
             };
@@ -145,7 +155,7 @@
     }
 
     fn forget(&mut self, key: &str) {
-        if let Some(Entry { state: KeyState::Recorded { size, .. }, .. }) = self.entries.remove(key) {
+        if let Some(Entry { state: KeyState::Cached { size, .. }, .. }) = self.entries.remove(key) {
             self.cached_bytes -= size;
         }
     }
--- a/src/routing/idempotency/tests.rs
+++ b/src/routing/idempotency/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the idempotency store with explicit times.
 
-use super::{IdempotencyLimits, IdempotencyStore, KeyClaim, KeyLimitReached};
+use super::{Execution, IdempotencyLimits, IdempotencyStore, KeyClaim, KeyLimitReached};
 use crate::policy::Time;
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
     let KeyClaim::Join(receiver) = store.claim(Time(0), &key, "bank", 1) else {
         panic!("the key is running, so a second claim joins it")
     };
-    store.finish(Time(0), &key, "sealed", 6, true);
+    store.finish(Time(0), &key, "sealed", 6, Execution::MayHaveRun);
     assert_eq!(*receiver.borrow(), Some("sealed"));
-    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Recorded("sealed")));
+    assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Cached("sealed")));
 }
 
 #[test]
@@ -38,10 +38,10 @@
     assert_eq!(first.issue(now, "bank"), Err(KeyLimitReached));
     for (offset, key) in keys.iter().enumerate() {
         assert!(matches!(first.claim(now, key, "bank", 1), KeyClaim::Run(_)));
-        first.finish(Time(now.0 + offset as u64), key, "sealed", 6, true);
+        first.finish(Time(now.0 + offset as u64), key, "sealed", 6, Execution::MayHaveRun);
     }
     assert!(matches!(first.claim(now, &keys[0], "bank", 1), KeyClaim::Unknown));
-    assert!(matches!(first.claim(now, &keys[1], "bank", 1), KeyClaim::Recorded("sealed")));
+    assert!(matches!(first.claim(now, &keys[1], "bank", 1), KeyClaim::Cached("sealed")));
 }
 
 #[test]
@@ -49,6 +49,6 @@
     let mut store = store("a");
     let key = store.issue(Time(0), "bank").expect("the limit is not reached");
     assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
-    store.finish(Time(0), &key, "refused", 7, false);
+    store.finish(Time(0), &key, "refused", 7, Execution::NotExecuted);
     assert!(matches!(store.claim(Time(0), &key, "bank", 1), KeyClaim::Run(_)));
 }
--- a/src/transport/workers.rs
+++ b/src/transport/workers.rs
@@ -12,7 +12,7 @@
 use super::connector::Connector;
 use super::descriptor_pool::DescriptorPool;
 use crate::limits::DescriptorClass;
-use crate::limits::connection_pool::{self, ConnectionChoice, PooledConnection};
+use crate::limits::connection_pool::{self, CallIdempotency, ConnectionChoice, PooledConnection};
 use crate::policy::{AttemptOutcome, WorkerId};
 use crate::routing::{AttemptCompletion, AttemptId, Broker, Dispatch, WorkerTransport};
 use connection::Connection;
@@ -68,11 +68,15 @@
     /// Returns the connection for a call: an open one, or one that is being opened. `None` where the worker is unknown
     /// or accepts no calls.
     fn connection_for(&self, id: WorkerId, parts: &[Dispatch]) -> Option<Rc<Connection>> {
-        let at_most_once = parts.iter().any(|part| part.at_most_once);
+        let idempotency = if parts.iter().any(|part| part.at_most_once) {
+            CallIdempotency::NonIdempotent
+        } else {
+            CallIdempotency::Idempotent
+        };
         let mut workers = self.0.workers.borrow_mut();
         let worker = workers.get_mut(&id).filter(|worker| worker.accepts_calls)?;
         let pooled = self.pooled_connections(worker, parts);
-        match connection_pool::choose_connection(at_most_once, &pooled, MAX_CONNECTIONS_PER_WORKER) {
+        match connection_pool::choose_connection(idempotency, &pooled, MAX_CONNECTIONS_PER_WORKER) {
             ConnectionChoice::Reuse(index) => worker.connections.get(index).cloned(),
             ConnectionChoice::OpenNew => Some(self.open_connection(id, worker, parts)),
         }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,7 +3,7 @@
 
 use gatherer::limits::client_connections::RequestValidity;
 use gatherer::limits::connection_pool::{
-    ConnectQueue, ConnectTicket, ConnectionChoice, PooledConnection, choose_connection,
+    CallIdempotency, ConnectQueue, ConnectTicket, ConnectionChoice, PooledConnection, choose_connection,
 };
 use gatherer::limits::descriptors::DESCRIPTOR_CLASSES;
 use gatherer::limits::{
@@ -340,10 +340,10 @@
     let connection =
         |in_flight, has_capacity, accepts_calls| PooledConnection { in_flight, has_capacity, accepts_calls };
     let open = [connection(9, false, true), connection(1, false, true), connection(0, true, true)];
-    assert_eq!(choose_connection(true, &open, 4), ConnectionChoice::OpenNew);
-    assert_eq!(choose_connection(false, &open, 4), ConnectionChoice::Reuse(2));
-    assert_eq!(choose_connection(false, &open[..2], 4), ConnectionChoice::OpenNew);
-    assert_eq!(choose_connection(false, &open[..2], 2), ConnectionChoice::Reuse(1));
+    assert_eq!(choose_connection(CallIdempotency::NonIdempotent, &open, 4), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open, 4), ConnectionChoice::Reuse(2));
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open[..2], 4), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open[..2], 2), ConnectionChoice::Reuse(1));
     let closing = [connection(1, false, false)];
-    assert_eq!(choose_connection(false, &closing, 0), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &closing, 0), ConnectionChoice::OpenNew);
 }
