--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -36,7 +36,7 @@
 
 /// Classes and tenants by the names that requests use, as configured in the front's file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestNames {
+pub struct RequestMapping {
     /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
     /// Tenant of each caller, by the caller's id (`X-Opaque-Id`). If empty, callers are not checked.
@@ -59,7 +59,7 @@
     broker: Broker,
     clock: Clock,
     connections: Rc<ConnectionManager>,
-    names: RequestNames,
+    mapping: RequestMapping,
     idempotency: RefCell<IdempotencyStore<Response>>,
     scrolls: RefCell<ScrollContexts<ScrollResult>>,
 }
@@ -82,14 +82,14 @@
         broker: Broker,
         clock: Clock,
         connections: Rc<ConnectionManager>,
-        names: RequestNames,
+        mapping: RequestMapping,
         incarnation: String,
         seed: u64,
     ) -> Rc<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
         let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MAX_SCROLLS, MAX_SCROLL_BYTES));
         let idempotency = RefCell::new(IdempotencyStore::new(incarnation, random, IDEMPOTENCY_LIMITS));
-        Rc::new(OpenSearchFront { broker, clock, connections, names, idempotency, scrolls })
+        Rc::new(OpenSearchFront { broker, clock, connections, mapping, idempotency, scrolls })
     }
 
     async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
@@ -152,7 +152,7 @@
             if !merged.complete || responded < shards {
                 return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
-                    self.names.window
+                    self.mapping.window
                 )));
             }
             let bytes = merged.hits.iter().map(|hit| hit.to_string().len()).sum::<usize>() * 2;
@@ -226,9 +226,9 @@
     fn identify_caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
         let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
-            caller if self.names.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
+            caller if self.mapping.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
             None => Err(forbidden("X-Opaque-Id is missing: it names the caller")),
-            Some(caller) => match self.names.callers.get(caller) {
+            Some(caller) => match self.mapping.callers.get(caller) {
                 Some(tenant) => Ok((caller.to_owned(), Some(*tenant))),
                 None => Err(forbidden(&format!("no caller [{caller}]"))),
             },
@@ -237,12 +237,12 @@
 
     /// Validates a search and builds the request to the broker: one part per shard, all of the same weight.
     fn validate(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
-        let class = self.names.indexes.get(index).copied();
+        let class = self.mapping.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
             SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
         })?;
         let (owner, tenant) = self.identify_caller(request)?;
-        let search = Search::parse(request, self.names.window)?;
+        let search = Search::parse(request, self.mapping.window)?;
         let shard_body = search.shard_request_body();
         let request_digest = xxh3_64(
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
--- a/src/limits/descriptors.rs
+++ b/src/limits/descriptors.rs
@@ -189,7 +189,9 @@
     /// [`DescriptorDenied`] if no descriptor is free, with the way in which one may become free.
     pub fn acquire(&mut self, class: DescriptorClass) -> Result<(), DescriptorDenied> {
         if self.free() == 0 {
-            return Err(self.lender(class).map_or(DescriptorDenied::Exhausted, DescriptorDenied::Reclaim));
+            return Err(self
+                .class_to_reclaim_for(class)
+                .map_or(DescriptorDenied::Exhausted, DescriptorDenied::Reclaim));
         }
         self.held[class as usize] += 1;
         Ok(())
@@ -198,7 +200,7 @@
     /// Returns the class that has to close an evictable descriptor for this class: the one that is furthest over its
     /// floor. This class itself comes first, unless it is below its own floor.
     #[must_use]
-    pub fn lender(&self, class: DescriptorClass) -> Option<DescriptorClass> {
+    pub fn class_to_reclaim_for(&self, class: DescriptorClass) -> Option<DescriptorClass> {
         let is_below_floor = self.held(class) < self.budget.floors[class as usize];
         if !is_below_floor && self.evictable_count(class) > 0 {
             return Some(class);
--- a/src/program/opensearch_file.rs
+++ b/src/program/opensearch_file.rs
@@ -4,7 +4,7 @@
 use super::config_file::read_file;
 use super::errors::{ConfigError, ConfigFileKind, FileContentError, SOCKET_ADDRESS_FORM};
 use super::settings::InvalidSetting;
-use crate::fronts::opensearch::RequestNames;
+use crate::fronts::opensearch::RequestMapping;
 use crate::limits::descriptors;
 use crate::policy::{Class, EndpointStatus, Idempotency, Settings, Tenant, ZoneId};
 use crate::routing::{BrokerLimits, Contracts, ListedWorker, WorkerListUpdate};
@@ -138,7 +138,7 @@
     /// Classes, tenants, settings and limits.
     pub contracts: Contracts,
     /// Indexes and callers by their names in requests.
-    pub names: RequestNames,
+    pub mapping: RequestMapping,
     /// The index servers.
     pub servers: WorkerListUpdate,
     /// Number of file descriptors that the process may hold.
@@ -181,10 +181,10 @@
         let classes = self.classes()?;
         let workers = self.listed_workers()?;
         let contracts = self.contracts(seed, classes);
-        let names = self.request_names(&contracts)?;
+        let mapping = self.request_mapping(&contracts)?;
         let servers = WorkerListUpdate { revision: 0, complete: true, workers };
         let LimitsSection { sockets, memory_mb, .. } = self.limits;
-        Ok(FrontFile { listen, contracts, names, servers, sockets, memory_mb })
+        Ok(FrontFile { listen, contracts, mapping, servers, sockets, memory_mb })
     }
 
     fn check_layout(&self) -> Result<(), InvalidSetting> {
@@ -353,15 +353,15 @@
     }
 
     /// Resolves the class of each index and the tenant of each caller.
-    fn request_names(&self, contracts: &Contracts) -> Result<RequestNames, InvalidSetting> {
-        let mut names = RequestNames { window: self.limits.window, ..RequestNames::default() };
+    fn request_mapping(&self, contracts: &Contracts) -> Result<RequestMapping, InvalidSetting> {
+        let mut mapping = RequestMapping { window: self.limits.window, ..RequestMapping::default() };
         for (position, index) in self.index.iter().enumerate() {
             let class = contracts.class(&index.class).map(|class| class.0);
             let unknown_class = || {
                 let expected = format!("the name of a class: {}", contracts.classes.join(", "));
                 InvalidSetting::unexpected(&format!("index.{position}.class"), &index.class, expected)
             };
-            names.indexes.insert(index.name.clone(), class.ok_or_else(unknown_class)?);
+            mapping.indexes.insert(index.name.clone(), class.ok_or_else(unknown_class)?);
         }
         for (position, caller) in self.caller.iter().enumerate() {
             let tenant = contracts.tenant(&caller.tenant);
@@ -369,8 +369,8 @@
                 let expected = format!("the name of a tenant: {}", contracts.tenants.join(", "));
                 InvalidSetting::unexpected(&format!("caller.{position}.tenant"), &caller.tenant, expected)
             };
-            names.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown_tenant)?);
+            mapping.callers.insert(caller.id.clone(), tenant.ok_or_else(unknown_tenant)?);
         }
-        Ok(names)
+        Ok(mapping)
     }
 }
--- a/src/program/recording.rs
+++ b/src/program/recording.rs
@@ -5,7 +5,7 @@
 use super::operator::RecordSettings;
 use crate::limits::DescriptorClass;
 use crate::records::folder::Recorder;
-use crate::records::overload::OverloadDetector;
+use crate::records::overload::{OverloadChange, OverloadDetector};
 use crate::records::record::RecordBody;
 use crate::routing::Broker;
 use crate::transport::connection_manager::ConnectionManager;
@@ -87,8 +87,8 @@
             (allocator.budget().usable - allocator.free(), allocator.held(DescriptorClass::Clients))
         });
         metrics.buffered = connections.descriptor_pool().buffered_bytes();
-        if let Some(begins) = overload.and_then(|overload| overload.observe(&metrics)) {
-            self.record(RecordBody::Overload { begins });
+        if let Some(change) = overload.and_then(|overload| overload.observe(&metrics)) {
+            self.record(RecordBody::Overload { begins: change == OverloadChange::Started });
         }
         self.record(RecordBody::Metrics(metrics));
     }
--- a/src/program/run/opensearch.rs
+++ b/src/program/run/opensearch.rs
@@ -63,7 +63,7 @@
         spawn_local(servers.clone().close_idle_on_reclaim());
         let connections = ConnectionManager::new(descriptor_pool);
         let front =
-            OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.names, incarnation, seed);
+            OpenSearchFront::new(broker.clone(), clock, connections.clone(), file.mapping, incarnation, seed);
         let name = FRONT_NAME.to_owned();
         let serving =
             ServingProcess { name, broker, connections, recording, upgrade: None, members: None, stop };
--- a/src/protocol/machine_usage.rs
+++ b/src/protocol/machine_usage.rs
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Each row that cannot be decoded yields an error; the iterator continues with the next row.
-pub fn read(table: impl Read) -> impl Iterator<Item = Result<MachineUsage, TableError>> {
+pub fn read_rows(table: impl Read) -> impl Iterator<Item = Result<MachineUsage, TableError>> {
     let rows =
         csv::ReaderBuilder::new().has_headers(false).flexible(true).trim(csv::Trim::All).from_reader(table);
     rows.into_records().enumerate().filter_map(|(index, row)| {
--- a/src/protocol/opensearch/merge.rs
+++ b/src/protocol/opensearch/merge.rs
@@ -76,7 +76,7 @@
 /// Whether the body of an index server's response is an acceptable result: it neither timed out nor failed in part, and
 /// its hits have sort values.
 #[must_use]
-pub fn is_complete_result(body: &[u8]) -> bool {
+pub fn is_acceptable_result(body: &[u8]) -> bool {
     decode_complete_result(body).is_some()
 }
 
--- a/src/protocol/opensearch/mod.rs
+++ b/src/protocol/opensearch/mod.rs
@@ -7,7 +7,7 @@
 mod merge;
 mod search;
 
-pub use merge::{MergedResult, is_complete_result, merge_results};
+pub use merge::{MergedResult, is_acceptable_result, merge_results};
 pub use search::Search;
 
 use super::http::Response;
--- a/src/records/overload.rs
+++ b/src/records/overload.rs
@@ -15,6 +15,15 @@
 /// Consecutive seconds with few rejections after which a period ends.
 const QUIET_SECONDS_TO_END: u32 = 5;
 
+/// Start or end of a period of overload.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OverloadChange {
+    /// A period starts.
+    Started,
+    /// The current period ends.
+    Ended,
+}
+
 /// Detects overload from the rejections of each second.
 #[derive(Debug, Default)]
 pub struct OverloadDetector {
@@ -23,10 +32,9 @@
 }
 
 impl OverloadDetector {
-    /// Evaluates the metrics of one second. Returns `Some(true)` if a period starts with this second, and `Some(false)`
-    /// if one ends.
+    /// Evaluates the metrics of one second. Returns the change if a period starts or ends with this second.
     #[must_use]
-    pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<bool> {
+    pub fn observe(&mut self, second: &MetricsSnapshot) -> Option<OverloadChange> {
         let accepted: u64 = second.queries.iter().map(|queries| queries.accepted).sum();
         let counts_of =
             |end: QueryEnd| second.queries.iter().filter_map(move |queries| queries.ends.get(&end));
@@ -36,13 +44,13 @@
         if !self.overloaded {
             self.overloaded = rejected >= MIN_REJECTED_TO_START && rejected_share >= REJECTED_SHARE_TO_START;
             self.quiet_seconds = 0;
-            return self.overloaded.then_some(true);
+            return self.overloaded.then_some(OverloadChange::Started);
         }
         let quiet = rejected_share < REJECTED_SHARE_TO_END;
         self.quiet_seconds = if quiet { self.quiet_seconds + 1 } else { 0 };
         if self.quiet_seconds >= QUIET_SECONDS_TO_END {
             self.overloaded = false;
-            return Some(false);
+            return Some(OverloadChange::Ended);
         }
         None
     }
--- a/src/records/overload/tests.rs
+++ b/src/records/overload/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the detection of overload periods.
 
-use super::OverloadDetector;
+use super::{OverloadChange, OverloadDetector};
 use crate::records::metrics::{MetricsSnapshot, QueryEnd, QueryMetrics};
 
 /// The metrics of one second.
@@ -17,7 +17,7 @@
     let seconds =
         [(100, 4), (100, 5), (100, 0), (100, 50), (0, 0), (0, 0), (0, 0), (0, 0), (100, 0), (100, 0)];
     for (index, (accepted, rejected)) in seconds.into_iter().enumerate() {
-        changes.extend(detector.observe(&second(accepted, rejected)).map(|starts| (index, starts)));
+        changes.extend(detector.observe(&second(accepted, rejected)).map(|change| (index, change)));
     }
-    assert_eq!(changes, [(1, true), (8, false)]);
+    assert_eq!(changes, [(1, OverloadChange::Started), (8, OverloadChange::Ended)]);
 }
--- a/src/transport/clients/connection_manager.rs
+++ b/src/transport/clients/connection_manager.rs
@@ -155,10 +155,11 @@
         let (free, headroom) =
             self.descriptor_pool.descriptors(|allocator| (allocator.free(), allocator.budget().headroom));
         if free < headroom
-            && let Some(lender) =
-                self.descriptor_pool.descriptors(|allocator| allocator.lender(DescriptorClass::Clients))
+            && let Some(reclaimed_class) = self
+                .descriptor_pool
+                .descriptors(|allocator| allocator.class_to_reclaim_for(DescriptorClass::Clients))
         {
-            match lender {
+            match reclaimed_class {
                 DescriptorClass::Clients => self.evict_one(),
                 other => self.descriptor_pool.reclaim(other),
             }
--- a/src/transport/descriptor_pool.rs
+++ b/src/transport/descriptor_pool.rs
@@ -105,8 +105,8 @@
     ) -> Result<DescriptorPermit, DescriptorDenied> {
         let acquired = self.descriptors.borrow_mut().acquire(class);
         if let Err(denied) = acquired {
-            if let DescriptorDenied::Reclaim(lender) = denied {
-                self.reclaim(lender);
+            if let DescriptorDenied::Reclaim(reclaimed_class) = denied {
+                self.reclaim(reclaimed_class);
             }
             return Err(denied);
         }
--- a/src/transport/index_servers.rs
+++ b/src/transport/index_servers.rs
@@ -214,7 +214,7 @@
 /// The completion of the attempt that got this response.
 fn completion_of(server: &Server, response: ReceivedResponse) -> AttemptCompletion {
     match response.status {
-        200 if opensearch::is_complete_result(&response.body) => {
+        200 if opensearch::is_acceptable_result(&response.body) => {
             AttemptCompletion { outcome: AttemptOutcome::Succeeded, value: response.body, load_report: None }
         }
         // 429 is the only status that means that the server rejected the search without executing it.
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -29,14 +29,14 @@
     DESCRIPTOR_CLASSES.iter().map(claimed).sum::<usize>() <= budget.usable
 }
 
-/// Acquires a descriptor as the transport does: where one has to be reclaimed, the lender closes an evictable
-/// one.
+/// Acquires a descriptor as the transport does: where one has to be reclaimed, the class that the error names
+/// closes an evictable one.
 fn acquire(descriptors: &mut DescriptorAllocator, class: DescriptorClass) -> bool {
     match descriptors.acquire(class) {
         Ok(()) => true,
         Err(DescriptorDenied::Exhausted) => false,
-        Err(DescriptorDenied::Reclaim(lender)) => {
-            descriptors.release(lender);
+        Err(DescriptorDenied::Reclaim(reclaimed_class)) => {
+            descriptors.release(reclaimed_class);
             descriptors.acquire(class).is_ok()
         }
     }
@@ -87,7 +87,7 @@
     }
 
     #[test]
-    fn a_lender_has_an_evictable_descriptor_and_is_over_its_floor(
+    fn a_class_to_reclaim_from_has_an_evictable_descriptor_and_is_over_its_floor(
         limit in 64usize..400,
         steps in prop::collection::vec((0usize..4, 0u8..4), 0..900),
     ) {
@@ -96,11 +96,11 @@
         for (class, action) in steps {
             let class = DESCRIPTOR_CLASSES[class];
             if action == 0 { descriptors.mark_busy(class); } else { acquire(&mut descriptors, class); }
-            if let Some(lender) = descriptors.lender(class) {
-                prop_assert!(descriptors.held(lender) > descriptors.busy(lender));
+            if let Some(reclaimed_class) = descriptors.class_to_reclaim_for(class) {
+                prop_assert!(descriptors.held(reclaimed_class) > descriptors.busy(reclaimed_class));
                 // No class has to go below its floor for another class.
-                let floor = descriptors.budget().floors[lender as usize];
-                prop_assert!(lender == class || descriptors.held(lender) > floor);
+                let floor = descriptors.budget().floors[reclaimed_class as usize];
+                prop_assert!(reclaimed_class == class || descriptors.held(reclaimed_class) > floor);
             }
         }
     }
--- a/tests/machine_usage.rs
+++ b/tests/machine_usage.rs
@@ -36,7 +36,7 @@
     );
     let mut now = start;
     let mut commands = core.step(now);
-    for usage in machine_usage::read(table.as_bytes()) {
+    for usage in machine_usage::read_rows(table.as_bytes()) {
         let usage = usage.expect("the row is valid");
         now = start.after(usage.at);
         let report = usage.load_report(&core.contracts().settings.report_fields);
@@ -83,11 +83,12 @@
         ("m1,1,120\n", "line 1: CPU share: no percentage \"120\""),
     ];
     for (table, message) in cases {
-        let error: TableError = machine_usage::read(table.as_bytes()).find_map(Result::err).expect(message);
+        let error: TableError =
+            machine_usage::read_rows(table.as_bytes()).find_map(Result::err).expect(message);
         assert_eq!(error.to_string(), message);
     }
     // A row without a CPU share is skipped; it is not an error.
-    let rows: Vec<_> = machine_usage::read("m1,1,\nm1, 2 ,7.5,3\n".as_bytes())
+    let rows: Vec<_> = machine_usage::read_rows("m1,1,\nm1, 2 ,7.5,3\n".as_bytes())
         .collect::<Result<_, _>>()
         .expect("the rows are valid");
     assert_eq!((rows.len(), rows[0].at, rows[0].utilization), (1, Duration::from_secs(2), 0.075));
--- a/tests/scenario/fronts.rs
+++ b/tests/scenario/fronts.rs
@@ -118,7 +118,7 @@
         broker.clone(),
         environment.clock,
         environment.connection_manager.clone(),
-        file.names,
+        file.mapping,
         "start-1".to_owned(),
         SEED,
     );
