--- a/src/fronts/opensearch.rs
+++ b/src/fronts/opensearch.rs
@@ -10,7 +10,7 @@
 use crate::policy::{ClassId, Idempotency, ShardId, TenantId};
 use crate::protocol::http::{MalformedMessage, Request, Response};
 use crate::protocol::opensearch::{self, MergedResult, Search, SearchError};
-use crate::routing::idempotency::{IdempotencyLimits, IdempotencyStore};
+use crate::routing::idempotency::{Execution, IdempotencyLimits, IdempotencyStore};
 use crate::routing::scroll_contexts::ScrollContexts;
 use crate::routing::{Broker, Clock, Invariant, QueryOutcome, QueryPart, Rejection, SearchRequest};
 use crate::transport::connection_manager::ConnectionManager;
@@ -36,7 +36,7 @@
 
 /// Classes and tenants by the names that requests use, as configured in the front's file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestNames {
+pub struct RequestMapping {
     /// Class of each index, by the index's name.
     pub indexes: HashMap<String, ClassId>,
     /// Tenant of each caller, by the caller's id (`X-Opaque-Id`). If empty, callers are not checked.
@@ -59,7 +59,7 @@
     broker: Broker,
     clock: Clock,
     connections: Rc<ConnectionManager>,
-    names: RequestNames,
+    mapping: RequestMapping,
     idempotency: RefCell<IdempotencyStore<Response>>,
     scrolls: RefCell<ScrollContexts<ScrollResult>>,
 }
@@ -82,14 +82,14 @@
         broker: Broker,
         clock: Clock,
         connections: Rc<ConnectionManager>,
-        names: RequestNames,
+        mapping: RequestMapping,
         incarnation: String,
         seed: u64,
     ) -> Rc<Self> {
         let mut random = fastrand::Rng::with_seed(seed);
         let scrolls = RefCell::new(ScrollContexts::new(random.fork(), MAX_SCROLLS, MAX_SCROLL_BYTES));
         let idempotency = RefCell::new(IdempotencyStore::new(incarnation, random, IDEMPOTENCY_LIMITS));
-        Rc::new(OpenSearchFront { broker, clock, connections, names, idempotency, scrolls })
+        Rc::new(OpenSearchFront { broker, clock, connections, mapping, idempotency, scrolls })
     }
 
     async fn search(self: &Rc<Self>, index: &str, request: &Request) -> Result<Response, SearchError> {
@@ -110,16 +110,19 @@
     }
 
     /// Submits the search and encodes its outcome. Returns the response, and whether any part may have run.
-    async fn execute(&self, valid_search: ValidSearch) -> (Response, bool) {
+    async fn execute(&self, valid_search: ValidSearch) -> (Response, Execution) {
         let ValidSearch { search, search_request, owner, .. } = valid_search;
         let (shards, started_at) = (search_request.parts.len(), self.clock.now());
         match self.broker.submit(search_request).await {
             QueryOutcome::Rejected { reason, retry_after } => {
-                (opensearch::rejection_response(reason, retry_after), false)
+                (opensearch::rejection_response(reason, retry_after), Execution::NotExecuted)
             }
             QueryOutcome::Failed => {
                 let reason = "not served; it may have run in part";
-                (SearchError::new(500, "search_phase_execution_exception", reason).response(), true)
+                (
+                    SearchError::new(500, "search_phase_execution_exception", reason).response(),
+                    Execution::MayHaveRun,
+                )
             }
             QueryOutcome::Answered { values, .. } => {
                 let merged = opensearch::merge_results(
@@ -128,7 +131,7 @@
                 );
                 let took = self.clock.now().since(started_at);
                 let page = self.first_page(search, merged, &owner, took, shards, values.len());
-                (page.unwrap_or_else(|error| error.response()), true)
+                (page.unwrap_or_else(|error| error.response()), Execution::MayHaveRun)
             }
         }
     }
@@ -149,7 +152,7 @@
             if !merged.complete || responded < shards {
                 return Err(SearchError::illegal_argument(format!(
                     "a shard has more than [{}] hits, too many to be held for paging: narrow the search",
-                    self.names.window
+                    self.mapping.window
                 )));
             }
             let bytes = merged.hits.iter().map(|hit| hit.to_string().len()).sum::<usize>() * 2;
@@ -223,9 +226,9 @@
     fn identify_caller(&self, request: &Request) -> Result<(String, Option<TenantId>), SearchError> {
         let forbidden = |reason: &str| SearchError::new(403, "security_exception", reason);
         match request.headers.get("X-Opaque-Id") {
-            caller if self.names.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
+            caller if self.mapping.callers.is_empty() => Ok((caller.unwrap_or_default().to_owned(), None)),
             None => Err(forbidden("X-Opaque-Id is missing: it names the caller")),
-            Some(caller) => match self.names.callers.get(caller) {
+            Some(caller) => match self.mapping.callers.get(caller) {
                 Some(tenant) => Ok((caller.to_owned(), Some(*tenant))),
                 None => Err(forbidden(&format!("no caller [{caller}]"))),
             },
@@ -234,12 +237,12 @@
 
     /// Validates a search and builds the request to the broker: one part per shard, all of the same weight.
     fn validate(&self, index: &str, request: &Request) -> Result<ValidSearch, SearchError> {
-        let class = self.names.indexes.get(index).copied();
+        let class = self.mapping.indexes.get(index).copied();
         let class = class.ok_or_else(|| {
             SearchError::new(404, "index_not_found_exception", format!("no such index [{index}]"))
         })?;
         let (owner, tenant) = self.identify_caller(request)?;
-        let search = Search::parse(request, self.names.window)?;
+        let search = Search::parse(request, self.mapping.window)?;
         let shard_body = search.shard_request_body();
         let request_digest = xxh3_64(
             format!("{index}?{}\n{}", request.query, String::from_utf8_lossy(&request.body)).as_bytes(),
@@ -316,12 +319,12 @@
         })
     }
 
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         SearchError::new(error.status(), "parsing_exception", error.to_string()).response()
     }
 
-    fn overloaded(&self, _: Option<&Request>) -> Response {
+    fn rejection(&self, _: Option<&Request>) -> Response {
         let retry_after = self.broker.with_core(|core| core.contracts().settings.max_retry_after);
         opensearch::rejection_response(Rejection::AtCapacity, retry_after)
     }
--- a/src/fronts/platform.rs
+++ b/src/fronts/platform.rs
@@ -69,18 +69,18 @@
         }
     }
 
-    fn malformed(&self, error: MalformedMessage) -> Response {
+    fn malformed_response(&self, error: MalformedMessage) -> Response {
         self.broker.with_core(|core| core.counters.malformed += 1);
         Response::text(error.status(), error.to_string())
     }
 
-    fn overloaded(&self, request: Option<&Request>) -> Response {
+    fn rejection(&self, request: Option<&Request>) -> Response {
         let query_request = request.filter(|request| request.path == "/api");
         self.broker.with_core(|core| {
             let class = query_request
                 .and_then(|request| core.contracts().class(request.headers.get("X-Call-Class")?));
             if let Some(class) = class.map(|(class, _)| class) {
-                core.reject_unread(class);
+                core.reject_overloaded(class);
             }
         });
         platform::rejection_response(self.broker.with_core(|core| core.contracts().settings.max_retry_after))
--- a/src/routing/core/workers.rs
+++ b/src/routing/core/workers.rs
@@ -8,7 +8,7 @@
 use crate::records::record::{RecordBody, RecordedWorkerState};
 use crate::routing::command::Command;
 use crate::routing::worker_list::{MAX_REGISTERED_WORKERS, WorkerList};
-use crate::routing::worker_registry::WorkerListUpdate;
+use crate::routing::worker_registry::{ListOrigin, WorkerListUpdate};
 use crate::routing::worker_states::WorkerStates;
 use crate::service::DisabledWorkers;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
     /// Returns the number of listed workers that are disabled or ejected.
     #[must_use]
-    pub fn avoided_workers(&self) -> usize {
+    pub fn unavailable_workers(&self) -> usize {
         let ejected = self.policy.ejected_workers().filter(|worker| self.workers.contains(*worker));
         self.workers.count_disabled() + ejected.count()
     }
@@ -57,19 +57,19 @@
         &self.workers.disabled
     }
 
-    /// Applies an endpoint list or a change of it; `cached` if it comes from an earlier process instead of discovery.
-    pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, cached: bool) {
+    /// Applies an endpoint list or a change of it.
+    pub fn apply_endpoint_update(&mut self, now: Time, update: &WorkerListUpdate, origin: ListOrigin) {
         self.counters.listings += 1;
-        self.has_discovery_list |= !cached;
+        self.has_discovery_list |= origin == ListOrigin::Discovery;
         let change = self.workers.apply(now, &self.contracts, update);
         self.pending_commands.extend(change.commands);
         self.record_list_update(now, update, &change.endpoints);
         self.workers.forget_unlisted(&self.in_flight);
         let endpoints = change.endpoints.into();
-        self.pending_events.push(Event::EndpointUpdate(match (cached, update.complete) {
-            (true, _) => EndpointUpdate::Cached(endpoints),
-            (false, true) => EndpointUpdate::Full(endpoints),
-            (false, false) => EndpointUpdate::Delta(endpoints),
+        self.pending_events.push(Event::EndpointUpdate(match (origin, update.complete) {
+            (ListOrigin::Cache, _) => EndpointUpdate::Cached(endpoints),
+            (ListOrigin::Discovery, true) => EndpointUpdate::Full(endpoints),
+            (ListOrigin::Discovery, false) => EndpointUpdate::Delta(endpoints),
         }));
     }
 
@@ -150,7 +150,7 @@
 
     /// Restores the state of the gatherer's other process: its endpoint list, the disabled workers, and the snapshot of
     /// its decision module.
-    pub fn take_over(
+    pub fn restore_from_peer(
         &mut self,
         now: Time,
         list: &WorkerListUpdate,
@@ -160,7 +160,7 @@
         let names = snapshot.worker_names().chain(disabled.names());
         names.take(MAX_REGISTERED_WORKERS).for_each(|name| self.register_worker(name));
         self.workers.disabled = disabled;
-        self.apply_endpoint_update(now, list, true);
+        self.apply_endpoint_update(now, list, ListOrigin::Cache);
         // The decision module has to process the endpoint list before it can restore the workers' state.
         let commands = self.step(now);
         self.policy.restore(snapshot, |name| self.workers.registry.get(name));
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -10,7 +10,7 @@
 use crate::limits::{Backoff, DescriptorClass};
 use crate::protocol::discovery::{self, LongPoll};
 use crate::protocol::http::{self, ReceivedResponse};
-use crate::routing::{Broker, WorkerListUpdate};
+use crate::routing::{Broker, ListOrigin, WorkerListUpdate};
 use bytes::BytesMut;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 /// Polls the agent and applies each update to the broker, until the process ends. `held_revision` is the revision of
 /// the list that the broker already has; without it, the first poll asks for the complete list.
-pub async fn follow(
+pub async fn watch_endpoints(
     connector: &dyn Connector,
     mut address: watch::Receiver<String>,
     held_revision: Option<u64>,
@@ -172,7 +172,7 @@
     backoff.record_success();
     // A partial update without entries only ends the long poll.
     if update.complete || !update.workers.is_empty() {
-        broker.apply_endpoint_update(update, false);
+        broker.apply_endpoint_update(update, ListOrigin::Discovery);
     }
     true
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,7 +3,7 @@
 
 use gatherer::limits::client_connections::RequestValidity;
 use gatherer::limits::connection_pool::{
-    ConnectQueue, ConnectTicket, ConnectionChoice, PooledConnection, choose_connection,
+    CallIdempotency, ConnectQueue, ConnectTicket, ConnectionChoice, PooledConnection, choose_connection,
 };
 use gatherer::limits::descriptors::DESCRIPTOR_CLASSES;
 use gatherer::limits::{
@@ -29,14 +29,14 @@
     DESCRIPTOR_CLASSES.iter().map(claimed).sum::<usize>() <= budget.usable
 }
 
-/// Acquires a descriptor as the transport does: where one has to be reclaimed, the lender closes an evictable
-/// one.
+/// Acquires a descriptor as the transport does: where one has to be reclaimed, the class that the error names
+/// closes an evictable one.
 fn acquire(descriptors: &mut DescriptorAllocator, class: DescriptorClass) -> bool {
     match descriptors.acquire(class) {
         Ok(()) => true,
         Err(DescriptorDenied::Exhausted) => false,
-        Err(DescriptorDenied::Reclaim(lender)) => {
-            descriptors.release(lender);
+        Err(DescriptorDenied::Reclaim(reclaimed_class)) => {
+            descriptors.release(reclaimed_class);
             descriptors.acquire(class).is_ok()
         }
     }
@@ -87,7 +87,7 @@
     }
 
     #[test]
-    fn a_lender_has_an_evictable_descriptor_and_is_over_its_floor(
+    fn a_class_to_reclaim_from_has_an_evictable_descriptor_and_is_over_its_floor(
         limit in 64usize..400,
         steps in prop::collection::vec((0usize..4, 0u8..4), 0..900),
     ) {
@@ -96,11 +96,11 @@
         for (class, action) in steps {
             let class = DESCRIPTOR_CLASSES[class];
             if action == 0 { descriptors.mark_busy(class); } else { acquire(&mut descriptors, class); }
-            if let Some(lender) = descriptors.lender(class) {
-                prop_assert!(descriptors.held(lender) > descriptors.busy(lender));
+            if let Some(reclaimed_class) = descriptors.class_to_reclaim_for(class) {
+                prop_assert!(descriptors.held(reclaimed_class) > descriptors.busy(reclaimed_class));
                 // No class has to go below its floor for another class.
-                let floor = descriptors.budget().floors[lender as usize];
-                prop_assert!(lender == class || descriptors.held(lender) > floor);
+                let floor = descriptors.budget().floors[reclaimed_class as usize];
+                prop_assert!(reclaimed_class == class || descriptors.held(reclaimed_class) > floor);
             }
         }
     }
@@ -340,10 +340,10 @@
     let connection =
         |in_flight, has_capacity, accepts_calls| PooledConnection { in_flight, has_capacity, accepts_calls };
     let open = [connection(9, false, true), connection(1, false, true), connection(0, true, true)];
-    assert_eq!(choose_connection(true, &open, 4), ConnectionChoice::OpenNew);
-    assert_eq!(choose_connection(false, &open, 4), ConnectionChoice::Reuse(2));
-    assert_eq!(choose_connection(false, &open[..2], 4), ConnectionChoice::OpenNew);
-    assert_eq!(choose_connection(false, &open[..2], 2), ConnectionChoice::Reuse(1));
+    assert_eq!(choose_connection(CallIdempotency::NonIdempotent, &open, 4), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open, 4), ConnectionChoice::Reuse(2));
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open[..2], 4), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &open[..2], 2), ConnectionChoice::Reuse(1));
     let closing = [connection(1, false, false)];
-    assert_eq!(choose_connection(false, &closing, 0), ConnectionChoice::OpenNew);
+    assert_eq!(choose_connection(CallIdempotency::Idempotent, &closing, 0), ConnectionChoice::OpenNew);
 }
--- a/tests/scenario/fronts.rs
+++ b/tests/scenario/fronts.rs
@@ -8,7 +8,7 @@
 use gatherer::policy::Time;
 use gatherer::program::config::Config;
 use gatherer::program::opensearch_file::FrontFile;
-use gatherer::routing::{Broker, Clock, Contracts, Core, WorkerListUpdate, WorkerTransport};
+use gatherer::routing::{Broker, Clock, Contracts, Core, ListOrigin, WorkerListUpdate, WorkerTransport};
 use gatherer::transport::connection_manager::ConnectionManager;
 use gatherer::transport::descriptor_pool::DescriptorPool;
 use gatherer::transport::discovery;
@@ -52,7 +52,7 @@
     /// Creates a broker for these workers, and a party of this format for each.
     fn broker(&self, contracts: Contracts, workers: &WorkerListUpdate, format: WireFormat) -> Broker {
         let broker = Broker::new(Core::new(contracts), self.clock);
-        broker.apply_endpoint_update(workers, true);
+        broker.apply_endpoint_update(workers, ListOrigin::Cache);
         for worker in &workers.workers {
             self.network.add(&worker.address, format);
         }
@@ -68,7 +68,8 @@
         let (connector, broker) = (self.network.clone(), broker.clone());
         let (address, descriptor_pool) = (self.discovery_address.subscribe(), self.descriptor_pool.clone());
         spawn_local(async move {
-            discovery::follow(&connector, address, held_revision, &broker, &descriptor_pool, backoff).await
+            discovery::watch_endpoints(&connector, address, held_revision, &broker, &descriptor_pool, backoff)
+                .await
         });
     }
 }
@@ -120,7 +121,7 @@
         broker.clone(),
         environment.clock,
         environment.connection_manager.clone(),
-        file.names,
+        file.mapping,
         "start-1".to_owned(),
         SEED,
     );
